--- a/src/main/java/damsonslip/ColdBudget.java
+++ b/src/main/java/damsonslip/ColdBudget.java
@@ -7,14 +7,18 @@
 import damsonslip.Known.Worker;
 
 /**
- * What a cold worker may be sent (rule 4, slow start). Its budget is cut into windows of the stated length. Each
- * dispatcher spends its even part of a part of it; where that does not hold one job, dispatchers take turns, by number,
- * with what their turn holds. What is not spent is lost, so buckets start empty and no burst builds up.
+ * What a cold worker may be sent (rule 4, slow start). Its budget is cut into windows of the stated
+ * length. Each dispatcher spends its even part of a part of it; where that does not hold one job,
+ * dispatchers take turns, by number, with what their turn holds. What is not spent is lost, so
+ * buckets start empty and no burst builds up.
  *
- * <p>Decides from what {@link Worker} holds; times are those of the events. Not safe for use by several threads.
+ * <p>Decides from what {@link Worker} holds; times are those of the events. Not safe for use by
+ * several threads.
  */
 final class ColdBudget {
-    /** Part of the stated budget that is spent: job times are guesses, and windows overlap by two. */
+    /**
+     * Part of the stated budget that is spent: job times are guesses, and windows overlap by two.
+     */
     private static final double PART = 0.4;
 
     private final Guarantees rules;
@@ -25,7 +29,9 @@
 
     /** Whether the worker has not reached its full capacity yet. */
     boolean isCold(Worker w, long now) {
-        return rules.coldShare() < 1 && w.started != Long.MIN_VALUE && now - w.started < rules.coldUs();
+        return rules.coldShare() < 1
+                && w.started != Long.MIN_VALUE
+                && now - w.started < rules.coldUs();
     }
 
     /** Whether work of this cost may be sent there now. */
@@ -37,7 +43,7 @@
         double mine = part(w, settings, ofKind, now);
         long turns = Math.max(1, (long) Math.ceil(cost / mine));
         return Math.floorMod(turn + w.salt, turns) == Math.floorMod((long) settings.number(), turns)
-            && (w.coldTurn == turn ? w.coldSpent : 0) + cost <= mine * turns;
+                && (w.coldTurn == turn ? w.coldSpent : 0) + cost <= mine * turns;
     }
 
     /** The part of the budget that is this dispatcher's, in the window at hand. */
@@ -58,9 +64,14 @@
         w.coldTurn = turn;
     }
 
-    /** What was sent there from here in the window, and what it bears there from all, in requests of this length. */
+    /**
+     * What was sent there from here in the window, and what it bears there from all, in requests of
+     * this length.
+     */
     ColdLoad load(Worker w, Settings settings, FreeSeen ofKind, double requestUs, long now) {
         double spent = w.coldTurn == turn(w, now) ? w.coldSpent : 0;
-        return new ColdLoad(spent / requestUs, part(w, settings, ofKind, now) / PART * settings.dispatchers() / requestUs);
+        return new ColdLoad(
+                spent / requestUs,
+                part(w, settings, ofKind, now) / PART * settings.dispatchers() / requestUs);
     }
 }
--- a/src/main/java/damsonslip/Dealing.java
+++ b/src/main/java/damsonslip/Dealing.java
@@ -10,19 +10,31 @@
 import java.util.stream.Stream;
 
 /**
- * Cuts the workers into the pools of the job classes, by offered load and in the order of their ids, so that dispatchers
- * that share nothing cut alike (the design's ordinary path).
+ * Cuts the workers into the pools of the job classes, by offered load and in the order of their
+ * ids, so that dispatchers that share nothing cut alike (the design's ordinary path).
  *
- * <p>Decides from what {@link Pool} and {@link Worker} hold, and fills in which pool a worker belongs to. Not safe for use
- * by several threads.
+ * <p>Decides from what {@link Pool} and {@link Worker} hold, and fills in which pool a worker
+ * belongs to. Not safe for use by several threads.
  */
 final class Dealing {
-    /** Pools are cut by parts of the load on this grid: dispatchers with noisy estimates must cut alike. */
+    /**
+     * Pools are cut by parts of the load on this grid: dispatchers with noisy estimates must cut
+     * alike.
+     */
     private static final double GRID = 16;
-    /** A class's part of the load must leave its grid point by this many steps before pools are cut anew. */
+
+    /**
+     * A class's part of the load must leave its grid point by this many steps before pools are cut
+     * anew.
+     */
     private static final double MOVE = 0.8;
-    /** In overload, classes without a kind of their own still count as having this part of each worker. */
+
+    /**
+     * In overload, classes without a kind of their own still count as having this part of each
+     * worker.
+     */
     private static final double LEAST_LEFT = 0.1;
+
     private static final double SECOND = 1e6;
 
     private final Pool[] pools;
@@ -34,7 +46,7 @@
     /**
      * Deals these workers to the pools; gives each pool's members, by class.
      *
-     * @param running   the workers to deal, in the order of their ids
+     * @param running the workers to deal, in the order of their ids
      * @param kindSlots the slots of a worker of each kind
      */
     List<List<Worker>> deal(List<Worker> running, int[] kindSlots, Settings settings) {
@@ -62,12 +74,14 @@
     }
 
     /**
-     * Sets the parts of the load by which pools are cut; gives the load of all dispatchers. Pools keep their size until a
-     * class's part of the load has clearly moved: subjects move with it.
+     * Sets the parts of the load by which pools are cut; gives the load of all dispatchers. Pools
+     * keep their size until a class's part of the load has clearly moved: subjects move with it.
      */
     private double settle(Settings settings) {
         double sum = Arrays.stream(pools).mapToDouble(Dealing::load).sum();
-        if (sum > 0 && Arrays.stream(pools).anyMatch(p -> Math.abs(load(p) / sum - p.dealt) > MOVE / GRID)) {
+        if (sum > 0
+                && Arrays.stream(pools)
+                        .anyMatch(p -> Math.abs(load(p) / sum - p.dealt) > MOVE / GRID)) {
             for (Pool pool : pools) {
                 pool.dealt = Math.max(1, Math.rint(load(pool) / sum * GRID)) / GRID;
             }
@@ -101,8 +115,16 @@
         return loads;
     }
 
-    /** n = floor(N rho / sum rho + 0.5) in sorted id order, the last class the rest, one worker at least. */
-    private void dealKind(List<Worker> sorted, double[] loads, List<List<Worker>> members, int[] kindSlots, int zoneCount) {
+    /**
+     * n = floor(N rho / sum rho + 0.5) in sorted id order, the last class the rest, one worker at
+     * least.
+     */
+    private void dealKind(
+            List<Worker> sorted,
+            double[] loads,
+            List<List<Worker>> members,
+            int[] kindSlots,
+            int zoneCount) {
         double sum = Arrays.stream(loads).sum();
         int classes = (int) Arrays.stream(loads).filter(load -> load > 0).count();
         List<Worker> rest = new ArrayList<>(sorted);
@@ -118,8 +140,10 @@
             int[] zones = new int[zoneCount];
             members.get(i).forEach(w -> zones[w.zone]++);
             for (int taken = 0; taken < n; taken++) {
-                // the first by id of the zone that the pool has least of: some of it is near each dispatcher
-                Worker w = Collections.min(rest, (one, other) -> zones[one.zone] - zones[other.zone]);
+                // the first by id of the zone that the pool has least of: some of it is near each
+                // dispatcher
+                Worker w =
+                        Collections.min(rest, (one, other) -> zones[one.zone] - zones[other.zone]);
                 zones[w.zone]++;
                 rest.remove(w);
                 members.get(i).add(w);
--- a/src/main/java/damsonslip/Known.java
+++ b/src/main/java/damsonslip/Known.java
@@ -16,49 +16,75 @@
     /** The mean of own slots in use goes over about the time by which reports lag behind. */
     private static final double OWN_US = 1e6;
 
-    /** Weight of the newest job in a mean job time, once a hundred are seen; long tails need many. */
+    /**
+     * Weight of the newest job in a mean job time, once a hundred are seen; long tails need many.
+     */
     private static final double TIME_WEIGHT = 0.003;
 
     /**
-     * Weight of the newest job in a worker's pace, once some are seen: the first counts as much as the guess that it is
-     * as usual, since of many workers a dispatcher sees few jobs each. No job counts for more than so many times.
+     * Weight of the newest job in a worker's pace, once some are seen: the first counts as much as
+     * the guess that it is as usual, since of many workers a dispatcher sees few jobs each. No job
+     * counts for more than so many times.
      */
     private static final double PACE_WEIGHT = 0.15;
+
     private static final double MOST_TIMES = 6;
+
     /** The same in a worker's mean time of a class, which counts once a few are seen. */
     private static final double WORKER_WEIGHT = 0.1;
+
     private static final int FEW = 3;
-    /** Jobs shorter than this tell nothing of a pace: the network and a machine's own pauses take as long. */
+
+    /**
+     * Jobs shorter than this tell nothing of a pace: the network and a machine's own pauses take as
+     * long.
+     */
     private static final double NOISE_US = 5e3;
+
     /** A worker's pace is forgotten over about this long. */
     private static final double PACE_US = 8e6;
 
-    private Known() { }
+    private Known() {}
 
     static final class Worker {
         final String id;
-        /** Evens out, over workers that started together, whose turn it is at each while they are cold. */
+
+        /**
+         * Evens out, over workers that started together, whose turn it is at each while they are
+         * cold.
+         */
         final long salt;
+
         final List<Attempt> out = new ArrayList<>();
         int zone;
         int cell;
         int kind;
         boolean running;
+
         /** When it was last seen to run. */
         long ranAt;
-        /** When it started, as the list says on the machines' wall clock, and on the clock of the events. */
+
+        /**
+         * When it started, as the list says on the machines' wall clock, and on the clock of the
+         * events.
+         */
         long stamp = StartTimes.LONG_AGO;
+
         long started = StartTimes.LONG_AGO;
+
         /** It was seen to start, so that the second of these rests on no wall clock. */
         boolean seenToStart;
+
         Pool pool;
         private double slots = Double.NaN;
         private int errors;
         double reportedFree = Double.NaN;
         double reportedMemory = Double.NaN;
         long reportedAt;
+
         /** Own slots in use, their mean lately, and how many of others' reports tell of. */
         int own;
+
         double ownMean;
         double pace = 1;
         long pacedAt;
@@ -70,10 +96,13 @@
         long pausedUntil;
         long answeredAt = Long.MIN_VALUE / 2; // never: the time since then must not overflow
         int strikes;
+
         /** Its newest report told of errors, own or others'. */
         boolean failing;
+
         long coldTurn = -1;
         double coldSpent;
+
         /** What its own answers allow while no list holds. */
         final WorkerLease lease = new WorkerLease();
 
@@ -83,8 +112,8 @@
         }
 
         /**
-         * Takes in what a report says of all its slots; gives that, or else its free ones. A worker that offers its
-         * slots by itself is alive, however long it is at a job.
+         * Takes in what a report says of all its slots; gives that, or else its free ones. A worker
+         * that offers its slots by itself is alive, however long it is at a job.
          */
         double told(Dispatch.Report report, long now) {
             if (report.slots() > 0) {
@@ -95,8 +124,9 @@
         }
 
         /**
-         * Whether this end says something about the worker. One that offers its slots by itself says of a single job
-         * that it failed, and asks for the next; only several in a row, with nothing done between, are its own.
+         * Whether this end says something about the worker. One that offers its slots by itself
+         * says of a single job that it failed, and asks for the next; only several in a row, with
+         * nothing done between, are its own.
          */
         boolean suspect(Dispatch.Outcome outcome) {
             return !(slots > 0) || outcome != Dispatch.Outcome.ERROR || ++errors > FEW;
@@ -123,29 +153,43 @@
             return slots > 0 ? slots : ofKinds[kind];
         }
 
-        /** Its slots as far as reports show them: what must not be overspent cannot rest on a guess. */
+        /**
+         * Its slots as far as reports show them: what must not be overspent cannot rest on a guess.
+         */
         double shown(FreeSeen ofKind) {
             return slots > 0 ? slots : ofKind.shown;
         }
 
         /** A job there took this many times as long as where its class runs quickly. */
         void paced(double times, long now) {
-            pace = pace(now) + Math.max(PACE_WEIGHT, 1.0 / (++paced + 1)) * (Math.min(times, MOST_TIMES) - pace(now));
+            pace =
+                    pace(now)
+                            + Math.max(PACE_WEIGHT, 1.0 / (++paced + 1))
+                                    * (Math.min(times, MOST_TIMES) - pace(now));
             pacedAt = now;
             errors = 0;
         }
 
-        /** How many times the usual its jobs take lately; without news it is as usual again after a while. */
+        /**
+         * How many times the usual its jobs take lately; without news it is as usual again after a
+         * while.
+         */
         double pace(long now) {
             return 1 + (pace - 1) * Math.exp((pacedAt - now) / PACE_US);
         }
 
         /** Memory of the own jobs there that were sent after this time. */
         double memorySentSince(long time) {
-            return out.stream().filter(a -> a.sent > time).mapToDouble(a -> a.job.ask.memory()).sum();
+            return out.stream()
+                    .filter(a -> a.sent > time)
+                    .mapToDouble(a -> a.job.ask.memory())
+                    .sum();
         }
 
-        /** Slots of the own jobs there that were sent before this time and are not known to have started. */
+        /**
+         * Slots of the own jobs there that were sent before this time and are not known to have
+         * started.
+         */
         int slotsNotStartedSince(long time) {
             int slots = 0;
             for (Attempt a : out) { // on the path of each choice
@@ -174,10 +218,16 @@
         boolean held;
         int near = 1;
         Attempt risk;
+
         /** The worker that was probed for its lease last. */
         Worker probed;
-        /** Workers that were probed for their load when the job came, and how long their answers are waited for. */
+
+        /**
+         * Workers that were probed for their load when the job came, and how long their answers are
+         * waited for.
+         */
         List<Worker> candidates = List.of();
+
         long looksUntil = Long.MIN_VALUE;
 
         Job(JobArrived ask, long arrived, long order) {
@@ -212,14 +262,25 @@
         long at;
     }
 
-    /** The free slots that workers of a kind have reported, and what they tell about how many there are. */
+    /**
+     * The free slots that workers of a kind have reported, and what they tell about how many there
+     * are.
+     */
     static final class FreeSeen {
-        /** Slots of a worker of which nothing is known yet: most machines have about this many cores. */
+        /**
+         * Slots of a worker of which nothing is known yet: most machines have about this many
+         * cores.
+         */
         static final int GUESSED_SLOTS = 4;
-        /** Slots are the largest free figure that this part of the reports reach: noise must not raise it. */
+
+        /**
+         * Slots are the largest free figure that this part of the reports reach: noise must not
+         * raise it.
+         */
         private static final double SLOT_QUANTILE = 0.02;
 
         private final int[] seen = new int[64];
+
         /** What the reports alone tell of the slots; one, until two have told of more. */
         private int shown = 1;
 
@@ -243,10 +304,12 @@
     /** The mean share of free slots that the reports of the last seconds tell of. */
     static final class Free {
         /**
-         * A report's weight fades over about this long: a release fills the workers that stay within some seconds. Over
-         * less, the one or two workers of a kind and zone that a small fleet's pool has would count for too little.
+         * A report's weight fades over about this long: a release fills the workers that stay
+         * within some seconds. Over less, the one or two workers of a kind and zone that a small
+         * fleet's pool has would count for too little.
          */
         private static final double FADE_US = 10e6;
+
         /** What else is known counts as much as this many reports. */
         private static final double PRIOR = 2;
 
@@ -286,12 +349,18 @@
         double slotsPerJob = 1;
         double dealt = 1e-6;
         double median;
+
         /** How many jobs each worker has run, and their mean time. */
         private final Map<Worker, double[]> byWorker = new HashMap<>();
+
         final Map<Long, Heat> heat = new HashMap<>();
         double slots;
-        /** By kind and zone, first for warm workers and then for cold ones, which all fill unlike. */
+
+        /**
+         * By kind and zone, first for warm workers and then for cold ones, which all fill unlike.
+         */
         private final Free[][] free;
+
         int share = 1;
         int present;
         boolean full;
@@ -337,16 +406,21 @@
         }
 
         /**
-         * A job of the class took this long there; tells how many times as long as at its quick workers, the first
-         * quarter of all that have run some. The class's own mean only until a few have: where a whole pool is slow,
-         * that is as well.
+         * A job of the class took this long there; tells how many times as long as at its quick
+         * workers, the first quarter of all that have run some. The class's own mean only until a
+         * few have: where a whole pool is slow, that is as well.
          */
         double timed(Worker w, double took) {
             double[] own = byWorker.computeIfAbsent(w, fresh -> new double[2]);
             own[1] += Math.max(WORKER_WEIGHT, 1 / ++own[0]) * (took - own[1]);
-            double[] means = byWorker.values().stream().filter(mean -> mean[0] >= FEW).mapToDouble(mean -> mean[1])
-                .sorted().toArray();
-            double usual = means.length >= FEW ? means[means.length / 4] : timed >= FEW ? time : took;
+            double[] means =
+                    byWorker.values().stream()
+                            .filter(mean -> mean[0] >= FEW)
+                            .mapToDouble(mean -> mean[1])
+                            .sorted()
+                            .toArray();
+            double usual =
+                    means.length >= FEW ? means[means.length / 4] : timed >= FEW ? time : took;
             timed++;
             median *= 1 + Math.max(0.02, 1.0 / timed) * (took > median ? 0.5 : -0.5);
             time += Math.max(TIME_WEIGHT, 1.0 / timed) * (took - time);
--- a/src/main/java/damsonslip/Ring.java
+++ b/src/main/java/damsonslip/Ring.java
@@ -6,9 +6,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** An index of workers by hashed points: a subject finds the same ones although members come and go. */
+/**
+ * An index of workers by hashed points: a subject finds the same ones although members come and go.
+ */
 final class Ring {
-    private Ring() { }
+    private Ring() {}
 
     /** The members in the order of their points, each as often as it has points. */
     static Worker[] of(List<Worker> members, int pointsEach) {
--- a/src/main/java/damsonslip/Rules.java
+++ b/src/main/java/damsonslip/Rules.java
@@ -13,79 +13,148 @@
 /**
  * All decisions of one dispatcher; its interface stands in {@link Dispatch} (Dispatch.java).
  *
- * <p>The design: a pool of workers for each job class, sized by offered load; a threshold on the jobs
- * present, searched by revenue and shared among the dispatchers; admitted jobs held in arrival order and
- * released to their own pool. README.md tells what departs from it. No clock, threads, I/O or shared state.
+ * <p>The design: a pool of workers for each job class, sized by offered load; a threshold on the
+ * jobs present, searched by revenue and shared among the dispatchers; admitted jobs held in arrival
+ * order and released to their own pool. README.md tells what departs from it. No clock, threads,
+ * I/O or shared state.
  */
 public final class Rules {
     // ---- constants, each with its reason
 
-    /** Pools and thresholds are worked out this often and up to twice that, so that none re-deal in step. */
+    /**
+     * Pools and thresholds are worked out this often and up to twice that, so that none re-deal in
+     * step.
+     */
     private static final long DEAL_US = 700_000;
+
     /** What is known of a worker that has stopped is kept for so long, if it may come back. */
     private static final long RETENTION_US = 600_000_000;
+
     /** Held jobs are looked at again this often, for room that no event has told of. */
     private static final long SWEEP_US = 20_000;
+
     /** Weight of the newest interval in the arrival rate: about the last ten seconds count. */
     private static final double RATE_WEIGHT = 0.1;
-    /** The same for the rates that pools are cut by: dispatchers that see little must still cut alike. */
+
+    /**
+     * The same for the rates that pools are cut by: dispatchers that see little must still cut
+     * alike.
+     */
     private static final double STEADY_WEIGHT = 0.025;
-    /** Sends this recent may be missing from a report: reports are refreshed a few times a second at best. */
+
+    /**
+     * Sends this recent may be missing from a report: reports are refreshed a few times a second at
+     * best.
+     */
     private static final long REPORT_LAG_US = 250_000;
-    /** A job sent longer ago than this and not known to have started waits in its worker's queue. */
+
+    /**
+     * A job sent longer ago than this and not known to have started waits in its worker's queue.
+     */
     private static final long START_US = 80_000;
+
     /** What others have at a worker is taken from the reports of about this long. */
     private static final double OTHERS_US = 500e3;
-    /** A job that may be repeated is looked at so long after it was sent, after this part of its slack. */
+
+    /**
+     * A job that may be repeated is looked at so long after it was sent, after this part of its
+     * slack.
+     */
     private static final long MOVE_US = 100_000;
+
     private static final double MOVE_PART = 0.12;
-    /** A job that starts at once allows so many moves, enough for a lost zone; others take some back. */
+
+    /**
+     * A job that starts at once allows so many moves, enough for a lost zone; others take some
+     * back.
+     */
     private static final double MOVES_AT_ONCE = 0.3, MOVES_LATER = -0.4, MOST_MOVES = 20;
+
     /** A worker counts as having room down to this many free slots: guesses are fractions. */
     private static final double ROOM = 0.5;
-    /** A worker of the own zone has so many more free slots, as it were, times the price of crossing. */
+
+    /**
+     * A worker of the own zone has so many more free slots, as it were, times the price of
+     * crossing.
+     */
     private static final double ZONE = 80;
-    /** A worker is slow when its jobs take this many times as long as where their class runs quickly. */
+
+    /**
+     * A worker is slow when its jobs take this many times as long as where their class runs
+     * quickly.
+     */
     private static final double SLOW = 2.2;
-    /** A worker is silent when an own job is out for this many mean times with nothing back since. */
+
+    /**
+     * A worker is silent when an own job is out for this many mean times with nothing back since.
+     */
     private static final double SILENT = 4;
+
     /** Workers looked at for one job along its pool's ring. */
     private static final int WALK = 32;
+
     /** Points of each worker on the ring: evens out the arcs. */
     private static final int POINTS = 32;
+
     /** Jobs passed over at the head of a hold when they alone cannot be placed. */
     private static final int PASS_OVER = 16;
+
     /** A subject's load fills its workers up to this part before it gets one more. */
     private static final double HEAT_FULL = 0.7;
+
     /** A job with a subject may wait in the queue of its workers behind about this many others. */
     private static final double QUEUE = 2;
+
     /** A worker that answered 'full' gets nothing for this long, unless it reports room. */
     private static final long FULL_US = 60_000;
+
     /** First pause after a failed connection, a reset or a time-out; doubled with each in a row. */
     private static final long PAUSE_US = 250_000;
+
     /** A worker that has answered this recently is alive whatever happens to a single link. */
     private static final long ALIVE_US = 500_000;
+
     /** Doublings of that pause at most. */
     private static final int MOST_DOUBLINGS = 5;
-    /** What must not be repeated goes to a worker that has failed only this long after its pause. */
+
+    /**
+     * What must not be repeated goes to a worker that has failed only this long after its pause.
+     */
     private static final long TRUST_US = 4_000_000;
-    /** A worker that reports more errors a second than one now and then is failing, whoever has met them. */
+
+    /**
+     * A worker that reports more errors a second than one now and then is failing, whoever has met
+     * them.
+     */
     private static final double FAILING = 1;
-    /** A pool lends slots, and takes jobs beyond their tenants' quotas, while this share of it is free. */
+
+    /**
+     * A pool lends slots, and takes jobs beyond their tenants' quotas, while this share of it is
+     * free.
+     */
     private static final double SPARE = 0.45;
+
     /**
-     * What lies within quotas may exceed the share of K by this many square roots of it, or take a slot seen
-     * free. Guards against shares near one: alone, each would turn away half of what there is room for.
+     * What lies within quotas may exceed the share of K by this many square roots of it, or take a
+     * slot seen free. Guards against shares near one: alone, each would turn away half of what
+     * there is room for.
      */
     private static final double SWING = 2;
-    /** A job waits this part of its spare time for its own pool before it may borrow from another. */
+
+    /**
+     * A job waits this part of its spare time for its own pool before it may borrow from another.
+     */
     private static final double BORROW_AFTER = 0.15;
+
     /** A job that has waited for this part of the slack is turned away if others wait behind it. */
     private static final double LATE = 0.3;
+
     /** No client is told to stay away for longer: things look different by then. */
     private static final double MOST_RETRY_US = 10e6;
+
     /** The log says how things stand this often. */
     private static final long LOG_US = 10_000_000;
+
     private static final double SECOND = 1e6;
     private static final long SUBJECT_SALT = 0x632BE59BD9B4E019L;
     private static final String DEAL = "deal", SWEEP = "sweep", PROBE = "probe", LIST = "list";
@@ -127,7 +196,8 @@
         }
         this.dealing = new Dealing(pools);
         this.quotas = new TenantQuotas(settings.tenantQuotas().size());
-        this.freeSeen = Stream.generate(FreeSeen::new).limit(settings.kinds()).toArray(FreeSeen[]::new);
+        this.freeSeen =
+                Stream.generate(FreeSeen::new).limit(settings.kinds()).toArray(FreeSeen[]::new);
         this.kindSlots = new int[settings.kinds()];
         Arrays.fill(kindSlots, FreeSeen.GUESSED_SLOTS);
     }
@@ -140,7 +210,8 @@
     public void handle(long nowUs, Event event, List<Action> to) {
         settings.check(event);
         if (nowUs < now || event instanceof JobArrived e && jobs.containsKey(e.job())) {
-            throw new IllegalArgumentException("a job comes twice or time goes back: " + nowUs + " " + event);
+            throw new IllegalArgumentException(
+                    "a job comes twice or time goes back: " + nowUs + " " + event);
         }
         now = nowUs;
         actions = to;
@@ -176,7 +247,10 @@
         }
     }
 
-    /** The timer's label at which a job gets its final answer; a dispatcher may have it fall due earlier. */
+    /**
+     * The timer's label at which a job gets its final answer; a dispatcher may have it fall due
+     * earlier.
+     */
     public static String lastLabel(String job) {
         return OF_JOB + job;
     }
@@ -216,7 +290,10 @@
                 discovery.called(now);
                 actions.add(new WatchList());
             }
-            default -> ifOpen(label.substring(2), label.startsWith(STARTED) ? this::move : this::answer);
+            default ->
+                    ifOpen(
+                            label.substring(2),
+                            label.startsWith(STARTED) ? this::move : this::answer);
         }
     }
 
@@ -230,7 +307,8 @@
         }
         if (mode.isLoss()) {
             long heard = Math.min(now, update.heardUs());
-            actions.add(new SetTimer(discovery.lost(mode.loss, heard, now, random.nextDouble()), LIST));
+            actions.add(
+                    new SetTimer(discovery.lost(mode.loss, heard, now, random.nextDouble()), LIST));
             return;
         }
         update.tell(discovery);
@@ -247,8 +325,9 @@
         }
         startTimes.listed(mode.isNews(), now);
         if (correction != startTimes.correctionUs()) {
-            workers.values().stream().filter(w -> !w.seenToStart)
-                .forEach(w -> w.started = startTimes.told(w.stamp, now));
+            workers.values().stream()
+                    .filter(w -> !w.seenToStart)
+                    .forEach(w -> w.started = startTimes.told(w.stamp, now));
         }
         if (changed) {
             deal();
@@ -257,7 +336,7 @@
 
     /** Forgets workers that have not run for long. */
     private void forgetGone() {
-        for (Iterator<Worker> all = workers.values().iterator(); all.hasNext();) {
+        for (Iterator<Worker> all = workers.values().iterator(); all.hasNext(); ) {
             Worker w = all.next();
             w.ranAt = w.running ? now : w.ranAt;
             if (!w.running && w.out.isEmpty() && now - w.ranAt > RETENTION_US) {
@@ -309,12 +388,17 @@
         return pool.of.aimUs() + pool.of.stretch() * pool.time;
     }
 
-    /** How long a middling job may wait and still be in time; with long tails most are far below the mean. */
+    /**
+     * How long a middling job may wait and still be in time; with long tails most are far below the
+     * mean.
+     */
     private static double slack(Pool pool) {
         return pool.of.aimUs() + (pool.of.stretch() - 1) * Math.min(pool.median, pool.time);
     }
 
-    /** Takes a report in; one that was asked for is fresh, others are about as old as the own mean. */
+    /**
+     * Takes a report in; one that was asked for is fresh, others are about as old as the own mean.
+     */
     private void reported(Worker w, Report report, boolean fresh) {
         if (report == null || Double.isNaN(report.freeSlots())) {
             return;
@@ -333,7 +417,8 @@
         w.sentMemory = w.memorySentSince(now - REPORT_LAG_US);
         w.tells(Math.min(1, free / w.slots(kindSlots)), cold(w), freeAnywhere, now);
         w.failing = report.errors() > FAILING;
-        if (w.failing) { // as though struck before: what must not be repeated is not how to find out
+        if (w.failing) { // as though struck before: what must not be repeated is not how to find
+            // out
             w.strikes = Math.max(w.strikes, 1);
             strike(w, true);
         } else if (free >= 1) {
@@ -342,8 +427,8 @@
     }
 
     /**
-     * The share of free slots at workers like this one. Each dispatcher hears of few, and of a pool just cut
-     * of none: what it lacks it takes from all warm, or all cold, workers, not from hope.
+     * The share of free slots at workers like this one. Each dispatcher hears of few, and of a pool
+     * just cut of none: what it lacks it takes from all warm, or all cold, workers, not from hope.
      */
     private double share(Worker w) {
         double anywhere = freeAnywhere[cold(w) ? 1 : 0].share(1, now);
@@ -355,14 +440,16 @@
     }
 
     /**
-     * Free slots as far as can be known: own jobs are known exactly; what others have there is what reports
-     * leave beside the own mean, fading towards the pool's as a report ages. An own job that waits there to
-     * start tells that there are none. Guards against reports a second old, which show own jobs that have
-     * ended and lack those sent since: taken at their word they keep jobs waiting beside free slots.
+     * Free slots as far as can be known: own jobs are known exactly; what others have there is what
+     * reports leave beside the own mean, fading towards the pool's as a report ages. An own job
+     * that waits there to start tells that there are none. Guards against reports a second old,
+     * which show own jobs that have ended and lack those sent since: taken at their word they keep
+     * jobs waiting beside free slots.
      */
     private double free(Worker w) {
         double slots = w.slots(kindSlots);
-        double others = slots * (1 - share(w)) * (settings.dispatchers() - 1) / settings.dispatchers();
+        double others =
+                slots * (1 - share(w)) * (settings.dispatchers() - 1) / settings.dispatchers();
         if (!Double.isNaN(w.reportedFree)) {
             double fade = w.pool == null ? 0.5 : w.pool.time / (w.pool.time + (now - w.reportedAt));
             others += fade * (w.others - others);
@@ -393,8 +480,14 @@
         }
         pool.full = false;
         int n = (int) Math.floor(pool.slots / pool.slotsPerJob);
-        double k = Threshold.search(n, pool.rate, SECOND / pool.time, aim(pool) / SECOND, pool.of.worth(),
-            Threshold.EPSILON);
+        double k =
+                Threshold.search(
+                        n,
+                        pool.rate,
+                        SECOND / pool.time,
+                        aim(pool) / SECOND,
+                        pool.of.worth(),
+                        Threshold.EPSILON);
         pool.share = Math.max(1, (int) Math.round(k / settings.dispatchers()));
     }
 
@@ -410,7 +503,8 @@
         boolean within = quotas.takes(ask.tenant(), settings, now);
         job.near = near(pool, ask.subject());
         Worker w = pool.hold.isEmpty() || ask.subject() != null ? choose(pool, job, false) : null;
-        // with a subject all dispatchers choose alike, so that only a report of that very worker counts
+        // with a subject all dispatchers choose alike, so that only a report of that very worker
+        // counts
         boolean known = ask.subject() == null || w != null && !Double.isNaN(w.reportedFree);
         boolean seenFree = w != null && known && free(w) >= ask.slots();
         boolean beyond = !within && (!seenFree || freeShare(pool) < SPARE);
@@ -438,7 +532,8 @@
 
     /** Where only probes report loads, a job asks some workers before it goes to one. */
     private boolean looksFirst(Job job) {
-        boolean byProbe = settings.reporting() == Reporting.BY_PROBE && settings.limits().mayProbe();
+        boolean byProbe =
+                settings.reporting() == Reporting.BY_PROBE && settings.limits().mayProbe();
         return byProbe && job.ask.subject() == null && job.looksUntil == Long.MIN_VALUE;
     }
 
@@ -453,11 +548,19 @@
         return probes.look(job, members, settings.zone(), may, now, actions);
     }
 
-    /** The candidate with most room of those that have just reported enough, own zone first; or null. */
+    /**
+     * The candidate with most room of those that have just reported enough, own zone first; or
+     * null.
+     */
     private Worker chooseCandidate(Job job) {
-        return job.candidates.stream().filter(w -> w.reportedAt >= job.arrived && mayTake(w, job))
-            .filter(w -> free(w) >= job.ask.slots() && !(w.reportedMemory - w.sentMemory < job.ask.memory()))
-            .max(Comparator.comparingDouble(w -> free(w) + nearness(w))).orElse(null);
+        return job.candidates.stream()
+                .filter(w -> w.reportedAt >= job.arrived && mayTake(w, job))
+                .filter(
+                        w ->
+                                free(w) >= job.ask.slots()
+                                        && !(w.reportedMemory - w.sentMemory < job.ask.memory()))
+                .max(Comparator.comparingDouble(w -> free(w) + nearness(w)))
+                .orElse(null);
     }
 
     private double nearness(Worker w) {
@@ -490,9 +593,11 @@
                 job.held = false;
                 send(job, w);
             } else if (!mayRepeat(job, job.risk) || !mayWait()) {
-                answer(job); // its window, or the time that the list holds for, has ended while it was held
+                answer(job); // its window, or the time that the list holds for, has ended while it
+                // was held
             } else if (job.attempts.isEmpty() && !pool.hold.isEmpty() && pressed(job)) {
-                answer(job); // others wait behind it, and served in order all would be just too late
+                answer(job); // others wait behind it, and served in order all would be just too
+                // late
             } else {
                 passed.add(job);
                 probeFor(pool, job);
@@ -522,9 +627,13 @@
         return w == null && waited ? borrow(pool, job) : w;
     }
 
-    /** A worker of a pool that earns less, or is mostly free, or any if none of the own may take the job. */
+    /**
+     * A worker of a pool that earns less, or is mostly free, or any if none of the own may take the
+     * job.
+     */
     private Worker borrow(Pool pool, Job job) {
-        boolean foreign = job.ask.fits() != null && pool.members.stream().noneMatch(w -> job.ask.fits(w.id));
+        boolean foreign =
+                job.ask.fits() != null && pool.members.stream().noneMatch(w -> job.ask.fits(w.id));
         boolean lost = pressed(job) || pool.members.stream().noneMatch(w -> mayTake(w, job));
         double spare = lost ? 0 : SPARE; // nothing is turned away beside a slot seen free
         for (Pool other : pools) {
@@ -541,9 +650,9 @@
     }
 
     /**
-     * Own zone first, the one with most room. A job with a subject keeps to as many of the next workers on
-     * the ring as its subject's load needs, even to wait there a little: to fetch what it needs costs more
-     * than a short wait.
+     * Own zone first, the one with most room. A job with a subject keeps to as many of the next
+     * workers on the ring as its subject's load needs, even to wait there a little: to fetch what
+     * it needs costs more than a short wait.
      */
     private Worker choose(Pool pool, Job job, boolean far) {
         return choose(pool, job, far, w -> mayTake(w, job));
@@ -556,7 +665,8 @@
         int at = (int) Math.floorMod(hash, Math.max(1L, ring.length));
         int near = anywhere ? ring.length : job.near + (far ? 1 : 0);
         double least = ROOM - 1 - (anywhere || far ? 0 : QUEUE);
-        // what a slow worker gets is late in any case, so it is the last resort of what would be refused else
+        // what a slow worker gets is late in any case, so it is the last resort of what would be
+        // refused else
         Worker found = null;
         double most = 0;
         Worker before = null;
@@ -591,11 +701,17 @@
         return (int) Math.ceil(load / (slots * HEAT_FULL));
     }
 
-    /** A repeat that may have run goes only where repeats are dropped, even outside its pool (rule 2). */
+    /**
+     * A repeat that may have run goes only where repeats are dropped, even outside its pool (rule
+     * 2).
+     */
     private Worker chooseInGroup(Pool pool, Job job, Predicate<Worker> may) {
         Worker first = job.risk.worker;
-        return workers.values().stream().filter(w -> sameGroup(pool, w, first))
-            .filter(w -> may.test(w) && free(w) >= job.ask.slots() + ROOM - 1).findFirst().orElse(null);
+        return workers.values().stream()
+                .filter(w -> sameGroup(pool, w, first))
+                .filter(w -> may.test(w) && free(w) >= job.ask.slots() + ROOM - 1)
+                .findFirst()
+                .orElse(null);
     }
 
     private static boolean grouped(Pool pool) {
@@ -606,11 +722,15 @@
         return pool.of.group() == Group.ZONE ? one.zone == other.zone : one.cell == other.cell;
     }
 
-    /** Guards against workers that take jobs and answer none: an own job long out, and nothing back since. */
+    /**
+     * Guards against workers that take jobs and answer none: an own job long out, and nothing back
+     * since.
+     */
     private boolean silent(Worker w) {
         Attempt first = w.out.isEmpty() ? null : w.out.get(0);
-        return first != null && w.answeredAt <= first.sent
-            && now - first.sent > SILENT * pools[first.job.ask.jobClass()].time;
+        return first != null
+                && w.answeredAt <= first.sent
+                && now - first.sent > SILENT * pools[first.job.ask.jobClass()].time;
     }
 
     private boolean mayTake(Worker w, Job job) {
@@ -624,15 +744,21 @@
 
     private boolean couldTake(Worker w, Job job) {
         int kind = pools[job.ask.jobClass()].of.kind();
-        return w.running && now >= w.pausedUntil && (kind < 0 || kind == w.kind) && !silent(w)
-            && job.ask.fits(w.id) && trusts(w, job) && coldAllows(w, cost(job));
+        return w.running
+                && now >= w.pausedUntil
+                && (kind < 0 || kind == w.kind)
+                && !silent(w)
+                && job.ask.fits(w.id)
+                && trusts(w, job)
+                && coldAllows(w, cost(job));
     }
 
     /** A worker struck more than once is tried with what may be repeated, if there are others. */
     private boolean trusts(Worker w, Job job) {
-        return w.strikes < 2 || pools[job.ask.jobClass()].of.effect() == Effect.SAFE
-            || now > w.pausedUntil + TRUST_US
-            || workers.values().stream().noneMatch(other -> other.running && other.strikes < 2);
+        return w.strikes < 2
+                || pools[job.ask.jobClass()].of.effect() == Effect.SAFE
+                || now > w.pausedUntil + TRUST_US
+                || workers.values().stream().noneMatch(other -> other.running && other.strikes < 2);
     }
 
     private double cost(Job job) {
@@ -660,8 +786,10 @@
         w.sentMemory += job.ask.memory();
         coldBudget.spend(w, cost(job), now);
         actions.add(new Send(job.ask.job(), w.id, 0));
-        if (settings.tellsStart() && settings.limits().mayCancel() && job.ask.subject() == null
-            && pools[job.ask.jobClass()].of.effect() != Effect.UNSAFE) {
+        if (settings.tellsStart()
+                && settings.limits().mayCancel()
+                && job.ask.subject() == null
+                && pools[job.ask.jobClass()].of.effect() != Effect.UNSAFE) {
             timer(moveAfter(job), STARTED + job.ask.job());
         }
     }
@@ -671,19 +799,31 @@
     }
 
     /**
-     * What may be repeated and has not started goes where there is room. Guards against moving where few jobs
-     * start at once: queues are everywhere then, and where workers run on, each move is load on top.
+     * What may be repeated and has not started goes where there is room. Guards against moving
+     * where few jobs start at once: queues are everywhere then, and where workers run on, each move
+     * is load on top.
      */
     private void move(Job job) {
         Attempt a = job.attempts.get(job.attempts.size() - 1);
-        if (!a.open || a.started != 0 || job.outstanding != 1 || now - a.sent < moveAfter(job)
-            || job.attempts.size() >= settings.limits().maxAttempts() || job.runs + 1 >= job.ask.mostRuns()) {
+        if (!a.open
+                || a.started != 0
+                || job.outstanding != 1
+                || now - a.sent < moveAfter(job)
+                || job.attempts.size() >= settings.limits().maxAttempts()
+                || job.runs + 1 >= job.ask.mostRuns()) {
             return;
         }
         Pool pool = pools[job.ask.jobClass()];
         boolean again = movesLeft >= 1 && mayRepeat(job, job.risk == null ? a : job.risk);
-        if (again && workers.values().stream().anyMatch(w -> w != a.worker && mayTake(w, job)
-            && free(w) >= job.ask.slots() && (!grouped(pool) || sameGroup(pool, w, a.worker)))) {
+        if (again
+                && workers.values().stream()
+                        .anyMatch(
+                                w ->
+                                        w != a.worker
+                                                && mayTake(w, job)
+                                                && free(w) >= job.ask.slots()
+                                                && (!grouped(pool)
+                                                        || sameGroup(pool, w, a.worker)))) {
             strike(a.worker, true);
             moved++;
             movesLeft--;
@@ -695,7 +835,9 @@
 
     private Attempt attempt(String id, int number) {
         Job job = jobs.get(id);
-        return job == null || number < 0 || number >= job.attempts.size() ? null : job.attempts.get(number);
+        return job == null || number < 0 || number >= job.attempts.size()
+                ? null
+                : job.attempts.get(number);
     }
 
     private void attemptEnded(AttemptEnded e) {
@@ -710,9 +852,11 @@
         w.out.remove(a);
         w.own(-job.ask.slots(), now);
         w.others += w.fresh ? job.ask.slots() : 0; // not free until the next report says so
-        w.answeredAt = e.outcome() == Outcome.SERVED || e.outcome() == Outcome.FULL ? now : w.answeredAt;
+        w.answeredAt =
+                e.outcome() == Outcome.SERVED || e.outcome() == Outcome.FULL ? now : w.answeredAt;
         reported(w, e.report(), false);
-        if (settings.reporting() == Reporting.NONE) { // else only a report says that what was sent has left
+        if (settings.reporting()
+                == Reporting.NONE) { // else only a report says that what was sent has left
             w.sentMemory = Math.max(0, w.sentMemory - job.ask.memory());
         }
         health(a, e.outcome());
@@ -748,22 +892,25 @@
             }
             case FULL -> {
                 w.full(kindSlots, cold(w), freeAnywhere, now);
-                w.pausedUntil = Math.max(w.pausedUntil, now + FULL_US / 2 + random.nextLong(FULL_US));
+                w.pausedUntil =
+                        Math.max(w.pausedUntil, now + FULL_US / 2 + random.nextLong(FULL_US));
             }
-            // an error counts too: a worker that fails at once looks free, and would draw all there is
+            // an error counts too: a worker that fails at once looks free, and would draw all there
+            // is
             case ERROR, NOT_CONNECTED, TIMED_OUT -> {
                 strike(w, w.suspect(outcome));
                 if (outcome != Outcome.ERROR) {
                     w.lease.connectionFailed(now);
                 }
             }
-            case RESET -> { // a lost link alone says little about a worker that has just answered on others
+            case RESET -> { // a lost link alone says little about a worker that has just answered
+                // on others
                 w.lease.connectionFailed(now);
                 if (now - w.answeredAt > ALIVE_US || w.strikes > 0) {
                     strike(w, true);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -774,14 +921,19 @@
         }
     }
 
-    /** An attempt has ended without serving: another if the class allows it, else the answer (rules 1, 2). */
+    /**
+     * An attempt has ended without serving: another if the class allows it, else the answer (rules
+     * 1, 2).
+     */
     private void goOn(Job job, Attempt a, Outcome outcome) {
         job.runs += outcome.provesNotRun() ? 0 : 1;
         if (!outcome.provesNotRun() && job.risk == null) {
             job.risk = a;
         }
-        if (job.outstanding == 0 && job.attempts.size() < settings.limits().maxAttempts()
-            && mayRepeat(job, job.risk) && now < job.ask.deadlineUs() - settings.tickUs()) {
+        if (job.outstanding == 0
+                && job.attempts.size() < settings.limits().maxAttempts()
+                && mayRepeat(job, job.risk)
+                && now < job.ask.deadlineUs() - settings.tickUs()) {
             hold(job);
         } else if (job.outstanding == 0) {
             answer(job);
@@ -792,25 +944,37 @@
     private boolean mayRepeat(Job job, Attempt risk) {
         JobClass of = pools[job.ask.jobClass()].of;
         boolean again = of.effect() != Effect.UNSAFE && job.runs < job.ask.mostRuns();
-        return risk == null || again && of.effect() == Effect.SAFE
-            || again && now + settings.tickUs() < risk.sent + of.windowUs();
+        return risk == null
+                || again && of.effect() == Effect.SAFE
+                || again && now + settings.tickUs() < risk.sent + of.windowUs();
     }
 
     private boolean harmless(Job job) {
         JobClass of = pools[job.ask.jobClass()].of;
         boolean clean = job.risk == null && job.outstanding == 0;
-        return clean || of.effect() == Effect.SAFE || of.effect() == Effect.KEYED && of.group() == Group.ALL;
+        return clean
+                || of.effect() == Effect.SAFE
+                || of.effect() == Effect.KEYED && of.group() == Group.ALL;
     }
 
-    /** The final answer of a job that was not served: a refusal where that is harmless, else a failure. */
+    /**
+     * The final answer of a job that was not served: a refusal where that is harmless, else a
+     * failure.
+     */
     private void answer(Job job) {
         turnedAway++;
         Pool pool = pools[job.ask.jobClass()];
-        actions.add(harmless(job) ? new Refuse(job.ask.job(), retryAfter(pool)) : new Fail(job.ask.job()));
+        actions.add(
+                harmless(job)
+                        ? new Refuse(job.ask.job(), retryAfter(pool))
+                        : new Fail(job.ask.job()));
         end(job);
     }
 
-    /** When there may be room: what the pool holds beyond its share, at the pace at which its jobs end. */
+    /**
+     * When there may be room: what the pool holds beyond its share, at the pace at which its jobs
+     * end.
+     */
     private long retryAfter(Pool pool) {
         double slots = Math.max(1, pool.slots / pool.slotsPerJob) / settings.dispatchers();
         double excess = Math.max(1, pool.present - pool.share);
@@ -845,7 +1009,8 @@
     // ---- probes
 
     private void probe() {
-        double own = Arrays.stream(pools).mapToDouble(pool -> pool.rate / settings.dispatchers()).sum();
+        double own =
+                Arrays.stream(pools).mapToDouble(pool -> pool.rate / settings.dispatchers()).sum();
         probes.probeNext(own, SWEEP_US, settings.limits(), this::bearsProbe, now, actions);
         timer(SWEEP_US, PROBE);
     }
@@ -859,21 +1024,32 @@
         return bears;
     }
 
-    /** Whether a worker can be asked itself whether it takes work, and its answer holds for a while. */
+    /**
+     * Whether a worker can be asked itself whether it takes work, and its answer holds for a while.
+     */
     private boolean leases() {
         return settings.leasesByProbe() && discovery.graceUs() > 0 && discovery.mayAskWorkers(now);
     }
 
-    /** Whether a job may wait: a list holds or may come any moment, or a worker can be asked itself. */
+    /**
+     * Whether a job may wait: a list holds or may come any moment, or a worker can be asked itself.
+     */
     private boolean mayWait() {
-        return discovery.mayWait(now) || leases() && workers.values().stream().anyMatch(
-            w -> w.running && (w.zone != settings.zone() || discovery.wasHeard())
-                && w.lease.isWorthAwaiting(discovery.heardUs(), now));
+        return discovery.mayWait(now)
+                || leases()
+                        && workers.values().stream()
+                                .anyMatch(
+                                        w ->
+                                                w.running
+                                                        && (w.zone != settings.zone()
+                                                                || discovery.wasHeard())
+                                                        && w.lease.isWorthAwaiting(
+                                                                discovery.heardUs(), now));
     }
 
     private boolean isWorthProbing(Worker w) {
         return (w.zone != settings.zone() || discovery.wasHeard())
-            && w.lease.isWorthProbing(discovery.heardUs(), now);
+                && w.lease.isWorthProbing(discovery.heardUs(), now);
     }
 
     /** While no list holds, asks the worker that the job would go to whether it takes work. */
@@ -909,13 +1085,17 @@
         return workers.containsKey(worker) && mayUse(workers.get(worker));
     }
 
-    /** What a cold worker has had from here in its window, and what it bears; null if it is not cold. */
+    /**
+     * What a cold worker has had from here in its window, and what it bears; null if it is not
+     * cold.
+     */
     public ColdLoad coldLoad(String worker, int jobClass) {
         Worker w = workers.get(worker);
         if (w == null || !cold(w)) {
             return null;
         }
-        return coldBudget.load(w, settings, freeSeen[w.kind], pools[jobClass].time + Probes.COST_US, now);
+        return coldBudget.load(
+                w, settings, freeSeen[w.kind], pools[jobClass].time + Probes.COST_US, now);
     }
 
     /** How the pools stand, by class. */
@@ -927,17 +1107,42 @@
     public List<WorkerState> workers(long nowUs) {
         now = Math.max(now, nowUs);
         List<Pool> order = Arrays.asList(pools);
-        return workers.values().stream().map(w -> new WorkerState(w.id, w.zone, w.kind, w.running, cold(w),
-            now < w.pausedUntil, w.out.size(), free(w), order.indexOf(w.pool),
-            cold(w) ? coldBudget.part(w, settings, freeSeen[w.kind], now) : 0)).toList();
+        return workers.values().stream()
+                .map(
+                        w ->
+                                new WorkerState(
+                                        w.id,
+                                        w.zone,
+                                        w.kind,
+                                        w.running,
+                                        cold(w),
+                                        now < w.pausedUntil,
+                                        w.out.size(),
+                                        free(w),
+                                        order.indexOf(w.pool),
+                                        cold(w)
+                                                ? coldBudget.part(
+                                                        w, settings, freeSeen[w.kind], now)
+                                                : 0))
+                .toList();
     }
 
     private void log() {
         if (now - loggedAt >= LOG_US) {
             loggedAt = now;
-            actions.add(new Log(Picture.line(pools, this::freeShare) + " borrowed " + borrowed + " moved "
-                + moved + " beyond quota " + beyondQuota + " turned away " + turnedAway + " slots "
-                + Arrays.toString(kindSlots)));
+            actions.add(
+                    new Log(
+                            Picture.line(pools, this::freeShare)
+                                    + " borrowed "
+                                    + borrowed
+                                    + " moved "
+                                    + moved
+                                    + " beyond quota "
+                                    + beyondQuota
+                                    + " turned away "
+                                    + turnedAway
+                                    + " slots "
+                                    + Arrays.toString(kindSlots)));
         }
     }
 }
--- a/src/main/java/damsonslip/TenantQuotas.java
+++ b/src/main/java/damsonslip/TenantQuotas.java
@@ -4,14 +4,18 @@
 import java.util.Arrays;
 
 /**
- * Which jobs lie within their tenant's quota, of which each dispatcher judges its own part. Guards against one tenant's
- * excess crowding out those within theirs.
+ * Which jobs lie within their tenant's quota, of which each dispatcher judges its own part. Guards
+ * against one tenant's excess crowding out those within theirs.
  *
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class TenantQuotas {
-    /** A tenant may run ahead of its quota by this many seconds of it, and by this many jobs at the least. */
+    /**
+     * A tenant may run ahead of its quota by this many seconds of it, and by this many jobs at the
+     * least.
+     */
     private static final double BURST_S = 4.0;
+
     private static final double LEAST_BURST = 2;
     private static final double SECOND = 1e6;
     private static final double SMALL = 1e-9;
@@ -43,12 +47,14 @@
     }
 
     /**
-     * How much more traffic than an even part this dispatcher has, by its middle tenant, so that it does not take its
-     * tenants to be beyond their quotas only because it is busy.
+     * How much more traffic than an even part this dispatcher has, by its middle tenant, so that it
+     * does not take its tenants to be beyond their quotas only because it is busy.
      */
     private double busier(Settings settings) {
         double[] used = rate.clone();
-        Arrays.setAll(used, t -> used[t] * settings.dispatchers() / (settings.tenantQuotas().get(t) + SMALL));
+        Arrays.setAll(
+                used,
+                t -> used[t] * settings.dispatchers() / (settings.tenantQuotas().get(t) + SMALL));
         Arrays.sort(used);
         return used.length < 2 ? 1 : Math.max(1, used[(used.length - 1) / 2]);
     }
--- a/src/main/java/damsonslip/bench/Bench.java
+++ b/src/main/java/damsonslip/bench/Bench.java
@@ -20,14 +20,19 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** The command {@code bench}: pushes so many jobs, then fetches and acknowledges them all, and prints what that took. */
+/**
+ * The command {@code bench}: pushes so many jobs, then fetches and acknowledges them all, and
+ * prints what that took.
+ */
 public final class Bench {
-    private static final String USAGE = "bench HOST:PORT [--connections N] [--jobs N] [--bulk N] [--waiting]"
-        + "  (loopback only; --waiting only pushes, and leaves the jobs there)";
+    private static final String USAGE =
+            "bench HOST:PORT [--connections N] [--jobs N] [--bulk N] [--waiting]"
+                    + "  (loopback only; --waiting only pushes, and leaves the jobs there)";
     private static final int MOST_CONNECTIONS = 500;
     private static final int MOST_JOBS = 2_000_000;
     private static final long LONGEST_NS = 120_000_000_000L;
     private static final int CONNECT_TIMEOUT_MS = 5_000;
+
     /** A FETCH on a loaded server may take several seconds. */
     private static final int READ_TIMEOUT_MS = 30_000;
 
@@ -39,7 +44,13 @@
     private final PrintStream out;
     private final String queue = "bench-" + UUID.randomUUID().toString().substring(0, 8);
 
-    private Bench(InetSocketAddress server, int connections, int jobs, int bulk, boolean waiting, PrintStream out) {
+    private Bench(
+            InetSocketAddress server,
+            int connections,
+            int jobs,
+            int bulk,
+            boolean waiting,
+            PrintStream out) {
         this.server = server;
         this.connections = connections;
         this.jobs = jobs;
@@ -103,7 +114,15 @@
         together(number -> push(pushed, push));
         double pushS = (System.nanoTime() - from) / 1e9;
         out.printf(Locale.ROOT, "%d connections, %d jobs, %d in a push%n", connections, jobs, bulk);
-        out.printf(Locale.ROOT, "%-6s %9s %9s %9s %9s %9s%n", "", "jobs/s", "p50 ms", "p99 ms", "p99.9 ms", "worst ms");
+        out.printf(
+                Locale.ROOT,
+                "%-6s %9s %9s %9s %9s %9s%n",
+                "",
+                "jobs/s",
+                "p50 ms",
+                "p99 ms",
+                "p99.9 ms",
+                "worst ms");
         row("push", jobs / pushS, push);
         if (!waiting) {
             AtomicInteger done = new AtomicInteger();
@@ -112,20 +131,32 @@
             double workS = (System.nanoTime() - from) / 1e9;
             row("fetch", done.get() / workS, fetch);
             row("ack", done.get() / workS, ack);
-            out.printf(Locale.ROOT, "through push, fetch and ack: %.0f jobs a second%n", jobs / (pushS + workS));
+            out.printf(
+                    Locale.ROOT,
+                    "through push, fetch and ack: %.0f jobs a second%n",
+                    jobs / (pushS + workS));
         }
         try (FaktoryClient client = connect("")) {
             JsonNode info = FaktoryClient.JSON.readTree(client.call("INFO").text());
-            out.printf(Locale.ROOT, "server: %d MB used, %d jobs in queues%n",
-                info.path("server").path("used_memory_mb").asInt(), info.path("faktory").path("total_enqueued").asInt());
+            out.printf(
+                    Locale.ROOT,
+                    "server: %d MB used, %d jobs in queues%n",
+                    info.path("server").path("used_memory_mb").asInt(),
+                    info.path("faktory").path("total_enqueued").asInt());
         }
         return 0;
     }
 
     private void row(String what, double rate, Histogram times) {
-        out.printf(Locale.ROOT, "%-6s %9.0f %9.2f %9.2f %9.2f %9.2f%n", what, rate,
-            times.getValueAtPercentile(50) / 1e6, times.getValueAtPercentile(99) / 1e6,
-            times.getValueAtPercentile(99.9) / 1e6, times.getMaxValue() / 1e6);
+        out.printf(
+                Locale.ROOT,
+                "%-6s %9.0f %9.2f %9.2f %9.2f %9.2f%n",
+                what,
+                rate,
+                times.getValueAtPercentile(50) / 1e6,
+                times.getValueAtPercentile(99) / 1e6,
+                times.getValueAtPercentile(99.9) / 1e6,
+                times.getMaxValue() / 1e6);
     }
 
     private interface Part {
@@ -138,10 +169,12 @@
             List<Future<?>> parts = new ArrayList<>();
             for (int i = 0; i < connections; i++) {
                 int number = i;
-                parts.add(threads.submit(() -> {
-                    part.run(number);
-                    return null;
-                }));
+                parts.add(
+                        threads.submit(
+                                () -> {
+                                    part.run(number);
+                                    return null;
+                                }));
             }
             for (Future<?> each : parts) {
                 each.get();
@@ -160,9 +193,16 @@
             for (int at = pushed.getAndAdd(bulk); at < jobs; at = pushed.getAndAdd(bulk)) {
                 StringBuilder line = new StringBuilder(bulk == 1 ? "PUSH " : "PUSHB [");
                 for (int i = at; i < Math.min(jobs, at + bulk); i++) {
-                    line.append(i == at ? "" : ",").append("{\"jid\":\"").append(queue).append('-').append(i)
-                        .append("\",\"jobtype\":\"Bench\",\"queue\":\"").append(queue)
-                        .append("\",\"args\":[").append(i).append(",\"some text of a usual length\"]}");
+                    line.append(i == at ? "" : ",")
+                            .append("{\"jid\":\"")
+                            .append(queue)
+                            .append('-')
+                            .append(i)
+                            .append("\",\"jobtype\":\"Bench\",\"queue\":\"")
+                            .append(queue)
+                            .append("\",\"args\":[")
+                            .append(i)
+                            .append(",\"some text of a usual length\"]}");
                 }
                 String reply = timed(client, line.append(bulk == 1 ? "" : "]").toString(), times);
                 if (!"OK".equals(reply) && !"{}".equals(reply)) {
@@ -172,7 +212,8 @@
         }
     }
 
-    private void work(int number, AtomicInteger done, Histogram fetch, Histogram ack) throws IOException {
+    private void work(int number, AtomicInteger done, Histogram fetch, Histogram ack)
+            throws IOException {
         long end = System.nanoTime() + LONGEST_NS;
         // ten connections a worker, as worker processes have them
         try (FaktoryClient client = connect(queue + "-w" + number / 10)) {
@@ -192,7 +233,8 @@
 
     /** Connects to a server without a password; an empty {@code wid} makes a producer. */
     private FaktoryClient connect(String wid) throws IOException {
-        FaktoryClient client = new FaktoryClient(server, "bench", CONNECT_TIMEOUT_MS, READ_TIMEOUT_MS);
+        FaktoryClient client =
+                new FaktoryClient(server, "bench", CONNECT_TIMEOUT_MS, READ_TIMEOUT_MS);
         try {
             FaktoryClient.Reply reply = client.hello(wid, "");
             if (!reply.ok()) {
@@ -205,7 +247,8 @@
         }
     }
 
-    private static String timed(FaktoryClient client, String line, Histogram times) throws IOException {
+    private static String timed(FaktoryClient client, String line, Histogram times)
+            throws IOException {
         long from = System.nanoTime();
         String reply = client.call(line).text();
         times.recordValue(System.nanoTime() - from);
--- a/src/main/java/damsonslip/conformance/Cases.java
+++ b/src/main/java/damsonslip/conformance/Cases.java
@@ -27,17 +27,17 @@
     /**
      * A case.
      *
-     * @param group   what it is about
-     * @param name    what the protocol has
+     * @param group what it is about
+     * @param name what the protocol has
      * @param destroy whether it throws away what others keep in the server
-     * @param play    what is done
+     * @param play what is done
      */
-    record Case(String group, String name, boolean destroy, Play play) { }
+    record Case(String group, String name, boolean destroy, Play play) {}
 
     private final List<Case> all = new ArrayList<>();
     private String group;
 
-    private Cases() { }
+    private Cases() {}
 
     static List<Case> all() {
         Cases cases = new Cases();
@@ -70,248 +70,343 @@
 
     private void handshake() {
         group = "handshake";
-        add("the greeting is HI with version 2", stage -> {
-            String greeting = stage.raw().greeting();
-            check(greeting != null && greeting.startsWith("HI {"), "the greeting is " + greeting);
-            same(2, FaktoryClient.JSON.readTree(greeting.substring(3)).path("v").asInt(), "version");
-        });
-        add("HELLO comes first", stage -> {
-            FaktoryClient client = stage.raw();
-            try {
-                check(client.call("INFO").error(), "INFO before HELLO is answered");
-            } catch (IOException e) {
-                return; // closed: that is an answer as well
-            }
-        });
-        add("a wrong password is refused", stage -> {
-            FaktoryClient client = stage.raw();
-            if (!client.greeting().contains("\"s\"")) {
-                return; // this server asks for none
-            }
-            check(client.hello("", stage.password + "x").error(), "a wrong password is let in");
-        });
-        add("an unknown command is an error, and the connection goes on",
-            stage -> stage.refused(stage.producer(), "JUMP high", "an unknown command"));
-        add("what is not JSON is an error, and the connection goes on",
-            stage -> stage.refused(stage.producer(), "PUSH {\"jid\":", "half an object"));
-        add("commands sent ahead are answered in their order", stage -> {
-            FaktoryClient client = stage.producer();
-            client.send("PUSH " + stage.job());
-            client.send("JUMP");
-            client.send("INFO");
-            check(client.read().ok(), "the first of three is not answered OK");
-            check(client.read().error(), "the second is no error");
-            check(client.read().text().startsWith("{"), "the third is no object");
-        });
-        add("END ends the connection", stage -> {
-            FaktoryClient client = stage.connect("");
-            client.send("END");
-            check(client.ended(), "the connection stays open after END");
-        });
+        add(
+                "the greeting is HI with version 2",
+                stage -> {
+                    String greeting = stage.raw().greeting();
+                    check(
+                            greeting != null && greeting.startsWith("HI {"),
+                            "the greeting is " + greeting);
+                    same(
+                            2,
+                            FaktoryClient.JSON.readTree(greeting.substring(3)).path("v").asInt(),
+                            "version");
+                });
+        add(
+                "HELLO comes first",
+                stage -> {
+                    FaktoryClient client = stage.raw();
+                    try {
+                        check(client.call("INFO").error(), "INFO before HELLO is answered");
+                    } catch (IOException e) {
+                        return; // closed: that is an answer as well
+                    }
+                });
+        add(
+                "a wrong password is refused",
+                stage -> {
+                    FaktoryClient client = stage.raw();
+                    if (!client.greeting().contains("\"s\"")) {
+                        return; // this server asks for none
+                    }
+                    check(
+                            client.hello("", stage.password + "x").error(),
+                            "a wrong password is let in");
+                });
+        add(
+                "an unknown command is an error, and the connection goes on",
+                stage -> stage.refused(stage.producer(), "JUMP high", "an unknown command"));
+        add(
+                "what is not JSON is an error, and the connection goes on",
+                stage -> stage.refused(stage.producer(), "PUSH {\"jid\":", "half an object"));
+        add(
+                "commands sent ahead are answered in their order",
+                stage -> {
+                    FaktoryClient client = stage.producer();
+                    client.send("PUSH " + stage.job());
+                    client.send("JUMP");
+                    client.send("INFO");
+                    check(client.read().ok(), "the first of three is not answered OK");
+                    check(client.read().error(), "the second is no error");
+                    check(client.read().text().startsWith("{"), "the third is no object");
+                });
+        add(
+                "END ends the connection",
+                stage -> {
+                    FaktoryClient client = stage.connect("");
+                    client.send("END");
+                    check(client.ended(), "the connection stays open after END");
+                });
     }
 
     private void push() {
         group = "push";
-        add("a plain job comes to a worker as it was", stage -> {
-            ObjectNode job = stage.job();
-            job.putArray("args").add("tekst ü \n \"q\" 🚲").add(7).addNull().add(1.10).addObject().put("a", true);
-            stage.push(job);
-            JsonNode got = stage.fetch();
-            for (String field : List.of("jid", "jobtype", "queue")) {
-                same(job.path(field), got.path(field), field);
-            }
-            same(job.path("args").toString(), got.path("args").toString(), "args");
-            stage.ack(got.path("jid").asText());
-        });
-        add("unknown fields and custom reach the worker untouched", stage -> {
-            ObjectNode job = stage.job().put("of_ours", 12345678901234L);
-            job.putObject("custom").put("trace", "t-1").putArray("list").add(1).add("x");
-            stage.push(job);
-            JsonNode got = stage.fetch();
-            same(job.path("custom").toString(), got.path("custom").toString(), "custom");
-            same(12345678901234L, got.path("of_ours").asLong(), "an unknown field");
-        });
-        add("created_at and enqueued_at are times", stage -> {
-            stage.push();
-            JsonNode got = stage.fetch();
-            for (String field : List.of("created_at", "enqueued_at")) {
-                check(got.path(field).isTextual(), field + " is missing");
-                OffsetDateTime.parse(got.path(field).asText());
-            }
-        });
+        add(
+                "a plain job comes to a worker as it was",
+                stage -> {
+                    ObjectNode job = stage.job();
+                    job.putArray("args")
+                            .add("tekst ü \n \"q\" 🚲")
+                            .add(7)
+                            .addNull()
+                            .add(1.10)
+                            .addObject()
+                            .put("a", true);
+                    stage.push(job);
+                    JsonNode got = stage.fetch();
+                    for (String field : List.of("jid", "jobtype", "queue")) {
+                        same(job.path(field), got.path(field), field);
+                    }
+                    same(job.path("args").toString(), got.path("args").toString(), "args");
+                    stage.ack(got.path("jid").asText());
+                });
+        add(
+                "unknown fields and custom reach the worker untouched",
+                stage -> {
+                    ObjectNode job = stage.job().put("of_ours", 12345678901234L);
+                    job.putObject("custom").put("trace", "t-1").putArray("list").add(1).add("x");
+                    stage.push(job);
+                    JsonNode got = stage.fetch();
+                    same(job.path("custom").toString(), got.path("custom").toString(), "custom");
+                    same(12345678901234L, got.path("of_ours").asLong(), "an unknown field");
+                });
+        add(
+                "created_at and enqueued_at are times",
+                stage -> {
+                    stage.push();
+                    JsonNode got = stage.fetch();
+                    for (String field : List.of("created_at", "enqueued_at")) {
+                        check(got.path(field).isTextual(), field + " is missing");
+                        OffsetDateTime.parse(got.path(field).asText());
+                    }
+                });
     }
 
     private void pushMore() {
-        add("a job without a queue goes to default", stage -> {
-            ObjectNode job = stage.job();
-            job.remove("queue");
-            int before = stage.info().path("faktory").path("default_size").asInt();
-            stage.push(job);
-            check(stage.info().path("faktory").path("default_size").asInt() > before, "default_size does not grow");
-        });
-        add("what lacks jid, jobtype or args, or has a short jid, is refused", stage -> {
-            for (String field : List.of("jid", "jobtype", "args")) {
-                ObjectNode job = stage.job();
-                job.remove(field);
-                stage.refused(stage.producer(), "PUSH " + job, "a job without " + field);
-            }
-            stage.refused(stage.producer(), "PUSH " + stage.job("short"), "a short jid");
-        });
-        add("a job of 100 KB is taken", stage -> {
-            ObjectNode job = stage.job();
-            job.putArray("args").add("x".repeat(100_000));
-            stage.push(job);
-            same(100_000, stage.fetch().path("args").path(0).asText().length(), "length");
-        });
-        add("jobs of one queue come in their order", stage -> {
-            List<String> ids = new ArrayList<>();
-            for (int i = 0; i < 5; i++) {
-                ids.add(stage.push());
-            }
-            for (String id : ids) {
-                stage.fetch(id);
-                stage.ack(id);
-            }
-        });
-        add("a higher priority comes first", stage -> {
-            String low = stage.push(stage.job().put("priority", 2));
-            String high = stage.push(stage.job().put("priority", 8));
-            stage.fetch(high);
-            stage.ack(high);
-            stage.fetch(low);
-        });
-        add("PUSHB takes several, and names only those it refuses", stage -> {
-            ObjectNode bad = stage.job();
-            bad.remove("jobtype");
-            ObjectNode one = stage.job();
-            ObjectNode two = stage.job();
-            FaktoryClient.Reply reply = stage.producer().call("PUSHB [" + one + "," + bad + "," + two + "]");
-            check(!reply.error() && reply.text() != null, "PUSHB is answered " + reply);
-            same(1, reply.json().size(), "jobs refused");
-            check(reply.json().has(bad.path("jid").asText()), "the wrong one is named: " + reply.text());
-            Set<String> came = new TreeSet<>();
-            for (int i = 0; i < 2; i++) {
-                String jid = stage.fetch().path("jid").asText();
-                came.add(jid);
-                stage.ack(jid);
-            }
-            same(new TreeSet<>(List.of(one.path("jid").asText(), two.path("jid").asText())), came, "jobs taken");
-        });
+        add(
+                "a job without a queue goes to default",
+                stage -> {
+                    ObjectNode job = stage.job();
+                    job.remove("queue");
+                    int before = stage.info().path("faktory").path("default_size").asInt();
+                    stage.push(job);
+                    check(
+                            stage.info().path("faktory").path("default_size").asInt() > before,
+                            "default_size does not grow");
+                });
+        add(
+                "what lacks jid, jobtype or args, or has a short jid, is refused",
+                stage -> {
+                    for (String field : List.of("jid", "jobtype", "args")) {
+                        ObjectNode job = stage.job();
+                        job.remove(field);
+                        stage.refused(stage.producer(), "PUSH " + job, "a job without " + field);
+                    }
+                    stage.refused(stage.producer(), "PUSH " + stage.job("short"), "a short jid");
+                });
+        add(
+                "a job of 100 KB is taken",
+                stage -> {
+                    ObjectNode job = stage.job();
+                    job.putArray("args").add("x".repeat(100_000));
+                    stage.push(job);
+                    same(100_000, stage.fetch().path("args").path(0).asText().length(), "length");
+                });
+        add(
+                "jobs of one queue come in their order",
+                stage -> {
+                    List<String> ids = new ArrayList<>();
+                    for (int i = 0; i < 5; i++) {
+                        ids.add(stage.push());
+                    }
+                    for (String id : ids) {
+                        stage.fetch(id);
+                        stage.ack(id);
+                    }
+                });
+        add(
+                "a higher priority comes first",
+                stage -> {
+                    String low = stage.push(stage.job().put("priority", 2));
+                    String high = stage.push(stage.job().put("priority", 8));
+                    stage.fetch(high);
+                    stage.ack(high);
+                    stage.fetch(low);
+                });
+        add(
+                "PUSHB takes several, and names only those it refuses",
+                stage -> {
+                    ObjectNode bad = stage.job();
+                    bad.remove("jobtype");
+                    ObjectNode one = stage.job();
+                    ObjectNode two = stage.job();
+                    FaktoryClient.Reply reply =
+                            stage.producer().call("PUSHB [" + one + "," + bad + "," + two + "]");
+                    check(!reply.error() && reply.text() != null, "PUSHB is answered " + reply);
+                    same(1, reply.json().size(), "jobs refused");
+                    check(
+                            reply.json().has(bad.path("jid").asText()),
+                            "the wrong one is named: " + reply.text());
+                    Set<String> came = new TreeSet<>();
+                    for (int i = 0; i < 2; i++) {
+                        String jid = stage.fetch().path("jid").asText();
+                        came.add(jid);
+                        stage.ack(jid);
+                    }
+                    same(
+                            new TreeSet<>(
+                                    List.of(one.path("jid").asText(), two.path("jid").asText())),
+                            came,
+                            "jobs taken");
+                });
     }
 
     private void fetch() {
         group = "fetch";
-        add("an empty queue is answered with nothing after about two seconds", stage -> {
-            long from = System.nanoTime();
-            stage.nothing();
-            long ms = (System.nanoTime() - from) / 1_000_000;
-            check(ms > 1_000 && ms < 4_000, "after " + ms + " ms");
-        });
-        add("a FETCH that waits gets a job as it comes", stage -> {
-            stage.worker().send("FETCH " + stage.queue);
-            Thread.sleep(300);
-            String jid = stage.push();
-            same(jid, stage.worker().read().json().path("jid").asText(), "job");
-        });
-        add("its queues are looked at in its own order", stage -> {
-            String first = stage.push(stage.job().put("queue", stage.queue + "-b"));
-            String second = stage.push(stage.job().put("queue", stage.queue + "-a"));
-            JsonNode got = stage.worker().call("FETCH " + stage.queue + "-a " + stage.queue + "-b").json();
-            same(second, got.path("jid").asText(), "job");
-            stage.ack(second);
-            got = stage.worker().call("FETCH " + stage.queue + "-a " + stage.queue + "-b").json();
-            same(first, got.path("jid").asText(), "job");
-        });
-        add("a job is given to one worker only", stage -> {
-            stage.push();
-            FaktoryClient one = stage.connect(stage.wid);
-            FaktoryClient two = stage.connect(stage.wid);
-            one.send("FETCH " + stage.queue);
-            two.send("FETCH " + stage.queue);
-            int got = (one.read().text() == null ? 0 : 1) + (two.read().text() == null ? 0 : 1);
-            same(1, got, "workers that got it");
-        });
-        add("a producer may not fetch, or is told that it is none", stage -> {
-            FaktoryClient.Reply reply = stage.producer().call("FETCH " + stage.queue);
-            check(reply.error() || reply.text() == null, "a producer gets " + reply);
-        });
+        add(
+                "an empty queue is answered with nothing after about two seconds",
+                stage -> {
+                    long from = System.nanoTime();
+                    stage.nothing();
+                    long ms = (System.nanoTime() - from) / 1_000_000;
+                    check(ms > 1_000 && ms < 4_000, "after " + ms + " ms");
+                });
+        add(
+                "a FETCH that waits gets a job as it comes",
+                stage -> {
+                    stage.worker().send("FETCH " + stage.queue);
+                    Thread.sleep(300);
+                    String jid = stage.push();
+                    same(jid, stage.worker().read().json().path("jid").asText(), "job");
+                });
+        add(
+                "its queues are looked at in its own order",
+                stage -> {
+                    String first = stage.push(stage.job().put("queue", stage.queue + "-b"));
+                    String second = stage.push(stage.job().put("queue", stage.queue + "-a"));
+                    JsonNode got =
+                            stage.worker()
+                                    .call("FETCH " + stage.queue + "-a " + stage.queue + "-b")
+                                    .json();
+                    same(second, got.path("jid").asText(), "job");
+                    stage.ack(second);
+                    got =
+                            stage.worker()
+                                    .call("FETCH " + stage.queue + "-a " + stage.queue + "-b")
+                                    .json();
+                    same(first, got.path("jid").asText(), "job");
+                });
+        add(
+                "a job is given to one worker only",
+                stage -> {
+                    stage.push();
+                    FaktoryClient one = stage.connect(stage.wid);
+                    FaktoryClient two = stage.connect(stage.wid);
+                    one.send("FETCH " + stage.queue);
+                    two.send("FETCH " + stage.queue);
+                    int got =
+                            (one.read().text() == null ? 0 : 1)
+                                    + (two.read().text() == null ? 0 : 1);
+                    same(1, got, "workers that got it");
+                });
+        add(
+                "a producer may not fetch, or is told that it is none",
+                stage -> {
+                    FaktoryClient.Reply reply = stage.producer().call("FETCH " + stage.queue);
+                    check(reply.error() || reply.text() == null, "a producer gets " + reply);
+                });
     }
 
     private void ends() {
         group = "ack and fail";
-        add("ACK ends a job and is counted", stage -> {
-            int before = stage.info().path("faktory").path("total_processed").asInt();
-            String jid = stage.push();
-            stage.fetch(jid);
-            stage.ack(jid);
-            check(stage.info().path("faktory").path("total_processed").asInt() > before, "total_processed stays");
-            stage.nothing();
-        });
-        add("ACK of an unknown job does no harm", stage -> {
-            stage.worker().call("ACK {\"jid\":\"no-such-job-" + id() + "\"}");
-            check(!stage.worker().call("INFO").error(), "the connection does not go on");
-        });
-        add("a second ACK, and a FAIL after it, change nothing", stage -> {
-            String jid = stage.push();
-            stage.fetch(jid);
-            stage.ack(jid);
-            int retries = stage.size("Retries");
-            stage.worker().call("ACK {\"jid\":\"" + jid + "\"}");
-            stage.worker().call("FAIL {\"jid\":\"" + jid + "\",\"errtype\":\"E\",\"message\":\"m\"}");
-            same(retries, stage.size("Retries"), "retries");
-        });
-        add("FAIL brings a job among the retries, not back at once", stage -> {
-            int before = stage.size("Retries");
-            String jid = stage.push();
-            stage.fetch(jid);
-            stage.fail(jid);
-            same(before + 1, stage.size("Retries"), "retries");
-            stage.nothing();
-        });
-        add("a retried job tells how it failed, with as much backtrace as it asked for", stage -> {
-            String jid = stage.push(stage.job().put("backtrace", 3).put("retry", 5));
-            stage.fetch(jid);
-            stage.fail(jid);
-            stage.mutate("requeue", "retries", jids(jid));
-            JsonNode failure = stage.fetch().path("failure");
-            same("Broken", failure.path("errtype").asText(), "errtype");
-            same("it broke", failure.path("message").asText(), "message");
-            same(0, failure.path("retry_count").asInt(-1), "retry_count");
-            same(3, failure.path("backtrace").size(), "lines of backtrace");
-            OffsetDateTime.parse(failure.path("failed_at").asText());
-            stage.fail(jid);
-            stage.mutate("requeue", "retries", jids(jid));
-            same(1, stage.fetch().path("failure").path("retry_count").asInt(-1), "retry_count after two");
-        });
+        add(
+                "ACK ends a job and is counted",
+                stage -> {
+                    int before = stage.info().path("faktory").path("total_processed").asInt();
+                    String jid = stage.push();
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    check(
+                            stage.info().path("faktory").path("total_processed").asInt() > before,
+                            "total_processed stays");
+                    stage.nothing();
+                });
+        add(
+                "ACK of an unknown job does no harm",
+                stage -> {
+                    stage.worker().call("ACK {\"jid\":\"no-such-job-" + id() + "\"}");
+                    check(!stage.worker().call("INFO").error(), "the connection does not go on");
+                });
+        add(
+                "a second ACK, and a FAIL after it, change nothing",
+                stage -> {
+                    String jid = stage.push();
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    int retries = stage.size("Retries");
+                    stage.worker().call("ACK {\"jid\":\"" + jid + "\"}");
+                    stage.worker()
+                            .call(
+                                    "FAIL {\"jid\":\""
+                                            + jid
+                                            + "\",\"errtype\":\"E\",\"message\":\"m\"}");
+                    same(retries, stage.size("Retries"), "retries");
+                });
+        add(
+                "FAIL brings a job among the retries, not back at once",
+                stage -> {
+                    int before = stage.size("Retries");
+                    String jid = stage.push();
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    same(before + 1, stage.size("Retries"), "retries");
+                    stage.nothing();
+                });
+        add(
+                "a retried job tells how it failed, with as much backtrace as it asked for",
+                stage -> {
+                    String jid = stage.push(stage.job().put("backtrace", 3).put("retry", 5));
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    stage.mutate("requeue", "retries", jids(jid));
+                    JsonNode failure = stage.fetch().path("failure");
+                    same("Broken", failure.path("errtype").asText(), "errtype");
+                    same("it broke", failure.path("message").asText(), "message");
+                    same(0, failure.path("retry_count").asInt(-1), "retry_count");
+                    same(3, failure.path("backtrace").size(), "lines of backtrace");
+                    OffsetDateTime.parse(failure.path("failed_at").asText());
+                    stage.fail(jid);
+                    stage.mutate("requeue", "retries", jids(jid));
+                    same(
+                            1,
+                            stage.fetch().path("failure").path("retry_count").asInt(-1),
+                            "retry_count after two");
+                });
     }
 
     private void retriesEnd() {
-        add("retry 0 throws a failed job away", stage -> {
-            int retries = stage.size("Retries");
-            int dead = stage.size("Dead");
-            String jid = stage.push(stage.job().put("retry", 0));
-            stage.fetch(jid);
-            stage.fail(jid);
-            same(retries, stage.size("Retries"), "retries");
-            same(dead, stage.size("Dead"), "dead");
-        });
-        add("retry -1 sends a failed job straight to the dead", stage -> {
-            int dead = stage.size("Dead");
-            String jid = stage.push(stage.job().put("retry", -1));
-            stage.fetch(jid);
-            stage.fail(jid);
-            same(dead + 1, stage.size("Dead"), "dead");
-        });
-        add("a job whose retries are used up is dead", stage -> {
-            int dead = stage.size("Dead");
-            String jid = stage.push(stage.job().put("retry", 1));
-            stage.fetch(jid);
-            stage.fail(jid);
-            stage.mutate("requeue", "retries", jids(jid));
-            stage.fetch(jid);
-            stage.fail(jid);
-            same(dead + 1, stage.size("Dead"), "dead");
-        });
+        add(
+                "retry 0 throws a failed job away",
+                stage -> {
+                    int retries = stage.size("Retries");
+                    int dead = stage.size("Dead");
+                    String jid = stage.push(stage.job().put("retry", 0));
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    same(retries, stage.size("Retries"), "retries");
+                    same(dead, stage.size("Dead"), "dead");
+                });
+        add(
+                "retry -1 sends a failed job straight to the dead",
+                stage -> {
+                    int dead = stage.size("Dead");
+                    String jid = stage.push(stage.job().put("retry", -1));
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    same(dead + 1, stage.size("Dead"), "dead");
+                });
+        add(
+                "a job whose retries are used up is dead",
+                stage -> {
+                    int dead = stage.size("Dead");
+                    String jid = stage.push(stage.job().put("retry", 1));
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    stage.mutate("requeue", "retries", jids(jid));
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    same(dead + 1, stage.size("Dead"), "dead");
+                });
     }
 
     private static String in(long ms, ZoneOffset offset) {
@@ -320,36 +415,58 @@
 
     private void scheduled() {
         group = "scheduled";
-        add("a job for later is scheduled, and comes when it is due", stage -> {
-            int before = stage.size("Scheduled");
-            String jid = stage.push(stage.job().put("at", in(1_500, ZoneOffset.UTC)));
-            same(before + 1, stage.size("Scheduled"), "scheduled");
-            long from = System.nanoTime();
-            stage.fetch(jid);
-            check(System.nanoTime() - from > 1_000_000_000L, "it comes too early");
-        });
-        add("at may have any offset and fraction", stage -> {
-            String east = stage.push(stage.job().put("at", in(1_000, ZoneOffset.ofHoursMinutes(5, 45))));
-            stage.fetch(east);
-            stage.ack(east);
-            String nanos = Instant.now().plusSeconds(1).toString().replaceAll("\\.?\\d*Z$", ".123456789-00:00");
-            stage.push(stage.job().put("at", nanos));
-            stage.fetch();
-        });
-        add("at in the past is at once", stage -> {
-            int before = stage.size("Scheduled");
-            String jid = stage.push(stage.job().put("at", in(-60_000, ZoneOffset.UTC)));
-            same(before, stage.size("Scheduled"), "scheduled");
-            stage.fetch(jid);
-        });
-        add("at that is no time is refused",
-            stage -> stage.refused(stage.producer(), "PUSH " + stage.job().put("at", "tomorrow"), "at: tomorrow"));
-        add("a job that has expired does not come", stage -> {
-            ObjectNode job = stage.job();
-            job.putObject("custom").put("expires_at", in(-1_000, ZoneOffset.UTC));
-            stage.push(job);
-            stage.nothing();
-        });
+        add(
+                "a job for later is scheduled, and comes when it is due",
+                stage -> {
+                    int before = stage.size("Scheduled");
+                    String jid = stage.push(stage.job().put("at", in(1_500, ZoneOffset.UTC)));
+                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                    long from = System.nanoTime();
+                    stage.fetch(jid);
+                    check(System.nanoTime() - from > 1_000_000_000L, "it comes too early");
+                });
+        add(
+                "at may have any offset and fraction",
+                stage -> {
+                    String east =
+                            stage.push(
+                                    stage.job()
+                                            .put(
+                                                    "at",
+                                                    in(1_000, ZoneOffset.ofHoursMinutes(5, 45))));
+                    stage.fetch(east);
+                    stage.ack(east);
+                    String nanos =
+                            Instant.now()
+                                    .plusSeconds(1)
+                                    .toString()
+                                    .replaceAll("\\.?\\d*Z$", ".123456789-00:00");
+                    stage.push(stage.job().put("at", nanos));
+                    stage.fetch();
+                });
+        add(
+                "at in the past is at once",
+                stage -> {
+                    int before = stage.size("Scheduled");
+                    String jid = stage.push(stage.job().put("at", in(-60_000, ZoneOffset.UTC)));
+                    same(before, stage.size("Scheduled"), "scheduled");
+                    stage.fetch(jid);
+                });
+        add(
+                "at that is no time is refused",
+                stage ->
+                        stage.refused(
+                                stage.producer(),
+                                "PUSH " + stage.job().put("at", "tomorrow"),
+                                "at: tomorrow"));
+        add(
+                "a job that has expired does not come",
+                stage -> {
+                    ObjectNode job = stage.job();
+                    job.putObject("custom").put("expires_at", in(-1_000, ZoneOffset.UTC));
+                    stage.push(job);
+                    stage.nothing();
+                });
     }
 
     private ObjectNode later(Stage stage) {
@@ -358,173 +475,278 @@
 
     private void mutate() {
         group = "mutate";
-        add("requeue brings a scheduled job at once", stage -> {
-            String jid = stage.push(later(stage));
-            stage.mutate("requeue", "scheduled", jids(jid));
-            stage.fetch(jid);
-        });
-        add("kill brings a scheduled job among the dead, and requeue back from there", stage -> {
-            int dead = stage.size("Dead");
-            String jid = stage.push(later(stage));
-            stage.mutate("kill", "scheduled", jids(jid));
-            same(dead + 1, stage.size("Dead"), "dead");
-            stage.mutate("requeue", "dead", jids(jid));
-            same(dead, stage.size("Dead"), "dead");
-            stage.fetch(jid);
-        });
-        add("discard throws away what has a jobtype, and nothing else", stage -> {
-            int before = stage.size("Scheduled");
-            String type = "Type" + id();
-            stage.push(later(stage).put("jobtype", type));
-            stage.push(later(stage).put("jobtype", type));
-            stage.push(later(stage));
-            stage.mutate("discard", "scheduled", "{\"jobtype\":\"" + type + "\"}");
-            same(before + 1, stage.size("Scheduled"), "scheduled");
-        });
-        add("a glob goes over the whole job", stage -> {
-            int before = stage.size("Scheduled");
-            String mark = "mark-" + id();
-            ObjectNode marked = later(stage);
-            marked.putArray("args").add(mark + "*x");
-            stage.push(marked);
-            stage.push(later(stage));
-            stage.mutate("discard", "scheduled", "{\"regexp\":\"*no-" + mark + "*\"}");
-            same(before + 2, stage.size("Scheduled"), "scheduled after a glob that fits none");
-            stage.mutate("discard", "scheduled", "{\"regexp\":\"*" + mark + "\\\\*?*\"}");
-            same(before + 1, stage.size("Scheduled"), "scheduled");
-        });
-        add("an unknown cmd or target is refused", stage -> {
-            stage.refused(stage.producer(), "MUTATE {\"cmd\":\"jump\",\"target\":\"dead\"}", "cmd: jump");
-            stage.refused(stage.producer(), "MUTATE {\"cmd\":\"kill\",\"target\":\"all\"}", "target: all");
-        });
-        destroys("clear empties a set", stage -> {
-            stage.push(later(stage));
-            stage.mutate("clear", "scheduled", "");
-            same(0, stage.size("Scheduled"), "scheduled");
-        });
+        add(
+                "requeue brings a scheduled job at once",
+                stage -> {
+                    String jid = stage.push(later(stage));
+                    stage.mutate("requeue", "scheduled", jids(jid));
+                    stage.fetch(jid);
+                });
+        add(
+                "kill brings a scheduled job among the dead, and requeue back from there",
+                stage -> {
+                    int dead = stage.size("Dead");
+                    String jid = stage.push(later(stage));
+                    stage.mutate("kill", "scheduled", jids(jid));
+                    same(dead + 1, stage.size("Dead"), "dead");
+                    stage.mutate("requeue", "dead", jids(jid));
+                    same(dead, stage.size("Dead"), "dead");
+                    stage.fetch(jid);
+                });
+        add(
+                "discard throws away what has a jobtype, and nothing else",
+                stage -> {
+                    int before = stage.size("Scheduled");
+                    String type = "Type" + id();
+                    stage.push(later(stage).put("jobtype", type));
+                    stage.push(later(stage).put("jobtype", type));
+                    stage.push(later(stage));
+                    stage.mutate("discard", "scheduled", "{\"jobtype\":\"" + type + "\"}");
+                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                });
+        add(
+                "a glob goes over the whole job",
+                stage -> {
+                    int before = stage.size("Scheduled");
+                    String mark = "mark-" + id();
+                    ObjectNode marked = later(stage);
+                    marked.putArray("args").add(mark + "*x");
+                    stage.push(marked);
+                    stage.push(later(stage));
+                    stage.mutate("discard", "scheduled", "{\"regexp\":\"*no-" + mark + "*\"}");
+                    same(
+                            before + 2,
+                            stage.size("Scheduled"),
+                            "scheduled after a glob that fits none");
+                    stage.mutate("discard", "scheduled", "{\"regexp\":\"*" + mark + "\\\\*?*\"}");
+                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                });
+        add(
+                "an unknown cmd or target is refused",
+                stage -> {
+                    stage.refused(
+                            stage.producer(),
+                            "MUTATE {\"cmd\":\"jump\",\"target\":\"dead\"}",
+                            "cmd: jump");
+                    stage.refused(
+                            stage.producer(),
+                            "MUTATE {\"cmd\":\"kill\",\"target\":\"all\"}",
+                            "target: all");
+                });
+        destroys(
+                "clear empties a set",
+                stage -> {
+                    stage.push(later(stage));
+                    stage.mutate("clear", "scheduled", "");
+                    same(0, stage.size("Scheduled"), "scheduled");
+                });
     }
 
     private void queues() {
         group = "queue";
-        add("a paused queue gives nothing until it is resumed", stage -> {
-            check(stage.producer().call("QUEUE PAUSE " + stage.queue).ok(), "PAUSE is not answered OK");
-            String jid = stage.push();
-            stage.nothing();
-            check(stage.producer().call("QUEUE RESUME " + stage.queue).ok(), "RESUME is not answered OK");
-            stage.fetch(jid);
-        });
-        add("a FETCH that waits while its queue is resumed gets its job", stage -> {
-            stage.producer().call("QUEUE PAUSE " + stage.queue);
-            String jid = stage.push();
-            stage.worker().send("FETCH " + stage.queue);
-            Thread.sleep(300);
-            stage.producer().call("QUEUE RESUME " + stage.queue);
-            same(jid, stage.worker().read().json().path("jid").asText(), "job");
-        });
-        add("REMOVE throws a queue's jobs away", stage -> {
-            stage.push();
-            stage.push();
-            same(2, stage.queued(), "jobs in the queue");
-            check(stage.producer().call("QUEUE REMOVE " + stage.queue).ok(), "REMOVE is not answered OK");
-            same(0, stage.queued(), "jobs in the queue");
-            stage.nothing();
-        });
-        add("several queues may be named at once", stage -> {
-            String other = stage.queue + "-2";
-            stage.producer().call("QUEUE PAUSE " + stage.queue + " " + other);
-            stage.push();
-            stage.push(stage.job().put("queue", other));
-            check(stage.worker().call("FETCH " + stage.queue + " " + other).text() == null, "a job comes");
-            stage.producer().call("QUEUE RESUME " + stage.queue + " " + other);
-            check(stage.worker().call("FETCH " + stage.queue + " " + other).text() != null, "no job comes");
-        });
+        add(
+                "a paused queue gives nothing until it is resumed",
+                stage -> {
+                    check(
+                            stage.producer().call("QUEUE PAUSE " + stage.queue).ok(),
+                            "PAUSE is not answered OK");
+                    String jid = stage.push();
+                    stage.nothing();
+                    check(
+                            stage.producer().call("QUEUE RESUME " + stage.queue).ok(),
+                            "RESUME is not answered OK");
+                    stage.fetch(jid);
+                });
+        add(
+                "a FETCH that waits while its queue is resumed gets its job",
+                stage -> {
+                    stage.producer().call("QUEUE PAUSE " + stage.queue);
+                    String jid = stage.push();
+                    stage.worker().send("FETCH " + stage.queue);
+                    Thread.sleep(300);
+                    stage.producer().call("QUEUE RESUME " + stage.queue);
+                    same(jid, stage.worker().read().json().path("jid").asText(), "job");
+                });
+        add(
+                "REMOVE throws a queue's jobs away",
+                stage -> {
+                    stage.push();
+                    stage.push();
+                    same(2, stage.queued(), "jobs in the queue");
+                    check(
+                            stage.producer().call("QUEUE REMOVE " + stage.queue).ok(),
+                            "REMOVE is not answered OK");
+                    same(0, stage.queued(), "jobs in the queue");
+                    stage.nothing();
+                });
+        add(
+                "several queues may be named at once",
+                stage -> {
+                    String other = stage.queue + "-2";
+                    stage.producer().call("QUEUE PAUSE " + stage.queue + " " + other);
+                    stage.push();
+                    stage.push(stage.job().put("queue", other));
+                    check(
+                            stage.worker().call("FETCH " + stage.queue + " " + other).text()
+                                    == null,
+                            "a job comes");
+                    stage.producer().call("QUEUE RESUME " + stage.queue + " " + other);
+                    check(
+                            stage.worker().call("FETCH " + stage.queue + " " + other).text()
+                                    != null,
+                            "no job comes");
+                });
     }
 
     private void beats() {
         group = "beat";
-        add("BEAT is answered, with rss_kb and without", stage -> {
-            FaktoryClient worker = stage.worker();
-            check(worker.call("BEAT {\"wid\":\"" + stage.wid + "\",\"rss_kb\":1234}").ok(), "BEAT is not answered OK");
-            check(worker.call("BEAT {\"wid\":\"" + stage.wid + "\"}").ok(), "BEAT is not answered OK");
-        });
-        add("BEAT of an unknown worker is an error", stage ->
-            stage.refused(stage.producer(), "BEAT {\"wid\":\"nobody-" + id() + "\"}", "BEAT of nobody"));
-        add("a quiet worker may end what it has", stage -> {
-            String own = "quiet-" + id();
-            FaktoryClient worker = stage.connect(own);
-            String jid = stage.push();
-            JsonNode got = worker.call("FETCH " + stage.queue).json();
-            same(jid, got.path("jid").asText(), "job");
-            check(!worker.call("BEAT {\"wid\":\"" + own + "\",\"current_state\":\"quiet\"}").error(),
-                "quiet is an error");
-            check(worker.call("ACK {\"jid\":\"" + jid + "\"}").ok(), "ACK of a quiet worker is not answered OK");
-        });
+        add(
+                "BEAT is answered, with rss_kb and without",
+                stage -> {
+                    FaktoryClient worker = stage.worker();
+                    check(
+                            worker.call("BEAT {\"wid\":\"" + stage.wid + "\",\"rss_kb\":1234}")
+                                    .ok(),
+                            "BEAT is not answered OK");
+                    check(
+                            worker.call("BEAT {\"wid\":\"" + stage.wid + "\"}").ok(),
+                            "BEAT is not answered OK");
+                });
+        add(
+                "BEAT of an unknown worker is an error",
+                stage ->
+                        stage.refused(
+                                stage.producer(),
+                                "BEAT {\"wid\":\"nobody-" + id() + "\"}",
+                                "BEAT of nobody"));
+        add(
+                "a quiet worker may end what it has",
+                stage -> {
+                    String own = "quiet-" + id();
+                    FaktoryClient worker = stage.connect(own);
+                    String jid = stage.push();
+                    JsonNode got = worker.call("FETCH " + stage.queue).json();
+                    same(jid, got.path("jid").asText(), "job");
+                    check(
+                            !worker.call(
+                                            "BEAT {\"wid\":\""
+                                                    + own
+                                                    + "\",\"current_state\":\"quiet\"}")
+                                    .error(),
+                            "quiet is an error");
+                    check(
+                            worker.call("ACK {\"jid\":\"" + jid + "\"}").ok(),
+                            "ACK of a quiet worker is not answered OK");
+                });
     }
 
     private void info() {
         group = "info";
-        add("INFO has the server's figures", stage -> {
-            JsonNode info = stage.info();
-            check(info.path("server_utc_time").asText().matches("\\d\\d:\\d\\d:\\d\\d UTC"), "server_utc_time is "
-                + info.path("server_utc_time"));
-            for (String field : List.of("connections", "command_count", "uptime", "used_memory_mb")) {
-                check(info.path("server").path(field).isNumber(), "server." + field + " is no number");
-            }
-            check(info.path("server").path("faktory_version").isTextual(), "server.faktory_version is missing");
-        });
-        add("INFO has the totals and the sets", stage -> {
-            JsonNode faktory = stage.info().path("faktory");
-            for (String field : List.of("default_size", "total_enqueued", "total_failures", "total_processed",
-                "total_queues")) {
-                check(faktory.path(field).isNumber(), "faktory." + field + " is no number");
-            }
-            for (String set : List.of("Scheduled", "Retries", "Dead", "Working")) {
-                stage.size(set);
-            }
-        });
-        add("INFO has each queue's size, and who works", stage -> {
-            String jid = stage.push();
-            stage.push();
-            same(2, stage.queued(), "jobs in the queue");
-            int working = stage.size("Working");
-            stage.fetch(jid);
-            same(1, stage.queued(), "jobs in the queue");
-            check(stage.size("Working") > working, "Working does not grow");
-        });
-        add("command_count counts commands", stage -> {
-            long before = stage.info().path("server").path("command_count").asLong();
-            check(stage.info().path("server").path("command_count").asLong() > before, "it stays");
-        });
+        add(
+                "INFO has the server's figures",
+                stage -> {
+                    JsonNode info = stage.info();
+                    check(
+                            info.path("server_utc_time")
+                                    .asText()
+                                    .matches("\\d\\d:\\d\\d:\\d\\d UTC"),
+                            "server_utc_time is " + info.path("server_utc_time"));
+                    for (String field :
+                            List.of("connections", "command_count", "uptime", "used_memory_mb")) {
+                        check(
+                                info.path("server").path(field).isNumber(),
+                                "server." + field + " is no number");
+                    }
+                    check(
+                            info.path("server").path("faktory_version").isTextual(),
+                            "server.faktory_version is missing");
+                });
+        add(
+                "INFO has the totals and the sets",
+                stage -> {
+                    JsonNode faktory = stage.info().path("faktory");
+                    for (String field :
+                            List.of(
+                                    "default_size",
+                                    "total_enqueued",
+                                    "total_failures",
+                                    "total_processed",
+                                    "total_queues")) {
+                        check(faktory.path(field).isNumber(), "faktory." + field + " is no number");
+                    }
+                    for (String set : List.of("Scheduled", "Retries", "Dead", "Working")) {
+                        stage.size(set);
+                    }
+                });
+        add(
+                "INFO has each queue's size, and who works",
+                stage -> {
+                    String jid = stage.push();
+                    stage.push();
+                    same(2, stage.queued(), "jobs in the queue");
+                    int working = stage.size("Working");
+                    stage.fetch(jid);
+                    same(1, stage.queued(), "jobs in the queue");
+                    check(stage.size("Working") > working, "Working does not grow");
+                });
+        add(
+                "command_count counts commands",
+                stage -> {
+                    long before = stage.info().path("server").path("command_count").asLong();
+                    check(
+                            stage.info().path("server").path("command_count").asLong() > before,
+                            "it stays");
+                });
     }
 
     private void track() {
         group = "track";
-        add("TRACK GET follows a job", stage -> {
-            same("unknown", stage.track("no-such-" + id()), "state");
-            String jid = stage.push();
-            same("enqueued", stage.track(jid), "state");
-            stage.fetch(jid);
-            same("working", stage.track(jid), "state");
-            stage.ack(jid);
-            same("success", stage.track(jid), "state");
-        });
-        add("TRACK SET tells percent and words", stage -> {
-            String jid = stage.push();
-            stage.fetch(jid);
-            check(stage.worker().call("TRACK SET {\"jid\":\"" + jid + "\",\"percent\":42,\"desc\":\"halfway\"}").ok(),
-                "TRACK SET is not answered OK");
-            JsonNode told = stage.producer().call("TRACK GET " + jid).json();
-            same(42, told.path("percent").asInt(), "percent");
-            same("halfway", told.path("desc").asText(), "desc");
-            OffsetDateTime.parse(told.path("updated_at").asText());
-        });
-        add("TRACK SET may ask for a longer reservation", stage -> {
-            String jid = stage.push();
-            stage.fetch(jid);
-            check(stage.worker().call("TRACK SET {\"jid\":\"" + jid + "\",\"reserve_until\":\""
-                + in(3_600_000, ZoneOffset.ofHours(2)) + "\"}").ok(), "TRACK SET is not answered OK");
-            stage.ack(jid);
-        });
+        add(
+                "TRACK GET follows a job",
+                stage -> {
+                    same("unknown", stage.track("no-such-" + id()), "state");
+                    String jid = stage.push();
+                    same("enqueued", stage.track(jid), "state");
+                    stage.fetch(jid);
+                    same("working", stage.track(jid), "state");
+                    stage.ack(jid);
+                    same("success", stage.track(jid), "state");
+                });
+        add(
+                "TRACK SET tells percent and words",
+                stage -> {
+                    String jid = stage.push();
+                    stage.fetch(jid);
+                    check(
+                            stage.worker()
+                                    .call(
+                                            "TRACK SET {\"jid\":\""
+                                                    + jid
+                                                    + "\",\"percent\":42,\"desc\":\"halfway\"}")
+                                    .ok(),
+                            "TRACK SET is not answered OK");
+                    JsonNode told = stage.producer().call("TRACK GET " + jid).json();
+                    same(42, told.path("percent").asInt(), "percent");
+                    same("halfway", told.path("desc").asText(), "desc");
+                    OffsetDateTime.parse(told.path("updated_at").asText());
+                });
+        add(
+                "TRACK SET may ask for a longer reservation",
+                stage -> {
+                    String jid = stage.push();
+                    stage.fetch(jid);
+                    check(
+                            stage.worker()
+                                    .call(
+                                            "TRACK SET {\"jid\":\""
+                                                    + jid
+                                                    + "\",\"reserve_until\":\""
+                                                    + in(3_600_000, ZoneOffset.ofHours(2))
+                                                    + "\"}")
+                                    .ok(),
+                            "TRACK SET is not answered OK");
+                    stage.ack(jid);
+                });
     }
 
     private ObjectNode unique(Stage stage, String until) {
@@ -535,27 +757,40 @@
 
     private void unique() {
         group = "unique";
-        add("the same work is not taken twice, other arguments are", stage -> {
-            stage.push(unique(stage, "success"));
-            FaktoryClient.Reply reply = stage.producer().call("PUSH " + unique(stage, "success"));
-            check(reply.error() && reply.text().startsWith("NOTUNIQUE"), "the second is answered " + reply);
-            ObjectNode other = unique(stage, "success");
-            other.putArray("args").add(2);
-            stage.push(other);
-        });
-        add("it is taken again once the first has succeeded", stage -> {
-            String jid = stage.push(unique(stage, "success"));
-            stage.fetch(jid);
-            check(stage.producer().call("PUSH " + unique(stage, "success")).error(), "taken while the first runs");
-            stage.ack(jid);
-            stage.push(unique(stage, "success"));
-        });
-        add("or once the first has started, with unique_until start", stage -> {
-            String jid = stage.push(unique(stage, "start"));
-            check(stage.producer().call("PUSH " + unique(stage, "start")).error(), "taken while the first waits");
-            stage.fetch(jid);
-            stage.push(unique(stage, "start"));
-        });
+        add(
+                "the same work is not taken twice, other arguments are",
+                stage -> {
+                    stage.push(unique(stage, "success"));
+                    FaktoryClient.Reply reply =
+                            stage.producer().call("PUSH " + unique(stage, "success"));
+                    check(
+                            reply.error() && reply.text().startsWith("NOTUNIQUE"),
+                            "the second is answered " + reply);
+                    ObjectNode other = unique(stage, "success");
+                    other.putArray("args").add(2);
+                    stage.push(other);
+                });
+        add(
+                "it is taken again once the first has succeeded",
+                stage -> {
+                    String jid = stage.push(unique(stage, "success"));
+                    stage.fetch(jid);
+                    check(
+                            stage.producer().call("PUSH " + unique(stage, "success")).error(),
+                            "taken while the first runs");
+                    stage.ack(jid);
+                    stage.push(unique(stage, "success"));
+                });
+        add(
+                "or once the first has started, with unique_until start",
+                stage -> {
+                    String jid = stage.push(unique(stage, "start"));
+                    check(
+                            stage.producer().call("PUSH " + unique(stage, "start")).error(),
+                            "taken while the first waits");
+                    stage.fetch(jid);
+                    stage.push(unique(stage, "start"));
+                });
     }
 
     private String batch(Stage stage, String parent) throws IOException {
@@ -604,109 +839,135 @@
 
     private void batches() {
         group = "batch";
-        add("complete and success come once all jobs have succeeded", stage -> {
-            String bid = batch(stage, "");
-            String one = stage.push(inside(stage, bid));
-            String two = stage.push(inside(stage, bid));
-            commit(stage, bid);
-            stage.fetch(one);
-            stage.ack(one);
-            noCallback(stage);
-            stage.fetch(two);
-            stage.ack(two);
-            runs(stage, "Complete");
-            runs(stage, "Success");
-        });
-        add("a failed job lets complete come, and success only once it has succeeded", stage -> {
-            String bid = batch(stage, "");
-            String jid = stage.push(inside(stage, bid));
-            commit(stage, bid);
-            stage.fetch(jid);
-            stage.fail(jid);
-            runs(stage, "Complete");
-            noCallback(stage);
-            stage.mutate("requeue", "retries", jids(jid));
-            stage.fetch(jid);
-            stage.ack(jid);
-            runs(stage, "Success");
-        });
-        add("nothing comes before COMMIT", stage -> {
-            String bid = batch(stage, "");
-            String jid = stage.push(inside(stage, bid));
-            stage.fetch(jid);
-            stage.ack(jid);
-            noCallback(stage);
-            commit(stage, bid);
-            runs(stage, "Complete");
-        });
+        add(
+                "complete and success come once all jobs have succeeded",
+                stage -> {
+                    String bid = batch(stage, "");
+                    String one = stage.push(inside(stage, bid));
+                    String two = stage.push(inside(stage, bid));
+                    commit(stage, bid);
+                    stage.fetch(one);
+                    stage.ack(one);
+                    noCallback(stage);
+                    stage.fetch(two);
+                    stage.ack(two);
+                    runs(stage, "Complete");
+                    runs(stage, "Success");
+                });
+        add(
+                "a failed job lets complete come, and success only once it has succeeded",
+                stage -> {
+                    String bid = batch(stage, "");
+                    String jid = stage.push(inside(stage, bid));
+                    commit(stage, bid);
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    runs(stage, "Complete");
+                    noCallback(stage);
+                    stage.mutate("requeue", "retries", jids(jid));
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    runs(stage, "Success");
+                });
+        add(
+                "nothing comes before COMMIT",
+                stage -> {
+                    String bid = batch(stage, "");
+                    String jid = stage.push(inside(stage, bid));
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    noCallback(stage);
+                    commit(stage, bid);
+                    runs(stage, "Complete");
+                });
     }
 
     private void batchesEnd() {
-        add("an empty batch is complete at COMMIT", stage -> {
-            commit(stage, batch(stage, ""));
-            runs(stage, "Complete");
-            runs(stage, "Success");
-        });
-        add("BATCH STATUS tells the counts", stage -> {
-            String bid = batch(stage, "");
-            String jid = stage.push(inside(stage, bid));
-            stage.push(inside(stage, bid));
-            commit(stage, bid);
-            stage.fetch(jid);
-            stage.fail(jid);
-            JsonNode told = stage.producer().call("BATCH STATUS " + bid).json();
-            same(2, told.path("total").asInt(), "total");
-            same(2, told.path("pending").asInt(), "pending");
-            same(1, told.path("failed").asInt(), "failed");
-            same("conformance", told.path("description").asText(), "description");
-            same("", told.path("complete_st").asText("none"), "complete_st");
-        });
-        add("a committed batch takes no job until it is opened again", stage -> {
-            String bid = batch(stage, "");
-            String jid = stage.push(inside(stage, bid));
-            commit(stage, bid);
-            stage.refused(stage.producer(), "PUSH " + inside(stage, bid), "a job for a committed batch");
-            check(!stage.producer().call("BATCH OPEN " + bid).error(), "BATCH OPEN is an error");
-            String more = stage.push(inside(stage, bid));
-            commit(stage, bid);
-            stage.fetch(jid);
-            stage.ack(jid);
-            noCallback(stage);
-            stage.fetch(more);
-            stage.ack(more);
-            runs(stage, "Complete");
-        });
-        add("an outer batch waits for the inner one's callbacks", stage -> {
-            String outer = batch(stage, "");
-            String inner = batch(stage, outer);
-            String jid = stage.push(inside(stage, inner));
-            commit(stage, inner);
-            commit(stage, outer);
-            noCallback(stage);
-            stage.fetch(jid);
-            stage.ack(jid);
-            for (int i = 0; i < 2; i++) {
-                runs(stage, "Complete");
-                runs(stage, "Success");
-            }
-        });
-        add("an unknown batch is refused", stage -> {
-            stage.refused(stage.producer(), "BATCH STATUS b-no-such", "STATUS of no batch");
-            stage.refused(stage.producer(), "PUSH " + inside(stage, "b-no-such"), "a job for no batch");
-        });
+        add(
+                "an empty batch is complete at COMMIT",
+                stage -> {
+                    commit(stage, batch(stage, ""));
+                    runs(stage, "Complete");
+                    runs(stage, "Success");
+                });
+        add(
+                "BATCH STATUS tells the counts",
+                stage -> {
+                    String bid = batch(stage, "");
+                    String jid = stage.push(inside(stage, bid));
+                    stage.push(inside(stage, bid));
+                    commit(stage, bid);
+                    stage.fetch(jid);
+                    stage.fail(jid);
+                    JsonNode told = stage.producer().call("BATCH STATUS " + bid).json();
+                    same(2, told.path("total").asInt(), "total");
+                    same(2, told.path("pending").asInt(), "pending");
+                    same(1, told.path("failed").asInt(), "failed");
+                    same("conformance", told.path("description").asText(), "description");
+                    same("", told.path("complete_st").asText("none"), "complete_st");
+                });
+        add(
+                "a committed batch takes no job until it is opened again",
+                stage -> {
+                    String bid = batch(stage, "");
+                    String jid = stage.push(inside(stage, bid));
+                    commit(stage, bid);
+                    stage.refused(
+                            stage.producer(),
+                            "PUSH " + inside(stage, bid),
+                            "a job for a committed batch");
+                    check(
+                            !stage.producer().call("BATCH OPEN " + bid).error(),
+                            "BATCH OPEN is an error");
+                    String more = stage.push(inside(stage, bid));
+                    commit(stage, bid);
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    noCallback(stage);
+                    stage.fetch(more);
+                    stage.ack(more);
+                    runs(stage, "Complete");
+                });
+        add(
+                "an outer batch waits for the inner one's callbacks",
+                stage -> {
+                    String outer = batch(stage, "");
+                    String inner = batch(stage, outer);
+                    String jid = stage.push(inside(stage, inner));
+                    commit(stage, inner);
+                    commit(stage, outer);
+                    noCallback(stage);
+                    stage.fetch(jid);
+                    stage.ack(jid);
+                    for (int i = 0; i < 2; i++) {
+                        runs(stage, "Complete");
+                        runs(stage, "Success");
+                    }
+                });
+        add(
+                "an unknown batch is refused",
+                stage -> {
+                    stage.refused(stage.producer(), "BATCH STATUS b-no-such", "STATUS of no batch");
+                    stage.refused(
+                            stage.producer(),
+                            "PUSH " + inside(stage, "b-no-such"),
+                            "a job for no batch");
+                });
     }
 
     private void flush() {
         group = "flush";
-        destroys("FLUSH empties queues and sets", stage -> {
-            stage.push();
-            stage.push(later(stage));
-            check(stage.producer().call("FLUSH").ok(), "FLUSH is not answered OK");
-            same(0, stage.queued(), "jobs in the queue");
-            same(0, stage.size("Scheduled"), "scheduled");
-            same(0, stage.size("Retries"), "retries");
-            same(0, stage.size("Dead"), "dead");
-            stage.nothing();
-        });
+        destroys(
+                "FLUSH empties queues and sets",
+                stage -> {
+                    stage.push();
+                    stage.push(later(stage));
+                    check(stage.producer().call("FLUSH").ok(), "FLUSH is not answered OK");
+                    same(0, stage.queued(), "jobs in the queue");
+                    same(0, stage.size("Scheduled"), "scheduled");
+                    same(0, stage.size("Retries"), "retries");
+                    same(0, stage.size("Dead"), "dead");
+                    stage.nothing();
+                });
     }
 }
--- a/src/main/java/damsonslip/conformance/Conformance.java
+++ b/src/main/java/damsonslip/conformance/Conformance.java
@@ -9,21 +9,24 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
-import java.util.concurrent.ExecutionException;
 
 /** The command {@code conformance}: plays the cases and prints a line for each, and a table. */
 public final class Conformance {
     private static final String USAGE =
-        "conformance HOST:PORT [--password P] [--flush] [--only GROUP]  (--flush also plays what empties the server)";
+            "conformance HOST:PORT [--password P] [--flush] [--only GROUP]  (--flush also plays what empties the server)";
 
-    private record Result(Cases.Case played, String fault, long ms) { }
+    private record Result(Cases.Case played, String fault, long ms) {}
 
-    private Conformance() { }
+    private Conformance() {}
 
-    /** Plays against the server that the arguments name; gives the exit code: 0, or 1 if a case found a fault. */
+    /**
+     * Plays against the server that the arguments name; gives the exit code: 0, or 1 if a case
+     * found a fault.
+     */
     public static int run(List<String> arguments, PrintStream out) throws BadInput {
         String address = "";
         String password = "";
@@ -53,34 +56,53 @@
             if (colon <= 0) {
                 throw new BadInput(USAGE);
             }
-            return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+            return new InetSocketAddress(
+                    address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
             throw new BadInput(USAGE);
         }
     }
 
     /** One run through the cases. */
-    private record Play(InetSocketAddress server, String password, boolean flush, String only, PrintStream out) {
+    private record Play(
+            InetSocketAddress server,
+            String password,
+            boolean flush,
+            String only,
+            PrintStream out) {
         /** Cases that are played side by side; those that count on whole sets are played alone. */
-        private static final List<String> APART = List.of("handshake", "fetch", "track", "unique", "batch", "queue");
+        private static final List<String> APART =
+                List.of("handshake", "fetch", "track", "unique", "batch", "queue");
+
         private static final int SIDE_BY_SIDE = 4;
 
         int all() throws BadInput {
             List<Result> results = new ArrayList<>();
             String wid = "conf-" + Stage.id();
-            List<Cases.Case> chosen = Cases.all().stream().filter(each -> flush || !each.destroy())
-                .filter(each -> only.isEmpty() || each.group().equals(only)).toList();
+            List<Cases.Case> chosen =
+                    Cases.all().stream()
+                            .filter(each -> flush || !each.destroy())
+                            .filter(each -> only.isEmpty() || each.group().equals(only))
+                            .toList();
             try (Stage keeper = new Stage(server, password, wid)) {
                 keeper.worker(); // its worker stays while its connections come and go
-                together(chosen.stream().filter(each -> APART.contains(each.group())).toList(), wid, results);
+                together(
+                        chosen.stream().filter(each -> APART.contains(each.group())).toList(),
+                        wid,
+                        results);
                 for (Cases.Case each : chosen) {
                     if (!APART.contains(each.group())) {
                         results.add(told(play(each, wid)));
                     }
                 }
             } catch (IOException | Stage.Fault e) {
-                throw new BadInput("conformance: no server of the protocol on " + server.getHostString() + ":"
-                    + server.getPort() + ": " + e.getMessage());
+                throw new BadInput(
+                        "conformance: no server of the protocol on "
+                                + server.getHostString()
+                                + ":"
+                                + server.getPort()
+                                + ": "
+                                + e.getMessage());
             }
             return table(results);
         }
@@ -117,8 +139,12 @@
         }
 
         private Result told(Result result) {
-            out.println((result.fault() == null ? "ok     " : "FAULT  ") + result.played().group() + ": "
-                + result.played().name() + (result.fault() == null ? "" : " -- " + result.fault()));
+            out.println(
+                    (result.fault() == null ? "ok     " : "FAULT  ")
+                            + result.played().group()
+                            + ": "
+                            + result.played().name()
+                            + (result.fault() == null ? "" : " -- " + result.fault()));
             return result;
         }
 
@@ -131,8 +157,15 @@
                 sums[2] += (int) result.ms();
             }
             out.printf(Locale.ROOT, "%n%-14s %6s %7s %8s%n", "group", "cases", "faults", "ms");
-            groups.forEach((group, sums) ->
-                out.printf(Locale.ROOT, "%-14s %6d %7d %8d%n", group, sums[0], sums[1], sums[2]));
+            groups.forEach(
+                    (group, sums) ->
+                            out.printf(
+                                    Locale.ROOT,
+                                    "%-14s %6d %7d %8d%n",
+                                    group,
+                                    sums[0],
+                                    sums[1],
+                                    sums[2]));
             long faults = results.stream().filter(result -> result.fault() != null).count();
             out.printf(Locale.ROOT, "%-14s %6d %7d%n", "all", results.size(), faults);
             return faults == 0 ? 0 : 1;
--- a/src/main/java/damsonslip/conformance/Stage.java
+++ b/src/main/java/damsonslip/conformance/Stage.java
@@ -12,10 +12,14 @@
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
 
-/** What one case plays on: connections, a queue and ids of its own, and the checks that are made most. */
+/**
+ * What one case plays on: connections, a queue and ids of its own, and the checks that are made
+ * most.
+ */
 final class Stage implements Closeable {
     /** A server may look for due jobs only every few seconds. */
     private static final long DUE_MS = 9_000;
+
     /** For a connection, and for each part of a reply. */
     private static final int TIMEOUT_MS = 8_000;
 
@@ -71,8 +75,12 @@
     // ---- jobs
 
     ObjectNode job(String jid) {
-        ObjectNode job = FaktoryClient.JSON.createObjectNode().put("jid", jid).put("jobtype", "Conformance")
-            .put("queue", queue);
+        ObjectNode job =
+                FaktoryClient.JSON
+                        .createObjectNode()
+                        .put("jid", jid)
+                        .put("jobtype", "Conformance")
+                        .put("queue", queue);
         job.putArray("args").add(1);
         return job;
     }
@@ -123,13 +131,18 @@
     }
 
     void ack(String jid) throws IOException {
-        FaktoryClient.Reply reply = worker().call("ACK " + FaktoryClient.JSON.createObjectNode().put("jid", jid));
+        FaktoryClient.Reply reply =
+                worker().call("ACK " + FaktoryClient.JSON.createObjectNode().put("jid", jid));
         check(reply.ok(), "ACK is answered " + reply);
     }
 
     void fail(String jid) throws IOException {
-        ObjectNode failure = FaktoryClient.JSON.createObjectNode().put("jid", jid).put("errtype", "Broken")
-            .put("message", "it broke");
+        ObjectNode failure =
+                FaktoryClient.JSON
+                        .createObjectNode()
+                        .put("jid", jid)
+                        .put("errtype", "Broken")
+                        .put("message", "it broke");
         ArrayNode lines = failure.putArray("backtrace");
         for (int i = 0; i < 10; i++) {
             lines.add("line " + i);
@@ -139,8 +152,16 @@
     }
 
     void mutate(String verb, String target, String filter) throws IOException {
-        FaktoryClient.Reply reply = producer().call("MUTATE {\"cmd\":\"" + verb + "\",\"target\":\"" + target + "\""
-            + (filter.isEmpty() ? "" : ",\"filter\":" + filter) + "}");
+        FaktoryClient.Reply reply =
+                producer()
+                        .call(
+                                "MUTATE {\"cmd\":\""
+                                        + verb
+                                        + "\",\"target\":\""
+                                        + target
+                                        + "\""
+                                        + (filter.isEmpty() ? "" : ",\"filter\":" + filter)
+                                        + "}");
         check(reply.ok(), "MUTATE " + verb + " is answered " + reply);
     }
 
--- a/src/main/java/damsonslip/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/console/ConsoleClient.java
@@ -24,7 +24,7 @@
     private static final String DEFAULT_ADDRESS = "127.0.0.1:7420";
     private static final int TIMEOUT_MS = 5_000;
 
-    private ConsoleClient() { }
+    private ConsoleClient() {}
 
     /**
      * Runs the command in the arguments, or opens a prompt if there is none.
@@ -36,8 +36,10 @@
         String address = arguments.isEmpty() ? DEFAULT_ADDRESS : arguments.get(0);
         try (Socket socket = connect(address)) {
             BufferedReader in =
-                new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            PrintWriter to = new PrintWriter(socket.getOutputStream(), true, StandardCharsets.UTF_8);
+                    new BufferedReader(
+                            new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
+            PrintWriter to =
+                    new PrintWriter(socket.getOutputStream(), true, StandardCharsets.UTF_8);
             if (arguments.size() > 1) {
                 out.println(ask(String.join(" ", arguments.subList(1, arguments.size())), in, to));
             } else {
@@ -63,7 +65,9 @@
     private static String ask(String line, BufferedReader in, PrintWriter to) throws IOException {
         to.println(line);
         StringBuilder answer = new StringBuilder();
-        for (String next = in.readLine(); !ConsoleConnection.END_OF_ANSWER.equals(next); next = in.readLine()) {
+        for (String next = in.readLine();
+                !ConsoleConnection.END_OF_ANSWER.equals(next);
+                next = in.readLine()) {
             if (next == null) {
                 throw new IOException("the scheduler has gone");
             }
@@ -72,10 +76,14 @@
         return answer.toString().stripTrailing();
     }
 
-    private static void prompt(String address, BufferedReader in, PrintWriter to) throws IOException {
+    private static void prompt(String address, BufferedReader in, PrintWriter to)
+            throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().dumb(true).build()) {
-            LineReader reader = LineReaderBuilder.builder().terminal(terminal)
-                .completer(new StringsCompleter(ConsoleCommands.NAMES)).build();
+            LineReader reader =
+                    LineReaderBuilder.builder()
+                            .terminal(terminal)
+                            .completer(new StringsCompleter(ConsoleCommands.NAMES))
+                            .build();
             terminal.writer().println("damsonslip on " + address + "; help lists the commands");
             while (true) {
                 String line = reader.readLine("> ").trim();
--- a/src/main/java/damsonslip/console/ConsoleCommands.java
+++ b/src/main/java/damsonslip/console/ConsoleCommands.java
@@ -4,10 +4,26 @@
 
 /** The console's commands and their help text. */
 final class ConsoleCommands {
-    static final List<String> NAMES = List.of("workers", "pools", "queues", "counters", "waits", "slow", "events",
-        "invariants", "stats",
-        "phase", "disable", "enable", "drain", "undrain", "help", "quit");
-    static final String HELP = """
+    static final List<String> NAMES =
+            List.of(
+                    "workers",
+                    "pools",
+                    "queues",
+                    "counters",
+                    "waits",
+                    "slow",
+                    "events",
+                    "invariants",
+                    "stats",
+                    "phase",
+                    "disable",
+                    "enable",
+                    "drain",
+                    "undrain",
+                    "help",
+                    "quit");
+    static final String HELP =
+            """
         workers    each worker: its state, what it has of ours, its free slots, its pool
         pools      each class's pool: its workers and slots, the rate and length of its jobs
         queues     each class: jobs present and held, and the threshold on those present
@@ -24,5 +40,5 @@
         undrain    clients are taken again
         quit       leaves the console; the scheduler goes on""";
 
-    private ConsoleCommands() { }
+    private ConsoleCommands() {}
 }
--- a/src/main/java/damsonslip/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/console/ConsoleConnection.java
@@ -12,15 +12,20 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A console connection: a command line in, the lines of its answer out, ended by a full stop on a line of its own. A
- * command is answered once the previous answer has been read, so that a peer that pipelines commands and reads nothing
- * occupies one answer and one buffer of lines. Confined to the event loop.
+ * A console connection: a command line in, the lines of its answer out, ended by a full stop on a
+ * line of its own. A command is answered once the previous answer has been read, so that a peer
+ * that pipelines commands and reads nothing occupies one answer and one buffer of lines. Confined
+ * to the event loop.
  */
 final class ConsoleConnection extends Link {
     static final String END_OF_ANSWER = ".";
     private static final int MAX_LINE_BYTES = 4 * 1024;
-    /** The same as for the platform's clients: 5 s of grace, a window of 10 s, and at least 2 KB/s. */
-    private static final MinimumDataRate.Limits READING = new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
+
+    /**
+     * The same as for the platform's clients: 5 s of grace, a window of 10 s, and at least 2 KB/s.
+     */
+    private static final MinimumDataRate.Limits READING =
+            new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     private final ConsoleServer server;
     private final Lines lines = new Lines(MAX_LINE_BYTES);
@@ -68,7 +73,9 @@
 
     private void answer(String text) {
         String answer = text.stripTrailing() + "\n" + END_OF_ANSWER + "\n";
-        write(() -> server.loop().execute(this::next), ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
+        write(
+                () -> server.loop().execute(this::next),
+                ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
         if (!isClosed()) {
             reading.begin();
         }
@@ -85,7 +92,7 @@
     }
 
     @Override
-    protected void lost() { }
+    protected void lost() {}
 
     @Override
     protected void released() {
--- a/src/main/java/damsonslip/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/console/ConsoleServer.java
@@ -30,7 +30,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Answers the operators' console inside the scheduler. Listens only if a console address is configured. */
+/**
+ * Answers the operators' console inside the scheduler. Listens only if a console address is
+ * configured.
+ */
 public final class ConsoleServer implements Links.Accepting {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleServer.class);
     private static final int MAX_CONNECTIONS = 8;
@@ -66,7 +69,8 @@
 
     @Override
     public boolean admit() {
-        return openCount.getAndUpdate(count -> count < MAX_CONNECTIONS ? count + 1 : count) < MAX_CONNECTIONS;
+        return openCount.getAndUpdate(count -> count < MAX_CONNECTIONS ? count + 1 : count)
+                < MAX_CONNECTIONS;
     }
 
     @Override
@@ -97,7 +101,10 @@
         return loop;
     }
 
-    /** Answers one command line on the event loop, so that the answer is a consistent snapshot, then or later. */
+    /**
+     * Answers one command line on the event loop, so that the answer is a consistent snapshot, then
+     * or later.
+     */
     void answer(String line, Consumer<String> done) {
         String[] words = line.trim().split("\\s+");
         String command = words[0].toLowerCase(Locale.ROOT);
@@ -134,20 +141,44 @@
     }
 
     private String workers() {
-        StringBuilder text = row("%-24s %-9s %5s %5s %6s %6s %s", "worker", "state", "zone", "kind", "out", "free", "pool");
+        StringBuilder text =
+                row(
+                        "%-24s %-9s %5s %5s %6s %6s %s",
+                        "worker", "state", "zone", "kind", "out", "free", "pool");
         for (WorkerState w : front.driver().workers()) {
-            String state = !w.running() ? "stopped" : w.paused() ? "paused" : w.cold() ? "cold" : "running";
-            text.append(row("%-24s %-9s %5d %5d %6d %6.1f %s", w.id(), state, w.zone(), w.kind(), w.out(), w.free(),
-                w.pool() < 0 ? "-" : front.className(w.pool())));
+            String state =
+                    !w.running()
+                            ? "stopped"
+                            : w.paused() ? "paused" : w.cold() ? "cold" : "running";
+            text.append(
+                    row(
+                            "%-24s %-9s %5d %5d %6d %6.1f %s",
+                            w.id(),
+                            state,
+                            w.zone(),
+                            w.kind(),
+                            w.out(),
+                            w.free(),
+                            w.pool() < 0 ? "-" : front.className(w.pool())));
         }
         return text.toString();
     }
 
     private String pools(List<PoolState> pools) {
-        StringBuilder text = row("%-16s %7s %6s %8s %8s %6s", "pool", "workers", "slots", "jobs/s", "ms/job", "free%");
+        StringBuilder text =
+                row(
+                        "%-16s %7s %6s %8s %8s %6s",
+                        "pool", "workers", "slots", "jobs/s", "ms/job", "free%");
         for (PoolState p : pools) {
-            text.append(row("%-16s %7d %6.0f %8.1f %8.0f %6.0f", front.className(p.jobClass()), p.workers(), p.slots(),
-                p.rate(), p.timeUs() / 1000, 100 * p.freeShare()));
+            text.append(
+                    row(
+                            "%-16s %7d %6.0f %8.1f %8.0f %6.0f",
+                            front.className(p.jobClass()),
+                            p.workers(),
+                            p.slots(),
+                            p.rate(),
+                            p.timeUs() / 1000,
+                            100 * p.freeShare()));
         }
         return text.toString();
     }
@@ -155,7 +186,10 @@
     private String queues(List<PoolState> pools) {
         StringBuilder text = row("%-16s %7s %7s %9s", "class", "present", "held", "threshold");
         for (PoolState p : pools) {
-            text.append(row("%-16s %7d %7d %9d", front.className(p.jobClass()), p.present(), p.held(), p.share()));
+            text.append(
+                    row(
+                            "%-16s %7d %7d %9d",
+                            front.className(p.jobClass()), p.present(), p.held(), p.share()));
         }
         return text.toString();
     }
@@ -171,16 +205,34 @@
     private String waits() {
         Waits waits = loop.waits();
         return row("%-10s %9s %9s %9s %9s", "tasks", "50% ms", "99% ms", "99.9% ms", "most ms")
-            .append(row("%-10d %9.2f %9.2f %9.2f %9.2f", waits.count(), waits.percentileUs(50) / 1e3,
-                waits.percentileUs(99) / 1e3, waits.percentileUs(99.9) / 1e3, waits.longestUs() / 1e3)).toString();
+                .append(
+                        row(
+                                "%-10d %9.2f %9.2f %9.2f %9.2f",
+                                waits.count(),
+                                waits.percentileUs(50) / 1e3,
+                                waits.percentileUs(99) / 1e3,
+                                waits.percentileUs(99.9) / 1e3,
+                                waits.longestUs() / 1e3))
+                .toString();
     }
 
     private String slow() {
-        StringBuilder text = row("%-22s %-16s %9s %9s %6s", "peer", "what it does", "bytes", "bytes/s", "left s");
-        Stream<SlowPeer> consoles = connections.stream().map(ConsoleConnection::slowPeer).filter(Objects::nonNull);
-        for (SlowPeer slow : SlowPeer.slowest(Stream.concat(front.slowPeers().stream(), consoles))) {
-            text.append(row("%-22s %-16s %9d %9.0f %6.1f", slow.peer(), slow.what(), slow.waiting(), slow.rate(),
-                slow.leftUs() / 1e6));
+        StringBuilder text =
+                row(
+                        "%-22s %-16s %9s %9s %6s",
+                        "peer", "what it does", "bytes", "bytes/s", "left s");
+        Stream<SlowPeer> consoles =
+                connections.stream().map(ConsoleConnection::slowPeer).filter(Objects::nonNull);
+        for (SlowPeer slow :
+                SlowPeer.slowest(Stream.concat(front.slowPeers().stream(), consoles))) {
+            text.append(
+                    row(
+                            "%-22s %-16s %9d %9.0f %6.1f",
+                            slow.peer(),
+                            slow.what(),
+                            slow.waiting(),
+                            slow.rate(),
+                            slow.leftUs() / 1e6));
         }
         return text.toString();
     }
@@ -200,12 +252,16 @@
         InvariantMonitor monitor = front.driver().monitor();
         StringBuilder text = row("%-42s %9s", "rule", "violated");
         for (Invariant invariant : Invariant.values()) {
-            text.append(row("%-42s %9d", invariant.name().toLowerCase(Locale.ROOT), monitor.count(invariant)));
+            text.append(
+                    row(
+                            "%-42s %9d",
+                            invariant.name().toLowerCase(Locale.ROOT), monitor.count(invariant)));
         }
         return text.toString();
     }
 
     private static StringBuilder row(String format, Object... values) {
-        return new StringBuilder(String.format(Locale.ROOT, format, values).stripTrailing()).append('\n');
+        return new StringBuilder(String.format(Locale.ROOT, format, values).stripTrailing())
+                .append('\n');
     }
 }
--- a/src/main/java/damsonslip/core/AnswerListener.java
+++ b/src/main/java/damsonslip/core/AnswerListener.java
@@ -6,8 +6,9 @@
     void answer(Answer answer);
 
     /**
-     * Takes in what has come from the client and was not read yet; a departure is told before the call returns. Guards
-     * against a loop that was held up: an attempt must not begin for a client whose close is there to be read.
+     * Takes in what has come from the client and was not read yet; a departure is told before the
+     * call returns. Guards against a loop that was held up: an attempt must not begin for a client
+     * whose close is there to be read.
      */
-    default void readPending() { }
+    default void readPending() {}
 }
--- a/src/main/java/damsonslip/core/Driver.java
+++ b/src/main/java/damsonslip/core/Driver.java
@@ -55,11 +55,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tells the decisions what happens and carries out what they say. Every method is called on the {@link Loop}.
+ * Tells the decisions what happens and carries out what they say. Every method is called on the
+ * {@link Loop}.
  */
 public final class Driver {
     private static final Logger LOG = LoggerFactory.getLogger(Driver.class);
-    /** No more queries than this are held at once; what comes beyond is throttled before the module sees it. */
+
+    /**
+     * No more queries than this are held at once; what comes beyond is throttled before the module
+     * sees it.
+     */
     public static final int MOST_OPEN = 2_000;
 
     /** A repeat is begun this much before its window ends: it counts when it has arrived whole. */
@@ -68,8 +73,11 @@
     /** A trace tells how things stand this often: the seconds that a fleet's logs are summed by. */
     private static final long TRACE_US = 1_000_000;
 
-    /** What becomes of an action that breaks a rule: {@code report} or, in tests, {@code refuse}. */
+    /**
+     * What becomes of an action that breaks a rule: {@code report} or, in tests, {@code refuse}.
+     */
     private static final String INVARIANTS = "damsonslip.invariants";
+
     /** Events that are written behind a violation. */
     private static final int EVENTS_OF_A_VIOLATION = 16;
 
@@ -82,8 +90,10 @@
     private final Trace trace;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final WorkerOverrides bans = new WorkerOverrides();
+
     /** Answers by class and kind. */
     private final long[][] answers;
+
     private final ArrayDeque<Event> waiting = new ArrayDeque<>();
     private WorkerSide workers;
     private boolean handling;
@@ -95,15 +105,21 @@
         this.rules = new Rules(settings, seed);
         this.settings = settings;
         this.trace = new Trace(events, loop);
-        this.monitor = new InvariantMonitor(InvariantMonitor.Mode.valueOf(
-            System.getProperty(INVARIANTS, "report").toUpperCase(Locale.ROOT)), this::violated);
+        this.monitor =
+                new InvariantMonitor(
+                        InvariantMonitor.Mode.valueOf(
+                                System.getProperty(INVARIANTS, "report").toUpperCase(Locale.ROOT)),
+                        this::violated);
         trace.settings(settings, loop.now());
         this.answers = new long[settings.classes().size()][Answer.Kind.values().length];
     }
 
     /** So many processes are this one scheduler now; each counts as a scheduler of its own. */
     public void divided(PeerProcesses kin) {
-        tell(new Divided(settings.dispatchers() * kin.processes(), settings.number() * kin.processes() + kin.index()));
+        tell(
+                new Divided(
+                        settings.dispatchers() * kin.processes(),
+                        settings.number() * kin.processes() + kin.index()));
     }
 
     /** Whether there is a list of workers to decide by. */
@@ -115,7 +131,11 @@
     public void begin(WorkerSide side, List<Worker> kept) {
         workers = side;
         trace.listed(ListMode.KEPT, kept);
-        tell(new ListUpdate(ListMode.KEPT, bans.apply(ListMode.KEPT, kept, loop.now()), loop.startedUs()));
+        tell(
+                new ListUpdate(
+                        ListMode.KEPT,
+                        bans.apply(ListMode.KEPT, kept, loop.now()),
+                        loop.startedUs()));
         if (trace.on()) {
             stands();
         }
@@ -140,8 +160,13 @@
 
     private void violated(Violation violation) {
         counters.add(Count.INVARIANTS_VIOLATED);
-        LOG.error("event=invariant_violated invariant={} job={} worker={} detail=\"{}\" events={}", violation.invariant(),
-            violation.job(), violation.worker(), violation.detail(), events.newest(EVENTS_OF_A_VIOLATION, violation.job()));
+        LOG.error(
+                "event=invariant_violated invariant={} job={} worker={} detail=\"{}\" events={}",
+                violation.invariant(),
+                violation.job(),
+                violation.worker(),
+                violation.detail(),
+                events.newest(EVENTS_OF_A_VIOLATION, violation.job()));
     }
 
     private static List<Earlier> earlier(Exchange exchange) {
@@ -154,16 +179,29 @@
 
     private Place place(String worker) {
         Worker listed = bans.listed(worker);
-        return listed == null ? new Place(worker, 0, 0) : new Place(worker, listed.zone(), listed.cell());
+        return listed == null
+                ? new Place(worker, 0, 0)
+                : new Place(worker, listed.zone(), listed.cell());
     }
 
-    /** Whether an attempt may begin that is told this much time, at a worker that drains since then. */
+    /**
+     * Whether an attempt may begin that is told this much time, at a worker that drains since then.
+     */
     public boolean permitsSend(Execution execution, long toldUs, long drainingSinceUs) {
         Query query = execution.query();
         ColdLoad cold = rules.coldLoad(execution.worker(), query.jobClass());
-        return monitor.permits(SendGuard.check(new SendGuard.Facts(query.id(), execution.worker(), loop.now(),
-            drainingSinceUs, settings.guarantees().drainGraceUs(), !execution.exchange.closed(),
-            query.earliestDeadlineUs(), toldUs, cold)));
+        return monitor.permits(
+                SendGuard.check(
+                        new SendGuard.Facts(
+                                query.id(),
+                                execution.worker(),
+                                loop.now(),
+                                drainingSinceUs,
+                                settings.guarantees().drainGraceUs(),
+                                !execution.exchange.closed(),
+                                query.earliestDeadlineUs(),
+                                toldUs,
+                                cold)));
     }
 
     // ---- for operators
@@ -210,7 +248,9 @@
         return true;
     }
 
-    /** Whether an operator has taken the worker out: nothing more is written to it, decided or not. */
+    /**
+     * Whether an operator has taken the worker out: nothing more is written to it, decided or not.
+     */
     public boolean bars(String id) {
         return bans.isDisabled(id);
     }
@@ -250,12 +290,22 @@
         Exchange exchange = new Exchange(query, listener, this::count);
         open++;
         if (open > MOST_OPEN) {
-            exchange.finish(Answer.throttled(0)); // the module was not asked, so there is no figure to give
+            exchange.finish(
+                    Answer.throttled(0)); // the module was not asked, so there is no figure to give
             return exchange;
         }
         exchanges.put(query.id(), exchange);
-        tell(new JobArrived(query.id(), query.jobClass(), query.tenant(), query.subject(), query.deadlineUs(),
-            query.slots(), query.memory(), query.mostRuns(), query.fits()));
+        tell(
+                new JobArrived(
+                        query.id(),
+                        query.jobClass(),
+                        query.tenant(),
+                        query.subject(),
+                        query.deadlineUs(),
+                        query.slots(),
+                        query.memory(),
+                        query.mostRuns(),
+                        query.fits()));
         return exchange;
     }
 
@@ -264,15 +314,17 @@
         open--;
         monitor.permits(CloseGuard.checkAnswer(query.id(), loop.now(), query.deadlineUs()));
         if (answer.kind() == Answer.Kind.THROTTLED) {
-            monitor.permits(RepeatGuard.checkRefusal(query.id(), classOf(query), earlier(exchange)));
+            monitor.permits(
+                    RepeatGuard.checkRefusal(query.id(), classOf(query), earlier(exchange)));
         }
         answers[query.jobClass()][answer.kind().ordinal()]++;
         trace.answered(query, answer);
-        counters.add(switch (answer.kind()) {
-            case SERVED -> Count.ANSWERS_SERVED;
-            case THROTTLED -> Count.ANSWERS_THROTTLED;
-            case FAILED -> Count.ANSWERS_FAILED;
-        });
+        counters.add(
+                switch (answer.kind()) {
+                    case SERVED -> Count.ANSWERS_SERVED;
+                    case THROTTLED -> Count.ANSWERS_THROTTLED;
+                    case FAILED -> Count.ANSWERS_FAILED;
+                });
     }
 
     /** The client has gone. */
@@ -287,7 +339,10 @@
         }
     }
 
-    /** What is still being written would come whole after its client's departure, also where calling off is not allowed. */
+    /**
+     * What is still being written would come whole after its client's departure, also where calling
+     * off is not allowed.
+     */
     private void withdraw(Exchange exchange) {
         for (Execution execution : List.copyOf(exchange.executions)) {
             if (execution.open && workers.withdraw(execution)) {
@@ -296,10 +351,16 @@
         }
     }
 
-    /** No query can be waited for any longer: whatever is open gets its final answer, as at its deadline. */
+    /**
+     * No query can be waited for any longer: whatever is open gets its final answer, as at its
+     * deadline.
+     */
     public void answerAll() {
-        exchanges.values().stream().filter(exchange -> !exchange.closed()).map(exchange -> exchange.query().id())
-            .toList().forEach(id -> tell(new TimerDue(Rules.lastLabel(id))));
+        exchanges.values().stream()
+                .filter(exchange -> !exchange.closed())
+                .map(exchange -> exchange.query().id())
+                .toList()
+                .forEach(id -> tell(new TimerDue(Rules.lastLabel(id))));
     }
 
     // ---- the server side
@@ -324,23 +385,32 @@
         exchange.outstanding--;
         JobClass of = classOf(execution.query());
         if (of.effect() == Effect.KEYED && !end.outcome().provesNotRun()) {
-            exchange.repeatsUntilUs = Math.min(exchange.repeatsUntilUs, execution.sentUs() + of.windowUs() - ARRIVES_US);
+            exchange.repeatsUntilUs =
+                    Math.min(
+                            exchange.repeatsUntilUs,
+                            execution.sentUs() + of.windowUs() - ARRIVES_US);
         }
-        counters.add(switch (end.outcome()) {
-            case SERVED -> Count.EXECUTIONS_SERVED;
-            case ERROR -> Count.EXECUTIONS_ERROR;
-            case FULL -> Count.EXECUTIONS_FULL;
-            case TIMED_OUT -> Count.EXECUTIONS_TIMED_OUT;
-            case NOT_CONNECTED -> Count.EXECUTIONS_NOT_CONNECTED;
-            case RESET -> Count.EXECUTIONS_RESET;
-            case CANCELLED -> Count.EXECUTIONS_CANCELLED;
-            case NEVER_SENT -> Count.EXECUTIONS_NEVER_SENT;
-        });
+        counters.add(
+                switch (end.outcome()) {
+                    case SERVED -> Count.EXECUTIONS_SERVED;
+                    case ERROR -> Count.EXECUTIONS_ERROR;
+                    case FULL -> Count.EXECUTIONS_FULL;
+                    case TIMED_OUT -> Count.EXECUTIONS_TIMED_OUT;
+                    case NOT_CONNECTED -> Count.EXECUTIONS_NOT_CONNECTED;
+                    case RESET -> Count.EXECUTIONS_RESET;
+                    case CANCELLED -> Count.EXECUTIONS_CANCELLED;
+                    case NEVER_SENT -> Count.EXECUTIONS_NEVER_SENT;
+                });
         if (end.outcome() == Outcome.SERVED) {
             exchange.finish(Answer.served(end.result()));
         }
-        tell(new AttemptEnded(execution.query().id(), execution.number, end.outcome(), exchange.closed(),
-            end.report()));
+        tell(
+                new AttemptEnded(
+                        execution.query().id(),
+                        execution.number,
+                        end.outcome(),
+                        exchange.closed(),
+                        end.report()));
         forget(exchange);
     }
 
@@ -353,7 +423,8 @@
 
     /** News of discovery's address after a reload that was asked for at that time. */
     public void discoveryAddress(AddressNews news, long sinceUs) {
-        events.add(loop.now(), Kind.LISTED, "", "address " + news.name().toLowerCase(Locale.ROOT), 0);
+        events.add(
+                loop.now(), Kind.LISTED, "", "address " + news.name().toLowerCase(Locale.ROOT), 0);
         tell(new DiscoveryAddress(news, sinceUs));
     }
 
@@ -368,7 +439,10 @@
         tell(new ListUpdate(mode, List.of(), heardUs));
     }
 
-    /** Whether discovery's last list, or the worker's own answer to a probe, still allows to send to it. */
+    /**
+     * Whether discovery's last list, or the worker's own answer to a probe, still allows to send to
+     * it.
+     */
     public boolean mayUse(String worker) {
         return rules.mayUse(worker, loop.now());
     }
@@ -386,8 +460,8 @@
     // ---- decisions
 
     /**
-     * Hands events to the module one by one. Carrying out an action may lead to a further event at once, which
-     * has to wait until the actions of the one at hand are done.
+     * Hands events to the module one by one. Carrying out an action may lead to a further event at
+     * once, which has to wait until the actions of the one at hand are done.
      */
     private void tell(Event event) {
         waiting.add(event);
@@ -409,7 +483,10 @@
         }
     }
 
-    /** Guards the actions behind one that fails, such as the timer by which its request gets an answer. */
+    /**
+     * Guards the actions behind one that fails, such as the timer by which its request gets an
+     * answer.
+     */
     private void carryOutOrReport(Action action) {
         try {
             carryOut(action);
@@ -457,10 +534,22 @@
         long deadline = exchange.query().deadlineUs();
         long endsBy = send.timeoutUs() > 0 ? Math.min(deadline, now + send.timeoutUs()) : deadline;
         Place place = place(send.worker());
-        boolean permitted = monitor.permits(
-            RepeatGuard.check(send.job(), classOf(exchange.query()), place, earlier(exchange), now));
-        Execution execution = new Execution(exchange, exchange.executions.size(), place, now, exchange.repeatsUntilUs,
-            endsBy);
+        boolean permitted =
+                monitor.permits(
+                        RepeatGuard.check(
+                                send.job(),
+                                classOf(exchange.query()),
+                                place,
+                                earlier(exchange),
+                                now));
+        Execution execution =
+                new Execution(
+                        exchange,
+                        exchange.executions.size(),
+                        place,
+                        now,
+                        exchange.repeatsUntilUs,
+                        endsBy);
         exchange.executions.add(execution);
         trace.sent(execution);
         exchange.outstanding++;
--- a/src/main/java/damsonslip/core/EventLog.java
+++ b/src/main/java/damsonslip/core/EventLog.java
@@ -5,8 +5,9 @@
 import java.util.Locale;
 
 /**
- * The newest events with their ids, kept in memory: read at the console, and written to the log behind a violation, where
- * what led to it counts. A line for each event would cost more than the event. Used on the loop.
+ * The newest events with their ids, kept in memory: read at the console, and written to the log
+ * behind a violation, where what led to it counts. A line for each event would cost more than the
+ * event. Used on the loop.
  */
 public final class EventLog {
     /** What happens to a request, a connection or the list. */
@@ -44,7 +45,8 @@
         @Override
         public String toString() {
             String name = kind.name().toLowerCase(Locale.ROOT);
-            return String.format(Locale.ROOT, "%d %s id=%s detail=%s figure=%d", atUs, name, id, detail, figure);
+            return String.format(
+                    Locale.ROOT, "%d %s id=%s detail=%s figure=%d", atUs, name, id, detail, figure);
         }
     }
 
--- a/src/main/java/damsonslip/core/Exchange.java
+++ b/src/main/java/damsonslip/core/Exchange.java
@@ -5,8 +5,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * A query, its executions and its one final answer: the only place where the client side and the server side
- * of the program meet.
+ * A query, its executions and its one final answer: the only place where the client side and the
+ * server side of the program meet.
  */
 public final class Exchange {
     private final Query query;
@@ -14,10 +14,13 @@
     private final BiConsumer<Exchange, Answer> counting;
     final List<Execution> executions = new ArrayList<>(1);
     int outstanding;
+
     /** When repeats are last known for such, counted from the first execution that may have run. */
     long repeatsUntilUs = Long.MAX_VALUE;
+
     /** How long the slowest worker so far would have taken to take the whole request. */
     long slowestUploadUs;
+
     private boolean closed;
 
     Exchange(Query query, AnswerListener listener, BiConsumer<Exchange, Answer> counting) {
@@ -35,7 +38,10 @@
         return closed;
     }
 
-    /** Whether the client still waits, by all that has come from it until now; its departure may be told in the call. */
+    /**
+     * Whether the client still waits, by all that has come from it until now; its departure may be
+     * told in the call.
+     */
     boolean isAwaited() {
         if (!closed) {
             listener.readPending();
--- a/src/main/java/damsonslip/core/Execution.java
+++ b/src/main/java/damsonslip/core/Execution.java
@@ -15,11 +15,19 @@
     private final long beginsByUs;
     Loop.Timer timeout;
     boolean open = true;
+
     /** How it ended; null while it is open. */
     Outcome outcome;
+
     private final Place place;
 
-    Execution(Exchange exchange, int number, Place place, long sentUs, long beginsByUs, long endsByUs) {
+    Execution(
+            Exchange exchange,
+            int number,
+            Place place,
+            long sentUs,
+            long beginsByUs,
+            long endsByUs) {
         this.exchange = exchange;
         this.number = number;
         this.place = place;
@@ -47,22 +55,26 @@
     }
 
     /**
-     * Whether it may still be written to its worker. Guards what was decided some time ago, before a connection came up:
-     * its client may have gone since, or the time in which its worker would know it for a repeat has passed. The client's
-     * connection is read for that, since its close may wait there behind a long turn of the loop.
+     * Whether it may still be written to its worker. Guards what was decided some time ago, before
+     * a connection came up: its client may have gone since, or the time in which its worker would
+     * know it for a repeat has passed. The client's connection is read for that, since its close
+     * may wait there behind a long turn of the loop.
      */
     public boolean mayBegin(long nowUs) {
         return open && nowUs < beginsByUs && exchange.isAwaited() && open;
     }
 
-    /** Whether its client still waits, by all that has come from it; if not, its end may have been told in the call. */
+    /**
+     * Whether its client still waits, by all that has come from it; if not, its end may have been
+     * told in the call.
+     */
     public boolean isAwaited() {
         return exchange.isAwaited();
     }
 
     /**
-     * How long the request is reckoned to take until its last byte has come, by earlier executions that were given up while
-     * it was written; a worker is told of so much less time.
+     * How long the request is reckoned to take until its last byte has come, by earlier executions
+     * that were given up while it was written; a worker is told of so much less time.
      */
     public long expectedUploadUs() {
         return exchange.slowestUploadUs;
@@ -92,8 +104,8 @@
      * How an execution ended.
      *
      * @param outcome what is proved by it
-     * @param report  the worker's load, or null
-     * @param result  what the worker gave, where it served
+     * @param report the worker's load, or null
+     * @param result what the worker gave, where it served
      */
     public record End(Outcome outcome, Report report, String result) {
         public static End of(Outcome outcome) {
--- a/src/main/java/damsonslip/core/Front.java
+++ b/src/main/java/damsonslip/core/Front.java
@@ -6,30 +6,35 @@
 
 /** What speaks to clients and workers: one of these is put round the core. */
 public interface Front {
-    /** Begins to serve; what is wrong with its configuration is told before anything is taken in. */
+    /**
+     * Begins to serve; what is wrong with its configuration is told before anything is taken in.
+     */
     void start() throws BadInput, IOException;
 
     /** Begins to leave in good order; {@link Phase.State#ENDED} tells when that is done. */
     void leave();
 
     /**
-     * The operator has replaced the settings; called on a thread of its own. What can change while serving does;
-     * settings that cannot be used are told of and change nothing.
+     * The operator has replaced the settings; called on a thread of its own. What can change while
+     * serving does; settings that cannot be used are told of and change nothing.
      *
      * @param signalNs when the operator asked for it, by {@link System#nanoTime}
      */
     void reload(long signalNs);
 
-    /** Sends clients away until {@link #undrain}; tells false where the front cannot. Called on the loop. */
+    /**
+     * Sends clients away until {@link #undrain}; tells false where the front cannot. Called on the
+     * loop.
+     */
     default boolean drain() {
         return false;
     }
 
     /** Takes clients again; called on the loop. */
-    default void undrain() { }
+    default void undrain() {}
 
     /** Gives up what is held open, once everything has ended. */
-    default void close() { }
+    default void close() {}
 
     /** Peers that are slow just now, the next to be let go first; called on the loop. */
     default List<SlowPeer> slowPeers() {
--- a/src/main/java/damsonslip/core/Leave.java
+++ b/src/main/java/damsonslip/core/Leave.java
@@ -4,8 +4,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The way out: for a while everything goes on as before, since clients still come; then the door is shut; and once
- * nothing is under way any more, or nobody can be waiting for it, the program ends.
+ * The way out: for a while everything goes on as before, since clients still come; then the door is
+ * shut; and once nothing is under way any more, or nobody can be waiting for it, the program ends.
  */
 public final class Leave {
     private static final long LOOK_US = 20_000;
@@ -20,14 +20,20 @@
     private long endUs;
 
     /**
-     * @param openUs    how long the door stays open
+     * @param openUs how long the door stays open
      * @param longestUs how long after that something may still be under way
      * @param succeeded whether others take what comes, so that the door need not stay open
-     * @param shut      shuts the door
-     * @param done      whether nothing is under way
+     * @param shut shuts the door
+     * @param done whether nothing is under way
      */
-    public Leave(Loop loop, Phase phase, long openUs, long longestUs, BooleanSupplier succeeded, Runnable shut,
-                 BooleanSupplier done) {
+    public Leave(
+            Loop loop,
+            Phase phase,
+            long openUs,
+            long longestUs,
+            BooleanSupplier succeeded,
+            Runnable shut,
+            BooleanSupplier done) {
         this.loop = loop;
         this.phase = phase;
         this.openUs = openUs;
--- a/src/main/java/damsonslip/core/Loop.java
+++ b/src/main/java/damsonslip/core/Loop.java
@@ -6,21 +6,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which everything is decided, and its clock: microseconds since 1970 that never go backwards.
- * State that is touched only from here needs no locks.
+ * The one thread on which everything is decided, and its clock: microseconds since 1970 that never
+ * go backwards. State that is touched only from here needs no locks.
  */
 public final class Loop {
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
     private final long epochUs = System.currentTimeMillis() * 1000;
     private final long nanosAtEpoch = System.nanoTime();
-    private final ScheduledThreadPoolExecutor thread = new ScheduledThreadPoolExecutor(1, task -> {
-        Thread t = new Thread(task, "damsonslip");
-        t.setDaemon(false);
-        return t;
-    });
+    private final ScheduledThreadPoolExecutor thread =
+            new ScheduledThreadPoolExecutor(
+                    1,
+                    task -> {
+                        Thread t = new Thread(task, "damsonslip");
+                        t.setDaemon(false);
+                        return t;
+                    });
 
     private final Waits waits = new Waits();
-    private volatile Runnable taskFailed = () -> { };
+    private volatile Runnable taskFailed = () -> {};
 
     public Loop() {
         thread.setRemoveOnCancelPolicy(true);
@@ -50,10 +53,14 @@
     /** A timer that can be called off; a time that has passed means as soon as possible. */
     public Timer at(long timeUs, Runnable task) {
         if (thread.isShutdown()) {
-            return () -> { };
+            return () -> {};
         }
         long inUs = Math.max(0, timeUs - now());
-        var set = thread.schedule(guarded(task, System.nanoTime() + inUs * 1000), inUs, TimeUnit.MICROSECONDS);
+        var set =
+                thread.schedule(
+                        guarded(task, System.nanoTime() + inUs * 1000),
+                        inUs,
+                        TimeUnit.MICROSECONDS);
         return () -> set.cancel(false);
     }
 
@@ -86,7 +93,8 @@
             try {
                 waits.add((System.nanoTime() - dueNs) / 1000);
                 task.run();
-            } catch (RuntimeException | Error e) { // an Error would be kept by the pool, and nobody would hear of it
+            } catch (RuntimeException
+                    | Error e) { // an Error would be kept by the pool, and nobody would hear of it
                 LOG.error("event=task_failed a task failed and was dropped", e);
                 taskFailed.run();
             }
--- a/src/main/java/damsonslip/core/Phase.java
+++ b/src/main/java/damsonslip/core/Phase.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Where the program stands between its start and its exit: one object, whose state only moves forward, but for
- * {@link #drain} and {@link #undrain}.
+ * Where the program stands between its start and its exit: one object, whose state only moves
+ * forward, but for {@link #drain} and {@link #undrain}.
  */
 public final class Phase {
     /** The states, in their order. */
@@ -14,9 +14,14 @@
         STARTING,
         /** Takes queries in. */
         SERVING,
-        /** Serves, but sends its clients away: not ready, and every answer is its connection's last. May go back. */
+        /**
+         * Serves, but sends its clients away: not ready, and every answer is its connection's last.
+         * May go back.
+         */
         DRAINED,
-        /** Told to stop: still takes queries in, and every answer asks the client to go elsewhere. */
+        /**
+         * Told to stop: still takes queries in, and every answer asks the client to go elsewhere.
+         */
         LEAVING,
         /** Takes nothing new; answers what it holds. */
         FINISHING,
--- a/src/main/java/damsonslip/core/Trace.java
+++ b/src/main/java/damsonslip/core/Trace.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Notes what happens to queries in the {@link EventLog}, and writes a line for each, for reading a fleet's logs together;
- * the lines are off unless the logger named {@code damsonslip.core.Trace} is set to debug.
+ * Notes what happens to queries in the {@link EventLog}, and writes a line for each, for reading a
+ * fleet's logs together; the lines are off unless the logger named {@code damsonslip.core.Trace} is
+ * set to debug.
  */
 final class Trace {
     private static final Logger LOG = LoggerFactory.getLogger(Trace.class);
@@ -39,12 +40,22 @@
 
     void settings(Settings s, long nowUs) {
         if (on) {
-            LOG.debug("settings dispatchers={} number={} zone={} atUs={} coldUs={} fallUs={} fallMultiple={}",
-                s.dispatchers(), s.number(), s.zone(), nowUs, s.guarantees().coldUs(), s.guarantees().fallUs(),
-                s.guarantees().fallMultiple());
+            LOG.debug(
+                    "settings dispatchers={} number={} zone={} atUs={} coldUs={} fallUs={} fallMultiple={}",
+                    s.dispatchers(),
+                    s.number(),
+                    s.zone(),
+                    nowUs,
+                    s.guarantees().coldUs(),
+                    s.guarantees().fallUs(),
+                    s.guarantees().fallMultiple());
             for (int i = 0; i < s.classes().size(); i++) {
-                LOG.debug("class {} aimUs={} stretch={} worth={}", i, s.classes().get(i).aimUs(),
-                    s.classes().get(i).stretch(), s.classes().get(i).worth());
+                LOG.debug(
+                        "class {} aimUs={} stretch={} worth={}",
+                        i,
+                        s.classes().get(i).aimUs(),
+                        s.classes().get(i).stretch(),
+                        s.classes().get(i).worth());
             }
         }
     }
@@ -52,36 +63,57 @@
     void taken(Query query) {
         note(Kind.TAKEN, query.id(), query.jobClass(), query.deadlineUs());
         if (on) {
-            LOG.debug("taken {} class={} slots={} untilUs={}", query.id(), query.jobClass(), query.slots(),
-                query.deadlineUs());
+            LOG.debug(
+                    "taken {} class={} slots={} untilUs={}",
+                    query.id(),
+                    query.jobClass(),
+                    query.slots(),
+                    query.deadlineUs());
         }
     }
 
     void sent(Execution execution) {
         note(Kind.SENT, execution.query().id(), execution.worker(), execution.number());
         if (on) {
-            LOG.debug("sent {} n={} to={}", execution.query().id(), execution.number(), execution.worker());
+            LOG.debug(
+                    "sent {} n={} to={}",
+                    execution.query().id(),
+                    execution.number(),
+                    execution.worker());
         }
     }
 
     void started(Execution execution) {
         note(Kind.STARTED, execution.query().id(), execution.worker(), execution.number());
         if (on) {
-            LOG.debug("started {} n={} to={}", execution.query().id(), execution.number(), execution.worker());
+            LOG.debug(
+                    "started {} n={} to={}",
+                    execution.query().id(),
+                    execution.number(),
+                    execution.worker());
         }
     }
 
     void ended(Execution execution, Outcome outcome) {
         note(Kind.ENDED, execution.query().id(), outcome, execution.number());
         if (on) {
-            LOG.debug("ended {} n={} to={} as={}", execution.query().id(), execution.number(), execution.worker(), outcome);
+            LOG.debug(
+                    "ended {} n={} to={} as={}",
+                    execution.query().id(),
+                    execution.number(),
+                    execution.worker(),
+                    outcome);
         }
     }
 
     void answered(Query query, Answer answer) {
         note(Kind.ANSWERED, query.id(), answer.kind(), answer.retryAfterUs());
         if (on) {
-            LOG.debug("answered {} as={} retryUs={}", query.id(), answer.kind(), answer.retryAfterUs());
+            LOG.debug(
+                    "answered {} as={} retryUs={}",
+                    query.id(),
+                    answer.kind(),
+                    answer.retryAfterUs());
         }
     }
 
@@ -95,8 +127,13 @@
         if (on) {
             LOG.debug("listed {} entries={}", mode, list.size());
             for (Worker w : list) {
-                LOG.debug("worker {} zone={} kind={} is={} startedUs={}", w.id(), w.zone(), w.kind(), w.status(),
-                    w.status() == Status.RUNNING && w.startedUs() > 0 ? w.startedUs() : 0);
+                LOG.debug(
+                        "worker {} zone={} kind={} is={} startedUs={}",
+                        w.id(),
+                        w.zone(),
+                        w.kind(),
+                        w.status(),
+                        w.status() == Status.RUNNING && w.startedUs() > 0 ? w.startedUs() : 0);
             }
         }
     }
@@ -107,17 +144,29 @@
         }
     }
 
-    /** How things stand, told once a second: counts since the start, and each pool with its members. */
+    /**
+     * How things stand, told once a second: counts since the start, and each pool with its members.
+     */
     void stands(Counters counters, List<PoolState> pools, List<WorkerState> workers) {
         LOG.debug("{}", counters);
         for (PoolState pool : pools) {
-            String members = workers.stream().filter(w -> w.pool() == pool.jobClass()).map(WorkerState::id)
-                .collect(Collectors.joining(","));
-            LOG.debug("pool {} rate={} ms={} share={} free={} has={}", pool.jobClass(), (int) pool.rate(),
-                (int) (pool.timeUs() / 1000), pool.share(), (int) (100 * pool.freeShare()), members);
+            String members =
+                    workers.stream()
+                            .filter(w -> w.pool() == pool.jobClass())
+                            .map(WorkerState::id)
+                            .collect(Collectors.joining(","));
+            LOG.debug(
+                    "pool {} rate={} ms={} share={} free={} has={}",
+                    pool.jobClass(),
+                    (int) pool.rate(),
+                    (int) (pool.timeUs() / 1000),
+                    pool.share(),
+                    (int) (100 * pool.freeShare()),
+                    members);
         }
-        workers.stream().filter(w -> w.running() && w.cold())
-            .forEach(w -> LOG.debug("cold {} partUs={}", w.id(), (long) w.coldPartUs()));
+        workers.stream()
+                .filter(w -> w.running() && w.cold())
+                .forEach(w -> LOG.debug("cold {} partUs={}", w.id(), (long) w.coldPartUs()));
     }
 
     void probed(String worker, ProbeResult result) {
--- a/src/main/java/damsonslip/core/Waits.java
+++ b/src/main/java/damsonslip/core/Waits.java
@@ -3,10 +3,16 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** How long the loop has made things wait: from when a task was handed to it, or was due, until it began. */
+/**
+ * How long the loop has made things wait: from when a task was handed to it, or was due, until it
+ * began.
+ */
 public final class Waits {
-    /** Waits beyond this count as this long; nothing that is still of use to anybody waits longer. */
+    /**
+     * Waits beyond this count as this long; nothing that is still of use to anybody waits longer.
+     */
     private static final long LONGEST_US = TimeUnit.SECONDS.toMicros(60);
+
     /** Two digits: a wait is told to one percent, in some 20 KB. */
     private static final int DIGITS = 2;
 
--- a/src/main/java/damsonslip/core/WorkerSide.java
+++ b/src/main/java/damsonslip/core/WorkerSide.java
@@ -1,8 +1,8 @@
 package damsonslip.core;
 
 /**
- * The server side: a port that a front implements. What comes of it is told to the {@link Driver}, from the
- * {@link Loop}; each execution that is started ends once, unless it was cancelled.
+ * The server side: a port that a front implements. What comes of it is told to the {@link Driver},
+ * from the {@link Loop}; each execution that is started ends once, unless it was cancelled.
  */
 public interface WorkerSide {
     /** Sends the execution's query to its worker. */
@@ -12,8 +12,9 @@
     void cancel(Execution execution);
 
     /**
-     * Gives up an execution whose last byte has not left, so that it provably never runs; tells whether that was so. Unlike
-     * {@link #cancel} it needs no leave from the settings: what has not come whole is no attempt yet.
+     * Gives up an execution whose last byte has not left, so that it provably never runs; tells
+     * whether that was so. Unlike {@link #cancel} it needs no leave from the settings: what has not
+     * come whole is no attempt yet.
      */
     default boolean withdraw(Execution execution) {
         return false;
@@ -22,7 +23,8 @@
     /**
      * Asks a worker how it is; ends in {@link Driver#probed}.
      *
-     * @param connectedByUs over a connection that came up by then, or over any if this is {@link Long#MAX_VALUE}
+     * @param connectedByUs over a connection that came up by then, or over any if this is {@link
+     *     Long#MAX_VALUE}
      */
     void probe(String worker, long connectedByUs);
 
@@ -30,5 +32,5 @@
     void watch();
 
     /** An operator keeps new jobs from a worker; a front that can tells the worker so. */
-    default void drain(String worker) { }
+    default void drain(String worker) {}
 }
--- a/src/main/java/damsonslip/datarate/BufferBudget.java
+++ b/src/main/java/damsonslip/datarate/BufferBudget.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * Bounds the bytes that all connections together keep buffered for peers that do not read them. Over the bound, the
- * connections that hold the most for the least progress are chosen to be closed.
+ * Bounds the bytes that all connections together keep buffered for peers that do not read them.
+ * Over the bound, the connections that hold the most for the least progress are chosen to be
+ * closed.
  */
 public final class BufferBudget {
     /**
      * What one connection keeps buffered.
      *
-     * @param link    the connection
+     * @param link the connection
      * @param waiting bytes that its peer has not read yet
-     * @param rate    the rate at which it has read them lately, in bytes a second
+     * @param rate the rate at which it has read them lately, in bytes a second
      */
     public record Holding<L>(L link, long waiting, double rate) {
         /** The remaining time at the present rate, weighted by the bytes held. */
@@ -23,13 +24,14 @@
         }
     }
 
-    private BufferBudget() { }
+    private BufferBudget() {}
 
     /**
      * Chooses the connections to close.
      *
      * @param most the bound on all buffered bytes together
-     * @return connections in descending order of weight; none while the bound holds, and no more than needed
+     * @return connections in descending order of weight; none while the bound holds, and no more
+     *     than needed
      */
     public static <L> List<L> over(long most, List<Holding<L>> all) {
         long held = all.stream().mapToLong(Holding::waiting).sum();
@@ -37,7 +39,10 @@
             return List.of();
         }
         List<L> chosen = new ArrayList<>();
-        for (Holding<L> next : all.stream().sorted(Comparator.comparingDouble(Holding<L>::weight).reversed()).toList()) {
+        for (Holding<L> next :
+                all.stream()
+                        .sorted(Comparator.comparingDouble(Holding<L>::weight).reversed())
+                        .toList()) {
             if (held > most) {
                 held -= next.waiting();
                 chosen.add(next.link());
