--- a/src/main/java/damsonslip/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/datarate/MinimumDataRate.java
@@ -1,11 +1,12 @@
 package damsonslip.datarate;
 
 /**
- * Enforces a minimum data rate on one direction of a connection, as a token bucket counted in microseconds. The bucket
- * opens with a grace period, drains in real time, and refills by the time that the transferred bytes take at the minimum
- * rate; the peer is too slow when it is empty. Its capacity is bounded, so that a peer that was fast once may pause but
- * cannot hold a connection for long. Compared with a sliding window of byte counts it needs two numbers for each
- * connection, and a burst at exactly the minimum rate cannot fall between two slots.
+ * Enforces a minimum data rate on one direction of a connection, as a token bucket counted in
+ * microseconds. The bucket opens with a grace period, drains in real time, and refills by the time
+ * that the transferred bytes take at the minimum rate; the peer is too slow when it is empty. Its
+ * capacity is bounded, so that a peer that was fast once may pause but cannot hold a connection for
+ * long. Compared with a sliding window of byte counts it needs two numbers for each connection, and
+ * a burst at exactly the minimum rate cannot fall between two slots.
  *
  * <p>Not thread-safe; the caller passes the time, in microseconds.
  */
@@ -13,15 +14,20 @@
     /**
      * The requirements on a peer.
      *
-     * @param graceUs   how long it may transfer nothing at first, in microseconds; above 0
-     * @param windowUs  the bucket's capacity and so the longest pause, in microseconds; at least {@code graceUs}
+     * @param graceUs how long it may transfer nothing at first, in microseconds; above 0
+     * @param windowUs the bucket's capacity and so the longest pause, in microseconds; at least
+     *     {@code graceUs}
      * @param bytesPerS the minimum rate in bytes a second; above 0
      */
     public record Limits(long graceUs, long windowUs, double bytesPerS) {
-        /** Checks the ranges; throws {@link IllegalArgumentException} if a limit is outside of its range. */
+        /**
+         * Checks the ranges; throws {@link IllegalArgumentException} if a limit is outside of its
+         * range.
+         */
         public Limits {
             if (graceUs <= 0 || windowUs < graceUs || !(bytesPerS > 0)) {
-                throw new IllegalArgumentException("grace, window or rate: " + graceUs + " " + windowUs + " " + bytesPerS);
+                throw new IllegalArgumentException(
+                        "grace, window or rate: " + graceUs + " " + windowUs + " " + bytesPerS);
             }
         }
 
@@ -53,7 +59,10 @@
         }
     }
 
-    /** Starts a transfer of so many bytes whose progress cannot be observed, and so grants their whole time at once. */
+    /**
+     * Starts a transfer of so many bytes whose progress cannot be observed, and so grants their
+     * whole time at once.
+     */
     public void begin(long nowUs, long bytes) {
         begin(nowUs);
         leftUs += limits.durationUs(bytes);
@@ -66,7 +75,10 @@
             moved += bytes;
             // an empty bucket stays empty: bytes that come after it ran out do not refill it
             if (leftUs > 0) {
-                leftUs = Math.min(Math.max(limits.windowUs(), leftUs), leftUs + limits.durationUs(bytes));
+                leftUs =
+                        Math.min(
+                                Math.max(limits.windowUs(), leftUs),
+                                leftUs + limits.durationUs(bytes));
             }
         }
     }
@@ -89,7 +101,10 @@
         return !active ? 0 : moved * 1e6 / Math.max(1, nowUs - sinceUs);
     }
 
-    /** How long the peer may still pause, in microseconds; {@link Long#MAX_VALUE} if no transfer is under way. */
+    /**
+     * How long the peer may still pause, in microseconds; {@link Long#MAX_VALUE} if no transfer is
+     * under way.
+     */
     public long leftUs(long nowUs) {
         return active ? Math.max(0, leftUs - Math.max(0, nowUs - atUs)) : Long.MAX_VALUE;
     }
--- a/src/main/java/damsonslip/draining/ConnectionDraining.java
+++ b/src/main/java/damsonslip/draining/ConnectionDraining.java
@@ -1,18 +1,19 @@
 package damsonslip.draining;
 
 /**
- * Connection draining: sending clients away without losing a request. A response with {@code Connection: close} is safe,
- * so a busy connection is left to that. An idle connection has to be closed, which may race with a request, so idle
- * connections are closed only after a settling time in which new ones may still come, the longest idle first; after a
- * last moment all of them are closed once they owe no response.
+ * Connection draining: sending clients away without losing a request. A response with {@code
+ * Connection: close} is safe, so a busy connection is left to that. An idle connection has to be
+ * closed, which may race with a request, so idle connections are closed only after a settling time
+ * in which new ones may still come, the longest idle first; after a last moment all of them are
+ * closed once they owe no response.
  *
  * <p>Immutable; all times are in microseconds, on the caller's clock.
  *
- * @param sinceUs  when draining began
+ * @param sinceUs when draining began
  * @param settleUs how long idle connections are kept at first
- * @param quietUs  how long a connection has to be idle to be closed after that
- * @param lastUs   how long after the beginning all connections without an open request are closed, and a request that has
- *                 not come whole is rejected
+ * @param quietUs how long a connection has to be idle to be closed after that
+ * @param lastUs how long after the beginning all connections without an open request are closed,
+ *     and a request that has not come whole is rejected
  */
 public record ConnectionDraining(long sinceUs, long settleUs, long quietUs, long lastUs) {
     /** What to do with a connection. */
@@ -26,25 +27,27 @@
     }
 
     /**
-     * For an operator's {@code DRAIN}. The front proxy checks every 0.1 s and opens new connections for 0.2 s more. A
-     * request that is accepted later than 2 s after the command must not be open 4 s after it, so the last moment leaves a
-     * margin before that.
+     * For an operator's {@code DRAIN}. The front proxy checks every 0.1 s and opens new connections
+     * for 0.2 s more. A request that is accepted later than 2 s after the command must not be open
+     * 4 s after it, so the last moment leaves a margin before that.
      */
     public static ConnectionDraining forOperatorDrain(long nowUs) {
         return new ConnectionDraining(nowUs, 500_000, 300_000, 1_600_000);
     }
 
     /**
-     * For an upgrade whose new process serves already. Whatever is accepted must be answered before the process may be
-     * killed, and clients that reconnect reach the new process, so connections are closed early.
+     * For an upgrade whose new process serves already. Whatever is accepted must be answered before
+     * the process may be killed, and clients that reconnect reach the new process, so connections
+     * are closed early.
      */
     public static ConnectionDraining forUpgrade(long nowUs, ShutdownTimes times) {
-        return new ConnectionDraining(nowUs, 300_000, 700_000, Math.max(400_000, times.acceptUs() - 600_000));
+        return new ConnectionDraining(
+                nowUs, 300_000, 700_000, Math.max(400_000, times.acceptUs() - 600_000));
     }
 
     /**
-     * For a listener that was closed some time after the signal to end: kept connections have been told to close, and a
-     * client that connected at the last moment is about to send its request.
+     * For a listener that was closed some time after the signal to end: kept connections have been
+     * told to close, and a client that connected at the last moment is about to send its request.
      */
     public static ConnectionDraining forShutdown(long nowUs) {
         return new ConnectionDraining(nowUs, 0, 150_000, 300_000);
@@ -53,8 +56,8 @@
     /**
      * Decides on one connection.
      *
-     * @param busy        whether a request on it awaits its response
-     * @param midway      whether a request has partly come
+     * @param busy whether a request on it awaits its response
+     * @param midway whether a request has partly come
      * @param idleSinceUs when it was opened, or its last response was sent
      */
     public Action actionFor(long nowUs, boolean busy, boolean midway, long idleSinceUs) {
--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -20,12 +20,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The commands on batches, their persistence in the store, and the pushing of their callbacks. Confined to the event loop.
+ * The commands on batches, their persistence in the store, and the pushing of their callbacks.
+ * Confined to the event loop.
  */
 final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
+
     /** The kind of the store's notes that hold batches. */
     static final String NOTE = "batch";
+
     /** Most batches at once. */
     private static final int MAX_BATCHES = 100_000;
 
@@ -61,16 +64,33 @@
     void create(FaktoryConnection link, Command.BatchNew fresh) {
         String reason = rejectionReason(fresh);
         if (!recovered || reason != null) {
-            link.reply(Reply.error("ERR " + (reason == null ? "what is in the store is being taken up" : reason)));
+            link.reply(
+                    Reply.error(
+                            "ERR "
+                                    + (reason == null
+                                            ? "what is in the store is being taken up"
+                                            : reason)));
             return;
         }
-        Batch batch = new Batch("b-" + UUID.randomUUID().toString().replace("-", "").substring(0, 16), fresh.parent(),
-            fresh.description(), text(fresh.success()), text(fresh.complete()), false, 0, Callback.NOT_YET,
-            Callback.NOT_YET, coordinator.nowMs());
-        store.ask(note(batch), done -> {
-            batches.add(batch);
-            link.reply(Reply.bulk(batch.bid()));
-        }, () -> link.reply(Reply.error("ERR the store is down and there is no new batch")));
+        Batch batch =
+                new Batch(
+                        "b-" + UUID.randomUUID().toString().replace("-", "").substring(0, 16),
+                        fresh.parent(),
+                        fresh.description(),
+                        text(fresh.success()),
+                        text(fresh.complete()),
+                        false,
+                        0,
+                        Callback.NOT_YET,
+                        Callback.NOT_YET,
+                        coordinator.nowMs());
+        store.ask(
+                note(batch),
+                done -> {
+                    batches.add(batch);
+                    link.reply(Reply.bulk(batch.bid()));
+                },
+                () -> link.reply(Reply.error("ERR the store is down and there is no new batch")));
     }
 
     /** Why a batch cannot be created; null if it can. */
@@ -103,12 +123,18 @@
     void open(FaktoryConnection link, String bid) {
         Batch batch = batches.open(bid);
         if (batch == null) {
-            link.reply(Reply.error("ERR " + (batches.get(bid) == null ? "no such batch: " + bid
-                : "batch " + bid + " is complete")));
+            link.reply(
+                    Reply.error(
+                            "ERR "
+                                    + (batches.get(bid) == null
+                                            ? "no such batch: " + bid
+                                            : "batch " + bid + " is complete")));
             return;
         }
-        store.ask(note(batch), done -> link.reply(Reply.bulk(bid)),
-            () -> link.reply(Reply.error("ERR the store is down")));
+        store.ask(
+                note(batch),
+                done -> link.reply(Reply.bulk(bid)),
+                () -> link.reply(Reply.error("ERR the store is down")));
     }
 
     void commit(FaktoryConnection link, String bid) {
@@ -117,13 +143,20 @@
             link.reply(Reply.error("ERR no such batch: " + bid));
             return;
         }
-        store.ask(note(batches.commit(bid)), done -> {
-            link.reply(Reply.ok());
-            settle(bid);
-        }, () -> {
-            batches.open(bid);
-            link.reply(Reply.error("ERR the store is down and batch " + bid + " is not committed"));
-        });
+        store.ask(
+                note(batches.commit(bid)),
+                done -> {
+                    link.reply(Reply.ok());
+                    settle(bid);
+                },
+                () -> {
+                    batches.open(bid);
+                    link.reply(
+                            Reply.error(
+                                    "ERR the store is down and batch "
+                                            + bid
+                                            + " is not committed"));
+                });
     }
 
     void status(FaktoryConnection link, String bid) {
@@ -132,13 +165,20 @@
             link.reply(Reply.error("ERR no such batch: " + bid));
             return;
         }
-        ObjectNode status = Json.MAPPER.createObjectNode().put("bid", bid).put("total", batch.total())
-            .put("pending", batches.pending(bid)).put("failed", batches.failed(bid))
-            .put("created_at", Json.time(batch.createdMs())).put("description", batch.description());
+        ObjectNode status =
+                Json.MAPPER
+                        .createObjectNode()
+                        .put("bid", bid)
+                        .put("total", batch.total())
+                        .put("pending", batches.pending(bid))
+                        .put("failed", batches.failed(bid))
+                        .put("created_at", Json.time(batch.createdMs()))
+                        .put("description", batch.description());
         if (!batch.parent().isEmpty()) {
             status.put("parent_bid", batch.parent());
         }
-        status.put("complete_st", state(batch.onComplete())).put("success_st", state(batch.onSuccess()));
+        status.put("complete_st", state(batch.onComplete()))
+                .put("success_st", state(batch.onSuccess()));
         link.reply(Reply.bulk(status.toString()));
     }
 
@@ -164,11 +204,15 @@
             return;
         }
         String bid = due.batch().bid();
-        producers.pushCallback(due.job(), due.batch().callbackId(due.success()), bid, before -> {
-            if (before.state() == JobRecord.State.SUCCESS) { // it ran before a restart
-                ran(bid, due.success());
-            }
-        });
+        producers.pushCallback(
+                due.job(),
+                due.batch().callbackId(due.success()),
+                bid,
+                before -> {
+                    if (before.state() == JobRecord.State.SUCCESS) { // it ran before a restart
+                        ran(bid, due.success());
+                    }
+                });
     }
 
     private void succeeded(JobRecord record) {
@@ -198,26 +242,33 @@
 
     private void keep(Batch batch) {
         Op.Note now = note(batch);
-        store.ask(now, done -> { }, () -> {
-            Batch newest = batches.get(batch.bid());
-            if (newest != null) {
-                store.insist(note(newest));
-            }
-        });
+        store.ask(
+                now,
+                done -> {},
+                () -> {
+                    Batch newest = batches.get(batch.bid());
+                    if (newest != null) {
+                        store.insist(note(newest));
+                    }
+                });
     }
 
     /** Recovers the batches of the store; called before any job is recovered. */
     void load(Map<String, String> notes) {
-        notes.forEach((bid, text) -> {
-            try {
-                batches.add(Json.MAPPER.readValue(text, Batch.class));
-            } catch (JsonProcessingException e) {
-                LOG.warn("batch {} from the store cannot be read", bid);
-            }
-        });
+        notes.forEach(
+                (bid, text) -> {
+                    try {
+                        batches.add(Json.MAPPER.readValue(text, Batch.class));
+                    } catch (JsonProcessingException e) {
+                        LOG.warn("batch {} from the store cannot be read", bid);
+                    }
+                });
     }
 
-    /** Resumes callbacks that were due before the stop or became due by it; called once all jobs are recovered. */
+    /**
+     * Resumes callbacks that were due before the stop or became due by it; called once all jobs are
+     * recovered.
+     */
     void recovered() {
         recovered = true;
         batches.recount();
--- a/src/main/java/damsonslip/faktory/Consumer.java
+++ b/src/main/java/damsonslip/faktory/Consumer.java
@@ -12,10 +12,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A worker process: its connections, its waiting fetches, and the slots that its jobs use. Confined to the event loop. */
+/**
+ * A worker process: its connections, its waiting fetches, and the slots that its jobs use. Confined
+ * to the event loop.
+ */
 final class Consumer {
     /** A FETCH that waits for a job. */
-    record Offer(FaktoryConnection link, List<String> queues, Loop.Timer timeout, long sinceUs) { }
+    record Offer(FaktoryConnection link, List<String> queues, Loop.Timer timeout, long sinceUs) {}
 
     /** Queue names remembered for one worker, which bounds the memory that a faulty one can use. */
     private static final int MAX_QUEUES = 1_000;
@@ -26,19 +29,28 @@
     final int kind;
     final Set<FaktoryConnection> links = new HashSet<>();
     final ArrayDeque<Offer> offers = new ArrayDeque<>();
+
     /** Attempts that the decision module has placed here and that wait for a FETCH. */
     final List<Execution> expected = new ArrayList<>();
+
     Status status = Status.RUNNING;
     long startedUs;
     long lastHeartbeatUs;
+
     /** Slots of the jobs that it has, or that are about to be handed to it. */
     int slotsInUse;
+
     private int slots;
+
     /** Its memory by its last heartbeat, in KiB; 0 if it reports none. */
     long rssKb;
+
     /** The time of its last FETCH from each queue, in the loop's microseconds. */
     private final Map<String, Long> lastFetchUs = new HashMap<>();
-    /** The state that an operator requests, sent in the reply to its next heartbeat; empty if none. */
+
+    /**
+     * The state that an operator requests, sent in the reply to its next heartbeat; empty if none.
+     */
     String requestedState = "";
 
     Consumer(String wid, String process, int zone, int kind, long startedUs) {
@@ -59,7 +71,10 @@
         return slots;
     }
 
-    /** Lowers the number of slots by one if it is more than the worker shows now; called periodically. */
+    /**
+     * Lowers the number of slots by one if it is more than the worker shows now; called
+     * periodically.
+     */
     void decaySlots() {
         slots = Math.max(offers.size() + slotsInUse, slots - 1);
     }
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -29,22 +29,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The worker side of the Faktory front: worker processes, their waiting fetches, and the reservations of jobs. A FETCH
- * offers a slot; the decision module chooses the job for it, and no job is handed out before the store has recorded its
- * reservation. Confined to the event loop.
+ * The worker side of the Faktory front: worker processes, their waiting fetches, and the
+ * reservations of jobs. A FETCH offers a slot; the decision module chooses the job for it, and no
+ * job is handed out before the store has recorded its reservation. Confined to the event loop.
  */
 final class Consumers implements WorkerSide, FetchDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(Consumers.class);
+
     /** A FETCH that gets no job is answered after this time, as Faktory's protocol requires. */
     private static final long FETCH_TIMEOUT_US = 2_000_000;
+
     /** How long an attempt waits for its worker's next FETCH, as when the worker is between two. */
     private static final long SLOT_TIMEOUT_US = 100_000;
+
     /** A worker without any connection counts as gone after this time. */
     private static final long RECONNECT_TIMEOUT_US = 2_000_000;
-    /** A worker without a heartbeat counts as gone after this time, as Faktory's protocol requires. */
+
+    /**
+     * A worker without a heartbeat counts as gone after this time, as Faktory's protocol requires.
+     */
     private static final long HEARTBEAT_TIMEOUT_US = 60_000_000;
+
     private static final long SWEEP_US = 500_000;
-    /** A worker counts as fetching from a queue for this time after its last FETCH: its runs may take a while. */
+
+    /**
+     * A worker counts as fetching from a queue for this time after its last FETCH: its runs may
+     * take a while.
+     */
     private static final long FETCH_MEMORY_US = 30_000_000;
 
     private final Loop loop;
@@ -54,6 +65,7 @@
     private final Counters counters;
     private JobCoordinator coordinator;
     private final Map<String, Consumer> consumers = new HashMap<>();
+
     /** The jobs that workers have or are about to receive, by job id. */
     private final Map<String, Reservation> reservations = new HashMap<>();
 
@@ -62,7 +74,7 @@
         final Execution execution;
         final Consumer consumer;
         boolean handedOut;
-        Loop.Timer expiry = () -> { };
+        Loop.Timer expiry = () -> {};
 
         Reservation(Execution execution, Consumer consumer) {
             this.execution = execution;
@@ -90,34 +102,48 @@
 
     /** The number of jobs with workers that a client waits for. */
     long awaitedWithWorkers() {
-        return reservations.values().stream().filter(held -> job(held.execution).record().awaited()).count();
+        return reservations.values().stream()
+                .filter(held -> job(held.execution).record().awaited())
+                .count();
     }
 
     // ---- worker processes
 
-    /** Registers a worker's connection after its HELLO. A worker counts as cold until the store knows an earlier start. */
+    /**
+     * Registers a worker's connection after its HELLO. A worker counts as cold until the store
+     * knows an earlier start.
+     */
     Consumer register(Command.Hello hello, FaktoryConnection link) {
         Consumer known = consumers.get(hello.wid());
         if (known != null && known.process.equals(hello.process())) {
             known.links.add(link);
             return known;
         }
-        if (known != null) { // a new process with the same id: the old one is gone, and this one is cold
+        if (known != null) { // a new process with the same id: the old one is gone, and this one is
+            // cold
             stop(known, Status.GONE);
         }
         long now = loop.now();
-        Consumer fresh = new Consumer(hello.wid(), hello.process(), index(site.zoneNames(), hello.labels()),
-            index(site.kindNames(), hello.labels()), now);
+        Consumer fresh =
+                new Consumer(
+                        hello.wid(),
+                        hello.process(),
+                        index(site.zoneNames(), hello.labels()),
+                        index(site.kindNames(), hello.labels()),
+                        now);
         fresh.links.add(link);
         fresh.lastHeartbeatUs = now;
         consumers.put(hello.wid(), fresh);
         updateList(fresh);
-        store.ask(new Op.FirstSeen(fresh.wid + "@" + fresh.process, now / 1000), sinceMs -> {
-            if (sinceMs * 1000 < fresh.startedUs) {
-                fresh.startedUs = sinceMs * 1000;
-                updateList(fresh);
-            }
-        }, () -> { });
+        store.ask(
+                new Op.FirstSeen(fresh.wid + "@" + fresh.process, now / 1000),
+                sinceMs -> {
+                    if (sinceMs * 1000 < fresh.startedUs) {
+                        fresh.startedUs = sinceMs * 1000;
+                        updateList(fresh);
+                    }
+                },
+                () -> {});
         return fresh;
     }
 
@@ -135,11 +161,13 @@
             reportLoad(consumer);
         }
         if (consumer.links.isEmpty()) {
-            loop.in(RECONNECT_TIMEOUT_US, () -> {
-                if (consumer.links.isEmpty()) {
-                    stop(consumer, Status.GONE);
-                }
-            });
+            loop.in(
+                    RECONNECT_TIMEOUT_US,
+                    () -> {
+                        if (consumer.links.isEmpty()) {
+                            stop(consumer, Status.GONE);
+                        }
+                    });
         }
     }
 
@@ -154,8 +182,10 @@
         if (beat.state().equals("quiet") || beat.state().equals("terminate")) {
             stop(consumer, Status.DRAINING);
         }
-        link.reply(consumer.requestedState.isEmpty() ? Reply.ok()
-            : Reply.bulk("{\"state\":\"" + consumer.requestedState + "\"}"));
+        link.reply(
+                consumer.requestedState.isEmpty()
+                        ? Reply.ok()
+                        : Reply.bulk("{\"state\":\"" + consumer.requestedState + "\"}"));
     }
 
     /** Drains a worker; it is told so in the reply to its next heartbeat. */
@@ -169,8 +199,9 @@
     }
 
     /**
-     * Stops a worker: its waiting fetches get no job, and attempts that were not handed out return unrun, also those whose
-     * reservation is just being recorded. A worker that is gone loses the jobs that it has.
+     * Stops a worker: its waiting fetches get no job, and attempts that were not handed out return
+     * unrun, also those whose reservation is just being recorded. A worker that is gone loses the
+     * jobs that it has.
      */
     private void stop(Consumer consumer, Status status) {
         if (consumer.status == status || consumer.status == Status.GONE) {
@@ -224,11 +255,18 @@
         consumer.lastHeartbeatUs = loop.now(); // a FETCH shows that it is alive
         consumer.fetched(fetch.queues(), loop.now());
         Offer[] offer = new Offer[1];
-        offer[0] = new Offer(link, fetch.queues(), loop.in(FETCH_TIMEOUT_US, () -> {
-            if (consumer.offers.remove(offer[0])) {
-                link.reply(Reply.nothing());
-            }
-        }), loop.now());
+        offer[0] =
+                new Offer(
+                        link,
+                        fetch.queues(),
+                        loop.in(
+                                FETCH_TIMEOUT_US,
+                                () -> {
+                                    if (consumer.offers.remove(offer[0])) {
+                                        link.reply(Reply.nothing());
+                                    }
+                                }),
+                        loop.now());
         consumer.offers.add(offer[0]);
         for (Execution execution : consumer.expected) {
             Offer taken = consumer.takeOffer(job(execution).queue());
@@ -246,15 +284,27 @@
         driver.probed(consumer.wid, ProbeResult.HEALTHY, load(consumer));
     }
 
-    /** Reports a FETCH to the decision module: the worker is alive, with so many free slots and so many in all. */
+    /**
+     * Reports a FETCH to the decision module: the worker is alive, with so many free slots and so
+     * many in all.
+     */
     private void reportFetch(Consumer consumer) {
         Report free = load(consumer);
-        driver.probed(consumer.wid, ProbeResult.HEALTHY, Report.offered(free.freeSlots(), free.freeMemory(), free.held(),
-            Math.max(1, consumer.slots())));
+        driver.probed(
+                consumer.wid,
+                ProbeResult.HEALTHY,
+                Report.offered(
+                        free.freeSlots(),
+                        free.freeMemory(),
+                        free.held(),
+                        Math.max(1, consumer.slots())));
     }
 
     private static Report load(Consumer consumer) {
-        return new Report(Math.max(0, consumer.offers.size() - consumer.expected.size()), Double.NaN, consumer.slotsInUse);
+        return new Report(
+                Math.max(0, consumer.offers.size() - consumer.expected.size()),
+                Double.NaN,
+                consumer.slotsInUse);
     }
 
     private static DispatchedJob job(Execution execution) {
@@ -274,8 +324,11 @@
         Map<List<String>, WaitingFetch> found = new LinkedHashMap<>();
         for (Consumer consumer : consumers.values()) {
             if (consumer.runs()) {
-                consumer.offers.forEach(offer -> found.putIfAbsent(offer.queues(),
-                    new WaitingFetch(offer.queues(), offer.sinceUs())));
+                consumer.offers.forEach(
+                        offer ->
+                                found.putIfAbsent(
+                                        offer.queues(),
+                                        new WaitingFetch(offer.queues(), offer.sinceUs())));
             }
         }
         return found.values();
@@ -283,13 +336,18 @@
 
     @Override
     public boolean isFetchWaiting(List<String> queues) {
-        return consumers.values().stream().anyMatch(consumer -> consumer.runs()
-            && consumer.offers.stream().anyMatch(offer -> offer.queues().equals(queues)));
+        return consumers.values().stream()
+                .anyMatch(
+                        consumer ->
+                                consumer.runs()
+                                        && consumer.offers.stream()
+                                                .anyMatch(offer -> offer.queues().equals(queues)));
     }
 
     @Override
     public boolean isFetchWaiting(String queue) {
-        return consumers.values().stream().anyMatch(consumer -> consumer.runs() && consumer.offers(queue));
+        return consumers.values().stream()
+                .anyMatch(consumer -> consumer.runs() && consumer.offers(queue));
     }
 
     @Override
@@ -312,25 +370,31 @@
             return;
         }
         consumer.expected.add(execution);
-        loop.in(SLOT_TIMEOUT_US, () -> {
-            if (consumer.expected.remove(execution)) {
-                driver.ended(execution, Execution.End.of(Outcome.FULL));
-            }
-        });
+        loop.in(
+                SLOT_TIMEOUT_US,
+                () -> {
+                    if (consumer.expected.remove(execution)) {
+                        driver.ended(execution, Execution.End.of(Outcome.FULL));
+                    }
+                });
     }
 
     /**
-     * Records the reservation, then hands the job out. So after a restart a job that the store has as queued was never
-     * handed out, and one that it has as reserved may have run.
+     * Records the reservation, then hands the job out. So after a restart a job that the store has
+     * as queued was never handed out, and one that it has as reserved may have run.
      */
     private void reserve(Execution execution, Consumer consumer, Offer offer) {
         DispatchedJob job = job(execution);
         Reservation held = new Reservation(execution, consumer);
         reservations.put(job.jid(), held);
         consumer.slotsInUse += execution.query().slots();
-        coordinator.jobTable().move(job.entry, job.record().reserved(consumer.wid, loop.now() / 1000));
-        store.ask(new Op.Take(job.record()), body -> handOut(held, offer, body),
-            () -> handBack(held, offer, Outcome.FULL));
+        coordinator
+                .jobTable()
+                .move(job.entry, job.record().reserved(consumer.wid, loop.now() / 1000));
+        store.ask(
+                new Op.Take(job.record()),
+                body -> handOut(held, offer, body),
+                () -> handBack(held, offer, Outcome.FULL));
     }
 
     private void handOut(Reservation held, Offer offer, String body) {
@@ -341,7 +405,8 @@
             return;
         }
         counters.add(Count.FETCHES_ANSWERED);
-        counters.add(Count.EXECUTIONS_WRITTEN); // the reply is written whole, and from here on the job may have run
+        counters.add(Count.EXECUTIONS_WRITTEN); // the reply is written whole, and from here on the
+        // job may have run
         held.handedOut = true;
         job.ran = true;
         job.failure = null;
@@ -362,7 +427,10 @@
         end(held, Outcome.RESET);
     }
 
-    /** Extends a reservation at its worker's request; returns false if the worker does not have the job. */
+    /**
+     * Extends a reservation at its worker's request; returns false if the worker does not have the
+     * job.
+     */
     boolean extend(Consumer by, String jid, long untilMs) {
         Reservation held = reservations.get(jid);
         if (held == null || held.consumer != by || !held.handedOut) {
@@ -373,7 +441,10 @@
         return true;
     }
 
-    /** Returns a job that was not handed out, so that the decision module may place it elsewhere; its FETCH waits again. */
+    /**
+     * Returns a job that was not handed out, so that the decision module may place it elsewhere;
+     * its FETCH waits again.
+     */
     private void handBack(Reservation held, Offer offer, Outcome outcome) {
         DispatchedJob job = job(held.execution);
         if (release(held) && held.execution.open()) {
@@ -385,7 +456,10 @@
         driver.ended(held.execution, Execution.End.of(outcome));
     }
 
-    /** Forgets an attempt. Faktory has no way to cancel a job at its worker; its report will be a late one. */
+    /**
+     * Forgets an attempt. Faktory has no way to cancel a job at its worker; its report will be a
+     * late one.
+     */
     @Override
     public void cancel(Execution execution) {
         Consumer consumer = consumers.get(execution.worker());
@@ -408,12 +482,17 @@
     }
 
     /**
-     * Handles a worker's report on a job; returns false if the worker does not have the job, or no longer.
+     * Handles a worker's report on a job; returns false if the worker does not have the job, or no
+     * longer.
      *
-     * @param how         how the run failed; null if it succeeded
+     * @param how how the run failed; null if it succeeded
      * @param acknowledge called once the store has recorded the report, with an error or null
      */
-    boolean report(Consumer by, String jid, RunFailure how, java.util.function.Consumer<String> acknowledge) {
+    boolean report(
+            Consumer by,
+            String jid,
+            RunFailure how,
+            java.util.function.Consumer<String> acknowledge) {
         Reservation held = reservations.get(jid);
         if (held == null || held.consumer != by || !held.handedOut) {
             return false;
@@ -422,7 +501,8 @@
         job.failure = how;
         job.acknowledge = acknowledge;
         end(held, how == null ? Outcome.SERVED : Outcome.ERROR);
-        if (job.acknowledge != null) { // the decision module tries it again, so there is nothing to record yet
+        if (job.acknowledge
+                != null) { // the decision module tries it again, so there is nothing to record yet
             job.acknowledge = null;
             acknowledge.accept(null);
         }
@@ -437,5 +517,5 @@
 
     /** Workers register themselves, so there is no list to watch. */
     @Override
-    public void watch() { }
+    public void watch() {}
 }
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -7,22 +7,31 @@
 import damsonslip.store.JobRecord;
 import java.util.function.Consumer;
 
-/** A job while the decision module or a worker has it, with what is known of its runs. Confined to the event loop. */
+/**
+ * A job while the decision module or a worker has it, with what is known of its runs. Confined to
+ * the event loop.
+ */
 final class DispatchedJob implements Query.Cargo {
     final Entry entry;
+
     /** When it was given to the decision module, in the loop's microseconds. */
     final long dispatchedUs;
+
     /** Its request in the engine; null until the engine has accepted it. */
     Exchange exchange;
+
     /** Whether a worker may have run it before this dispatch. */
     final boolean ranBefore;
+
     /** Whether a worker has received it since this dispatch. */
     boolean ran;
+
     /** How the last of these runs failed; null if that is not known. */
     RunFailure failure;
+
     /**
-     * Acknowledges the worker's report once the store has recorded it: called with an error, or null. Null while there is
-     * no report.
+     * Acknowledges the worker's report once the store has recorded it: called with an error, or
+     * null. Null while there is no report.
      */
     Consumer<String> acknowledge;
 
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -35,21 +35,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Faktory front: listens for producers and workers, routes their commands, and owns the services behind them.
- * Connections are accepted on the selector's thread; commands are handled on the event loop.
+ * The Faktory front: listens for producers and workers, routes their commands, and owns the
+ * services behind them. Connections are accepted on the selector's thread; commands are handled on
+ * the event loop.
  */
 public final class Faktory extends RoomAcceptor<FaktoryConnection> implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(Faktory.class);
+
     /** How long a graceful shutdown still accepts connections. */
     private static final long SHUTDOWN_ACCEPT_US = 300_000;
+
     private static final long CONNECT_TIMEOUT_MS = 250;
-    /** For a burst, the limit on connections divided by this may be held beyond it until others are closed. */
+
+    /**
+     * For a burst, the limit on connections divided by this may be held beyond it until others are
+     * closed.
+     */
     private static final int OVERFLOW_DIVISOR = 8;
+
     /** Interval of the check for slow peers, and so the delay until one is noticed. */
     private static final long SLOW_PEER_CHECK_US = 500_000;
-    /** Characters kept of a failure report, since it stays in memory while the job waits for its retry. */
+
+    /**
+     * Characters kept of a failure report, since it stays in memory while the job waits for its
+     * retry.
+     */
     private static final int MAX_ERROR_TYPE = 256;
+
     private static final int MAX_ERROR_MESSAGE = 2_048;
+
     /** Reports on jobs that are kept until the recovery from the store has ended. */
     private static final int MAX_EARLY_REPORTS = 10_000;
 
@@ -66,30 +80,47 @@
     private final BatchService batches;
     private final Producers producers;
     private final AdminCommands adminCommands;
+
     /** Reports on jobs that came before the recovery ended; null after it. */
     private List<Runnable> earlyReports = new ArrayList<>();
+
     private long commands;
     private long bufferedBytes;
     private volatile Closeable listener;
 
     public Faktory(Loop loop, Phase phase, Counters counters, FaktoryConfig config, String file)
-        throws BadInput {
-        super(new Room<>(config.links(), config.links() / OVERFLOW_DIVISOR, link -> !link.greeted(),
-            Comparator.comparingLong(FaktoryConnection::openedUs)));
+            throws BadInput {
+        super(
+                new Room<>(
+                        config.links(),
+                        config.links() / OVERFLOW_DIVISOR,
+                        link -> !link.greeted(),
+                        Comparator.comparingLong(FaktoryConnection::openedUs)));
         this.loop = loop;
         this.phase = phase;
         this.counters = counters;
         this.config = config;
         this.file = file;
         this.password = new Password(config.password());
-        this.driver = new Driver(config.site().settings(), new SecureRandom().nextLong(), loop, counters);
+        this.driver =
+                new Driver(config.site().settings(), new SecureRandom().nextLong(), loop, counters);
         this.store = new AsyncStore(loop, store(config));
         this.consumers = new Consumers(loop, config.site(), driver, store, counters);
-        this.coordinator = new JobCoordinator(loop, config.site(), driver, store, phase, counters,
-            new JobTable(config.site().classNames().size(), config.waiting()), consumers, config.fair());
+        this.coordinator =
+                new JobCoordinator(
+                        loop,
+                        config.site(),
+                        driver,
+                        store,
+                        phase,
+                        counters,
+                        new JobTable(config.site().classNames().size(), config.waiting()),
+                        consumers,
+                        config.fair());
         this.batches = new BatchService(store, coordinator);
         this.producers = new Producers(loop, store, phase, counters, config, coordinator, batches);
-        this.adminCommands = new AdminCommands(loop, store, counters, coordinator, batches, consumers);
+        this.adminCommands =
+                new AdminCommands(loop, store, counters, coordinator, batches, consumers);
         consumers.setCoordinator(coordinator);
         batches.setProducers(producers);
         loop.in(SLOW_PEER_CHECK_US, this::closeSlowPeers);
@@ -100,7 +131,8 @@
             return new MemoryStore();
         }
         try {
-            return new RedisStore(RedisStore.address(config.store()), config.storePassword(), config.name());
+            return new RedisStore(
+                    RedisStore.address(config.store()), config.storePassword(), config.name());
         } catch (IllegalArgumentException e) {
             throw new BadInput("config: store: " + e.getMessage());
         }
@@ -110,45 +142,75 @@
     public void start() throws BadInput, IOException {
         try {
             Links network = Links.start(loop, CONNECT_TIMEOUT_MS);
-            loop.execute(() -> {
-                driver.begin(consumers, List.of());
-                new Recovery(loop, config.site(), store, counters, config.routes(), coordinator, batches, this::recovered)
-                    .begin();
-                phase.moveTo(State.SERVING);
-            });
+            loop.execute(
+                    () -> {
+                        driver.begin(consumers, List.of());
+                        new Recovery(
+                                        loop,
+                                        config.site(),
+                                        store,
+                                        counters,
+                                        config.routes(),
+                                        coordinator,
+                                        batches,
+                                        this::recovered)
+                                .begin();
+                        phase.moveTo(State.SERVING);
+                    });
             listener = network.listen(Address.parse(config.listen()), this);
         } catch (IllegalArgumentException e) {
             throw new BadInput("config: listen: " + e.getMessage());
         }
-        LOG.info("{} speaks Faktory on {}, store {}", config.name(), config.listen(), config.store());
+        LOG.info(
+                "{} speaks Faktory on {}, store {}",
+                config.name(),
+                config.listen(),
+                config.store());
     }
 
-    /** Reads the password again, for new connections; other settings take effect at the next start. */
+    /**
+     * Reads the password again, for new connections; other settings take effect at the next start.
+     */
     @Override
     public void reload(long signalNs) {
         try {
             FaktoryConfig fresh = FaktoryConfig.read(file);
             password = new Password(fresh.password());
-            LOG.info("reload: the password is read again; anything else takes effect at the next start");
+            LOG.info(
+                    "reload: the password is read again; anything else takes effect at the next start");
         } catch (BadInput e) {
             LOG.warn("reload: {}; what held before goes on", e.getMessage());
         }
     }
 
     /**
-     * Starts a graceful shutdown. Jobs that were not handed out stay in the store for the next start, and so do unawaited
-     * jobs that workers have, whose reports may come after it. Only awaited jobs are waited for here.
+     * Starts a graceful shutdown. Jobs that were not handed out stay in the store for the next
+     * start, and so do unawaited jobs that workers have, whose reports may come after it. Only
+     * awaited jobs are waited for here.
      */
     @Override
     public void leave() {
-        long longest = config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+        long longest =
+                config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
         boolean lasting = !config.store().equals("memory");
         if (listener == null) { // no connection was possible yet
             phase.moveTo(State.ENDED);
             return;
         }
-        loop.execute(() -> new Leave(loop, phase, SHUTDOWN_ACCEPT_US, longest, () -> false, this::closeListener,
-            () -> lasting ? consumers.awaitedWithWorkers() == 0 : coordinator.awaitedCount() == 0).begin());
+        loop.execute(
+                () ->
+                        new Leave(
+                                        loop,
+                                        phase,
+                                        SHUTDOWN_ACCEPT_US,
+                                        longest,
+                                        () -> false,
+                                        this::closeListener,
+                                        () ->
+                                                lasting
+                                                        ? consumers.awaitedWithWorkers() == 0
+                                                        : coordinator.awaitedCount() == 0)
+                                .begin());
     }
 
     private void closeListener() {
@@ -203,8 +265,13 @@
         } else if (command instanceof Command.Ack ack) {
             report(link, ack.jid(), null);
         } else if (command instanceof Command.Fail fail) {
-            report(link, fail.jid(), new RunFailure(cut(fail.type(), MAX_ERROR_TYPE),
-                cut(fail.message(), MAX_ERROR_MESSAGE), fail.backtrace()));
+            report(
+                    link,
+                    fail.jid(),
+                    new RunFailure(
+                            cut(fail.type(), MAX_ERROR_TYPE),
+                            cut(fail.message(), MAX_ERROR_MESSAGE),
+                            fail.backtrace()));
         } else if (command instanceof Command.Beat beat) {
             consumers.heartbeat(link, beat);
         } else if (command instanceof Command.TrackGet track) {
@@ -245,8 +312,8 @@
     }
 
     /**
-     * Handles a worker's report on a job. One that comes after the job's end, or from a worker that no longer has the job,
-     * is counted and changes nothing, since the final answer has been given.
+     * Handles a worker's report on a job. One that comes after the job's end, or from a worker that
+     * no longer has the job, is counted and changes nothing, since the final answer has been given.
      */
     private void report(FaktoryConnection link, String jid, RunFailure how) {
         if (link.consumer() == null) {
@@ -257,14 +324,16 @@
             if (earlyReports.size() < MAX_EARLY_REPORTS) {
                 earlyReports.add(() -> report(link, jid, how));
             } else {
-                link.reply(Reply.error("ERR what is in the store is being taken up; tell it again in a moment"));
+                link.reply(
+                        Reply.error(
+                                "ERR what is in the store is being taken up; tell it again in a moment"));
             }
             return;
         }
         java.util.function.Consumer<String> acknowledge =
-            error -> link.reply(error == null ? Reply.ok() : Reply.error(error));
+                error -> link.reply(error == null ? Reply.ok() : Reply.error(error));
         if (!consumers.report(link.consumer(), jid, how, acknowledge)
-            && !coordinator.reportUndispatched(link.consumer().wid, jid, how, acknowledge)) {
+                && !coordinator.reportUndispatched(link.consumer().wid, jid, how, acknowledge)) {
             counters.add(Count.WORDS_LATE);
             link.reply(Reply.ok());
         }
@@ -272,8 +341,10 @@
 
     private void updateProgress(FaktoryConnection link, Command.TrackSet track) {
         producers.setProgress(track);
-        if (track.reserveUntilMs() > 0 && (link.consumer() == null
-            || !consumers.extend(link.consumer(), track.jid(), track.reserveUntilMs()))) {
+        if (track.reserveUntilMs() > 0
+                && (link.consumer() == null
+                        || !consumers.extend(
+                                link.consumer(), track.jid(), track.reserveUntilMs()))) {
             link.reply(Reply.error("ERR this worker does not have job " + track.jid()));
             return;
         }
@@ -322,7 +393,10 @@
 
     void closing(FaktoryConnection link, Count reason, String behaviour) {
         counters.add(reason);
-        LOG.info("{} is let go: it {}", link.consumer() == null ? "a producer" : link.consumer().wid, behaviour);
+        LOG.info(
+                "{} is let go: it {}",
+                link.consumer() == null ? "a producer" : link.consumer().wid,
+                behaviour);
     }
 
     int maxLineBytes() {
--- a/src/main/java/damsonslip/faktory/FaktoryConfig.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConfig.java
@@ -20,37 +20,60 @@
 /**
  * The operator's file.
  *
- * @param name          the scheduler's name, under which the store keeps what it holds
- * @param listen        where producers and workers connect
- * @param password      what they have to know, or empty
- * @param store         {@code redis://host:port}, or {@code memory}
+ * @param name the scheduler's name, under which the store keeps what it holds
+ * @param listen where producers and workers connect
+ * @param password what they have to know, or empty
+ * @param store {@code redis://host:port}, or {@code memory}
  * @param storePassword the store's password, or empty
- * @param console       where the console connects, or empty
- * @param mgmt          where the operators' tools call, or empty
- * @param links         how many connections it holds at the most
- * @param longestLine   the longest line that a peer may send, in bytes
+ * @param console where the console connects, or empty
+ * @param mgmt where the operators' tools call, or empty
+ * @param links how many connections it holds at the most
+ * @param longestLine the longest line that a peer may send, in bytes
  * @param leastReserveS a job's shorter {@code reserve_for} is raised to this, in seconds
- * @param fair          whether a FETCH is served from the queue served longest ago, not in its own order
- * @param waiting       how much may wait
- * @param peers         how fast peers have to send and read at the least
- * @param routes        which class a job belongs to
- * @param site          classes, limits and the figures of the rules
+ * @param fair whether a FETCH is served from the queue served longest ago, not in its own order
+ * @param waiting how much may wait
+ * @param peers how fast peers have to send and read at the least
+ * @param routes which class a job belongs to
+ * @param site classes, limits and the figures of the rules
  */
-public record FaktoryConfig(String name, String listen, String password, String store, String storePassword,
-                            String console, String mgmt, int links, int longestLine, int leastReserveS, boolean fair,
-                            JobTable.Limits waiting, MinimumDataRate.Limits peers, Routes routes, Site site) {
+public record FaktoryConfig(
+        String name,
+        String listen,
+        String password,
+        String store,
+        String storePassword,
+        String console,
+        String mgmt,
+        int links,
+        int longestLine,
+        int leastReserveS,
+        boolean fair,
+        JobTable.Limits waiting,
+        MinimumDataRate.Limits peers,
+        Routes routes,
+        Site site) {
     private static final int LINKS = 800;
+
     /** A thousand jobs of a kilobyte each, as the official clients push them in bulk. */
     private static final int LONGEST_LINE = 1024 * 1024;
+
     /** The protocol's own least reservation. */
     private static final int LEAST_RESERVE_S = 60;
+
     private static final int WAITING = 200_000;
-    /** Well-known servers give a request's head 10 to 20 s at first, and 500 bytes for each further second. */
+
+    /**
+     * Well-known servers give a request's head 10 to 20 s at first, and 500 bytes for each further
+     * second.
+     */
     private static final int PEER_GRACE_S = 10;
+
     private static final int PEER_PAUSE_S = 20;
     private static final int PEER_RATE = 500;
+
     /** The protocol's own figures for the dead: so many, and half a year. */
     private static final int DEAD = 10_000;
+
     private static final int DEAD_DAYS = 180;
 
     public static FaktoryConfig read(String file) throws BadInput {
@@ -63,17 +86,34 @@
             Site site = Site.read(root.path("settings"));
             JsonNode jobs = root.path("jobs");
             int waiting = whole(jobs, "waiting", WAITING, 1);
-            JobTable.Limits limits = new JobTable.Limits(waiting, whole(jobs, "per_queue", waiting, 1),
-                whole(jobs, "dead", DEAD, 0), TimeUnit.DAYS.toMillis(whole(jobs, "dead_days", DEAD_DAYS, 0)));
-            return new FaktoryConfig(text(root, "name"), text(root, "listen"), root.path("password").asText(""),
-                store, root.path("store_password").asText(""), root.path("console").asText(""),
-                root.path("mgmt").asText(""),
-                whole(root, "links", LINKS, 1), whole(root, "longest_line", LONGEST_LINE, 1024),
-                whole(jobs, "least_reserve_s", LEAST_RESERVE_S, 1), fair(jobs),
-                limits, peers(root), routes(root, jobs, site), site);
+            JobTable.Limits limits =
+                    new JobTable.Limits(
+                            waiting,
+                            whole(jobs, "per_queue", waiting, 1),
+                            whole(jobs, "dead", DEAD, 0),
+                            TimeUnit.DAYS.toMillis(whole(jobs, "dead_days", DEAD_DAYS, 0)));
+            return new FaktoryConfig(
+                    text(root, "name"),
+                    text(root, "listen"),
+                    root.path("password").asText(""),
+                    store,
+                    root.path("store_password").asText(""),
+                    root.path("console").asText(""),
+                    root.path("mgmt").asText(""),
+                    whole(root, "links", LINKS, 1),
+                    whole(root, "longest_line", LONGEST_LINE, 1024),
+                    whole(jobs, "least_reserve_s", LEAST_RESERVE_S, 1),
+                    fair(jobs),
+                    limits,
+                    peers(root),
+                    routes(root, jobs, site),
+                    site);
         } catch (JsonProcessingException e) {
-            throw new BadInput("config: " + file + ": not TOML: "
-                + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new BadInput(
+                    "config: "
+                            + file
+                            + ": not TOML: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | InvalidPathException e) {
             throw new BadInput("config: " + file + ": cannot be read");
         }
@@ -82,9 +122,11 @@
     private static MinimumDataRate.Limits peers(JsonNode root) throws BadInput {
         JsonNode peers = root.path("peers");
         int graceS = whole(peers, "grace_s", PEER_GRACE_S, 1);
-        return new MinimumDataRate.Limits(TimeUnit.SECONDS.toMicros(graceS),
-            TimeUnit.SECONDS.toMicros(whole(peers, "longest_pause_s", Math.max(graceS, PEER_PAUSE_S), graceS)),
-            whole(peers, "least_bytes_per_s", PEER_RATE, 1));
+        return new MinimumDataRate.Limits(
+                TimeUnit.SECONDS.toMicros(graceS),
+                TimeUnit.SECONDS.toMicros(
+                        whole(peers, "longest_pause_s", Math.max(graceS, PEER_PAUSE_S), graceS)),
+                whole(peers, "least_bytes_per_s", PEER_RATE, 1));
     }
 
     private static boolean fair(JsonNode jobs) throws BadInput {
@@ -98,12 +140,17 @@
     private static Routes routes(JsonNode root, JsonNode jobs, Site site) throws BadInput {
         List<Routes.Route> routes = new ArrayList<>();
         for (JsonNode route : root.path("route")) {
-            routes.add(new Routes.Route(new Glob(route.path("queue").asText("*")),
-                new Glob(route.path("jobtype").asText("*")), jobClass("route: class", text(route, "class"), site)));
+            routes.add(
+                    new Routes.Route(
+                            new Glob(route.path("queue").asText("*")),
+                            new Glob(route.path("jobtype").asText("*")),
+                            jobClass("route: class", text(route, "class"), site)));
         }
         String rest = jobs.path("default_class").asText("");
-        return new Routes(List.copyOf(routes), rest.isEmpty() ? -1 : jobClass("jobs: default_class", rest, site),
-            site.classNames());
+        return new Routes(
+                List.copyOf(routes),
+                rest.isEmpty() ? -1 : jobClass("jobs: default_class", rest, site),
+                site.classNames());
     }
 
     private static int jobClass(String where, String name, Site site) throws BadInput {
@@ -120,7 +167,8 @@
             return fallback;
         }
         if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least) {
-            throw new BadInput("config: " + name + ": not a whole number of " + least + " or more: " + value);
+            throw new BadInput(
+                    "config: " + name + ": not a whole number of " + least + " or more: " + value);
         }
         return value.intValue();
     }
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -15,31 +15,39 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A producer's or worker's connection. Commands are handled one at a time: the next one is taken up once the reply to the
- * previous one is written. Confined to the event loop.
+ * A producer's or worker's connection. Commands are handled one at a time: the next one is taken up
+ * once the reply to the previous one is written. Confined to the event loop.
  */
 final class FaktoryConnection extends Link {
     /** Bytes of a HELLO with every label that a worker may have. */
     private static final int MAX_HELLO_BYTES = 16 * 1024;
+
     /** An incomplete command up to this length is accepted however much others have buffered. */
     private static final int ALWAYS_ACCEPTED_BYTES = 32 * 1024;
+
     /** All incomplete commands together may use the heap divided by this. */
     private static final int HEAP_DIVISOR = 16;
+
     private static final long HELLO_TIMEOUT_US = 2_000_000;
 
     private final Faktory faktory;
     private final String salt = Password.salt();
     private final Lines lines;
+
     /** Bytes of an incomplete command. */
     private int incompleteBytes;
+
     /** The peer's rate at sending a command. */
     private final MinimumDataRate sendRate;
+
     /** The peer's rate at reading a reply. */
     private final MinimumDataRate readRate;
+
     private final ArrayDeque<String> pending = new ArrayDeque<>();
     private long openedUs;
     private boolean greeted;
     private boolean answering;
+
     /** The worker that this connection belongs to, or null for a producer's. */
     private Consumer consumer;
 
@@ -67,19 +75,26 @@
     protected void opened() {
         openedUs = faktory.loop().now();
         faktory.opened(this);
-        String proof = faktory.password().needed() ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS : "";
-        write(() -> { }, Reply.simple("HI {\"v\":2" + proof + "}"));
-        faktory.loop().in(HELLO_TIMEOUT_US, () -> {
-            if (!greeted) {
-                end();
-            }
-        });
+        String proof =
+                faktory.password().needed()
+                        ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
+                        : "";
+        write(() -> {}, Reply.simple("HI {\"v\":2" + proof + "}"));
+        faktory.loop()
+                .in(
+                        HELLO_TIMEOUT_US,
+                        () -> {
+                            if (!greeted) {
+                                end();
+                            }
+                        });
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
         if (answering) {
-            return; // bytes sent ahead stay unread, which bounds the memory that a pipelining peer can use
+            return; // bytes sent ahead stay unread, which bounds the memory that a pipelining peer
+            // can use
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
@@ -114,10 +129,22 @@
 
     /** The transfers that are under way, for the console. */
     Stream<SlowPeer> slowPeers(long nowUs) {
-        Stream<SlowPeer> reading = Stream.of(new SlowPeer("reads replies", peer(), backlog(), readRate.rate(nowUs),
-            readRate.leftUs(nowUs)));
-        Stream<SlowPeer> sending = Stream.of(new SlowPeer("sends a command", peer(), incompleteBytes, sendRate.rate(nowUs),
-            sendRate.leftUs(nowUs)));
+        Stream<SlowPeer> reading =
+                Stream.of(
+                        new SlowPeer(
+                                "reads replies",
+                                peer(),
+                                backlog(),
+                                readRate.rate(nowUs),
+                                readRate.leftUs(nowUs)));
+        Stream<SlowPeer> sending =
+                Stream.of(
+                        new SlowPeer(
+                                "sends a command",
+                                peer(),
+                                incompleteBytes,
+                                sendRate.rate(nowUs),
+                                sendRate.leftUs(nowUs)));
         return Stream.concat(reading, sending).filter(peer -> peer.leftUs() < Long.MAX_VALUE);
     }
 
@@ -130,15 +157,18 @@
             faktory.closing(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
             end();
         } else if (sendRate.isTooSlow(nowUs) && !answering) {
-            faktory.closing(this, Count.SLOW_SENDERS_LET_GO,
-                "sends a command at " + (long) sendRate.rate(nowUs) + " bytes/s");
+            faktory.closing(
+                    this,
+                    Count.SLOW_SENDERS_LET_GO,
+                    "sends a command at " + (long) sendRate.rate(nowUs) + " bytes/s");
             refuse("ERR too slow: a command that has begun has to go on");
         }
     }
 
     /**
-     * Handles the next command, one in each task of the loop. Otherwise a peer that pipelines thousands of commands, whose
-     * replies are written at once, would have all of them handled before any other connection.
+     * Handles the next command, one in each task of the loop. Otherwise a peer that pipelines
+     * thousands of commands, whose replies are written at once, would have all of them handled
+     * before any other connection.
      */
     private void next() {
         while (!answering && !isClosed() && !pending.isEmpty()) {
@@ -169,7 +199,8 @@
     private void replied() {
         answering = false;
         if (incompleteBytes > 0) {
-            sendRate.begin(faktory.loop().now()); // nothing was read while the command before was handled
+            sendRate.begin(
+                    faktory.loop().now()); // nothing was read while the command before was handled
         }
         next();
         if (!answering && pending.isEmpty()) {
@@ -196,20 +227,22 @@
     /** Replies to the current command; the next one follows once the reply is written. */
     void reply(ByteBuffer reply) {
         readRate.begin(faktory.loop().now(), reply.remaining());
-        write(() -> {
-            readRate.end();
-            faktory.loop().execute(this::replied);
-        }, reply);
+        write(
+                () -> {
+                    readRate.end();
+                    faktory.loop().execute(this::replied);
+                },
+                reply);
     }
 
     /** Sends an error and closes the connection. */
     void refuse(String error) {
-        write(() -> { }, Reply.error(error));
+        write(() -> {}, Reply.error(error));
         endWhenWritten();
     }
 
     @Override
-    protected void lost() { }
+    protected void lost() {}
 
     @Override
     protected void released() {
--- a/src/main/java/damsonslip/faktory/FetchDirectory.java
+++ b/src/main/java/damsonslip/faktory/FetchDirectory.java
@@ -3,15 +3,18 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Which workers are connected, and which queues they fetch from. The coordinator's view of the worker side. */
+/**
+ * Which workers are connected, and which queues they fetch from. The coordinator's view of the
+ * worker side.
+ */
 interface FetchDirectory {
     /**
      * A FETCH that waits for a job.
      *
-     * @param queues  the queues that it fetches from, in its own order
+     * @param queues the queues that it fetches from, in its own order
      * @param sinceUs when it began to wait, in the loop's microseconds
      */
-    record WaitingFetch(List<String> queues, long sinceUs) { }
+    record WaitingFetch(List<String> queues, long sinceUs) {}
 
     /** Whether this worker fetches from a queue, now or lately. */
     boolean fetches(String worker, String queue);
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -27,28 +27,47 @@
 import java.util.function.IntPredicate;
 
 /**
- * Moves jobs between their sets, the decision module and the store. A job whose client waits for it (an awaited job) is
- * dispatched to the decision module at once. Any other stays in its queue until a FETCH for that queue waits, and is
- * dispatched then, as far as the decision module has room.
+ * Moves jobs between their sets, the decision module and the store. A job whose client waits for it
+ * (an awaited job) is dispatched to the decision module at once. Any other stays in its queue until
+ * a FETCH for that queue waits, and is dispatched then, as far as the decision module has room.
  *
- * <p>{@link RetryPolicy} decides what follows a failed run; the decision module alone decides which worker gets a job and
- * whether it is rejected. Confined to the event loop.
+ * <p>{@link RetryPolicy} decides what follows a failed run; the decision module alone decides which
+ * worker gets a job and whether it is rejected. Confined to the event loop.
  */
 final class JobCoordinator {
-    /** Due jobs that are enqueued in one task of the loop, so that ten thousand at once do not hold up other tasks. */
+    /**
+     * Due jobs that are enqueued in one task of the loop, so that ten thousand at once do not hold
+     * up other tasks.
+     */
     private static final int DUE_BATCH = 200;
+
     private static final long SWEEP_US = 100_000;
+
     /** Until a job whose previous attempt has not ended in the engine yet is tried again. */
     private static final long REDISPATCH_DELAY_MS = 100;
+
     /** Pause after a rejection that names no time to come back, or a shorter one. */
     private static final long MIN_BACKOFF_US = 10_000;
-    /** A FETCH that was not used for this long cannot be used by the jobs that the decision module holds. */
+
+    /**
+     * A FETCH that was not used for this long cannot be used by the jobs that the decision module
+     * holds.
+     */
     private static final long UNUSED_FETCH_US = 150_000;
-    /** No further jobs are dispatched while the store has this many pending operations: each job needs two more writes. */
+
+    /**
+     * No further jobs are dispatched while the store has this many pending operations: each job
+     * needs two more writes.
+     */
     private static final int MAX_STORE_BACKLOG = 5_000;
+
     /** Slow housekeeping is done once in so many sweeps. */
     private static final int SWEEPS_PER_HOUSEKEEPING = 100;
-    /** Time beyond a reservation until the decision module gives a run up, so that the reservation expires first. */
+
+    /**
+     * Time beyond a reservation until the decision module gives a run up, so that the reservation
+     * expires first.
+     */
     private static final long RESERVATION_MARGIN_MS = 5_000;
 
     private final Loop loop;
@@ -61,17 +80,29 @@
     private final FetchDirectory fetchDirectory;
     private final boolean fair;
     private final SplittableRandom random = new SplittableRandom(new SecureRandom().nextLong());
+
     /** By class: no job of it is dispatched before this time. */
     private final long[] blockedUntilUs;
-    private Consumer<String> batchListener = bid -> { };
-    private Consumer<JobRecord> successListener = record -> { };
+
+    private Consumer<String> batchListener = bid -> {};
+    private Consumer<JobRecord> successListener = record -> {};
+
     /** Dispatched jobs that no client waits for. */
     private final Set<DispatchedJob> unawaited = new LinkedHashSet<>();
+
     private boolean dispatchPending;
     private int sweeps;
 
-    JobCoordinator(Loop loop, Site site, Driver driver, AsyncStore store, Phase phase, Counters counters,
-                   JobTable jobTable, FetchDirectory fetchDirectory, boolean fair) {
+    JobCoordinator(
+            Loop loop,
+            Site site,
+            Driver driver,
+            AsyncStore store,
+            Phase phase,
+            Counters counters,
+            JobTable jobTable,
+            FetchDirectory fetchDirectory,
+            boolean fair) {
         this.loop = loop;
         this.site = site;
         this.driver = driver;
@@ -85,7 +116,10 @@
         loop.in(SWEEP_US, this::sweep);
     }
 
-    /** Sets the listeners for batches whose jobs have changed, by id, and for jobs that have succeeded. */
+    /**
+     * Sets the listeners for batches whose jobs have changed, by id, and for jobs that have
+     * succeeded.
+     */
     void setListeners(Consumer<String> batches, Consumer<JobRecord> successes) {
         batchListener = batches;
         successListener = successes;
@@ -141,8 +175,12 @@
         } else {
             jobTable.move(entry, next);
         }
-        store.keep(next, () -> acknowledge.accept(null), () -> acknowledge.accept(
-            "ERR the store is down; the word is kept here and written once it is back"));
+        store.keep(
+                next,
+                () -> acknowledge.accept(null),
+                () ->
+                        acknowledge.accept(
+                                "ERR the store is down; the word is kept here and written once it is back"));
         if (!next.facts().bid().isEmpty()) {
             batchListener.accept(next.facts().bid());
         }
@@ -152,7 +190,7 @@
     }
 
     void transition(Entry entry, JobRecord next) {
-        transition(entry, next, error -> { });
+        transition(entry, next, error -> {});
     }
 
     // ---- dispatch
@@ -161,10 +199,11 @@
     void dispatchSoon() {
         if (!dispatchPending) {
             dispatchPending = true;
-            loop.execute(() -> {
-                dispatchPending = false;
-                dispatchWaiting();
-            });
+            loop.execute(
+                    () -> {
+                        dispatchPending = false;
+                        dispatchWaiting();
+                    });
         }
     }
 
@@ -185,23 +224,28 @@
     }
 
     /**
-     * Whether jobs of this class may be dispatched. Not while the decision module holds others of the class, which may be
-     * awaited, unless the FETCH has waited for so long that those cannot use it.
+     * Whether jobs of this class may be dispatched. Not while the decision module holds others of
+     * the class, which may be awaited, unless the FETCH has waited for so long that those cannot
+     * use it.
      */
     private boolean mayDispatch(int jobClass, long fetchSinceUs) {
         return loop.now() >= blockedUntilUs[jobClass]
-            && (driver.pools().get(jobClass).held() == 0 || loop.now() - fetchSinceUs > UNUSED_FETCH_US);
+                && (driver.pools().get(jobClass).held() == 0
+                        || loop.now() - fetchSinceUs > UNUSED_FETCH_US);
     }
 
     /**
-     * Withdraws unawaited jobs from the decision module once no FETCH for their queue waits any more. Otherwise a queue
-     * that nobody fetches from would block its whole class.
+     * Withdraws unawaited jobs from the decision module once no FETCH for their queue waits any
+     * more. Otherwise a queue that nobody fetches from would block its whole class.
      */
     private void withdrawUnfetched() {
         long before = loop.now() - UNUSED_FETCH_US;
         for (DispatchedJob dispatched : List.copyOf(unawaited)) {
-            boolean idle = dispatched.entry.record().state() == JobRecord.State.QUEUED && !dispatched.ran;
-            if (idle && dispatched.dispatchedUs < before && !fetchDirectory.isFetchWaiting(dispatched.queue())) {
+            boolean idle =
+                    dispatched.entry.record().state() == JobRecord.State.QUEUED && !dispatched.ran;
+            if (idle
+                    && dispatched.dispatchedUs < before
+                    && !fetchDirectory.isFetchWaiting(dispatched.queue())) {
                 unawaited.remove(dispatched);
                 driver.gone(dispatched.exchange);
                 jobTable.undispatch(dispatched.entry, 0);
@@ -215,14 +259,18 @@
             return false;
         }
         counters.add(Count.JOBS_EXPIRED);
-        transition(entry, entry.record().to(JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
+        transition(
+                entry,
+                entry.record()
+                        .to(JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
         return true;
     }
 
     /**
-     * Dispatches a job to the decision module. The deadline of an unawaited job counts from here, and it is attempted once:
-     * {@link RetryPolicy} schedules its retries by the protocol's back-off. A job with a deduplication key is retried by
-     * the decision module, which alone knows the zone and the window in which that is allowed.
+     * Dispatches a job to the decision module. The deadline of an unawaited job counts from here,
+     * and it is attempted once: {@link RetryPolicy} schedules its retries by the protocol's
+     * back-off. A job with a deduplication key is retried by the decision module, which alone knows
+     * the zone and the window in which that is allowed.
      *
      * @return an immediate rejection, or null
      */
@@ -233,15 +281,26 @@
             return null;
         }
         if (!RetryPolicy.mayRun(record, classOf(entry), nowMs())) { // holds whoever enqueued it
-            transition(entry, record.to(JobRecord.State.DEAD, nowMs(), "it may have run and must not run twice", nowMs()));
+            transition(
+                    entry,
+                    record.to(
+                            JobRecord.State.DEAD,
+                            nowMs(),
+                            "it may have run and must not run twice",
+                            nowMs()));
             return null;
         }
         Effect effect = classOf(entry).effect();
         int retries = Math.max(0, record.facts().retry());
         boolean once = effect == Effect.UNSAFE || (effect == Effect.SAFE && !record.awaited());
         int maxAttempts = once ? 1 : retries + 1;
-        long deadlineMs = record.awaited() ? record.facts().deadlineMs() : nowMs()
-            + Math.max(site.deadlineUs(entry.jobClass()) / 1000, record.facts().reserveMs() + RESERVATION_MARGIN_MS);
+        long deadlineMs =
+                record.awaited()
+                        ? record.facts().deadlineMs()
+                        : nowMs()
+                                + Math.max(
+                                        site.deadlineUs(entry.jobClass()) / 1000,
+                                        record.facts().reserveMs() + RESERVATION_MARGIN_MS);
         String queue = record.facts().queue();
         DispatchedJob dispatched = new DispatchedJob(entry, loop.now());
         jobTable.dispatch(entry);
@@ -249,10 +308,23 @@
             unawaited.add(dispatched);
         }
         String[] rejection = new String[1];
-        dispatched.exchange = driver.take(new Query(record.id(), entry.jobClass(), 0, deadlineMs * 1000, deadlineMs * 1000,
-            record.facts().slots(), 0, null, maxAttempts,
-            worker -> !jobTable.isPaused(queue) && fetchDirectory.fetches(worker, queue), dispatched),
-            answer -> rejection[0] = finish(dispatched, answer));
+        dispatched.exchange =
+                driver.take(
+                        new Query(
+                                record.id(),
+                                entry.jobClass(),
+                                0,
+                                deadlineMs * 1000,
+                                deadlineMs * 1000,
+                                record.facts().slots(),
+                                0,
+                                null,
+                                maxAttempts,
+                                worker ->
+                                        !jobTable.isPaused(queue)
+                                                && fetchDirectory.fetches(worker, queue),
+                                dispatched),
+                        answer -> rejection[0] = finish(dispatched, answer));
         return rejection[0];
     }
 
@@ -263,15 +335,20 @@
         if (jobTable.get(entry.id()) != entry) {
             return null; // discarded by an operator meanwhile
         }
-        Consumer<String> acknowledge = dispatched.acknowledge == null ? error -> { } : dispatched.acknowledge;
+        Consumer<String> acknowledge =
+                dispatched.acknowledge == null ? error -> {} : dispatched.acknowledge;
         dispatched.acknowledge = null;
         if (answer.kind() == Answer.Kind.SERVED) {
-            transition(entry, entry.record().to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
+            transition(
+                    entry, entry.record().to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
         } else if (entry.record().awaited()) {
             return finishAwaited(dispatched, answer, acknowledge);
         } else if (dispatched.ran) {
             jobTable.undispatch(entry, 0);
-            retryOrEnd(entry, dispatched.failure == null ? RunFailure.DEADLINE_PASSED : dispatched.failure, acknowledge);
+            retryOrEnd(
+                    entry,
+                    dispatched.failure == null ? RunFailure.DEADLINE_PASSED : dispatched.failure,
+                    acknowledge);
         } else {
             long backoffUs = Math.max(MIN_BACKOFF_US, answer.retryAfterUs());
             blockedUntilUs[entry.jobClass()] = loop.now() + backoffUs;
@@ -286,22 +363,34 @@
     /** Returns a reserved job to its queue if it provably never left for the worker. */
     void returnUnrun(DispatchedJob dispatched) {
         Entry entry = dispatched.entry;
-        if (jobTable.get(entry.id()) == entry && entry.record().state() == JobRecord.State.RESERVED && !dispatched.ran) {
+        if (jobTable.get(entry.id()) == entry
+                && entry.record().state() == JobRecord.State.RESERVED
+                && !dispatched.ran) {
             jobTable.move(entry, entry.record().handedBack(dispatched.ranBefore, nowMs()));
             store.keep(entry.record());
         }
     }
 
     /** Ends an awaited job that was not served; returns a rejection, or null. */
-    private String finishAwaited(DispatchedJob dispatched, Answer answer, Consumer<String> acknowledge) {
+    private String finishAwaited(
+            DispatchedJob dispatched, Answer answer, Consumer<String> acknowledge) {
         Entry entry = dispatched.entry;
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
-        String message = describe(answer) + (dispatched.failure == null ? "" : "; " + dispatched.failure.type() + ": "
-            + dispatched.failure.message());
+        String message =
+                describe(answer)
+                        + (dispatched.failure == null
+                                ? ""
+                                : "; "
+                                        + dispatched.failure.type()
+                                        + ": "
+                                        + dispatched.failure.message());
         JobRecord record = entry.record();
         if (mayHaveRun && classOf(entry).effect() != Effect.SAFE) {
-            transition(entry, record.to(JobRecord.State.DEAD, nowMs(), "it may have run; " + message, nowMs()),
-                acknowledge);
+            transition(
+                    entry,
+                    record.to(
+                            JobRecord.State.DEAD, nowMs(), "it may have run; " + message, nowMs()),
+                    acknowledge);
             return null;
         }
         boolean rejected = answer.kind() == Answer.Kind.THROTTLED;
@@ -313,8 +402,13 @@
     private static String describe(Answer answer) {
         return switch (answer.kind()) {
             case SERVED -> "";
-            case THROTTLED -> answer.retryAfterUs() == 0 ? "throttled"
-                : String.format(Locale.ROOT, "throttled, retry after %.3f s", answer.retryAfterUs() / 1e6);
+            case THROTTLED ->
+                    answer.retryAfterUs() == 0
+                            ? "throttled"
+                            : String.format(
+                                    Locale.ROOT,
+                                    "throttled, retry after %.3f s",
+                                    answer.retryAfterUs() / 1e6);
             case FAILED -> answer.late() ? "out of time" : "failed";
         };
     }
@@ -322,29 +416,36 @@
     /** Applies the retry policy to an unawaited job whose run has failed. */
     private void retryOrEnd(Entry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.RUNS_FAILED);
-        RetryPolicy.NextState next = RetryPolicy.failed(entry.record(), classOf(entry), how, nowMs(), random);
+        RetryPolicy.NextState next =
+                RetryPolicy.failed(entry.record(), classOf(entry), how, nowMs(), random);
         JobRecord failed = entry.record().failed(next.failure());
-        transition(entry, failed.to(next.state(), next.dueMs(), next.message(), nowMs()), acknowledge);
+        transition(
+                entry, failed.to(next.state(), next.dueMs(), next.message(), nowMs()), acknowledge);
     }
 
     // ---- reports on jobs that are not dispatched
 
     /**
-     * Handles a worker's report on a job that it received before a restart, or whose reservation has expired since. The
-     * former ends the job; the latter counts only if it shows that a job which waits for a retry has succeeded.
+     * Handles a worker's report on a job that it received before a restart, or whose reservation
+     * has expired since. The former ends the job; the latter counts only if it shows that a job
+     * which waits for a retry has succeeded.
      *
-     * @param how         how the run failed; null if it succeeded
+     * @param how how the run failed; null if it succeeded
      * @param acknowledge called once the store has recorded the report, with an error or null
      * @return whether the report was accepted
      */
-    boolean reportUndispatched(String worker, String jid, RunFailure how, Consumer<String> acknowledge) {
+    boolean reportUndispatched(
+            String worker, String jid, RunFailure how, Consumer<String> acknowledge) {
         Entry entry = jobTable.get(jid);
         if (entry == null || entry.isDispatched() || !entry.record().worker().equals(worker)) {
             return false;
         }
         JobRecord record = entry.record();
-        boolean succeededLate = !record.awaited() && how == null
-            && (record.state() == JobRecord.State.RETRY || record.state() == JobRecord.State.DEAD);
+        boolean succeededLate =
+                !record.awaited()
+                        && how == null
+                        && (record.state() == JobRecord.State.RETRY
+                                || record.state() == JobRecord.State.DEAD);
         if (record.state() != JobRecord.State.RESERVED && !succeededLate) {
             return false;
         }
@@ -364,29 +465,46 @@
         if (!record.awaited()) {
             retryOrEnd(entry, how, acknowledge);
         } else if (classOf(entry).effect() == Effect.SAFE) {
-            transition(entry, record.to(JobRecord.State.FAILED, 0, how.message(), nowMs()), acknowledge);
+            transition(
+                    entry,
+                    record.to(JobRecord.State.FAILED, 0, how.message(), nowMs()),
+                    acknowledge);
         } else {
-            transition(entry, record.to(JobRecord.State.DEAD, nowMs(), "it may have run before a restart; " + how.message(),
-                nowMs()), acknowledge);
+            transition(
+                    entry,
+                    record.to(
+                            JobRecord.State.DEAD,
+                            nowMs(),
+                            "it may have run before a restart; " + how.message(),
+                            nowMs()),
+                    acknowledge);
         }
     }
 
-    /** Awaits the report of a worker that had the job before a restart; a worker that does not reconnect has a minute. */
+    /**
+     * Awaits the report of a worker that had the job before a restart; a worker that does not
+     * reconnect has a minute.
+     */
     void awaitReport(Entry entry) {
         long untilMs = RetryPolicy.reportDeadlineMs(entry.record());
-        loop.at(Math.min(untilMs, nowMs() + RetryPolicy.ORPHAN_TIMEOUT_MS) * 1000, () -> checkReport(entry, untilMs));
+        loop.at(
+                Math.min(untilMs, nowMs() + RetryPolicy.ORPHAN_TIMEOUT_MS) * 1000,
+                () -> checkReport(entry, untilMs));
     }
 
     private void checkReport(Entry entry, long untilMs) {
         JobRecord.State state = entry.record().state();
         boolean open = state == JobRecord.State.RESERVED || state == JobRecord.State.QUEUED;
-        if (jobTable.get(entry.id()) != entry || entry.isDispatched() || entry.record().neverRan() || !open) {
+        if (jobTable.get(entry.id()) != entry
+                || entry.isDispatched()
+                || entry.record().neverRan()
+                || !open) {
             return;
         }
         if (nowMs() < untilMs && fetchDirectory.isPresent(entry.record().worker())) {
             loop.at(untilMs * 1000, () -> checkReport(entry, untilMs));
         } else {
-            endLostRun(entry, RunFailure.RESERVATION_EXPIRED, error -> { });
+            endLostRun(entry, RunFailure.RESERVATION_EXPIRED, error -> {});
         }
     }
 
@@ -399,8 +517,17 @@
                 withdrawUnfetched();
                 dispatchSoon();
                 if (++sweeps % SWEEPS_PER_HOUSEKEEPING == 0) {
-                    jobTable.expiredDead(nowMs()).forEach(entry -> transition(entry,
-                        entry.record().to(JobRecord.State.DISCARDED, 0, "dead for too long", nowMs())));
+                    jobTable.expiredDead(nowMs())
+                            .forEach(
+                                    entry ->
+                                            transition(
+                                                    entry,
+                                                    entry.record()
+                                                            .to(
+                                                                    JobRecord.State.DISCARDED,
+                                                                    0,
+                                                                    "dead for too long",
+                                                                    nowMs())));
                     jobTable.removeExpiredLocks(nowMs());
                 }
             }
@@ -410,8 +537,8 @@
     }
 
     /**
-     * Enqueues due jobs in batches, so that other tasks run in between. The store is not told: a start treats a scheduled
-     * job that is due like a queued one.
+     * Enqueues due jobs in batches, so that other tasks run in between. The store is not told: a
+     * start treats a scheduled job that is due like a queued one.
      */
     private void enqueueDue() {
         List<Entry> due = jobTable.due(nowMs(), DUE_BATCH);
--- a/src/main/java/damsonslip/faktory/Password.java
+++ b/src/main/java/damsonslip/faktory/Password.java
@@ -34,8 +34,9 @@
     }
 
     boolean proves(String salt, String given) {
-        return MessageDigest.isEqual(hash(salt).getBytes(StandardCharsets.US_ASCII),
-            given.getBytes(StandardCharsets.US_ASCII));
+        return MessageDigest.isEqual(
+                hash(salt).getBytes(StandardCharsets.US_ASCII),
+                given.getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -26,13 +26,17 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The producer side of the Faktory front: pushes, and the tracking of jobs. Confined to the event loop. */
+/**
+ * The producer side of the Faktory front: pushes, and the tracking of jobs. Confined to the event
+ * loop.
+ */
 final class Producers {
     private static final long RETRY_US = 500_000;
+
     /** Jobs whose reported progress is kept in memory. */
     private static final int MAX_PROGRESS_ENTRIES = 10_000;
 
-    private record Progress(int percent, String words, long atMs) { }
+    private record Progress(int percent, String words, long atMs) {}
 
     private final Loop loop;
     private final AsyncStore store;
@@ -43,23 +47,36 @@
     private final JobCoordinator coordinator;
     private final JobTable jobTable;
     private final BatchService batches;
+
     /** The number of pushes of each id that the store has not answered. */
     private final Map<String, Integer> pendingAdds = new HashMap<>();
-    /** Pushes that the store may have recorded without an answer, by id; the producer got an error. */
+
+    /**
+     * Pushes that the store may have recorded without an answer, by id; the producer got an error.
+     */
     private final Map<String, Set<JobRecord>> uncertain = new HashMap<>();
-    private final Map<String, Progress> progress = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Progress> eldest) {
-            return size() > MAX_PROGRESS_ENTRIES;
-        }
-    };
+    private final Map<String, Progress> progress =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
+
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Progress> eldest) {
+                    return size() > MAX_PROGRESS_ENTRIES;
+                }
+            };
+
     /** Whether the recovery from the store has ended. */
     private boolean recovered;
 
-    Producers(Loop loop, AsyncStore store, Phase phase, Counters counters, FaktoryConfig config, JobCoordinator coordinator,
-              BatchService batches) {
+    Producers(
+            Loop loop,
+            AsyncStore store,
+            Phase phase,
+            Counters counters,
+            FaktoryConfig config,
+            JobCoordinator coordinator,
+            BatchService batches) {
         this.loop = loop;
         this.store = store;
         this.phase = phase;
@@ -80,7 +97,9 @@
 
     void push(FaktoryConnection link, Command.Push push) {
         if (!push.bulk()) {
-            push(push.jobs().get(0), error -> link.reply(error == null ? Reply.ok() : Reply.error(error)));
+            push(
+                    push.jobs().get(0),
+                    error -> link.reply(error == null ? Reply.ok() : Reply.error(error)));
             return;
         }
         ObjectNode errors = Json.MAPPER.createObjectNode();
@@ -89,14 +108,16 @@
             link.reply(Reply.bulk("{}"));
         }
         for (JsonNode job : push.jobs()) {
-            push(job, error -> {
-                if (error != null) {
-                    errors.put(job.path("jid").asText(""), error);
-                }
-                if (--left[0] == 0) {
-                    link.reply(Reply.bulk(errors.toString()));
-                }
-            });
+            push(
+                    job,
+                    error -> {
+                        if (error != null) {
+                            errors.put(job.path("jid").asText(""), error);
+                        }
+                        if (--left[0] == 0) {
+                            link.reply(Reply.bulk(errors.toString()));
+                        }
+                    });
         }
     }
 
@@ -118,16 +139,24 @@
             String named = pushed.custom().className();
             jobClass = routes.classOf(named, pushed.queue(), pushed.jobtype());
             if (jobClass < 0) {
-                throw new Malformed("custom.class: " + (named.isEmpty()
-                    ? "is needed, since no route and no default class fits" : "unknown class: " + named));
+                throw new Malformed(
+                        "custom.class: "
+                                + (named.isEmpty()
+                                        ? "is needed, since no route and no default class fits"
+                                        : "unknown class: " + named));
             }
         } catch (Malformed e) {
             counters.add(Count.QUERIES_BAD);
             then.accept("MALFORMED " + e.getMessage());
             return;
         }
-        JobRecord record = JobRecord.pushed(pushed.jid(), facts(pushed, jobClass, nowMs, ""), pushed.atMs(), nowMs)
-            .numbered(jobTable.nextSeq());
+        JobRecord record =
+                JobRecord.pushed(
+                                pushed.jid(),
+                                facts(pushed, jobClass, nowMs, ""),
+                                pushed.atMs(),
+                                nowMs)
+                        .numbered(jobTable.nextSeq());
         String reason = rejectionReason(record, nowMs);
         if (reason != null) {
             counters.add(Count.PUSHES_REFUSED);
@@ -139,11 +168,22 @@
 
     private JobRecord.Facts facts(Pushed pushed, int jobClass, long nowMs, String callbackOf) {
         Pushed.Custom custom = pushed.custom();
-        return new JobRecord.Facts(pushed.queue(), pushed.jobtype(), routes.classNames().get(jobClass),
-            pushed.priority(), pushed.retry(), pushed.reserveMs(), custom.slots(), custom.deadlineMs(),
-            custom.expiresMs(), custom.bid(), callbackOf,
-            custom.uniqueMs() == 0 ? "" : UniqueKey.of(pushed), Math.max(nowMs, pushed.atMs()) + custom.uniqueMs(),
-            custom.untilStart(), pushed.backtrace());
+        return new JobRecord.Facts(
+                pushed.queue(),
+                pushed.jobtype(),
+                routes.classNames().get(jobClass),
+                pushed.priority(),
+                pushed.retry(),
+                pushed.reserveMs(),
+                custom.slots(),
+                custom.deadlineMs(),
+                custom.expiresMs(),
+                custom.bid(),
+                callbackOf,
+                custom.uniqueMs() == 0 ? "" : UniqueKey.of(pushed),
+                Math.max(nowMs, pushed.atMs()) + custom.uniqueMs(),
+                custom.untilStart(),
+                pushed.backtrace());
     }
 
     /** Why a well-formed job cannot be accepted now; null if it can. */
@@ -167,44 +207,58 @@
 
     private void add(JobRecord record, String body, int jobClass, Consumer<String> then) {
         pendingAdds.merge(record.id(), 1, Integer::sum);
-        store.ask(new Op.Add(record, body), before -> {
-            added(record.id());
-            then.accept(added(record, body, jobClass, before));
-        }, () -> {
-            added(record.id());
-            if (jobTable.get(record.id()) == null) {
-                jobTable.unlockUnique(record.id(), record.facts());
-                if (uncertain.computeIfAbsent(record.id(), id -> new HashSet<>()).isEmpty()) {
-                    loop.in(RETRY_US, () -> withdraw(record.id()));
-                }
-                uncertain.get(record.id()).add(record);
-            }
-            then.accept("ERR the store is down and the job was not taken; push it again");
-        });
+        store.ask(
+                new Op.Add(record, body),
+                before -> {
+                    added(record.id());
+                    then.accept(added(record, body, jobClass, before));
+                },
+                () -> {
+                    added(record.id());
+                    if (jobTable.get(record.id()) == null) {
+                        jobTable.unlockUnique(record.id(), record.facts());
+                        if (uncertain
+                                .computeIfAbsent(record.id(), id -> new HashSet<>())
+                                .isEmpty()) {
+                            loop.in(RETRY_US, () -> withdraw(record.id()));
+                        }
+                        uncertain.get(record.id()).add(record);
+                    }
+                    then.accept("ERR the store is down and the job was not taken; push it again");
+                });
     }
 
     private void added(String jid) {
         pendingAdds.computeIfPresent(jid, (id, count) -> count == 1 ? null : count - 1);
     }
 
-    /** Called when the store has the job, from this push or an earlier one; returns an immediate rejection, or null. */
+    /**
+     * Called when the store has the job, from this push or an earlier one; returns an immediate
+     * rejection, or null.
+     */
     private String added(JobRecord record, String body, int jobClass, JobRecord before) {
         Set<JobRecord> ours = uncertain.getOrDefault(record.id(), Set.of());
         uncertain.remove(record.id());
         if (before == null) {
             return accept(record, jobClass);
         }
-        if (before.state() == JobRecord.State.REFUSED) { // the rejection invited the producer to push it again
-            store.ask(new Op.Replace(record, body), done -> { }, () -> store.insist(new Op.Replace(record, body)));
+        if (before.state()
+                == JobRecord.State.REFUSED) { // the rejection invited the producer to push it again
+            store.ask(
+                    new Op.Replace(record, body),
+                    done -> {},
+                    () -> store.insist(new Op.Replace(record, body)));
             return accept(record, jobClass);
         }
         if (ours.contains(before) && jobTable.get(record.id()) == null) {
-            return accept(before, jobClass); // its first push was recorded, and only the answer was lost
+            return accept(
+                    before, jobClass); // its first push was recorded, and only the answer was lost
         }
         if (jobTable.get(record.id()) == null) {
             jobTable.unlockUnique(record.id(), record.facts());
         }
-        counters.add(Count.PUSHES_REPEATED); // a producer that lost the answer must not cause a second run
+        counters.add(Count.PUSHES_REPEATED); // a producer that lost the answer must not cause a
+        // second run
         return null;
     }
 
@@ -220,26 +274,30 @@
     }
 
     /**
-     * Removes a job that the store may have recorded although its producer got an error, so that it does not run unasked.
+     * Removes a job that the store may have recorded although its producer got an error, so that it
+     * does not run unasked.
      */
     private void withdraw(String jid) {
         Set<JobRecord> ours = uncertain.get(jid);
         if (ours == null) {
             return;
         }
-        store.ask(new Op.Get(jid), found -> {
-            if (uncertain.get(jid) != ours) {
-                return; // pushed again meanwhile, and accepted
-            }
-            if (pendingAdds.containsKey(jid)) { // being pushed again: that push decides
-                loop.in(RETRY_US, () -> withdraw(jid));
-                return;
-            }
-            uncertain.remove(jid);
-            if (ours.contains(found) && jobTable.get(jid) == null) {
-                store.insist(new Op.Drop(List.of(jid)));
-            }
-        }, () -> loop.in(RETRY_US, () -> withdraw(jid)));
+        store.ask(
+                new Op.Get(jid),
+                found -> {
+                    if (uncertain.get(jid) != ours) {
+                        return; // pushed again meanwhile, and accepted
+                    }
+                    if (pendingAdds.containsKey(jid)) { // being pushed again: that push decides
+                        loop.in(RETRY_US, () -> withdraw(jid));
+                        return;
+                    }
+                    uncertain.remove(jid);
+                    if (ours.contains(found) && jobTable.get(jid) == null) {
+                        store.insist(new Op.Drop(List.of(jid)));
+                    }
+                },
+                () -> loop.in(RETRY_US, () -> withdraw(jid)));
     }
 
     // ---- callbacks of batches
@@ -257,19 +315,32 @@
             ObjectNode node = (ObjectNode) Json.read(job);
             node.put("jid", jid);
             pushed = Pushed.read(node, coordinator.nowMs(), minReserveS);
-            jobClass = Math.max(0, routes.classOf(pushed.custom().className(), pushed.queue(), pushed.jobtype()));
-            record = JobRecord.pushed(jid, facts(pushed, jobClass, coordinator.nowMs(), bid), pushed.atMs(),
-                coordinator.nowMs()).numbered(jobTable.nextSeq());
+            jobClass =
+                    Math.max(
+                            0,
+                            routes.classOf(
+                                    pushed.custom().className(), pushed.queue(), pushed.jobtype()));
+            record =
+                    JobRecord.pushed(
+                                    jid,
+                                    facts(pushed, jobClass, coordinator.nowMs(), bid),
+                                    pushed.atMs(),
+                                    coordinator.nowMs())
+                            .numbered(jobTable.nextSeq());
         } catch (Malformed e) {
-            throw new IllegalStateException("a callback that was checked when its batch was made", e);
+            throw new IllegalStateException(
+                    "a callback that was checked when its batch was made", e);
         }
-        store.ask(new Op.Add(record, pushed.body()), there -> {
-            if (there != null) {
-                before.accept(there);
-            } else if (jobTable.get(jid) == null) {
-                coordinator.admit(record, jobClass);
-            }
-        }, () -> loop.in(RETRY_US, () -> pushCallback(job, jid, bid, before)));
+        store.ask(
+                new Op.Add(record, pushed.body()),
+                there -> {
+                    if (there != null) {
+                        before.accept(there);
+                    } else if (jobTable.get(jid) == null) {
+                        coordinator.admit(record, jobClass);
+                    }
+                },
+                () -> loop.in(RETRY_US, () -> pushCallback(job, jid, bid, before)));
     }
 
     /** Why a job cannot be a callback; null if it can. */
@@ -282,7 +353,8 @@
             node.put("jid", "b-callback-of-a-batch");
             Pushed pushed = Pushed.read(node, coordinator.nowMs(), minReserveS);
             return routes.classOf(pushed.custom().className(), pushed.queue(), pushed.jobtype()) < 0
-                ? "custom.class: no class for the callback" : null;
+                    ? "custom.class: no class for the callback"
+                    : null;
         } catch (Malformed e) {
             return e.getMessage();
         }
@@ -296,8 +368,10 @@
             link.reply(Reply.bulk(tracked(jid, open.record())));
             return;
         }
-        store.ask(new Op.Get(jid), record -> link.reply(Reply.bulk(tracked(jid, record))),
-            () -> link.reply(Reply.error("ERR the store is down")));
+        store.ask(
+                new Op.Get(jid),
+                record -> link.reply(Reply.bulk(tracked(jid, record))),
+                () -> link.reply(Reply.error("ERR the store is down")));
     }
 
     void setProgress(Command.TrackSet set) {
@@ -307,19 +381,29 @@
     private String tracked(String jid, JobRecord record) {
         ObjectNode tracked = Json.MAPPER.createObjectNode().put("jid", jid);
         Progress said = progress.get(jid);
-        tracked.put("state", record == null ? "unknown" : switch (record.state()) {
-            case QUEUED, SCHEDULED -> "enqueued";
-            case RESERVED -> "working";
-            case SUCCESS -> "success";
-            case REFUSED, FAILED, RETRY -> "failed";
-            case DEAD -> "dead";
-            case DISCARDED -> "discarded";
-        });
+        tracked.put(
+                "state",
+                record == null
+                        ? "unknown"
+                        : switch (record.state()) {
+                            case QUEUED, SCHEDULED -> "enqueued";
+                            case RESERVED -> "working";
+                            case SUCCESS -> "success";
+                            case REFUSED, FAILED, RETRY -> "failed";
+                            case DEAD -> "dead";
+                            case DISCARDED -> "discarded";
+                        });
         tracked.put("percent", said == null ? 0 : said.percent());
         boolean ended = record != null && !record.detail().isEmpty();
         tracked.put("desc", ended ? record.detail() : said == null ? "" : said.words());
-        tracked.put("updated_at", record == null ? "" : Json.time(said == null ? record.updatedMs()
-            : Math.max(said.atMs(), record.updatedMs())));
+        tracked.put(
+                "updated_at",
+                record == null
+                        ? ""
+                        : Json.time(
+                                said == null
+                                        ? record.updatedMs()
+                                        : Math.max(said.atMs(), record.updatedMs())));
         return tracked.toString();
     }
 }
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -17,13 +17,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Recovers paused queues, batches and open jobs from the store after a start, in batches, so that other tasks of the event
- * loop run in between. Confined to the event loop.
+ * Recovers paused queues, batches and open jobs from the store after a start, in batches, so that
+ * other tasks of the event loop run in between. Confined to the event loop.
  */
 final class Recovery {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
     private static final long RETRY_US = 500_000;
-    /** Records that are read with one request to the store and recovered in one task of the loop. */
+
+    /**
+     * Records that are read with one request to the store and recovered in one task of the loop.
+     */
     private static final int BATCH = 400;
 
     private final Loop loop;
@@ -36,8 +39,15 @@
     private final Runnable done;
     private int recovered;
 
-    Recovery(Loop loop, Site site, AsyncStore store, Counters counters, Routes routes, JobCoordinator coordinator,
-             BatchService batches, Runnable done) {
+    Recovery(
+            Loop loop,
+            Site site,
+            AsyncStore store,
+            Counters counters,
+            Routes routes,
+            JobCoordinator coordinator,
+            BatchService batches,
+            Runnable done) {
         this.loop = loop;
         this.site = site;
         this.store = store;
@@ -48,15 +58,27 @@
         this.done = done;
     }
 
-    /** Starts the recovery and repeats it until the store answers; before that no job can be accepted either. */
+    /**
+     * Starts the recovery and repeats it until the store answers; before that no job can be
+     * accepted either.
+     */
     void begin() {
-        store.ask(new Op.Notes(AdminCommands.PAUSED), paused -> {
-            paused.keySet().forEach(coordinator.jobTable()::pause);
-            store.ask(new Op.Notes(BatchService.NOTE), notes -> {
-                batches.load(notes);
-                store.ask(new Op.Open(), ids -> load(new ArrayList<>(ids), 0), this::retry);
-            }, this::retry);
-        }, this::retry);
+        store.ask(
+                new Op.Notes(AdminCommands.PAUSED),
+                paused -> {
+                    paused.keySet().forEach(coordinator.jobTable()::pause);
+                    store.ask(
+                            new Op.Notes(BatchService.NOTE),
+                            notes -> {
+                                batches.load(notes);
+                                store.ask(
+                                        new Op.Open(),
+                                        ids -> load(new ArrayList<>(ids), 0),
+                                        this::retry);
+                            },
+                            this::retry);
+                },
+                this::retry);
     }
 
     private void retry() {
@@ -70,10 +92,13 @@
             return;
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
-        store.ask(new Op.Load(part), records -> {
-            records.forEach(this::recover);
-            load(ids, from + BATCH);
-        }, () -> loop.in(RETRY_US, () -> load(ids, from)));
+        store.ask(
+                new Op.Load(part),
+                records -> {
+                    records.forEach(this::recover);
+                    load(ids, from + BATCH);
+                },
+                () -> loop.in(RETRY_US, () -> load(ids, from)));
     }
 
     private void recover(JobRecord record) {
@@ -85,26 +110,45 @@
         JobRecord.Facts facts = record.facts();
         int jobClass = routes.classOf(facts.className(), facts.queue(), facts.jobtype());
         if (jobClass < 0) {
-            jobClass = routes.classOf("", facts.queue(), facts.jobtype()); // its class is no longer configured
+            jobClass =
+                    routes.classOf(
+                            "",
+                            facts.queue(),
+                            facts.jobtype()); // its class is no longer configured
         }
         if (jobClass < 0) {
-            LOG.warn("job {} from the store cannot be taken up: no class of the name {}", record.id(), facts.className());
-            store.keep(record.to(JobRecord.State.FAILED, 0, "no class of the name " + facts.className(),
-                coordinator.nowMs()));
+            LOG.warn(
+                    "job {} from the store cannot be taken up: no class of the name {}",
+                    record.id(),
+                    facts.className());
+            store.keep(
+                    record.to(
+                            JobRecord.State.FAILED,
+                            0,
+                            "no class of the name " + facts.className(),
+                            coordinator.nowMs()));
             return;
         }
-        switch (RetryPolicy.recovered(record, site.settings().classes().get(jobClass), coordinator.nowMs())) {
+        switch (RetryPolicy.recovered(
+                record, site.settings().classes().get(jobClass), coordinator.nowMs())) {
             case RESTORE -> coordinator.admit(record, jobClass);
-            case DISPATCH -> coordinator.admit(record.queued(record.seq(), coordinator.nowMs()), jobClass);
+            case DISPATCH ->
+                    coordinator.admit(record.queued(record.seq(), coordinator.nowMs()), jobClass);
             case AWAIT_REPORT -> {
                 counters.add(Count.QUERIES_TAKEN);
-                Entry entry = jobTable.add(record.state() == JobRecord.State.RESERVED ? record
-                    : record.reserved(record.worker(), record.updatedMs()), jobClass);
+                Entry entry =
+                        jobTable.add(
+                                record.state() == JobRecord.State.RESERVED
+                                        ? record
+                                        : record.reserved(record.worker(), record.updatedMs()),
+                                jobClass);
                 coordinator.awaitReport(entry);
             }
             case EXPIRE -> {
                 Entry entry = jobTable.add(record, jobClass);
-                coordinator.transition(entry, record.to(JobRecord.State.FAILED, 0, "out of time", coordinator.nowMs()));
+                coordinator.transition(
+                        entry,
+                        record.to(JobRecord.State.FAILED, 0, "out of time", coordinator.nowMs()));
             }
         }
     }
--- a/src/main/java/damsonslip/faktory/codec/Command.java
+++ b/src/main/java/damsonslip/faktory/codec/Command.java
@@ -9,72 +9,104 @@
 public sealed interface Command {
     /** Words of an unknown command that are shown again. */
     int SHOWN = 20;
-    /** The official clients' bulk pushes hold a thousand; more in one line keeps everybody else waiting. */
+
+    /**
+     * The official clients' bulk pushes hold a thousand; more in one line keeps everybody else
+     * waiting.
+     */
     int MOST_BULK = 5_000;
 
-    /** The first line of every connection; {@code wid} is empty for a producer, {@code process} tells restarts apart. */
+    /**
+     * The first line of every connection; {@code wid} is empty for a producer, {@code process}
+     * tells restarts apart.
+     */
     record Hello(int version, String wid, String process, String passwordHash, List<String> labels)
-        implements Command { }
+            implements Command {}
 
-    /** Hands jobs in; {@code bulk} tells that there may be several, and that each has its own answer. */
-    record Push(List<JsonNode> jobs, boolean bulk) implements Command { }
+    /**
+     * Hands jobs in; {@code bulk} tells that there may be several, and that each has its own
+     * answer.
+     */
+    record Push(List<JsonNode> jobs, boolean bulk) implements Command {}
 
     /** A worker offers a slot to the first of these queues that has a job. */
-    record Fetch(List<String> queues) implements Command { }
+    record Fetch(List<String> queues) implements Command {}
 
     /** A worker has done a job. */
-    record Ack(String jid) implements Command { }
+    record Ack(String jid) implements Command {}
 
     /** A worker has failed at a job; the words are its own. */
-    record Fail(String jid, String type, String message, List<String> backtrace) implements Command { }
+    record Fail(String jid, String type, String message, List<String> backtrace)
+            implements Command {}
 
-    /** A worker lives; {@code state} is what it says of itself, {@code rssKb} its memory, 0 if it does not say. */
-    record Beat(String wid, String state, long rssKb) implements Command { }
+    /**
+     * A worker lives; {@code state} is what it says of itself, {@code rssKb} its memory, 0 if it
+     * does not say.
+     */
+    record Beat(String wid, String state, long rssKb) implements Command {}
 
     /** Asks how far a job is. */
-    record TrackGet(String jid) implements Command { }
+    record TrackGet(String jid) implements Command {}
 
     /** A worker tells how far a job is; {@code reserveUntilMs} asks for more time, 0 does not. */
-    record TrackSet(String jid, int percent, String words, long reserveUntilMs) implements Command { }
+    record TrackSet(String jid, int percent, String words, long reserveUntilMs)
+            implements Command {}
 
     /** Asks how the server stands. */
-    record Info() implements Command { }
+    record Info() implements Command {}
 
     /** The peer leaves. */
-    record End() implements Command { }
+    record End() implements Command {}
 
     /** Forgets everything that waits. */
-    record Flush() implements Command { }
+    record Flush() implements Command {}
 
     /** An operator's change of a set of jobs. */
     record Mutate(Mutate.Verb verb, Target target, Wanted wanted) implements Command {
         /** What becomes of them. */
-        public enum Verb { CLEAR, KILL, DISCARD, REQUEUE }
+        public enum Verb {
+            CLEAR,
+            KILL,
+            DISCARD,
+            REQUEUE
+        }
 
         /** Which set. */
-        public enum Target { SCHEDULED, RETRIES, DEAD }
+        public enum Target {
+            SCHEDULED,
+            RETRIES,
+            DEAD
+        }
 
-        /** Which jobs of it; what is empty asks for nothing. {@code glob} goes over the whole job's text. */
-        public record Wanted(String jobtype, List<String> jids, String glob) { }
+        /**
+         * Which jobs of it; what is empty asks for nothing. {@code glob} goes over the whole job's
+         * text.
+         */
+        public record Wanted(String jobtype, List<String> jids, String glob) {}
     }
 
     /** An operator's change of queues; {@code names} may hold a star for all. */
     record Queue(Queue.Verb verb, List<String> names) implements Command {
         /** What becomes of them. */
-        public enum Verb { PAUSE, RESUME, REMOVE }
+        public enum Verb {
+            PAUSE,
+            RESUME,
+            REMOVE
+        }
     }
 
     /** A new batch: its callbacks as jobs, each null where there is none. */
-    record BatchNew(String parent, String description, JsonNode success, JsonNode complete) implements Command { }
+    record BatchNew(String parent, String description, JsonNode success, JsonNode complete)
+            implements Command {}
 
     /** Opens a batch for further jobs. */
-    record BatchOpen(String bid) implements Command { }
+    record BatchOpen(String bid) implements Command {}
 
     /** A batch's creator is done with pushing. */
-    record BatchCommit(String bid) implements Command { }
+    record BatchCommit(String bid) implements Command {}
 
     /** Asks how a batch stands. */
-    record BatchStatus(String bid) implements Command { }
+    record BatchStatus(String bid) implements Command {}
 
     static Command decode(String line) throws Malformed {
         int space = line.indexOf(' ');
@@ -84,7 +116,8 @@
             case "HELLO" -> hello(object(rest));
             case "PUSH" -> new Push(List.of(object(rest)), false);
             case "PUSHB" -> new Push(array(rest), true);
-            case "FETCH" -> new Fetch(rest.isEmpty() ? List.of("default") : List.of(rest.split("\\s+")));
+            case "FETCH" ->
+                    new Fetch(rest.isEmpty() ? List.of("default") : List.of(rest.split("\\s+")));
             case "ACK" -> new Ack(Json.needed(object(rest), "jid"));
             case "FAIL" -> fail(object(rest));
             case "BEAT" -> beat(object(rest));
@@ -95,28 +128,38 @@
             case "MUTATE" -> mutate(object(rest));
             case "QUEUE" -> queue(rest);
             case "BATCH" -> batch(rest);
-            default -> throw new Malformed("unknown command " + verb.substring(0, Math.min(SHOWN, verb.length())));
+            default ->
+                    throw new Malformed(
+                            "unknown command " + verb.substring(0, Math.min(SHOWN, verb.length())));
         };
     }
 
     private static Hello hello(JsonNode hello) {
         List<String> labels = new ArrayList<>();
         hello.path("labels").forEach(label -> labels.add(label.asText()));
-        return new Hello(hello.path("v").asInt(0), hello.path("wid").asText(""),
-            hello.path("hostname").asText("") + ":" + hello.path("pid").asText(""), hello.path("pwdhash").asText(""),
-            labels);
+        return new Hello(
+                hello.path("v").asInt(0),
+                hello.path("wid").asText(""),
+                hello.path("hostname").asText("") + ":" + hello.path("pid").asText(""),
+                hello.path("pwdhash").asText(""),
+                labels);
     }
 
     private static Fail fail(JsonNode failure) throws Malformed {
         List<String> backtrace = new ArrayList<>();
         failure.path("backtrace").forEach(line -> backtrace.add(line.asText()));
-        return new Fail(Json.needed(failure, "jid"), failure.path("errtype").asText(""),
-            failure.path("message").asText(""), backtrace);
+        return new Fail(
+                Json.needed(failure, "jid"),
+                failure.path("errtype").asText(""),
+                failure.path("message").asText(""),
+                backtrace);
     }
 
     private static Beat beat(JsonNode beat) throws Malformed {
-        return new Beat(Json.needed(beat, "wid"), beat.path("current_state").asText(""),
-            beat.path("rss_kb").asLong(0));
+        return new Beat(
+                Json.needed(beat, "wid"),
+                beat.path("current_state").asText(""),
+                beat.path("rss_kb").asLong(0));
     }
 
     private static Command track(String rest) throws Malformed {
@@ -127,8 +170,11 @@
         if (words.length == 2 && words[0].equalsIgnoreCase("SET")) {
             JsonNode set = object(words[1]);
             String until = Json.text(set, "reserve_until", "");
-            return new TrackSet(Json.needed(set, "jid"), Json.whole(set, "percent", 0, 0, 100),
-                Json.text(set, "desc", ""), until.isEmpty() ? 0 : Json.time(until, "reserve_until"));
+            return new TrackSet(
+                    Json.needed(set, "jid"),
+                    Json.whole(set, "percent", 0, 0, 100),
+                    Json.text(set, "desc", ""),
+                    until.isEmpty() ? 0 : Json.time(until, "reserve_until"));
         }
         throw new Malformed("TRACK takes GET jid, or SET and an object");
     }
@@ -141,8 +187,11 @@
         for (JsonNode jid : filter.path("jids")) {
             jids.add(jid.asText());
         }
-        return new Mutate(verb, target,
-            new Mutate.Wanted(Json.text(filter, "jobtype", ""), jids, Json.text(filter, "regexp", "")));
+        return new Mutate(
+                verb,
+                target,
+                new Mutate.Wanted(
+                        Json.text(filter, "jobtype", ""), jids, Json.text(filter, "regexp", "")));
     }
 
     private static Queue queue(String rest) throws Malformed {
@@ -150,7 +199,8 @@
         if (words.length < 2) {
             throw new Malformed("QUEUE takes PAUSE, RESUME or REMOVE and names");
         }
-        return new Queue(one(Queue.Verb.class, words[0], "QUEUE"), List.of(words).subList(1, words.length));
+        return new Queue(
+                one(Queue.Verb.class, words[0], "QUEUE"), List.of(words).subList(1, words.length));
     }
 
     private static Command batch(String rest) throws Malformed {
@@ -161,14 +211,19 @@
         return switch (words[0].toUpperCase(Locale.ROOT)) {
             case "NEW" -> {
                 JsonNode fresh = object(words[1]);
-                yield new BatchNew(Json.text(fresh, "parent_bid", ""), Json.text(fresh, "description", ""),
-                    callback(fresh, "success"), callback(fresh, "complete"));
+                yield new BatchNew(
+                        Json.text(fresh, "parent_bid", ""),
+                        Json.text(fresh, "description", ""),
+                        callback(fresh, "success"),
+                        callback(fresh, "complete"));
             }
             case "OPEN" -> new BatchOpen(words[1]);
             case "COMMIT" -> new BatchCommit(words[1]);
             case "STATUS" -> new BatchStatus(words[1]);
-            default -> throw new Malformed("unknown command BATCH " + words[0].substring(0,
-                Math.min(SHOWN, words[0].length())));
+            default ->
+                    throw new Malformed(
+                            "unknown command BATCH "
+                                    + words[0].substring(0, Math.min(SHOWN, words[0].length())));
         };
     }
 
@@ -183,13 +238,15 @@
         return job;
     }
 
-    private static <E extends Enum<E>> E one(Class<E> of, String word, String what) throws Malformed {
+    private static <E extends Enum<E>> E one(Class<E> of, String word, String what)
+            throws Malformed {
         for (E each : of.getEnumConstants()) {
             if (each.name().equalsIgnoreCase(word)) {
                 return each;
             }
         }
-        throw new Malformed(what + ": unknown: " + word.substring(0, Math.min(SHOWN, word.length())));
+        throw new Malformed(
+                what + ": unknown: " + word.substring(0, Math.min(SHOWN, word.length())));
     }
 
     private static JsonNode object(String text) throws Malformed {
--- a/src/main/java/damsonslip/faktory/codec/JobText.java
+++ b/src/main/java/damsonslip/faktory/codec/JobText.java
@@ -3,13 +3,15 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import damsonslip.store.JobRecord;
 
-/** The job as a worker, or an operator's filter, sees it: its body with what has become of it since. */
+/**
+ * The job as a worker, or an operator's filter, sees it: its body with what has become of it since.
+ */
 public final class JobText {
-    private JobText() { }
+    private JobText() {}
 
     /**
-     * Puts the two together. The body is an object that was written by {@link Pushed}, so that what is added goes
-     * before its last brace without reading it again.
+     * Puts the two together. The body is an object that was written by {@link Pushed}, so that what
+     * is added goes before its last brace without reading it again.
      */
     public static String whole(String body, JobRecord record, long enqueuedMs) {
         ObjectNode added = Json.MAPPER.createObjectNode();
@@ -21,9 +23,11 @@
         }
         JobRecord.Failure failure = record.failure();
         if (failure != null) {
-            ObjectNode how = added.putObject("failure").put("retry_count", failure.count())
-                .put("remaining", Math.max(0, record.facts().retry() - failure.count()))
-                .put("failed_at", Json.time(failure.failedMs()));
+            ObjectNode how =
+                    added.putObject("failure")
+                            .put("retry_count", failure.count())
+                            .put("remaining", Math.max(0, record.facts().retry() - failure.count()))
+                            .put("failed_at", Json.time(failure.failedMs()));
             if (failure.nextMs() > 0) {
                 how.put("next_at", Json.time(failure.nextMs()));
             }
@@ -31,6 +35,8 @@
             failure.backtrace().forEach(how.withArray("backtrace")::add);
         }
         String more = added.toString();
-        return more.length() == 2 ? body : body.substring(0, body.length() - 1) + "," + more.substring(1);
+        return more.length() == 2
+                ? body
+                : body.substring(0, body.length() - 1) + "," + more.substring(1);
     }
 }
--- a/src/main/java/damsonslip/faktory/codec/Json.java
+++ b/src/main/java/damsonslip/faktory/codec/Json.java
@@ -16,17 +16,25 @@
 public final class Json {
     /** Deeper than any job's arguments; each level costs stack and memory. */
     private static final int DEEPEST = 200;
+
     /** Longer than any number that a language's own types hold. */
     private static final int LONGEST_NUMBER = 200;
 
-    public static final ObjectMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST)
-            .maxNumberLength(LONGEST_NUMBER).build()).build())
-        .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
-        .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
-        .disable(JsonNodeFeature.STRIP_TRAILING_BIGDECIMAL_ZEROES).build();
+    public static final ObjectMapper MAPPER =
+            JsonMapper.builder(
+                            JsonFactory.builder()
+                                    .streamReadConstraints(
+                                            StreamReadConstraints.builder()
+                                                    .maxNestingDepth(DEEPEST)
+                                                    .maxNumberLength(LONGEST_NUMBER)
+                                                    .build())
+                                    .build())
+                    .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
+                    .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
+                    .disable(JsonNodeFeature.STRIP_TRAILING_BIGDECIMAL_ZEROES)
+                    .build();
 
-    private Json() { }
+    private Json() {}
 
     /** Decodes one value; nothing at all is null. */
     public static JsonNode read(String text) throws Malformed {
@@ -52,13 +60,16 @@
     }
 
     /** A whole number within these bounds; absent or null gives the fallback. */
-    static int whole(JsonNode node, String name, int fallback, int least, int most) throws Malformed {
+    static int whole(JsonNode node, String name, int fallback, int least, int most)
+            throws Malformed {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
             return fallback;
         }
-        if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least
-            || value.intValue() > most) {
+        if (!value.isIntegralNumber()
+                || !value.canConvertToInt()
+                || value.intValue() < least
+                || value.intValue() > most) {
             throw new Malformed(name + ": not a whole number from " + least + " to " + most);
         }
         return value.intValue();
--- a/src/main/java/damsonslip/faktory/codec/Pushed.java
+++ b/src/main/java/damsonslip/faktory/codec/Pushed.java
@@ -7,19 +7,28 @@
 /**
  * A pushed job, decoded once, with Faktory's meanings and defaults.
  *
- * @param jid         its id
- * @param jobtype     what workers know it by
- * @param queue       the queue that workers fetch it from
- * @param priority    1 to 9, the highest first
- * @param retry       how often it may be tried again; 0 discards it on failure, -1 sends it to the dead
- * @param reserveMs   how long a worker may keep it without a word
- * @param atMs        when it shall run, in Unix time; 0 for at once
- * @param backtrace   lines of a failure's backtrace that are kept
- * @param custom      what it says beyond the protocol's own fields
- * @param body        the job as workers get it, but for what changes while it waits
+ * @param jid its id
+ * @param jobtype what workers know it by
+ * @param queue the queue that workers fetch it from
+ * @param priority 1 to 9, the highest first
+ * @param retry how often it may be tried again; 0 discards it on failure, -1 sends it to the dead
+ * @param reserveMs how long a worker may keep it without a word
+ * @param atMs when it shall run, in Unix time; 0 for at once
+ * @param backtrace lines of a failure's backtrace that are kept
+ * @param custom what it says beyond the protocol's own fields
+ * @param body the job as workers get it, but for what changes while it waits
  */
-public record Pushed(String jid, String jobtype, String queue, int priority, int retry, long reserveMs, long atMs,
-                     int backtrace, Custom custom, String body) {
+public record Pushed(
+        String jid,
+        String jobtype,
+        String queue,
+        int priority,
+        int retry,
+        long reserveMs,
+        long atMs,
+        int backtrace,
+        Custom custom,
+        String body) {
     private static final int DEFAULT_RESERVE_S = 1800;
     private static final int LONGEST_RESERVE_S = (int) TimeUnit.DAYS.toSeconds(1);
     private static final int DEFAULT_RETRY = 25;
@@ -33,16 +42,22 @@
     /**
      * What stands in {@code custom}.
      *
-     * @param className  the class it wants, or empty
+     * @param className the class it wants, or empty
      * @param deadlineMs when its producer gives up waiting, in Unix time; 0 if nobody waits
-     * @param slots      the slots it takes
-     * @param expiresMs  from when on it must not run any more, in Unix time; 0 for never
-     * @param uniqueMs   for how long no other like it may be taken, in milliseconds; 0 for not at all
+     * @param slots the slots it takes
+     * @param expiresMs from when on it must not run any more, in Unix time; 0 for never
+     * @param uniqueMs for how long no other like it may be taken, in milliseconds; 0 for not at all
      * @param untilStart whether that ends once a worker has it
-     * @param bid        the batch it belongs to, or empty
+     * @param bid the batch it belongs to, or empty
      */
-    public record Custom(String className, long deadlineMs, int slots, long expiresMs, long uniqueMs,
-                         boolean untilStart, String bid) { }
+    public record Custom(
+            String className,
+            long deadlineMs,
+            int slots,
+            long expiresMs,
+            long uniqueMs,
+            boolean untilStart,
+            String bid) {}
 
     /**
      * Reads a job.
@@ -73,13 +88,26 @@
         String at = Json.text(job, "at", "");
         long atMs = at.isEmpty() ? 0 : Json.time(at, "at");
         atMs = atMs <= nowMs ? 0 : atMs;
-        int reserveS = Math.max(shortestReserveS, Json.whole(job, "reserve_for", DEFAULT_RESERVE_S, 0,
-            LONGEST_RESERVE_S));
-        return new Pushed(jid, jobtype, queue, Math.max(1, Math.min(9, Json.whole(job, "priority", DEFAULT_PRIORITY,
-            0, Integer.MAX_VALUE))), Json.whole(job, "retry", DEFAULT_RETRY, -1, MOST_RETRY),
-            TimeUnit.SECONDS.toMillis(reserveS), atMs,
-            Math.min(MOST_BACKTRACE, Json.whole(job, "backtrace", 0, 0, Integer.MAX_VALUE)),
-            custom(job, Math.max(nowMs, atMs)), body(job, nowMs));
+        int reserveS =
+                Math.max(
+                        shortestReserveS,
+                        Json.whole(job, "reserve_for", DEFAULT_RESERVE_S, 0, LONGEST_RESERVE_S));
+        return new Pushed(
+                jid,
+                jobtype,
+                queue,
+                Math.max(
+                        1,
+                        Math.min(
+                                9,
+                                Json.whole(
+                                        job, "priority", DEFAULT_PRIORITY, 0, Integer.MAX_VALUE))),
+                Json.whole(job, "retry", DEFAULT_RETRY, -1, MOST_RETRY),
+                TimeUnit.SECONDS.toMillis(reserveS),
+                atMs,
+                Math.min(MOST_BACKTRACE, Json.whole(job, "backtrace", 0, 0, Integer.MAX_VALUE)),
+                custom(job, Math.max(nowMs, atMs)),
+                body(job, nowMs));
     }
 
     private static boolean plain(String name) {
@@ -95,13 +123,19 @@
         if (!until.equals("success") && !until.equals("start")) {
             throw new Malformed("custom.unique_until: neither success nor start");
         }
-        return new Custom(Json.text(custom, "class", ""), moment(custom, "deadline", startMs),
-            Json.whole(custom, "slots", 1, 1, MOST_SLOTS), moment(custom, "expires_at", startMs),
-            Json.whole(custom, "unique_for", 0, 0, Integer.MAX_VALUE) * 1000L, until.equals("start"),
-            Json.text(custom, "bid", Json.text(job, "bid", "")));
+        return new Custom(
+                Json.text(custom, "class", ""),
+                moment(custom, "deadline", startMs),
+                Json.whole(custom, "slots", 1, 1, MOST_SLOTS),
+                moment(custom, "expires_at", startMs),
+                Json.whole(custom, "unique_for", 0, 0, Integer.MAX_VALUE) * 1000L,
+                until.equals("start"),
+                Json.text(custom, "bid", Json.text(job, "bid", "")));
     }
 
-    /** An instant as text, or seconds from when the job may run as a number; 0 where there is none. */
+    /**
+     * An instant as text, or seconds from when the job may run as a number; 0 where there is none.
+     */
     private static long moment(JsonNode custom, String name, long startMs) throws Malformed {
         JsonNode value = custom.path(name);
         if (value.isMissingNode() || value.isNull()) {
--- a/src/main/java/damsonslip/faktory/codec/Reply.java
+++ b/src/main/java/damsonslip/faktory/codec/Reply.java
@@ -8,7 +8,7 @@
     private static final ByteBuffer NOTHING = bytes("$-1\r\n").asReadOnlyBuffer();
     private static final ByteBuffer OK = bytes("+OK\r\n").asReadOnlyBuffer();
 
-    private Reply() { }
+    private Reply() {}
 
     public static ByteBuffer nothing() {
         return NOTHING.duplicate();
--- a/src/main/java/damsonslip/faktory/sets/Batches.java
+++ b/src/main/java/damsonslip/faktory/sets/Batches.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * Batches of jobs and their callbacks. The completion callback is due when each job has been run once, the success
- * callback when each has succeeded; both only after the callbacks of nested batches. The number of open jobs is read from
- * the {@link JobTable}, so that a restart between two writes cannot leave a wrong count. Not thread-safe.
+ * Batches of jobs and their callbacks. The completion callback is due when each job has been run
+ * once, the success callback when each has succeeded; both only after the callbacks of nested
+ * batches. The number of open jobs is read from the {@link JobTable}, so that a restart between two
+ * writes cannot leave a wrong count. Not thread-safe.
  */
 public final class Batches {
     /** Retention of a batch from its creation, whatever its state. */
@@ -19,39 +20,82 @@
     private static final long ENDED_RETENTION_MS = 3_600_000;
 
     /** The state of a callback. */
-    public enum Callback { NOT_YET, DUE, DONE }
+    public enum Callback {
+        NOT_YET,
+        DUE,
+        DONE
+    }
 
     /**
      * A batch.
      *
-     * @param bid         its id
-     * @param parent      the id of the enclosing batch; empty if there is none
+     * @param bid its id
+     * @param parent the id of the enclosing batch; empty if there is none
      * @param description a text of its creator
-     * @param success     the success callback, a job as JSON; empty if there is none
-     * @param complete    the completion callback, a job as JSON; empty if there is none
-     * @param committed   whether its creator has finished pushing jobs
-     * @param total       the number of jobs pushed into it
-     * @param onComplete  the state of the completion callback
-     * @param onSuccess   the state of the success callback
-     * @param createdMs   when it was created, in milliseconds since the Unix epoch
+     * @param success the success callback, a job as JSON; empty if there is none
+     * @param complete the completion callback, a job as JSON; empty if there is none
+     * @param committed whether its creator has finished pushing jobs
+     * @param total the number of jobs pushed into it
+     * @param onComplete the state of the completion callback
+     * @param onSuccess the state of the success callback
+     * @param createdMs when it was created, in milliseconds since the Unix epoch
      */
-    public record Batch(String bid, String parent, String description, String success, String complete,
-                        boolean committed, int total, Callback onComplete, Callback onSuccess, long createdMs) {
+    public record Batch(
+            String bid,
+            String parent,
+            String description,
+            String success,
+            String complete,
+            boolean committed,
+            int total,
+            Callback onComplete,
+            Callback onSuccess,
+            long createdMs) {
         private Batch committed(boolean is) {
-            return new Batch(bid, parent, description, success, complete, is, total, onComplete, onSuccess, createdMs);
+            return new Batch(
+                    bid,
+                    parent,
+                    description,
+                    success,
+                    complete,
+                    is,
+                    total,
+                    onComplete,
+                    onSuccess,
+                    createdMs);
         }
 
         private Batch total(int jobs) {
-            return new Batch(bid, parent, description, success, complete, committed, jobs, onComplete, onSuccess,
-                createdMs);
+            return new Batch(
+                    bid,
+                    parent,
+                    description,
+                    success,
+                    complete,
+                    committed,
+                    jobs,
+                    onComplete,
+                    onSuccess,
+                    createdMs);
         }
 
         private Batch callback(boolean ofSuccess, Callback now) {
-            return new Batch(bid, parent, description, success, complete, committed, total,
-                ofSuccess ? onComplete : now, ofSuccess ? now : onSuccess, createdMs);
+            return new Batch(
+                    bid,
+                    parent,
+                    description,
+                    success,
+                    complete,
+                    committed,
+                    total,
+                    ofSuccess ? onComplete : now,
+                    ofSuccess ? now : onSuccess,
+                    createdMs);
         }
 
-        /** The job id of a callback: the same at each attempt, so that the callback is pushed once. */
+        /**
+         * The job id of a callback: the same at each attempt, so that the callback is pushed once.
+         */
         public String callbackId(boolean ofSuccess) {
             return bid + (ofSuccess ? "-success" : "-complete");
         }
@@ -60,7 +104,7 @@
     /**
      * A callback that has become due.
      *
-     * @param batch   the batch in its new state
+     * @param batch the batch in its new state
      * @param success whether it is the success callback
      */
     public record Due(Batch batch, boolean success) {
@@ -96,8 +140,9 @@
     /** Why no job may be pushed into a batch now; null if one may. */
     public String closed(String bid) {
         Batch batch = all.get(bid);
-        return batch == null ? "no such batch: " + bid
-            : batch.committed() ? "batch " + bid + " is committed; open it first" : null;
+        return batch == null
+                ? "no such batch: " + bid
+                : batch.committed() ? "batch " + bid + " is committed; open it first" : null;
     }
 
     /** Counts a job that was pushed into a batch. */
@@ -106,17 +151,22 @@
     }
 
     /**
-     * Corrects the totals after the recovery from the store: no batch has fewer jobs than were found. A stop may have come
-     * between recording a job, which acknowledges its push, and recording its batch.
+     * Corrects the totals after the recovery from the store: no batch has fewer jobs than were
+     * found. A stop may have come between recording a job, which acknowledges its push, and
+     * recording its batch.
      */
     public void recount() {
-        all.replaceAll((bid, batch) -> batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open)));
+        all.replaceAll(
+                (bid, batch) ->
+                        batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open)));
     }
 
     /** Opens a batch for further jobs; returns null if its completion callback has become due. */
     public Batch open(String bid) {
         Batch batch = all.get(bid);
-        return batch == null || batch.onComplete() != Callback.NOT_YET ? null : change(batch.committed(false));
+        return batch == null || batch.onComplete() != Callback.NOT_YET
+                ? null
+                : change(batch.committed(false));
     }
 
     public Batch commit(String bid) {
@@ -129,11 +179,16 @@
         return next;
     }
 
-    /** The callbacks, of this batch and of those around it, that a change of it or its jobs has made due. */
+    /**
+     * The callbacks, of this batch and of those around it, that a change of it or its jobs has made
+     * due.
+     */
     public List<Due> settle(String bid) {
         List<Due> due = new ArrayList<>();
         String at = bid;
-        for (int depth = 0; depth <= all.size() && all.containsKey(at); depth++) { // bounded, as parents might form a cycle
+        for (int depth = 0;
+                depth <= all.size() && all.containsKey(at);
+                depth++) { // bounded, as parents might form a cycle
             settle(at, due);
             at = all.get(at).parent();
         }
@@ -143,12 +198,16 @@
     private void settle(String bid, List<Due> due) {
         Batch batch = all.get(bid);
         JobTable.BatchCounts jobs = jobTable.batchCounts(bid);
-        if (batch.onComplete() == Callback.NOT_YET && batch.committed() && jobs.neverFailed == 0
-            && inside(bid).stream().allMatch(child -> child.onComplete() == Callback.DONE)) {
+        if (batch.onComplete() == Callback.NOT_YET
+                && batch.committed()
+                && jobs.neverFailed == 0
+                && inside(bid).stream().allMatch(child -> child.onComplete() == Callback.DONE)) {
             batch = begin(batch, false, due);
         }
-        if (batch.onSuccess() == Callback.NOT_YET && batch.onComplete() != Callback.NOT_YET && jobs.open == 0
-            && inside(bid).stream().allMatch(child -> child.onSuccess() == Callback.DONE)) {
+        if (batch.onSuccess() == Callback.NOT_YET
+                && batch.onComplete() != Callback.NOT_YET
+                && jobs.open == 0
+                && inside(bid).stream().allMatch(child -> child.onSuccess() == Callback.DONE)) {
             begin(batch, true, due);
         }
     }
@@ -167,7 +226,10 @@
     }
 
     private List<Batch> inside(String bid) {
-        return children.getOrDefault(bid, List.of()).stream().map(all::get).filter(child -> child != null).toList();
+        return children.getOrDefault(bid, List.of()).stream()
+                .map(all::get)
+                .filter(child -> child != null)
+                .toList();
     }
 
     /** Callbacks that are due and not done: a stop may have come before they were pushed. */
@@ -199,12 +261,17 @@
         return jobs.open - jobs.neverFailed;
     }
 
-    /** Removes batches that have ended and are an hour old, or have reached their retention; returns their ids. */
+    /**
+     * Removes batches that have ended and are an hour old, or have reached their retention; returns
+     * their ids.
+     */
     public List<String> forget(long nowMs) {
         List<String> gone = new ArrayList<>();
         for (Batch batch : List.copyOf(all.values())) {
-            boolean over = batch.onSuccess() == Callback.DONE && !all.containsKey(batch.parent())
-                && inside(batch.bid()).isEmpty();
+            boolean over =
+                    batch.onSuccess() == Callback.DONE
+                            && !all.containsKey(batch.parent())
+                            && inside(batch.bid()).isEmpty();
             long retentionMs = over ? ENDED_RETENTION_MS : RETENTION_MS;
             if (batch.createdMs() + retentionMs < nowMs) {
                 all.remove(batch.bid());
--- a/src/main/java/damsonslip/faktory/sets/Glob.java
+++ b/src/main/java/damsonslip/faktory/sets/Glob.java
@@ -1,9 +1,10 @@
 package damsonslip.faktory.sets;
 
 /**
- * A pattern in which a star stands for any run of characters, a question mark for one, {@code [a-c]} and {@code [^a-c]}
- * for one of a set, and a backslash quotes the next character. Backtracking is limited to the last star, so that the time
- * is bounded by the product of the lengths of text and pattern. Immutable.
+ * A pattern in which a star stands for any run of characters, a question mark for one, {@code
+ * [a-c]} and {@code [^a-c]} for one of a set, and a backslash quotes the next character.
+ * Backtracking is limited to the last star, so that the time is bounded by the product of the
+ * lengths of text and pattern. Immutable.
  */
 public final class Glob {
     private final String pattern;
--- a/src/main/java/damsonslip/faktory/sets/JobTable.java
+++ b/src/main/java/damsonslip/faktory/sets/JobTable.java
@@ -18,30 +18,35 @@
 import java.util.function.IntPredicate;
 
 /**
- * The open jobs of this scheduler with the set that each is in: queued, scheduled, waiting for a retry, dead, or reserved
- * by a worker. Holds records without bodies, and the locks of unique jobs.
+ * The open jobs of this scheduler with the set that each is in: queued, scheduled, waiting for a
+ * retry, dead, or reserved by a worker. Holds records without bodies, and the locks of unique jobs.
  *
- * <p>A queue's jobs are kept in class queues, one for each job class, by priority and then by arrival. A job that is
- * dispatched to the decision module leaves its class queue; one that comes back without having run returns to its old
- * position.
+ * <p>A queue's jobs are kept in class queues, one for each job class, by priority and then by
+ * arrival. A job that is dispatched to the decision module leaves its class queue; one that comes
+ * back without having run returns to its old position.
  *
- * <p>Not thread-safe. The caller passes the time, in milliseconds since the Unix epoch, and keeps the store in step.
+ * <p>Not thread-safe. The caller passes the time, in milliseconds since the Unix epoch, and keeps
+ * the store in step.
  */
 public final class JobTable {
     /** Above the highest priority of the protocol, which is 9. */
     private static final int PRIORITIES = 10;
-    /** A class queue's sort key has the inverted priority above these bits and the sequence number in them. */
+
+    /**
+     * A class queue's sort key has the inverted priority above these bits and the sequence number
+     * in them.
+     */
     private static final int SEQUENCE_BITS = 56;
 
     /**
      * The table's limits.
      *
-     * @param waiting  most jobs in queues, scheduled and waiting for a retry, all together
+     * @param waiting most jobs in queues, scheduled and waiting for a retry, all together
      * @param perQueue most jobs in one queue
-     * @param dead     most dead jobs; beyond that the oldest are removed
-     * @param deadMs   how long a dead job is kept, in milliseconds
+     * @param dead most dead jobs; beyond that the oldest are removed
+     * @param deadMs how long a dead job is kept, in milliseconds
      */
-    public record Limits(int waiting, int perQueue, int dead, long deadMs) { }
+    public record Limits(int waiting, int perQueue, int dead, long deadMs) {}
 
     /** An open job and its position. Changed by the table only. */
     public static final class Entry {
@@ -73,7 +78,10 @@
             return dispatched;
         }
 
-        /** When it entered its queue, in milliseconds since the Unix epoch; 0 if it has not been in one. */
+        /**
+         * When it entered its queue, in milliseconds since the Unix epoch; 0 if it has not been in
+         * one.
+         */
         public long enqueuedMs() {
             return enqueuedMs;
         }
@@ -87,7 +95,7 @@
         }
     }
 
-    private record UniqueLock(String id, long untilMs) { }
+    private record UniqueLock(String id, long untilMs) {}
 
     /** The number of a batch's open jobs, and of those among them that have not failed yet. */
     static final class BatchCounts {
@@ -98,14 +106,18 @@
     private final Limits limits;
     private final Map<String, Entry> all = new HashMap<>();
     private final Map<State, NavigableMap<Due, Entry>> timed = new EnumMap<>(State.class);
+
     /** By class, then by queue name. */
     private final List<Map<String, TreeMap<Long, Entry>>> classQueues = new ArrayList<>();
+
     private final Map<String, Integer> queueSizes = new TreeMap<>();
     private final Set<String> paused = new TreeSet<>();
     private final Map<String, UniqueLock> locks = new HashMap<>();
     private final Map<String, BatchCounts> batches = new HashMap<>();
+
     /** The turn in which each queue was served last, for fair order. */
     private final Map<String, Long> served = new HashMap<>();
+
     private long turns;
     private int working;
     private int dispatchedCount;
@@ -174,8 +186,11 @@
             throw new IllegalArgumentException("a job that is here already: " + record.id());
         }
         lastSeq = Math.max(lastSeq, record.seq());
-        if (!record.facts().uniqueKey().isEmpty() && !(record.facts().untilStart() && !record.neverRan())) {
-            locks.putIfAbsent(record.facts().uniqueKey(), new UniqueLock(record.id(), record.facts().uniqueMs()));
+        if (!record.facts().uniqueKey().isEmpty()
+                && !(record.facts().untilStart() && !record.neverRan())) {
+            locks.putIfAbsent(
+                    record.facts().uniqueKey(),
+                    new UniqueLock(record.id(), record.facts().uniqueMs()));
         }
         index(entry, 1);
         return entry;
@@ -207,7 +222,10 @@
         index(entry, 1);
     }
 
-    /** Returns a job from the decision module to its old position; it is not offered again before {@code notBeforeMs}. */
+    /**
+     * Returns a job from the decision module to its old position; it is not offered again before
+     * {@code notBeforeMs}.
+     */
     public void undispatch(Entry entry, long notBeforeMs) {
         index(entry, -1);
         entry.dispatched = false;
@@ -260,7 +278,8 @@
     }
 
     private void countInBatch(JobRecord record, int sign) {
-        BatchCounts counts = batches.computeIfAbsent(record.facts().bid(), bid -> new BatchCounts());
+        BatchCounts counts =
+                batches.computeIfAbsent(record.facts().bid(), bid -> new BatchCounts());
         counts.open += sign;
         counts.neverFailed += record.failure() == null && record.state() != State.DEAD ? sign : 0;
         if (counts.open == 0) {
@@ -277,9 +296,10 @@
     /**
      * The job to dispatch next for a worker that fetches from these queues; null if there is none.
      *
-     * @param queues in the worker's order: the first that has a job is served, as in Faktory's protocol
-     * @param fair   whether the queue that was served longest ago comes first instead
-     * @param open   which classes may be dispatched now
+     * @param queues in the worker's order: the first that has a job is served, as in Faktory's
+     *     protocol
+     * @param fair whether the queue that was served longest ago comes first instead
+     * @param open which classes may be dispatched now
      */
     public Entry next(List<String> queues, boolean fair, long nowMs, IntPredicate open) {
         List<String> order = queues;
@@ -297,14 +317,18 @@
         return null;
     }
 
-    /** The first job of a queue by priority and arrival, among the classes that may be dispatched. */
+    /**
+     * The first job of a queue by priority and arrival, among the classes that may be dispatched.
+     */
     private Entry first(String queue, long nowMs, IntPredicate open) {
         Entry found = null;
         long least = Long.MAX_VALUE;
         for (int jobClass = 0; jobClass < classQueues.size(); jobClass++) {
             TreeMap<Long, Entry> classQueue = classQueues.get(jobClass).get(queue);
-            if (classQueue != null && classQueue.firstKey() < least && open.test(jobClass)
-                && classQueue.firstEntry().getValue().notBeforeMs <= nowMs) {
+            if (classQueue != null
+                    && classQueue.firstKey() < least
+                    && open.test(jobClass)
+                    && classQueue.firstEntry().getValue().notBeforeMs <= nowMs) {
                 least = classQueue.firstKey();
                 found = classQueue.firstEntry().getValue();
             }
@@ -372,7 +396,8 @@
     /** The jobs of a queue that are not dispatched. */
     public List<Entry> inQueue(String queue) {
         List<Entry> found = new ArrayList<>();
-        classQueues.forEach(queues -> found.addAll(queues.getOrDefault(queue, new TreeMap<>()).values()));
+        classQueues.forEach(
+                queues -> found.addAll(queues.getOrDefault(queue, new TreeMap<>()).values()));
         return found;
     }
 
@@ -405,9 +430,11 @@
         return List.copyOf(all.values());
     }
 
-    /** Removes locks that have expired; a full scan, since there are few locks compared with jobs. */
+    /**
+     * Removes locks that have expired; a full scan, since there are few locks compared with jobs.
+     */
     public void removeExpiredLocks(long nowMs) {
-        for (Iterator<UniqueLock> each = locks.values().iterator(); each.hasNext();) {
+        for (Iterator<UniqueLock> each = locks.values().iterator(); each.hasNext(); ) {
             if (each.next().untilMs <= nowMs) {
                 each.remove();
             }
--- a/src/main/java/damsonslip/faktory/sets/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/sets/RetryPolicy.java
@@ -11,33 +11,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides what follows when a run of a job has failed, and when a job is found in the store at a start. Faktory's retry
- * count decides, subject to the job's class: a job that must not run twice never returns to a queue once a worker may have
- * run it, whoever asks for that.
+ * Decides what follows when a run of a job has failed, and when a job is found in the store at a
+ * start. Faktory's retry count decides, subject to the job's class: a job that must not run twice
+ * never returns to a queue once a worker may have run it, whoever asks for that.
  *
- * <p>Stateless; times are in milliseconds since the Unix epoch, and randomness comes from the caller.
+ * <p>Stateless; times are in milliseconds since the Unix epoch, and randomness comes from the
+ * caller.
  */
 public final class RetryPolicy {
     /** Back-off of the first retry, in seconds; from Faktory's protocol. */
     private static final int MIN_BACKOFF_S = 15;
-    /** Jitter in seconds for each failure so far, from Faktory's protocol: spreads jobs that failed together. */
+
+    /**
+     * Jitter in seconds for each failure so far, from Faktory's protocol: spreads jobs that failed
+     * together.
+     */
     private static final int JITTER_S = 30;
-    /** Failures counted at most: their fourth power is a year. An operator who grants more retries waits no longer. */
+
+    /**
+     * Failures counted at most: their fourth power is a year. An operator who grants more retries
+     * waits no longer.
+     */
     private static final int MAX_FAILURES_COUNTED = 75;
-    /** A job that was reserved at a start is given up after this time if its worker has not reconnected. */
+
+    /**
+     * A job that was reserved at a start is given up after this time if its worker has not
+     * reconnected.
+     */
     public static final long ORPHAN_TIMEOUT_MS = 60_000;
 
-    private RetryPolicy() { }
+    private RetryPolicy() {}
 
     /**
      * Where a job goes after a failed run.
      *
-     * @param state   its next state
-     * @param dueMs   when it is due there; 0 for a final state
+     * @param state its next state
+     * @param dueMs when it is due there; 0 for a final state
      * @param failure its failure record, with the failures before counted
      * @param message what operators and those who track the job are shown
      */
-    public record NextState(State state, long dueMs, Failure failure, String message) { }
+    public record NextState(State state, long dueMs, Failure failure, String message) {}
 
     /** What a start does with a job from the store. */
     public enum RecoveryAction {
@@ -54,31 +67,37 @@
     /**
      * How a run failed.
      *
-     * @param type      the error's type, in the worker's words or one of ours
-     * @param message   the error's message
+     * @param type the error's type, in the worker's words or one of ours
+     * @param message the error's message
      * @param backtrace the worker's stack trace, innermost line first; may be empty
      */
     public record RunFailure(String type, String message, List<String> backtrace) {
         /** The reservation ran out without a report. */
         public static final RunFailure RESERVATION_EXPIRED =
-            new RunFailure("ReservationExpired", "its worker kept it too long without a word", List.of());
+                new RunFailure(
+                        "ReservationExpired",
+                        "its worker kept it too long without a word",
+                        List.of());
+
         /** The worker disconnected or stopped its heartbeats. */
         public static final RunFailure WORKER_GONE =
-            new RunFailure("WorkerGone", "its worker went away with it", List.of());
+                new RunFailure("WorkerGone", "its worker went away with it", List.of());
+
         /** The job's deadline passed during the run. */
         public static final RunFailure DEADLINE_PASSED =
-            new RunFailure("OutOfTime", "its time ran out with its worker", List.of());
+                new RunFailure("OutOfTime", "its time ran out with its worker", List.of());
     }
 
     /**
-     * The back-off before the next retry, in milliseconds: count^4 + 15 + rand(30)*(count+1) seconds, as in Faktory's
-     * protocol.
+     * The back-off before the next retry, in milliseconds: count^4 + 15 + rand(30)*(count+1)
+     * seconds, as in Faktory's protocol.
      *
      * @param count the failures before this one
      */
     public static long backoffMs(int count, SplittableRandom random) {
         long n = Math.min(count, MAX_FAILURES_COUNTED);
-        return TimeUnit.SECONDS.toMillis(n * n * n * n + MIN_BACKOFF_S + random.nextInt(JITTER_S) * (n + 1));
+        return TimeUnit.SECONDS.toMillis(
+                n * n * n * n + MIN_BACKOFF_S + random.nextInt(JITTER_S) * (n + 1));
     }
 
     /** Whether the job's class allows a run at this time, given what may have run before. */
@@ -87,43 +106,62 @@
             return true;
         }
         boolean deduplicated = of.effect() == Effect.KEYED && of.group() == Group.ALL;
-        long sinceMs = atMs - record.firstRunMs(); // below 0 where the wall clock was put back: then nobody knows
+        long sinceMs =
+                atMs - record.firstRunMs(); // below 0 where the wall clock was put back: then
+        // nobody knows
         return deduplicated && sinceMs >= 0 && sinceMs < of.windowUs() / 1000;
     }
 
     /**
-     * Decides what follows a failed run: one that its worker reported, whose worker went away, or whose reservation
-     * expired.
+     * Decides what follows a failed run: one that its worker reported, whose worker went away, or
+     * whose reservation expired.
      *
      * @param how the worker's report, or what was observed instead
      */
-    public static NextState failed(JobRecord record, JobClass of, RunFailure how, long nowMs, SplittableRandom random) {
+    public static NextState failed(
+            JobRecord record, JobClass of, RunFailure how, long nowMs, SplittableRandom random) {
         int retry = record.facts().retry();
         int count = record.failure() == null ? 0 : record.failure().count() + 1;
         Failure failure = failure(count, nowMs, 0, how, record.facts().backtrace());
         String message = how.type() + ": " + how.message();
         if (of.effect() == Effect.UNSAFE) {
-            return new NextState(State.DEAD, nowMs, failure,
-                "it may have run and its class must not run twice; " + message);
+            return new NextState(
+                    State.DEAD,
+                    nowMs,
+                    failure,
+                    "it may have run and its class must not run twice; " + message);
         }
         if (retry == 0) {
             return new NextState(State.DISCARDED, 0, failure, "failed, with no retry; " + message);
         }
         if (retry < 0 || count >= retry) {
-            return new NextState(State.DEAD, nowMs, failure, (retry < 0 ? "" : "no retries are left; ") + message);
+            return new NextState(
+                    State.DEAD,
+                    nowMs,
+                    failure,
+                    (retry < 0 ? "" : "no retries are left; ") + message);
         }
         long retryMs = nowMs + backoffMs(count, random);
         if (!mayRun(record, of, retryMs)) {
-            return new NextState(State.DEAD, nowMs, failure,
-                "it may have run, and a retry would come after its key's window; " + message);
+            return new NextState(
+                    State.DEAD,
+                    nowMs,
+                    failure,
+                    "it may have run, and a retry would come after its key's window; " + message);
         }
         Failure retried = failure(count, nowMs, retryMs, how, record.facts().backtrace());
         return new NextState(State.RETRY, retryMs, retried, message);
     }
 
-    private static Failure failure(int count, long nowMs, long nextMs, RunFailure how, int backtraceLines) {
-        return new Failure(count, nowMs, nextMs, how.type(), how.message(),
-            how.backtrace().subList(0, Math.min(how.backtrace().size(), backtraceLines)));
+    private static Failure failure(
+            int count, long nowMs, long nextMs, RunFailure how, int backtraceLines) {
+        return new Failure(
+                count,
+                nowMs,
+                nextMs,
+                how.type(),
+                how.message(),
+                how.backtrace().subList(0, Math.min(how.backtrace().size(), backtraceLines)));
     }
 
     /** Decides what a start does with a stored job, from what it may have done before the stop. */
@@ -131,13 +169,16 @@
         boolean late = record.awaited() && nowMs >= record.facts().deadlineMs();
         return switch (record.state()) {
             case QUEUED -> recoveredFromQueue(record, of, nowMs, late);
-            case RESERVED -> record.awaited() && !late && of.effect() == Effect.SAFE
-                ? RecoveryAction.DISPATCH : RecoveryAction.AWAIT_REPORT;
+            case RESERVED ->
+                    record.awaited() && !late && of.effect() == Effect.SAFE
+                            ? RecoveryAction.DISPATCH
+                            : RecoveryAction.AWAIT_REPORT;
             default -> RecoveryAction.RESTORE;
         };
     }
 
-    private static RecoveryAction recoveredFromQueue(JobRecord record, JobClass of, long nowMs, boolean late) {
+    private static RecoveryAction recoveredFromQueue(
+            JobRecord record, JobClass of, long nowMs, boolean late) {
         if (!record.awaited()) {
             return RecoveryAction.RESTORE;
         }
@@ -147,9 +188,14 @@
         return mayRun(record, of, nowMs) ? RecoveryAction.DISPATCH : RecoveryAction.AWAIT_REPORT;
     }
 
-    /** Until when the report of a worker that has reconnected is awaited for a job that it had before the stop. */
+    /**
+     * Until when the report of a worker that has reconnected is awaited for a job that it had
+     * before the stop.
+     */
     public static long reportDeadlineMs(JobRecord record) {
         long reservedUntil = record.updatedMs() + record.facts().reserveMs();
-        return record.awaited() ? Math.min(reservedUntil, record.facts().deadlineMs()) : reservedUntil;
+        return record.awaited()
+                ? Math.min(reservedUntil, record.facts().deadlineMs())
+                : reservedUntil;
     }
 }
--- a/src/main/java/damsonslip/faktoryclient/FaktoryClient.java
+++ b/src/main/java/damsonslip/faktoryclient/FaktoryClient.java
@@ -15,13 +15,19 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** A producer's or worker's connection to a Faktory server. Blocking, with timeouts; not thread-safe. */
+/**
+ * A producer's or worker's connection to a Faktory server. Blocking, with timeouts; not
+ * thread-safe.
+ */
 public final class FaktoryClient implements Closeable {
     /** For building commands and reading replies. */
     public static final ObjectMapper JSON = new ObjectMapper();
+
     private static final int BUFFER_BYTES = 64 * 1024;
+
     /** Longest bulk reply that is read, in bytes. */
     private static final int MAX_REPLY_BYTES = 16 * 1024 * 1024;
+
     /** Characters of an unknown reply that are shown. */
     private static final int SHOWN_CHARS = 60;
 
@@ -29,7 +35,7 @@
      * A server's reply.
      *
      * @param error whether it is an error
-     * @param text  its text; null for an empty bulk reply
+     * @param text its text; null for an empty bulk reply
      */
     public record Reply(boolean error, String text) {
         /** Whether the reply is {@code OK}. */
@@ -51,12 +57,13 @@
     /**
      * Connects and reads the greeting.
      *
-     * @param name             this client's host name and label in its HELLO
+     * @param name this client's host name and label in its HELLO
      * @param connectTimeoutMs longest time to connect, in milliseconds
-     * @param readTimeoutMs    longest wait for a part of a reply, in milliseconds
+     * @param readTimeoutMs longest wait for a part of a reply, in milliseconds
      */
-    public FaktoryClient(InetSocketAddress server, String name, int connectTimeoutMs, int readTimeoutMs)
-        throws IOException {
+    public FaktoryClient(
+            InetSocketAddress server, String name, int connectTimeoutMs, int readTimeoutMs)
+            throws IOException {
         this.name = name;
         socket.connect(server, connectTimeoutMs);
         socket.setSoTimeout(readTimeoutMs);
@@ -79,7 +86,8 @@
             hello.put("wid", wid);
         }
         if (asked.has("s")) {
-            hello.put("pwdhash", hash(password + asked.path("s").asText(), asked.path("i").asInt(1)));
+            hello.put(
+                    "pwdhash", hash(password + asked.path("s").asText(), asked.path("i").asInt(1)));
         }
         return call("HELLO " + hello);
     }
@@ -111,7 +119,8 @@
     /**
      * Reads one reply.
      *
-     * @throws IOException if the connection ends or times out, or what comes is not a reply of the protocol
+     * @throws IOException if the connection ends or times out, or what comes is not a reply of the
+     *     protocol
      */
     public Reply read() throws IOException {
         String line = line();
@@ -119,7 +128,10 @@
             case '+', ':' -> new Reply(false, line.substring(1));
             case '-' -> new Reply(true, line.substring(1));
             case '$' -> new Reply(false, bulk(Integer.parseInt(line.substring(1))));
-            default -> throw new IOException("not a reply: " + line.substring(0, Math.min(SHOWN_CHARS, line.length())));
+            default ->
+                    throw new IOException(
+                            "not a reply: "
+                                    + line.substring(0, Math.min(SHOWN_CHARS, line.length())));
         };
     }
 
@@ -145,11 +157,15 @@
             }
             line.append((char) b);
         }
-        return line.length() > 0 && line.charAt(line.length() - 1) == '\r' ? line.substring(0, line.length() - 1)
-            : line.toString();
+        return line.length() > 0 && line.charAt(line.length() - 1) == '\r'
+                ? line.substring(0, line.length() - 1)
+                : line.toString();
     }
 
-    /** Reads to the end of the connection; returns whether the server ended it within the read timeout. */
+    /**
+     * Reads to the end of the connection; returns whether the server ended it within the read
+     * timeout.
+     */
     public boolean ended() {
         try {
             int last = in.read();
--- a/src/main/java/damsonslip/fleet/Fleet.java
+++ b/src/main/java/damsonslip/fleet/Fleet.java
@@ -12,16 +12,23 @@
 public final class Fleet {
     /** Given up sooner than this after it was taken, a query was never held. */
     private static final long AT_ONCE_US = 5_000;
+
     /** A job that has not started after this long waited in its worker's queue. */
     private static final long START_US = 80_000;
+
     /** Clients who come back within so long of each other come together. */
     private static final long CROWD_US = 100_000;
+
     /** A worker takes long when its jobs take this many times as long as usual. */
     private static final double SLOW = 2;
+
     /** Weight of a newest job in a mean, once a few are known. */
     private static final double WEIGHT = 0.05;
 
-    /** What the settings say of a class, and its jobs' mean time where they ran warm and undisturbed. */
+    /**
+     * What the settings say of a class, and its jobs' mean time where they ran warm and
+     * undisturbed.
+     */
     private static final class JobClass {
         private double aimUs;
         private double stretch;
@@ -67,16 +74,27 @@
     static final class Worker {
         private long startedUs = Long.MIN_VALUE;
         private boolean running;
+
         /** The newest news of it is a job that started or a link that held. */
         private boolean reached;
+
         private int inUse;
         private int begun;
         private int most;
         private final Map<Integer, Mean> times = new HashMap<>();
-        /** Work begun while it was cold, by windows of the stated length since its start: microseconds of slots. */
+
+        /**
+         * Work begun while it was cold, by windows of the stated length since its start:
+         * microseconds of slots.
+         */
         final Map<Long, Double> coldWork = new TreeMap<>();
-        /** The most that all schedulers together took for theirs in such a window: each one's part, as it saw it then. */
+
+        /**
+         * The most that all schedulers together took for theirs in such a window: each one's part,
+         * as it saw it then.
+         */
         final Map<Long, Map<String, Double>> coldParts = new TreeMap<>();
+
         int coldJobs;
         int coldLate;
     }
@@ -109,13 +127,16 @@
             case "asked" -> second.add(Sum.LIST_CALLS, 1);
             case "counters" -> counted(scheduler, line);
             case "cold" -> coldSeen(name, line);
-            case "pool" -> second.cuts.computeIfAbsent(line.what(), fresh -> new Second.Cut()).add(name, line);
+            case "pool" ->
+                    second.cuts
+                            .computeIfAbsent(line.what(), fresh -> new Second.Cut())
+                            .add(name, line);
             case "taken" -> taken(scheduler, line);
             case "sent" -> sent(scheduler, line);
             case "started" -> started(scheduler, line);
             case "ended" -> ended(scheduler, line);
             case "answered" -> answered(scheduler, line);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -191,8 +212,11 @@
     private void coldSeen(String name, Line line) {
         Worker worker = workers.get(line.what());
         if (worker != null && line.atUs() >= worker.startedUs) {
-            worker.coldParts.computeIfAbsent((long) ((line.atUs() - worker.startedUs) / fallUs), fresh -> new HashMap<>())
-                .merge(name, line.number("partUs"), Math::max);
+            worker.coldParts
+                    .computeIfAbsent(
+                            (long) ((line.atUs() - worker.startedUs) / fallUs),
+                            fresh -> new HashMap<>())
+                    .merge(name, line.number("partUs"), Math::max);
         }
     }
 
@@ -233,8 +257,10 @@
         if (execution.cold) {
             second.add(Sum.TO_COLD, 1);
             worker.coldJobs++;
-            worker.coldWork.merge((long) ((line.atUs() - worker.startedUs) / fallUs),
-                classes.get(query.jobClass).time.value * query.slots, Double::sum);
+            worker.coldWork.merge(
+                    (long) ((line.atUs() - worker.startedUs) / fallUs),
+                    classes.get(query.jobClass).time.value * query.slots,
+                    Double::sum);
         }
     }
 
@@ -260,10 +286,16 @@
         Execution execution = query.last;
         leave(execution);
         execution.ended = how;
-        workers.get(execution.to).reached &= !List.of("NOT_CONNECTED", "RESET", "TIMED_OUT").contains(how);
+        workers.get(execution.to).reached &=
+                !List.of("NOT_CONNECTED", "RESET", "TIMED_OUT").contains(how);
         if (how.equals("SERVED")) {
-            double took = line.atUs() - (execution.startedUs > 0 ? execution.startedUs : execution.sentUs);
-            workers.get(execution.to).times.computeIfAbsent(query.jobClass, fresh -> new Mean()).add(took);
+            double took =
+                    line.atUs()
+                            - (execution.startedUs > 0 ? execution.startedUs : execution.sentUs);
+            workers.get(execution.to)
+                    .times
+                    .computeIfAbsent(query.jobClass, fresh -> new Mean())
+                    .add(took);
             if (!execution.cold) {
                 classes.get(query.jobClass).time.add(took);
             }
@@ -339,7 +371,9 @@
             return Loss.LATE_QUEUE;
         }
         Mean there = workers.get(last.to).times.get(query.jobClass);
-        return there.value > SLOW * classes.get(query.jobClass).time.value ? Loss.LATE_WORKER : Loss.LATE_LONG;
+        return there.value > SLOW * classes.get(query.jobClass).time.value
+                ? Loss.LATE_WORKER
+                : Loss.LATE_LONG;
     }
 
     private Loss unserved(Query query, long now) {
@@ -347,18 +381,25 @@
         if (query.stale) {
             return Loss.STALE_LIST;
         } else if (query.last != null && !how.equals("CANCELLED") && !how.equals("FULL")) {
-            return how.equals("ERROR") ? Loss.AFTER_ERROR
-                : how.isEmpty() || how.equals("TIMED_OUT") ? Loss.AFTER_TIME : Loss.AFTER_LINK;
+            return how.equals("ERROR")
+                    ? Loss.AFTER_ERROR
+                    : how.isEmpty() || how.equals("TIMED_OUT") ? Loss.AFTER_TIME : Loss.AFTER_LINK;
         }
         boolean room = room(now) >= query.slots;
-        return now - query.takenUs < AT_ONCE_US ? room ? Loss.REFUSED_BESIDE_ROOM : Loss.REFUSED
-            : room ? Loss.GIVEN_UP_BESIDE_ROOM : Loss.GIVEN_UP;
+        return now - query.takenUs < AT_ONCE_US
+                ? room ? Loss.REFUSED_BESIDE_ROOM : Loss.REFUSED
+                : room ? Loss.GIVEN_UP_BESIDE_ROOM : Loss.GIVEN_UP;
     }
 
-    /** Free slots of warm workers, as nobody could know them: what has run there at once, less what all have there. */
+    /**
+     * Free slots of warm workers, as nobody could know them: what has run there at once, less what
+     * all have there.
+     */
     private int room(long now) {
-        return workers.values().stream().filter(w -> w.running && w.reached && now - w.startedUs >= coldUs)
-            .mapToInt(w -> Math.max(0, w.most - w.inUse)).sum();
+        return workers.values().stream()
+                .filter(w -> w.running && w.reached && now - w.startedUs >= coldUs)
+                .mapToInt(w -> Math.max(0, w.most - w.inUse))
+                .sum();
     }
 
     private void lost(Loss loss, Query query) {
--- a/src/main/java/damsonslip/fleet/Line.java
+++ b/src/main/java/damsonslip/fleet/Line.java
@@ -8,15 +8,19 @@
 /**
  * One line of a trace.
  *
- * @param atUs   when it was written, from midnight
- * @param word   what it tells of
- * @param what   of whom: a query, a worker, a pool; empty if of nobody
+ * @param atUs when it was written, from midnight
+ * @param word what it tells of
+ * @param what of whom: a query, a worker, a pool; empty if of nobody
  * @param fields its {@code name=value} pairs
  */
 public record Line(long atUs, String word, String what, Map<String, String> fields) {
-    /** A reader may have put its own clock in front; the program's is the one that is the same everywhere. */
+    /**
+     * A reader may have put its own clock in front; the program's is the one that is the same
+     * everywhere.
+     */
     private static final Pattern FORM =
-        Pattern.compile("(?:\\S+ )?(\\d\\d):(\\d\\d):(\\d\\d)\\.(\\d{3}) DEBUG Trace - (\\S+)(.*)");
+            Pattern.compile(
+                    "(?:\\S+ )?(\\d\\d):(\\d\\d):(\\d\\d)\\.(\\d{3}) DEBUG Trace - (\\S+)(.*)");
 
     /** Decodes a line; null if it is not a trace's. */
     public static Line of(String text) {
@@ -24,8 +28,9 @@
         if (!line.matches()) {
             return null;
         }
-        long seconds = (Long.parseLong(line.group(1)) * 60 + Long.parseLong(line.group(2))) * 60
-            + Long.parseLong(line.group(3));
+        long seconds =
+                (Long.parseLong(line.group(1)) * 60 + Long.parseLong(line.group(2))) * 60
+                        + Long.parseLong(line.group(3));
         Map<String, String> fields = new HashMap<>();
         StringBuilder what = new StringBuilder();
         for (String part : line.group(6).trim().split(" ")) {
--- a/src/main/java/damsonslip/fleet/Second.java
+++ b/src/main/java/damsonslip/fleet/Second.java
@@ -9,8 +9,25 @@
 final class Second {
     /** What is added up in it; the report has a column for each. */
     enum Sum {
-        TAKEN, SERVED, LATE, REFUSED, GIVEN_UP, OUT_OF_TIME, BROKEN, FAILED, DUE_BACK, SENT, AGAIN, MOVED, ERRORS, LINKS,
-        IDLE_CLOSED, PROBES, LIST_CALLS, LIST_FAILURES, TO_COLD
+        TAKEN,
+        SERVED,
+        LATE,
+        REFUSED,
+        GIVEN_UP,
+        OUT_OF_TIME,
+        BROKEN,
+        FAILED,
+        DUE_BACK,
+        SENT,
+        AGAIN,
+        MOVED,
+        ERRORS,
+        LINKS,
+        IDLE_CLOSED,
+        PROBES,
+        LIST_CALLS,
+        LIST_FAILURES,
+        TO_COLD
     }
 
     /** Clients that were told to come back in the same tenth of it, at the most. */
@@ -18,8 +35,10 @@
 
     final long[] sums = new long[Sum.values().length];
     final Set<String> serving = new HashSet<>();
+
     /** The oldest list that a scheduler decided by, in microseconds of its age. */
     long oldestListUs;
+
     /** By pool: how each scheduler cut it, and the least and the most that one of them says. */
     final Map<String, Cut> cuts = new TreeMap<>();
 
@@ -38,7 +57,9 @@
             mostShare = Math.max(mostShare, pool.number("share"));
         }
 
-        /** The part of its workers that all schedulers count to the pool, of those that any does. */
+        /**
+         * The part of its workers that all schedulers count to the pool, of those that any does.
+         */
         double alike() {
             Set<String> any = new HashSet<>();
             Set<String> all = null;
--- a/src/main/java/damsonslip/handover/SharedDirectory.java
+++ b/src/main/java/damsonslip/handover/SharedDirectory.java
@@ -18,24 +18,33 @@
 import java.util.List;
 
 /**
- * The directory through which processes of one scheduler see each other and share the operators' worker overrides.
+ * The directory through which processes of one scheduler see each other and share the operators'
+ * worker overrides.
  *
- * <p>Each process holds an exclusive lock on a file of its own, whose name ends in the process's number. The operating
- * system releases the lock however the process ends, so the lock, not the file's presence or a process id, shows that
- * its holder is alive. The file's content is the holder's state, {@code starting} or {@code serving}. A process must not
- * open its own lock file a second time: closing any channel on a file releases the process's locks on it (POSIX).
+ * <p>Each process holds an exclusive lock on a file of its own, whose name ends in the process's
+ * number. The operating system releases the lock however the process ends, so the lock, not the
+ * file's presence or a process id, shows that its holder is alive. The file's content is the
+ * holder's state, {@code starting} or {@code serving}. A process must not open its own lock file a
+ * second time: closing any channel on a file releases the process's locks on it (POSIX).
  *
  * <p>Not thread-safe.
  */
 public final class SharedDirectory {
     private static final String LOCK_FILE_PREFIX = "damsonslip-mark-";
     private static final String OVERRIDES_FILE = "damsonslip-bans";
+
     /** Locked while a process changes the directory. */
     private static final String DIRECTORY_LOCK_FILE = "damsonslip-guard";
+
     private static final String SERVING = "serving ";
     private static final String STARTING = "starting";
-    /** Attempts at the directory's lock, which others hold for as long as writing a small file takes. */
+
+    /**
+     * Attempts at the directory's lock, which others hold for as long as writing a small file
+     * takes.
+     */
     private static final int LOCK_ATTEMPTS = 25;
+
     private static final long LOCK_RETRY_MS = 2;
 
     /** An action on the directory that must not run in two processes at once. */
@@ -46,20 +55,26 @@
     private final Path path;
     private final int number;
     private final FileChannel lockFile;
-    /** Size, time and identity of the overrides file when it was last read or written; null before. */
+
+    /**
+     * Size, time and identity of the overrides file when it was last read or written; null before.
+     */
     private Object lastVersion;
 
     /**
-     * Registers this process under the next free number and removes the lock files of dead processes.
+     * Registers this process under the next free number and removes the lock files of dead
+     * processes.
      *
-     * @throws IOException if the directory cannot be written, or its lock is held for longer than 50 ms
+     * @throws IOException if the directory cannot be written, or its lock is held for longer than
+     *     50 ms
      */
     public SharedDirectory(Path path) throws IOException {
         this.path = path;
         Registration registration = new Registration();
         try {
             withLock(registration::make);
-            registration.lockFile.write(ByteBuffer.wrap(STARTING.getBytes(StandardCharsets.US_ASCII)), 0);
+            registration.lockFile.write(
+                    ByteBuffer.wrap(STARTING.getBytes(StandardCharsets.US_ASCII)), 0);
         } catch (IOException e) { // a lock that stayed would keep this process from trying again
             registration.undo();
             throw e;
@@ -84,8 +99,10 @@
                 }
             }
             number = 1 + numbers.stream().mapToInt(Integer::intValue).max().orElse(0);
-            // locked before it gets the name under which other processes probe it, since a probe holds the lock briefly
-            lockFile = FileChannel.open(unnamed, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+            // locked before it gets the name under which other processes probe it, since a probe
+            // holds the lock briefly
+            lockFile =
+                    FileChannel.open(unnamed, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             if (lockFile.tryLock() == null) {
                 throw new IOException("the mark of this process is held by another");
             }
@@ -105,11 +122,15 @@
         writeState(SERVING);
     }
 
-    private void writeState(String state) throws IOException { // both states have the same length: one overwrites the other
+    private void writeState(String state)
+            throws IOException { // both states have the same length: one overwrites the other
         lockFile.write(ByteBuffer.wrap(state.getBytes(StandardCharsets.US_ASCII)), 0);
     }
 
-    /** Probes the lock files of the other processes and returns the position of this one among those alive. */
+    /**
+     * Probes the lock files of the other processes and returns the position of this one among those
+     * alive.
+     */
     public PeerProcesses peers() throws IOException {
         List<PeerProcesses.Peer> others = new ArrayList<>();
         for (Path other : lockFiles()) {
@@ -123,8 +144,9 @@
 
     /** Returns the state in another process's lock file, or null if its holder is dead. */
     private String readState(Path other) throws IOException {
-        try (FileChannel channel = FileChannel.open(other, StandardOpenOption.READ, StandardOpenOption.WRITE);
-             FileLock lock = channel.tryLock()) {
+        try (FileChannel channel =
+                        FileChannel.open(other, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                FileLock lock = channel.tryLock()) {
             if (lock != null) {
                 return null;
             }
@@ -140,7 +162,10 @@
         List<Path> lockFiles = new ArrayList<>();
         try (DirectoryStream<Path> found = Files.newDirectoryStream(path, LOCK_FILE_PREFIX + "*")) {
             for (Path file : found) {
-                if (file.getFileName().toString().substring(LOCK_FILE_PREFIX.length()).matches("[0-9]{1,8}")) {
+                if (file.getFileName()
+                        .toString()
+                        .substring(LOCK_FILE_PREFIX.length())
+                        .matches("[0-9]{1,8}")) {
                     lockFiles.add(file);
                 }
             }
@@ -157,8 +182,8 @@
     }
 
     /**
-     * Returns the shared worker overrides if another process has written them since the last call that went well; null
-     * otherwise.
+     * Returns the shared worker overrides if another process has written them since the last call
+     * that went well; null otherwise.
      */
     public String readChangedOverrides() throws IOException {
         Path file = path.resolve(OVERRIDES_FILE);
@@ -172,21 +197,26 @@
     }
 
     /**
-     * Replaces the shared worker overrides atomically and durably: a crash leaves the old text or the new one, and once
-     * this returns it leaves the new one.
+     * Replaces the shared worker overrides atomically and durably: a crash leaves the old text or
+     * the new one, and once this returns it leaves the new one.
      */
     public void writeOverrides(String overrides) throws IOException {
         Path whole = path.resolve(OVERRIDES_FILE);
         Path part = path.resolve(OVERRIDES_FILE + ".part");
-        try (FileChannel file = FileChannel.open(part, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                 StandardOpenOption.WRITE)) {
+        try (FileChannel file =
+                FileChannel.open(
+                        part,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE)) {
             ByteBuffer text = ByteBuffer.wrap(overrides.getBytes(StandardCharsets.UTF_8));
             while (text.hasRemaining()) {
                 file.write(text);
             }
             file.force(true);
         }
-        Files.move(part, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                part, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
             folder.force(true); // the new name as well
         }
@@ -210,8 +240,12 @@
      * @throws IOException from the task, or if the lock is not free within 50 ms
      */
     public void withLock(Task task) throws IOException {
-        try (FileChannel channel = FileChannel.open(path.resolve(DIRECTORY_LOCK_FILE), StandardOpenOption.CREATE,
-                 StandardOpenOption.WRITE); FileLock lock = acquire(channel)) {
+        try (FileChannel channel =
+                        FileChannel.open(
+                                path.resolve(DIRECTORY_LOCK_FILE),
+                                StandardOpenOption.CREATE,
+                                StandardOpenOption.WRITE);
+                FileLock lock = acquire(channel)) {
             if (lock == null) {
                 throw new IOException("another process is busy with " + DIRECTORY_LOCK_FILE);
             }
--- a/src/main/java/damsonslip/invariants/InvariantMonitor.java
+++ b/src/main/java/damsonslip/invariants/InvariantMonitor.java
@@ -5,12 +5,16 @@
 import java.util.Optional;
 
 /**
- * Counts violations and tells what is to be done about one: in production the action goes on and is reported, since a guard
- * may be wrong; in tests it is refused, so that the fault shows. Not safe for use by several threads.
+ * Counts violations and tells what is to be done about one: in production the action goes on and is
+ * reported, since a guard may be wrong; in tests it is refused, so that the fault shows. Not safe
+ * for use by several threads.
  */
 public final class InvariantMonitor {
     /** What becomes of an action that breaks a rule. */
-    public enum Mode { REPORT, REFUSE }
+    public enum Mode {
+        REPORT,
+        REFUSE
+    }
 
     /** Is told of each violation. */
     public interface Reporter {
