--- a/src/main/java/damsonslip/invariants/RepeatGuard.java
+++ b/src/main/java/damsonslip/invariants/RepeatGuard.java
@@ -12,13 +12,13 @@
     private static final long SOCKET_SLACK_US = 50_000;
 
     /** Where a worker belongs. */
-    public record Place(String worker, int zone, int cell) { }
+    public record Place(String worker, int zone, int cell) {}
 
     /**
      * An attempt of the same request.
      *
-     * @param sentUs       when it was sent
-     * @param isOut        whether its end is still awaited
+     * @param sentUs when it was sent
+     * @param isOut whether its end is still awaited
      * @param provenNotRun whether its end proves that it never ran
      */
     public record Earlier(Place place, long sentUs, boolean isOut, boolean provenNotRun) {
@@ -27,10 +27,11 @@
         }
     }
 
-    private RepeatGuard() { }
+    private RepeatGuard() {}
 
     /** Gives the rule that an attempt there would break now. */
-    public static Optional<Violation> check(String job, JobClass of, Place place, List<Earlier> before, long nowUs) {
+    public static Optional<Violation> check(
+            String job, JobClass of, Place place, List<Earlier> before, long nowUs) {
         if (before.stream().anyMatch(Earlier::isOut)) {
             return violation(Invariant.NO_SECOND_COPY, job, place, "one is out");
         }
@@ -39,23 +40,39 @@
             return Optional.empty();
         }
         if (of.effect() == Effect.UNSAFE) {
-            return violation(Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, job, place, "it may have run at "
-                + first.get().place());
+            return violation(
+                    Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                    job,
+                    place,
+                    "it may have run at " + first.get().place());
         }
         boolean late = nowUs > first.get().sentUs() + of.windowUs() + SOCKET_SLACK_US;
         if (late || !isInGroup(of.group(), first.get().place(), place)) {
-            return violation(Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW, job, place,
-                (nowUs - first.get().sentUs()) + " us after " + first.get().place());
+            return violation(
+                    Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW,
+                    job,
+                    place,
+                    (nowUs - first.get().sentUs()) + " us after " + first.get().place());
         }
         return Optional.empty();
     }
 
-    /** Gives the rule that a refusal would break: it promises that the request had no effect, or that a repeat has none. */
+    /**
+     * Gives the rule that a refusal would break: it promises that the request had no effect, or
+     * that a repeat has none.
+     */
     public static Optional<Violation> checkRefusal(String job, JobClass of, List<Earlier> before) {
-        boolean harmless = of.effect() == Effect.SAFE || of.effect() == Effect.KEYED && of.group() == Group.ALL;
+        boolean harmless =
+                of.effect() == Effect.SAFE
+                        || of.effect() == Effect.KEYED && of.group() == Group.ALL;
         Optional<Earlier> run = before.stream().filter(Earlier::mayHaveRun).findFirst();
-        return harmless || run.isEmpty() ? Optional.empty()
-            : violation(Invariant.NO_REFUSAL_AFTER_A_RUN, job, run.get().place(), "it may have run there");
+        return harmless || run.isEmpty()
+                ? Optional.empty()
+                : violation(
+                        Invariant.NO_REFUSAL_AFTER_A_RUN,
+                        job,
+                        run.get().place(),
+                        "it may have run there");
     }
 
     private static boolean isInGroup(Group group, Place one, Place other) {
@@ -66,7 +83,8 @@
         };
     }
 
-    private static Optional<Violation> violation(Invariant invariant, String job, Place place, String detail) {
+    private static Optional<Violation> violation(
+            Invariant invariant, String job, Place place, String detail) {
         return Optional.of(new Violation(invariant, job, place.worker(), detail));
     }
 }
--- a/src/main/java/damsonslip/lab/CpuTimes.java
+++ b/src/main/java/damsonslip/lab/CpuTimes.java
@@ -6,14 +6,28 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** CPU time of the calling thread, by what it was spent on; CPU, since other programs share the machine. */
+/**
+ * CPU time of the calling thread, by what it was spent on; CPU, since other programs share the
+ * machine.
+ */
 final class CpuTimes {
     /** What a scheduler spends time on. */
-    enum Event { DECODE, LIST, DEAL, TIMER, ARRIVAL, OUTCOME }
+    enum Event {
+        DECODE,
+        LIST,
+        DEAL,
+        TIMER,
+        ARRIVAL,
+        OUTCOME
+    }
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int DIGITS = 3;
-    /** Histograms of a fixed range, so that what they hold does not pass for the scheduler's own heap. */
+
+    /**
+     * Histograms of a fixed range, so that what they hold does not pass for the scheduler's own
+     * heap.
+     */
     private static final long MOST_NS = 60_000_000_000L;
 
     private final Map<Event, Histogram> times = new EnumMap<>(Event.class);
@@ -46,6 +60,8 @@
 
     double sumUs(Event event) {
         Histogram histogram = times.get(event);
-        return histogram.getTotalCount() == 0 ? 0 : histogram.getMean() * histogram.getTotalCount() / 1e3;
+        return histogram.getTotalCount() == 0
+                ? 0
+                : histogram.getMean() * histogram.getTotalCount() / 1e3;
     }
 }
--- a/src/main/java/damsonslip/lab/HollowDiscovery.java
+++ b/src/main/java/damsonslip/lab/HollowDiscovery.java
@@ -8,23 +8,28 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Many schedulers' real watches on one discovery that serves calls one after another, on a simulated clock of microseconds:
- * it goes down, refuses, and comes back.
+ * Many schedulers' real watches on one discovery that serves calls one after another, on a
+ * simulated clock of microseconds: it goes down, refuses, and comes back.
  */
 final class HollowDiscovery {
     private static final long DOWN_US = 8_000_000;
     private static final long AFTER_US = 120_000_000;
-    /** A call that has waited so long is answered with 503, and has cost as much as a served one. */
+
+    /**
+     * A call that has waited so long is answered with 503, and has cost as much as a served one.
+     */
     private static final long PATIENCE_US = 3_000_000;
+
     private static final long ASK_EVERY_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 500_000;
 
-    private record Call(long atUs, int scheduler) { }
+    private record Call(long atUs, int scheduler) {}
 
     private final DiscoveryWatch[] watches;
     private final UniformRandomProvider random;
     private final PriorityQueue<Call> calls =
-        new PriorityQueue<>(Comparator.comparingLong(Call::atUs).thenComparingInt(Call::scheduler));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Call::atUs).thenComparingInt(Call::scheduler));
     private int refused;
     private int served;
     private long lastServedUs;
@@ -40,13 +45,18 @@
         }
     }
 
-    /** All open watches are lost at 0, discovery refuses for 8 s and then takes so long for each call. */
+    /**
+     * All open watches are lost at 0, discovery refuses for 8 s and then takes so long for each
+     * call.
+     */
     HollowDiscovery outage(long callUs) {
         for (int i = 0; i < watches.length; i++) {
             call(i, watches[i].lost(Loss.FAILED, 0, 0, random.nextDouble()));
         }
         long free = DOWN_US;
-        while (served < watches.length && !calls.isEmpty() && calls.peek().atUs() < DOWN_US + AFTER_US) {
+        while (served < watches.length
+                && !calls.isEmpty()
+                && calls.peek().atUs() < DOWN_US + AFTER_US) {
             Call next = calls.poll();
             watches[next.scheduler()].called(next.atUs());
             if (next.atUs() < DOWN_US) {
@@ -80,7 +90,10 @@
         return refused / (DOWN_US / 1e6);
     }
 
-    /** From its return until the last scheduler was served; where some never were, the time that was looked at. */
+    /**
+     * From its return until the last scheduler was served; where some never were, the time that was
+     * looked at.
+     */
     double returnedS() {
         return (served < watches.length ? AFTER_US : lastServedUs - DOWN_US) / 1e6;
     }
--- a/src/main/java/damsonslip/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/lab/HollowFleet.java
@@ -10,17 +10,21 @@
 import java.util.stream.IntStream;
 
 /**
- * Workers, a list and settings that stand for a fleet of a given size; the same seed gives the same ids.
+ * Workers, a list and settings that stand for a fleet of a given size; the same seed gives the same
+ * ids.
  *
- * @param workers    workers in the list
+ * @param workers workers in the list
  * @param schedulers schedulers that share them
- * @param teams      tenants with quotas
- * @param zones      zones that the workers are spread over
- * @param seed       of ids
+ * @param teams tenants with quotas
+ * @param zones zones that the workers are spread over
+ * @param seed of ids
  */
 record HollowFleet(int workers, int schedulers, int teams, int zones, long seed) {
-    /** Two machine kinds and three classes, one of each effect, as the operators' sites have them. */
-    private static final String SETTINGS = """
+    /**
+     * Two machine kinds and three classes, one of each effect, as the operators' sites have them.
+     */
+    private static final String SETTINGS =
+            """
         {"instances":%d,"slot_no":0,"zone":0,"azs":[%s],"shapes":["k0","k1"],"registry_mode":"on_request",
         "lanes":[{"name":"read","aim_s":30,"hard_limit_s":60,"semantics":"repeatable","value":1},
         {"name":"key","aim_s":30,"hard_limit_s":60,"semantics":"by_key","dedup_scope":"all","window_s":60,"value":2},
@@ -35,9 +39,16 @@
 
     String settingsText() {
         String names = names("z", zones);
-        String quotas = IntStream.range(0, teams).mapToObj(team -> String.format(Locale.ROOT,
-            "{\"name\":\"t%d\",\"quota_per_s\":%.3f}", team, 2 * Goal.STARTS_A_SECOND / teams))
-            .collect(Collectors.joining(","));
+        String quotas =
+                IntStream.range(0, teams)
+                        .mapToObj(
+                                team ->
+                                        String.format(
+                                                Locale.ROOT,
+                                                "{\"name\":\"t%d\",\"quota_per_s\":%.3f}",
+                                                team,
+                                                2 * Goal.STARTS_A_SECOND / teams))
+                        .collect(Collectors.joining(","));
         return SETTINGS.formatted(schedulers, names, quotas);
     }
 
@@ -51,7 +62,11 @@
 
     /** Ids as orchestrators give them: without meaning, and in no order. */
     String id(int worker) {
-        return "s-" + String.format(Locale.ROOT, "%08x", new SplittableRandom(seed * 1_000_003 + worker).nextInt());
+        return "s-"
+                + String.format(
+                        Locale.ROOT,
+                        "%08x",
+                        new SplittableRandom(seed * 1_000_003 + worker).nextInt());
     }
 
     int zone(int worker) {
@@ -60,14 +75,31 @@
 
     /** An entry of discovery's list, in the protocol page's form. */
     String entry(int worker, String lifecycle) {
-        return entry(worker, lifecycle, "10.%d.%d.%d:%d".formatted(1 + worker / 62_500, worker / 250 % 250,
-            1 + worker % 250, FIRST_PORT));
+        return entry(
+                worker,
+                lifecycle,
+                "10.%d.%d.%d:%d"
+                        .formatted(
+                                1 + worker / 62_500,
+                                worker / 250 % 250,
+                                1 + worker % 250,
+                                FIRST_PORT));
     }
 
     String entry(int worker, String lifecycle, String address) {
-        return "{\"instanceId\":\"" + id(worker) + "\",\"hostPort\":\"" + address + "\",\"zone\":\"z" + zone(worker)
-            + "\",\"machineType\":\"k" + worker % 2 + "\",\"cell\":" + worker / CELL_SIZE + ",\"lifecycle\":\"" + lifecycle
-            + "\",\"weight\":1.0,\"startedAtMs\":0}";
+        return "{\"instanceId\":\""
+                + id(worker)
+                + "\",\"hostPort\":\""
+                + address
+                + "\",\"zone\":\"z"
+                + zone(worker)
+                + "\",\"machineType\":\"k"
+                + worker % 2
+                + "\",\"cell\":"
+                + worker / CELL_SIZE
+                + ",\"lifecycle\":\""
+                + lifecycle
+                + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
     String wholeList(int generation) {
@@ -80,15 +112,27 @@
     }
 
     private String list(int generation, boolean whole, String lifecycle, int from, int to) {
-        return envelope(generation, whole, IntStream.range(from, to).mapToObj(worker -> entry(worker, lifecycle))
-            .collect(Collectors.joining(",")));
+        return envelope(
+                generation,
+                whole,
+                IntStream.range(from, to)
+                        .mapToObj(worker -> entry(worker, lifecycle))
+                        .collect(Collectors.joining(",")));
     }
 
     static String envelope(int generation, boolean whole, String entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":[" + entries + "]}";
+        return "{\"generation\":"
+                + generation
+                + ",\"reset\":"
+                + whole
+                + ",\"instances\":["
+                + entries
+                + "]}";
     }
 
     private static String names(String prefix, int count) {
-        return IntStream.range(0, count).mapToObj(i -> '"' + prefix + i + '"').collect(Collectors.joining(","));
+        return IntStream.range(0, count)
+                .mapToObj(i -> '"' + prefix + i + '"')
+                .collect(Collectors.joining(","));
     }
 }
--- a/src/main/java/damsonslip/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/lab/HollowScheduler.java
@@ -29,25 +29,28 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One scheduler's real decoding and decisions on a simulated clock, with jobs and workers that are played: no sockets, no
- * threads. Times are microseconds. The same fleet and seed give the same decisions; only the CPU times differ.
+ * One scheduler's real decoding and decisions on a simulated clock, with jobs and workers that are
+ * played: no sockets, no threads. Times are microseconds. The same fleet and seed give the same
+ * decisions; only the CPU times differ.
  */
 final class HollowScheduler {
     private static final long START_US = 1_000_000;
     private static final int MOST_OBJECT = 64 * 1024 * 1024;
     private static final long STARTED_AFTER_US = 2_000;
+
     /** What a worker reports free: of some four slots, as busy as the goal has them. */
     private static final double MEAN_FREE = 2;
+
     private static final String DEAL_LABEL = "deal";
 
-    private record Due(long atUs, long order, Event event) { }
+    private record Due(long atUs, long order, Event event) {}
 
     private final HollowFleet fleet;
     private final Rules rules;
     private final HostGroup registry;
     private final CpuTimes cpu;
     private final PriorityQueue<Due> due =
-        new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::order));
     private final Map<String, Long> reportedAt = new HashMap<>();
     private final Map<String, String> sentTo = new HashMap<>();
     private final UniformRandomProvider random;
@@ -72,10 +75,12 @@
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         HostGroup.Update[] update = new HostGroup.Update[1];
         List<List<Worker>> workers = new ArrayList<>();
-        cpu.time(CpuTimes.Event.DECODE, () -> {
-            update[0] = decoded(bytes);
-            workers.add(registry.apply(update[0], now));
-        });
+        cpu.time(
+                CpuTimes.Event.DECODE,
+                () -> {
+                    update[0] = decoded(bytes);
+                    workers.add(registry.apply(update[0], now));
+                });
         ListMode mode = HostGroup.mode(update[0]);
         handle(CpuTimes.Event.LIST, new ListUpdate(mode, workers.get(0)));
     }
@@ -94,8 +99,9 @@
             pass(Math.round(exponential.sample() / jobsASecond * 1e6));
             int jobClass = jobs % HollowFleet.CLASSES;
             int team = random.nextInt(fleet.teams());
-            handle(CpuTimes.Event.ARRIVAL,
-                new JobArrived("j" + jobs++, jobClass, team, null, now + 4 * taskUs, 1, 0));
+            handle(
+                    CpuTimes.Event.ARRIVAL,
+                    new JobArrived("j" + jobs++, jobClass, team, null, now + 4 * taskUs, 1, 0));
         }
     }
 
@@ -132,8 +138,14 @@
         } else if (action instanceof Send send) {
             sentTo.put(send.job(), send.worker());
             later(now + STARTED_AFTER_US, new AttemptStarted(send.job(), 0));
-            later(now + STARTED_AFTER_US + Math.round(exponential.sample() * taskUs), new AttemptEnded(send.job(), 0,
-                Outcome.SERVED, true, new Report(exponential.sample() * MEAN_FREE, Double.NaN, Double.NaN)));
+            later(
+                    now + STARTED_AFTER_US + Math.round(exponential.sample() * taskUs),
+                    new AttemptEnded(
+                            send.job(),
+                            0,
+                            Outcome.SERVED,
+                            true,
+                            new Report(exponential.sample() * MEAN_FREE, Double.NaN, Double.NaN)));
         }
     }
 
@@ -141,7 +153,9 @@
         due.add(new Due(atUs, order++, event));
     }
 
-    /** Ages of the newest report of each worker that has sent one, in seconds, the youngest first. */
+    /**
+     * Ages of the newest report of each worker that has sent one, in seconds, the youngest first.
+     */
     List<Double> reportAges() {
         return reportedAt.values().stream().map(at -> (now - at) / 1e6).sorted().toList();
     }
--- a/src/main/java/damsonslip/lab/Lab.java
+++ b/src/main/java/damsonslip/lab/Lab.java
@@ -9,32 +9,44 @@
 import picocli.CommandLine.Command;
 
 /** The command {@code lab}: tools that measure, beside the scheduler and never in it. */
-@Command(name = "lab", description = "Measures how a scheduler's costs grow with its fleet.",
-    subcommands = {ScaleCommand.class, SlopesCommand.class, RealCommand.class, SoakCommand.class})
+@Command(
+        name = "lab",
+        description = "Measures how a scheduler's costs grow with its fleet.",
+        subcommands = {
+            ScaleCommand.class,
+            SlopesCommand.class,
+            RealCommand.class,
+            SoakCommand.class
+        })
 public final class Lab {
     private static final int BAD_INPUT = 1;
     private static final int USAGE = 2;
 
-    private Lab() { }
+    private Lab() {}
 
-    /** Runs a command of the lab; gives its exit code: 1 on input that cannot be used, 2 on usage. */
+    /**
+     * Runs a command of the lab; gives its exit code: 1 on input that cannot be used, 2 on usage.
+     */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
         CommandLine line = new CommandLine(new Lab());
         line.setOut(new PrintWriter(out, true));
         line.setErr(new PrintWriter(err, true));
-        line.setParameterExceptionHandler((wrong, words) -> {
-            err.println("damsonslip: lab: " + firstLine(wrong));
-            return USAGE;
-        });
-        line.setExecutionExceptionHandler((thrown, command, parsed) -> {
-            if (!(thrown instanceof BadInput)) {
-                throw thrown;
-            }
-            err.println("damsonslip: " + firstLine(thrown));
-            return BAD_INPUT;
-        });
+        line.setParameterExceptionHandler(
+                (wrong, words) -> {
+                    err.println("damsonslip: lab: " + firstLine(wrong));
+                    return USAGE;
+                });
+        line.setExecutionExceptionHandler(
+                (thrown, command, parsed) -> {
+                    if (!(thrown instanceof BadInput)) {
+                        throw thrown;
+                    }
+                    err.println("damsonslip: " + firstLine(thrown));
+                    return BAD_INPUT;
+                });
         if (args.isEmpty()) {
-            err.println("usage: java -jar damsonslip.jar lab scale | slopes FILE | real | soak (--help tells more)");
+            err.println(
+                    "usage: java -jar damsonslip.jar lab scale | slopes FILE | real | soak (--help tells more)");
             return USAGE;
         }
         return line.execute(args.toArray(String[]::new));
--- a/src/main/java/damsonslip/lab/LoopbackDiscovery.java
+++ b/src/main/java/damsonslip/lab/LoopbackDiscovery.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A discovery on loopback for real schedulers: each call is a watch that gets an empty change, then what is told. */
+/**
+ * A discovery on loopback for real schedulers: each call is a watch that gets an empty change, then
+ * what is told.
+ */
 final class LoopbackDiscovery implements Closeable {
     private static final long PULSE_MS = 2_000;
     private static final long PATIENCE_S = 30;
@@ -33,14 +36,17 @@
     /** Waits until a scheduler watches. */
     void awaitWatch() throws IOException, InterruptedException {
         if (!watched.await(PATIENCE_S, TimeUnit.SECONDS)) {
-            throw new IOException("lab: no scheduler came to watch discovery within " + PATIENCE_S + " s");
+            throw new IOException(
+                    "lab: no scheduler came to watch discovery within " + PATIENCE_S + " s");
         }
     }
 
     /** Writes an object to all watches. */
     synchronized void tell(String object) {
         String text = object + "\n";
-        byte[] chunk = (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.UTF_8);
+        byte[] chunk =
+                (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
+                        .getBytes(StandardCharsets.UTF_8);
         for (Socket watch : watches) {
             try {
                 watch.getOutputStream().write(chunk);
@@ -62,7 +68,9 @@
                     continue;
                 }
                 OutputStream out = peer.getOutputStream();
-                out.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+                out.write(
+                        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                .getBytes(StandardCharsets.UTF_8));
                 watches.add(peer);
                 tell(HollowFleet.envelope(1, false, ""));
                 watched.countDown();
--- a/src/main/java/damsonslip/lab/RealCommand.java
+++ b/src/main/java/damsonslip/lab/RealCommand.java
@@ -13,9 +13,15 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code lab real}: real schedulers over loopback, with the same lists, to check the hollow figures. */
-@Command(name = "real", mixinStandardHelpOptions = true,
-    description = "Starts real schedulers over loopback and measures what the hollow ones only play.")
+/**
+ * {@code lab real}: real schedulers over loopback, with the same lists, to check the hollow
+ * figures.
+ */
+@Command(
+        name = "real",
+        mixinStandardHelpOptions = true,
+        description =
+                "Starts real schedulers over loopback and measures what the hollow ones only play.")
 final class RealCommand implements Callable<Integer> {
     private static final int MOST_PROCESSES = 40;
     private static final int MOST_WORKERS = 20_000;
@@ -28,18 +34,23 @@
     @Option(names = "--workers", split = ",", defaultValue = "60,600,2000,5500", paramLabel = "N")
     private List<Integer> workers;
 
-    @Option(names = "--processes", defaultValue = "8", description = "side by side, at the last size (${DEFAULT-VALUE})")
+    @Option(
+            names = "--processes",
+            defaultValue = "8",
+            description = "side by side, at the last size (${DEFAULT-VALUE})")
     private int processes;
 
     @Option(names = "--seed", defaultValue = "1")
     private long seed;
 
-    @Option(names = "--archive", paramLabel = "FILE", defaultValue = "target/damsonslip.jsa",
-        description = "the class archive of the run line (${DEFAULT-VALUE})")
+    @Option(
+            names = "--archive",
+            paramLabel = "FILE",
+            defaultValue = "target/damsonslip.jsa",
+            description = "the class archive of the run line (${DEFAULT-VALUE})")
     private String archive;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     private final List<Sample> samples = new ArrayList<>();
 
@@ -51,10 +62,13 @@
             }
         }
         if (processes < 1 || processes > MOST_PROCESSES) {
-            throw new BadInput("lab: processes: " + processes + " is not from 1 to " + MOST_PROCESSES);
+            throw new BadInput(
+                    "lab: processes: " + processes + " is not from 1 to " + MOST_PROCESSES);
         }
         Path file = csv == null ? null : SampleFile.writable(csv);
-        List<String> remarks = Machine.remarks(String.join(" ", spec.commandLine().getParseResult().originalArgs()));
+        List<String> remarks =
+                Machine.remarks(
+                        String.join(" ", spec.commandLine().getParseResult().originalArgs()));
         for (int size : workers) {
             spec.commandLine().getErr().println("workers " + size);
             one(size);
@@ -71,7 +85,7 @@
     private void one(int size) throws IOException, InterruptedException {
         HollowFleet fleet = new HollowFleet(size, 100, 50, 3, seed);
         try (LoopbackDiscovery discovery = new LoopbackDiscovery();
-             RealScheduler scheduler = new RealScheduler(fleet, discovery.port(), archive)) {
+                RealScheduler scheduler = new RealScheduler(fleet, discovery.port(), archive)) {
             add(Measure.PROCESS_READY, size, scheduler.readySeconds());
             add(Measure.PROCESS_START_CPU, size, scheduler.cpuMs());
             discovery.awaitWatch();
@@ -82,7 +96,9 @@
             long from = System.nanoTime();
             for (int i = 0; i < CHANGES; i++) {
                 int worker = i / 2 * 37 % size;
-                discovery.tell(fleet.changes(2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
+                discovery.tell(
+                        fleet.changes(
+                                2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
                 Thread.sleep(20);
             }
             add(Measure.PROCESS_BACKLOG, size, idlePercent(scheduler));
@@ -94,7 +110,10 @@
         }
     }
 
-    /** Until what the changes brought has been worked off: a second in which it spent less than a fifth of a core. */
+    /**
+     * Until what the changes brought has been worked off: a second in which it spent less than a
+     * fifth of a core.
+     */
     private static void settle(RealScheduler scheduler) throws IOException, InterruptedException {
         double last;
         int looks = 0;
@@ -104,7 +123,8 @@
         } while (scheduler.cpuMs() - last > 250 && looks++ < 40);
     }
 
-    private static double idlePercent(RealScheduler scheduler) throws IOException, InterruptedException {
+    private static double idlePercent(RealScheduler scheduler)
+            throws IOException, InterruptedException {
         double cpu = scheduler.cpuMs();
         long from = System.nanoTime();
         Thread.sleep(IDLE_MS);
@@ -118,13 +138,20 @@
             for (int i = 0; i < processes; i++) {
                 started.add(new RealScheduler(fleet, discovery.port(), archive));
             }
-            samples.add(new Sample(Measure.PROCESSES_STARTED, Axis.SCHEDULERS, processes, started.size(),
-                Basis.COUNTED));
+            samples.add(
+                    new Sample(
+                            Measure.PROCESSES_STARTED,
+                            Axis.SCHEDULERS,
+                            processes,
+                            started.size(),
+                            Basis.COUNTED));
             double rss = 0;
             for (RealScheduler scheduler : started) {
                 rss += scheduler.residentMb();
             }
-            samples.add(new Sample(Measure.PROCESS_RSS, Axis.SCHEDULERS, processes, rss, Basis.MEASURED));
+            samples.add(
+                    new Sample(
+                            Measure.PROCESS_RSS, Axis.SCHEDULERS, processes, rss, Basis.MEASURED));
         } finally {
             started.forEach(RealScheduler::close);
         }
--- a/src/main/java/damsonslip/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/lab/RealScheduler.java
@@ -14,11 +14,23 @@
 /** The real program with the run line's flags, as a process of its own, told of a hollow fleet. */
 final class RealScheduler implements Closeable {
     /** The run line of deploy/balancer.toml. */
-    private static final List<String> FLAGS = List.of("-Djava.locale.providers=COMPAT",
-        "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider", "-Dslf4j.internal.verbosity=WARN", "-Xms24m", "-Xmx64m",
-        "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:ReservedCodeCacheSize=24m",
-        "-XX:MaxMetaspaceSize=48m", "-XX:-UsePerfData", "-Xshare:auto");
-    private static final String CONFIG = """
+    private static final List<String> FLAGS =
+            List.of(
+                    "-Djava.locale.providers=COMPAT",
+                    "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider",
+                    "-Dslf4j.internal.verbosity=WARN",
+                    "-Xms24m",
+                    "-Xmx64m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:ReservedCodeCacheSize=24m",
+                    "-XX:MaxMetaspaceSize=48m",
+                    "-XX:-UsePerfData",
+                    "-Xshare:auto");
+
+    private static final String CONFIG =
+            """
         {"name":"lab","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1","limits":{"sockets":1024},
         "known":%s,"settings":%s}""";
     private static final long READY_MS = 60_000;
@@ -29,27 +41,40 @@
     private final Process process;
     private final double readySeconds;
 
-    RealScheduler(HollowFleet fleet, int discoveryPort, String archive) throws IOException, InterruptedException {
+    RealScheduler(HollowFleet fleet, int discoveryPort, String archive)
+            throws IOException, InterruptedException {
         folder = Files.createTempDirectory("lab");
         Path config = folder.resolve("config.json");
-        Files.writeString(config, CONFIG.formatted(freePort(), discoveryPort, fleet.wholeList(1), fleet.settingsText()));
+        Files.writeString(
+                config,
+                CONFIG.formatted(
+                        freePort(), discoveryPort, fleet.wholeList(1), fleet.settingsText()));
         List<String> command = new ArrayList<>(FLAGS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         if (Files.exists(Path.of(archive))) {
             command.add("-XX:SharedArchiveFile=" + archive);
         }
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), "damsonslip.program.Main", "serve"));
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(folder.resolve("log").toFile());
+        command.addAll(
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "damsonslip.program.Main",
+                        "serve"));
+        ProcessBuilder builder =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile());
         builder.environment().put("ROUTER_CONFIG", config.toString());
         builder.environment().put("TMPDIR", folder.toString());
         long from = System.nanoTime();
         process = builder.start();
         while (!Files.readString(folder.resolve("log")).contains("listens on")) {
-            if (!process.isAlive() || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MS)) {
+            if (!process.isAlive()
+                    || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MS)) {
                 String said = Files.readString(folder.resolve("log"));
                 close();
-                throw new IOException("lab: a scheduler did not start: " + said.lines().findFirst().orElse(""));
+                throw new IOException(
+                        "lab: a scheduler did not start: " + said.lines().findFirst().orElse(""));
             }
             Thread.sleep(5);
         }
@@ -64,22 +89,37 @@
     double cpuMs() throws IOException {
         String stat = Files.readString(proc("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(fields[UTIME]) + Long.parseLong(fields[UTIME + 1])) / TICKS_A_SECOND * 1e3;
+        return (Long.parseLong(fields[UTIME]) + Long.parseLong(fields[UTIME + 1]))
+                / TICKS_A_SECOND
+                * 1e3;
     }
 
     double residentMb() throws IOException {
-        return Files.readAllLines(proc("status")).stream().filter(line -> line.startsWith("VmRSS:"))
-            .mapToDouble(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024.0).findFirst().orElse(0);
+        return Files.readAllLines(proc("status")).stream()
+                .filter(line -> line.startsWith("VmRSS:"))
+                .mapToDouble(line -> Long.parseLong(line.replaceAll("\\D", "")) / 1024.0)
+                .findFirst()
+                .orElse(0);
     }
 
-    /** What its heap holds after a collection, as the JVM's own histogram of live objects counts it. */
+    /**
+     * What its heap holds after a collection, as the JVM's own histogram of live objects counts it.
+     */
     double heapKb() throws IOException, InterruptedException {
-        Process histogram = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
-            Long.toString(process.pid()), "GC.class_histogram").redirectErrorStream(true).start();
+        Process histogram =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
+                                Long.toString(process.pid()),
+                                "GC.class_histogram")
+                        .redirectErrorStream(true)
+                        .start();
         String text = new String(histogram.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         histogram.waitFor();
-        String total = text.lines().filter(line -> line.startsWith("Total")).findFirst()
-            .orElseThrow(() -> new IOException("lab: jcmd gave no histogram"));
+        String total =
+                text.lines()
+                        .filter(line -> line.startsWith("Total"))
+                        .findFirst()
+                        .orElseThrow(() -> new IOException("lab: jcmd gave no histogram"));
         return Long.parseLong(total.trim().split("\\s+")[2]) / 1024.0;
     }
 
--- a/src/main/java/damsonslip/lab/Sample.java
+++ b/src/main/java/damsonslip/lab/Sample.java
@@ -8,10 +8,10 @@
  * One measured point: a line of the CSV.
  *
  * @param measure what was measured
- * @param axis    what was varied
- * @param size    its size there
- * @param value   in the measure's unit
- * @param basis   how the value came about
+ * @param axis what was varied
+ * @param size its size there
+ * @param value in the measure's unit
+ * @param basis how the value came about
  */
 record Sample(Measure measure, Axis axis, long size, double value, Basis basis) {
     static final String HEADER = "role,measure,unit,axis,size,value,basis";
@@ -23,14 +23,33 @@
     }
 
     /** What a run varies. */
-    enum Axis { WORKERS, SCHEDULERS, TEAMS, ZONES }
+    enum Axis {
+        WORKERS,
+        SCHEDULERS,
+        TEAMS,
+        ZONES
+    }
 
-    /** Measured values vary with the machine; counted ones follow from the seed; estimated ones are worked out. */
-    enum Basis { MEASURED, COUNTED, ESTIMATED }
+    /**
+     * Measured values vary with the machine; counted ones follow from the seed; estimated ones are
+     * worked out.
+     */
+    enum Basis {
+        MEASURED,
+        COUNTED,
+        ESTIMATED
+    }
 
     String line() {
-        return String.join(",", quoted(measure.role), quoted(measure.label), measure.unit, axis.name().toLowerCase(),
-            Long.toString(size), number(value), basis.name().toLowerCase());
+        return String.join(
+                ",",
+                quoted(measure.role),
+                quoted(measure.label),
+                measure.unit,
+                axis.name().toLowerCase(),
+                Long.toString(size),
+                number(value),
+                basis.name().toLowerCase());
     }
 
     static Sample parse(String line) throws BadInput {
@@ -39,8 +58,12 @@
             throw new BadInput("lab: not a line of samples: " + line);
         }
         try {
-            return new Sample(Measure.labelled(bare(cells[0]), bare(cells[1])), Axis.valueOf(cells[3].toUpperCase()),
-                Long.parseLong(cells[4]), Double.parseDouble(cells[5]), Basis.valueOf(cells[6].toUpperCase()));
+            return new Sample(
+                    Measure.labelled(bare(cells[0]), bare(cells[1])),
+                    Axis.valueOf(cells[3].toUpperCase()),
+                    Long.parseLong(cells[4]),
+                    Double.parseDouble(cells[5]),
+                    Basis.valueOf(cells[6].toUpperCase()));
         } catch (IllegalArgumentException e) {
             throw new BadInput("lab: not a line of samples: " + line);
         }
--- a/src/main/java/damsonslip/lab/SampleFile.java
+++ b/src/main/java/damsonslip/lab/SampleFile.java
@@ -11,15 +11,17 @@
 
 /** Samples kept as CSV; lines that begin with '#' tell of the run. */
 final class SampleFile {
-    private SampleFile() { }
+    private SampleFile() {}
 
     /** Fails now if the file could not be written later, so that no run is lost over it. */
     static Path writable(String name) throws BadInput {
         try {
             Path file = Path.of(name).toAbsolutePath();
             Path folder = file.getParent();
-            if (folder == null || Files.isDirectory(file) || !Files.isDirectory(folder)
-                || Files.exists(file) && !Files.isWritable(file)) {
+            if (folder == null
+                    || Files.isDirectory(file)
+                    || !Files.isDirectory(folder)
+                    || Files.exists(file) && !Files.isWritable(file)) {
                 throw new BadInput("lab: cannot write " + name);
             }
             Files.delete(Files.createTempFile(folder, ".lab", ".tmp"));
@@ -29,7 +31,9 @@
         }
     }
 
-    /** Writes beside the file and moves it there, so that the file is either the old one or whole. */
+    /**
+     * Writes beside the file and moves it there, so that the file is either the old one or whole.
+     */
     static void write(Path file, List<String> remarks, List<Sample> samples) throws BadInput {
         List<String> lines = new ArrayList<>();
         remarks.forEach(remark -> lines.add("# " + remark));
--- a/src/main/java/damsonslip/lab/ScaleCommand.java
+++ b/src/main/java/damsonslip/lab/ScaleCommand.java
@@ -9,14 +9,24 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code lab scale}: the real decisions and decoding at growing sizes, among hollow workers and schedulers. */
-@Command(name = "scale", mixinStandardHelpOptions = true,
-    description = "Measures one scheduler's costs at growing sizes, in one process.")
+/**
+ * {@code lab scale}: the real decisions and decoding at growing sizes, among hollow workers and
+ * schedulers.
+ */
+@Command(
+        name = "scale",
+        mixinStandardHelpOptions = true,
+        description = "Measures one scheduler's costs at growing sizes, in one process.")
 final class ScaleCommand implements Callable<Integer> {
     private static final ScaleRun.Effort QUICK = new ScaleRun.Effort(8, 300);
     private static final ScaleRun.Effort WHOLE = new ScaleRun.Effort(50, 2_000);
-    /** Heap that a worker takes in this process while its list is read: text, bytes, tree and entries. */
+
+    /**
+     * Heap that a worker takes in this process while its list is read: text, bytes, tree and
+     * entries.
+     */
     private static final long WORKER_BYTES = 3_000;
+
     private static final long SCHEDULER_BYTES = 500;
     private static final long TEAM_BYTES = 1_000;
     private static final int MOST_ZONES = 1_000;
@@ -27,10 +37,17 @@
     @Option(names = "--csv", paramLabel = "FILE", description = "writes the samples there")
     private String csv;
 
-    @Option(names = "--seed", defaultValue = "1", description = "of ids, arrivals and times (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seed",
+            defaultValue = "1",
+            description = "of ids, arrivals and times (${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--workers", split = ",", defaultValue = "60,200,600,2000,5500", paramLabel = "N")
+    @Option(
+            names = "--workers",
+            split = ",",
+            defaultValue = "60,200,600,2000,5500",
+            paramLabel = "N")
     private List<Integer> workers;
 
     @Option(names = "--schedulers", split = ",", defaultValue = "3,14,50,100,300", paramLabel = "N")
@@ -42,8 +59,7 @@
     @Option(names = "--zones", split = ",", defaultValue = "1,3,12", paramLabel = "N")
     private List<Integer> zones;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws BadInput {
@@ -53,9 +69,16 @@
         check("zones", zones, MOST_ZONES);
         Path file = csv == null ? null : SampleFile.writable(csv);
         ScaleRun.Sizes sizes = new ScaleRun.Sizes(workers, schedulers, teams, zones);
-        List<String> remarks = Machine.remarks(String.join(" ", spec.commandLine().getParseResult().originalArgs()));
-        List<Sample> samples = new ScaleRun(sizes, quick ? QUICK : WHOLE, seed,
-            line -> spec.commandLine().getErr().println(line)).run();
+        List<String> remarks =
+                Machine.remarks(
+                        String.join(" ", spec.commandLine().getParseResult().originalArgs()));
+        List<Sample> samples =
+                new ScaleRun(
+                                sizes,
+                                quick ? QUICK : WHOLE,
+                                seed,
+                                line -> spec.commandLine().getErr().println(line))
+                        .run();
         if (file != null) {
             SampleFile.write(file, remarks, samples);
         }
@@ -70,7 +93,14 @@
                 throw new BadInput("lab: " + name + ": " + size + " is less than 1");
             }
             if (size > most) {
-                throw new BadInput("lab: " + name + ": " + size + " is beyond " + most + ", what this process may hold");
+                throw new BadInput(
+                        "lab: "
+                                + name
+                                + ": "
+                                + size
+                                + " is beyond "
+                                + most
+                                + ", what this process may hold");
             }
         }
     }
--- a/src/main/java/damsonslip/lab/ScaleRun.java
+++ b/src/main/java/damsonslip/lab/ScaleRun.java
@@ -14,18 +14,25 @@
      * How much is measured: warm-up and measured repetitions of each change, and jobs served.
      *
      * @param changes changes of the list, each measured
-     * @param jobs    jobs served before and again while measuring
+     * @param jobs jobs served before and again while measuring
      */
-    record Effort(int changes, int jobs) { }
+    record Effort(int changes, int jobs) {}
 
     /** The sizes of each axis. */
-    record Sizes(List<Integer> workers, List<Integer> schedulers, List<Integer> teams, List<Integer> zones) { }
+    record Sizes(
+            List<Integer> workers,
+            List<Integer> schedulers,
+            List<Integer> teams,
+            List<Integer> zones) {}
 
     /** What the other axes stay at; the first look had one scheduler of a hundred. */
     private static final HollowFleet BASE = new HollowFleet(600, 100, 50, 3, 1);
+
     private static final int RACK = 20;
+
     /** Racks, zones and regions are parts of the fleet: twelve zones, four regions. */
     private static final int ZONES = 12;
+
     private static final int REGIONS = 4;
     private static final int IDLE_DEALS = 12;
     private static final long DEAL_CYCLE_US = 1_050_000;
@@ -33,9 +40,15 @@
     private static final double REPORT_HEARD_S = 60;
     private static final long QUICK_CALL_US = 10_000;
     private static final long SLOW_CALL_US = 30_000;
-    /** A probe's bytes: {@code GET /load HTTP/1.1}, {@code Host}, and an answer with a report, counted from the wire. */
-    static final int PROBE_BYTES = "GET /load HTTP/1.1\r\nHost: app.svc\r\n\r\n".length()
-        + "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT util=0.61, eps=0, x0=3\r\nContent-Length: 0\r\n\r\n".length();
+
+    /**
+     * A probe's bytes: {@code GET /load HTTP/1.1}, {@code Host}, and an answer with a report,
+     * counted from the wire.
+     */
+    static final int PROBE_BYTES =
+            "GET /load HTTP/1.1\r\nHost: app.svc\r\n\r\n".length()
+                    + "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT util=0.61, eps=0, x0=3\r\nContent-Length: 0\r\n\r\n"
+                            .length();
 
     private final Sizes sizes;
     private final Effort effort;
@@ -62,24 +75,32 @@
         }
         for (int size : sizes.teams()) {
             progress.accept("teams " + size);
-            decisions(Axis.TEAMS, size, new HollowFleet(baseWorkers(), BASE.schedulers(), size, BASE.zones(), seed));
+            decisions(
+                    Axis.TEAMS,
+                    size,
+                    new HollowFleet(baseWorkers(), BASE.schedulers(), size, BASE.zones(), seed));
         }
         for (int size : sizes.zones()) {
             progress.accept("zones " + size);
-            decisions(Axis.ZONES, size, new HollowFleet(baseWorkers(), BASE.schedulers(), BASE.teams(), size, seed));
+            decisions(
+                    Axis.ZONES,
+                    size,
+                    new HollowFleet(baseWorkers(), BASE.schedulers(), BASE.teams(), size, seed));
         }
         return samples;
     }
 
     /** No more than the largest size that was asked for. */
     private int baseWorkers() {
-        return Math.min(BASE.workers(), sizes.workers().stream().max(Integer::compare).orElseThrow());
+        return Math.min(
+                BASE.workers(), sizes.workers().stream().max(Integer::compare).orElseThrow());
     }
 
     /** The first size would else pay for compiling what all of them use. */
     private void warmUp() throws BadInput {
         int smallest = sizes.workers().stream().min(Integer::compare).orElseThrow();
-        HollowFleet fleet = new HollowFleet(smallest, BASE.schedulers(), BASE.teams(), BASE.zones(), seed);
+        HollowFleet fleet =
+                new HollowFleet(smallest, BASE.schedulers(), BASE.teams(), BASE.zones(), seed);
         HollowScheduler scheduler = served(fleet, new CpuTimes());
         change(scheduler, fleet, 10 * effort.changes());
     }
@@ -96,9 +117,18 @@
         int whole = fleet.wholeList(1).getBytes(StandardCharsets.UTF_8).length;
         int change = fleet.changes(2, "draining", 0, 1).getBytes(StandardCharsets.UTF_8).length;
         add(Measure.WHOLE_LIST_BYTES, Axis.WORKERS, fleet.workers(), whole, Basis.COUNTED);
-        add(Measure.WHOLE_LIST_SECONDS, Axis.WORKERS, fleet.workers(), whole / Goal.BYTES_A_SECOND, Basis.COUNTED);
-        add(Measure.WHOLE_LIST_ALL_BYTES, Axis.WORKERS, fleet.workers(), (double) whole * Goal.SCHEDULERS_ASKING,
-            Basis.COUNTED);
+        add(
+                Measure.WHOLE_LIST_SECONDS,
+                Axis.WORKERS,
+                fleet.workers(),
+                whole / Goal.BYTES_A_SECOND,
+                Basis.COUNTED);
+        add(
+                Measure.WHOLE_LIST_ALL_BYTES,
+                Axis.WORKERS,
+                fleet.workers(),
+                (double) whole * Goal.SCHEDULERS_ASKING,
+                Basis.COUNTED);
         add(Measure.CHANGE_BYTES, Axis.WORKERS, fleet.workers(), change, Basis.COUNTED);
     }
 
@@ -107,13 +137,24 @@
         CpuTimes cpu = new CpuTimes();
         HollowScheduler scheduler = served(fleet, cpu);
         double firstList = cpu.sumUs(CpuTimes.Event.LIST) + cpu.sumUs(CpuTimes.Event.DECODE);
-        add(Measure.DECODE_LIST_CPU, axis, size, cpu.sumUs(CpuTimes.Event.DECODE) / 1e3, Basis.MEASURED);
+        add(
+                Measure.DECODE_LIST_CPU,
+                axis,
+                size,
+                cpu.sumUs(CpuTimes.Event.DECODE) / 1e3,
+                Basis.MEASURED);
         add(Measure.START_CPU, axis, size, firstList / 1e3, Basis.MEASURED);
         cpu.clear();
         scheduler.serve(effort.jobs(), jobsASecond(fleet));
-        double jobUs = cpu.medianUs(CpuTimes.Event.ARRIVAL) + 2 * cpu.medianUs(CpuTimes.Event.OUTCOME);
+        double jobUs =
+                cpu.medianUs(CpuTimes.Event.ARRIVAL) + 2 * cpu.medianUs(CpuTimes.Event.OUTCOME);
         add(Measure.JOB_CPU, axis, size, jobUs, Basis.MEASURED);
-        add(Measure.JOB_CPU_TAIL, axis, size, cpu.percentileUs(CpuTimes.Event.ARRIVAL, 99), Basis.MEASURED);
+        add(
+                Measure.JOB_CPU_TAIL,
+                axis,
+                size,
+                cpu.percentileUs(CpuTimes.Event.ARRIVAL, 99),
+                Basis.MEASURED);
         cpu.clear();
         scheduler.pass(IDLE_DEALS * DEAL_CYCLE_US);
         double dealUs = cpu.medianUs(CpuTimes.Event.DEAL);
@@ -124,7 +165,8 @@
         double decodeUs = cpu.medianUs(CpuTimes.Event.DECODE);
         add(Measure.CHANGE_CPU, axis, size, changeUs / 1e3, Basis.MEASURED);
         add(Measure.DECODE_CHANGE_CPU, axis, size, decodeUs / 1e3, Basis.MEASURED);
-        double changesASecond = Goal.CHANGES_A_DAY / Goal.SECONDS_A_DAY * fleet.workers() / Goal.WORKERS;
+        double changesASecond =
+                Goal.CHANGES_A_DAY / Goal.SECONDS_A_DAY * fleet.workers() / Goal.WORKERS;
         double share = dealUs / DEAL_CYCLE_US + (changeUs + decodeUs) / SECOND_US * changesASecond;
         add(Measure.CONTROL_SHARE, axis, size, 100 * share, Basis.MEASURED);
     }
@@ -145,7 +187,8 @@
     private static void change(HollowScheduler scheduler, HollowFleet fleet, int count) {
         for (int i = 0; i < count; i++) {
             int worker = i / 2 * 37 % fleet.workers();
-            scheduler.listed(fleet.changes(2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
+            scheduler.listed(
+                    fleet.changes(2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
         }
     }
 
@@ -159,8 +202,12 @@
         }
         double rackMs = listMs(cpu);
         add(Measure.RACK_CPU, Axis.WORKERS, workers, rackMs, Basis.MEASURED);
-        add(Measure.RELEASE_CPU, Axis.WORKERS, workers, 2 * rackMs / 1e3 / Math.min(RACK, workers) * workers,
-            Basis.ESTIMATED);
+        add(
+                Measure.RELEASE_CPU,
+                Axis.WORKERS,
+                workers,
+                2 * rackMs / 1e3 / Math.min(RACK, workers) * workers,
+                Basis.ESTIMATED);
         cpu.clear();
         scheduler.listed(fleet.changes(3, "gone", 0, Math.max(1, workers / ZONES)));
         add(Measure.ZONE_CPU, Axis.WORKERS, workers, listMs(cpu), Basis.MEASURED);
@@ -178,14 +225,23 @@
         double nothing = Heap.retainedKb(() -> knowing(fleet, false));
         double known = Heap.retainedKb(() -> knowing(fleet, true)) - nothing;
         add(Measure.KNOWN_HEAP, Axis.WORKERS, fleet.workers(), known, Basis.MEASURED);
-        double withLeft = Heap.retainedKb(() -> {
-            HollowScheduler scheduler = knowing(fleet, true);
-            int workers = fleet.workers();
-            scheduler.listed(fleet.changes(2, "ready", workers, workers + Goal.CHURN_A_DAY));
-            scheduler.listed(fleet.changes(3, "gone", workers, workers + Goal.CHURN_A_DAY));
-            return scheduler;
-        });
-        add(Measure.CHURN_HEAP, Axis.WORKERS, fleet.workers(), withLeft - known - nothing, Basis.MEASURED);
+        double withLeft =
+                Heap.retainedKb(
+                        () -> {
+                            HollowScheduler scheduler = knowing(fleet, true);
+                            int workers = fleet.workers();
+                            scheduler.listed(
+                                    fleet.changes(2, "ready", workers, workers + Goal.CHURN_A_DAY));
+                            scheduler.listed(
+                                    fleet.changes(3, "gone", workers, workers + Goal.CHURN_A_DAY));
+                            return scheduler;
+                        });
+        add(
+                Measure.CHURN_HEAP,
+                Axis.WORKERS,
+                fleet.workers(),
+                withLeft - known - nothing,
+                Basis.MEASURED);
     }
 
     private static HollowScheduler knowing(HollowFleet fleet, boolean list) {
@@ -200,24 +256,40 @@
         }
     }
 
-    /** How old what a scheduler knows of a worker is, after serving for so long as the effort allows. */
+    /**
+     * How old what a scheduler knows of a worker is, after serving for so long as the effort
+     * allows.
+     */
     private void reports(HollowFleet fleet) throws BadInput {
         HollowScheduler scheduler = served(fleet, new CpuTimes());
         scheduler.pass(0);
         List<Double> ages = scheduler.reportAges();
         long young = ages.stream().filter(age -> age <= REPORT_HEARD_S).count();
         int middle = fleet.workers() / 2;
-        if (middle < ages.size()) { // else half of the workers were never heard of: their age has no bound
+        if (middle
+                < ages.size()) { // else half of the workers were never heard of: their age has no
+            // bound
             add(Measure.REPORT_AGE, Axis.WORKERS, fleet.workers(), ages.get(middle), Basis.COUNTED);
         }
-        add(Measure.REPORTED_SHARE, Axis.WORKERS, fleet.workers(), 100.0 * young / fleet.workers(), Basis.COUNTED);
-        add(Measure.PROBE_AGE, Axis.WORKERS, fleet.workers(), fleet.workers() * PROBE_BYTES / Goal.BYTES_A_SECOND,
-            Basis.ESTIMATED);
+        add(
+                Measure.REPORTED_SHARE,
+                Axis.WORKERS,
+                fleet.workers(),
+                100.0 * young / fleet.workers(),
+                Basis.COUNTED);
+        add(
+                Measure.PROBE_AGE,
+                Axis.WORKERS,
+                fleet.workers(),
+                fleet.workers() * PROBE_BYTES / Goal.BYTES_A_SECOND,
+                Basis.ESTIMATED);
     }
 
     private void schedulers(int size) throws BadInput {
-        decisions(Axis.SCHEDULERS, size,
-            new HollowFleet(baseWorkers(), size, BASE.teams(), BASE.zones(), seed));
+        decisions(
+                Axis.SCHEDULERS,
+                size,
+                new HollowFleet(baseWorkers(), size, BASE.teams(), BASE.zones(), seed));
         HollowDiscovery quick = new HollowDiscovery(size, seed).outage(QUICK_CALL_US);
         HollowDiscovery slow = new HollowDiscovery(size, seed).outage(SLOW_CALL_US);
         double jobsAWorker = Goal.STARTS_A_SECOND / Goal.WORKERS;
@@ -225,8 +297,12 @@
         add(Measure.CALLS_A_SECOND, Axis.SCHEDULERS, size, quick.callsASecond(), Basis.COUNTED);
         add(Measure.RETURN_S, Axis.SCHEDULERS, size, quick.returnedS(), Basis.COUNTED);
         add(Measure.RETURN_SLOW_S, Axis.SCHEDULERS, size, slow.returnedS(), Basis.COUNTED);
-        add(Measure.SLOT_MS, Axis.SCHEDULERS, size, Math.min(Goal.WATCH_CYCLE_MS / size, Goal.WATCH_CALL_MS),
-            Basis.ESTIMATED);
+        add(
+                Measure.SLOT_MS,
+                Axis.SCHEDULERS,
+                size,
+                Math.min(Goal.WATCH_CYCLE_MS / size, Goal.WATCH_CALL_MS),
+                Basis.ESTIMATED);
     }
 
     private void add(Measure measure, Axis axis, int size, double value, Basis basis) {
--- a/src/main/java/damsonslip/lab/SlopeReport.java
+++ b/src/main/java/damsonslip/lab/SlopeReport.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Tables of what grows with what, worked out from samples alone: the same samples give the same lines. */
+/**
+ * Tables of what grows with what, worked out from samples alone: the same samples give the same
+ * lines.
+ */
 final class SlopeReport {
     /** Below this exponent a cost counts as not growing. */
     private static final double FLAT = 0.05;
@@ -18,32 +21,48 @@
     private static final double FAR = 10;
 
     /** What a real process shows, and what the hollow scheduler has for it. */
-    private static final Measure[][] PAIRS = {{Measure.PROCESS_IDLE, Measure.CONTROL_SHARE},
-        {Measure.PROCESS_CHANGE_CPU, Measure.CHANGE_CPU}, {Measure.PROCESS_HEAP, Measure.KNOWN_HEAP}};
+    private static final Measure[][] PAIRS = {
+        {Measure.PROCESS_IDLE, Measure.CONTROL_SHARE},
+        {Measure.PROCESS_CHANGE_CPU, Measure.CHANGE_CPU},
+        {Measure.PROCESS_HEAP, Measure.KNOWN_HEAP}
+    };
 
-    private record Series(Measure measure, Axis axis) { }
+    private record Series(Measure measure, Axis axis) {}
 
-    private record Shortfall(double size, String line) { }
+    private record Shortfall(double size, String line) {}
 
-    private SlopeReport() { }
+    private SlopeReport() {}
 
     static List<String> lines(List<Sample> samples) {
-        Map<Series, List<Sample>> series = samples.stream().collect(Collectors.groupingBy(
-            sample -> new Series(sample.measure(), sample.axis()), LinkedHashMap::new, Collectors.toList()));
-        List<String> lines = new ArrayList<>(List.of(
-            "| role | measure | axis | points (size: value) | unit | exponent | residual |",
-            "| --- | --- | --- | --- | --- | --- | --- |"));
+        Map<Series, List<Sample>> series =
+                samples.stream()
+                        .collect(
+                                Collectors.groupingBy(
+                                        sample -> new Series(sample.measure(), sample.axis()),
+                                        LinkedHashMap::new,
+                                        Collectors.toList()));
+        List<String> lines =
+                new ArrayList<>(
+                        List.of(
+                                "| role | measure | axis | points (size: value) | unit | exponent | residual |",
+                                "| --- | --- | --- | --- | --- | --- | --- |"));
         series.forEach((of, points) -> lines.add(row(of, points)));
         List<Shortfall> shortfalls = shortfalls(series);
         if (!shortfalls.isEmpty()) {
-            lines.addAll(List.of("", "| falls short at | axis | role | measure | budget | at the largest size |",
-                "| --- | --- | --- | --- | --- | --- |"));
+            lines.addAll(
+                    List.of(
+                            "",
+                            "| falls short at | axis | role | measure | budget | at the largest size |",
+                            "| --- | --- | --- | --- | --- | --- |"));
             shortfalls.forEach(shortfall -> lines.add(shortfall.line()));
         }
         List<String> ratios = ratios(series);
         if (!ratios.isEmpty()) {
-            lines.addAll(List.of("", "| real measure | workers | real | hollow | real / hollow |",
-                "| --- | --- | --- | --- | --- |"));
+            lines.addAll(
+                    List.of(
+                            "",
+                            "| real measure | workers | real | hollow | real / hollow |",
+                            "| --- | --- | --- | --- | --- |"));
             lines.addAll(ratios);
         }
         return lines;
@@ -53,15 +72,32 @@
     private static List<String> ratios(Map<Series, List<Sample>> series) {
         List<String> lines = new ArrayList<>();
         for (Measure[] pair : PAIRS) {
-            Map<Long, Double> hollow = series.getOrDefault(new Series(pair[1], Axis.WORKERS), List.of()).stream()
-                .collect(Collectors.toMap(Sample::size, Sample::value, (one, other) -> other));
-            List<Sample> real = series.getOrDefault(new Series(pair[0], Axis.WORKERS), List.of()).stream()
-                .filter(sample -> hollow.containsKey(sample.size())).toList();
+            Map<Long, Double> hollow =
+                    series.getOrDefault(new Series(pair[1], Axis.WORKERS), List.of()).stream()
+                            .collect(
+                                    Collectors.toMap(
+                                            Sample::size, Sample::value, (one, other) -> other));
+            List<Sample> real =
+                    series.getOrDefault(new Series(pair[0], Axis.WORKERS), List.of()).stream()
+                            .filter(sample -> hollow.containsKey(sample.size()))
+                            .toList();
             for (int i = 1; i < real.size(); i++) {
                 double grown = real.get(i).value() - real.get(0).value();
                 double expected = hollow.get(real.get(i).size()) - hollow.get(real.get(0).size());
-                lines.add("| " + pair[0].label + ", above that of " + real.get(0).size() + " | " + real.get(i).size()
-                    + " | " + shortNumber(grown) + " | " + shortNumber(expected) + " | " + two(grown / expected) + " |");
+                lines.add(
+                        "| "
+                                + pair[0].label
+                                + ", above that of "
+                                + real.get(0).size()
+                                + " | "
+                                + real.get(i).size()
+                                + " | "
+                                + shortNumber(grown)
+                                + " | "
+                                + shortNumber(expected)
+                                + " | "
+                                + two(grown / expected)
+                                + " |");
             }
         }
         return lines;
@@ -69,32 +105,71 @@
 
     private static String row(Series of, List<Sample> points) {
         PowerLaw law = PowerLaw.fit(points);
-        String values = points.stream().map(point -> point.size() + ": " + shortNumber(point.value()))
-            .collect(Collectors.joining(", "));
-        return "| " + of.measure.role + " | " + of.measure.label + " | " + of.axis.name().toLowerCase() + " | " + values
-            + " | " + of.measure.unit + " | " + (law == null ? "-" : two(law.exponent())) + " | "
-            + (law == null ? "-" : two(law.residual())) + " |";
+        String values =
+                points.stream()
+                        .map(point -> point.size() + ": " + shortNumber(point.value()))
+                        .collect(Collectors.joining(", "));
+        return "| "
+                + of.measure.role
+                + " | "
+                + of.measure.label
+                + " | "
+                + of.axis.name().toLowerCase()
+                + " | "
+                + values
+                + " | "
+                + of.measure.unit
+                + " | "
+                + (law == null ? "-" : two(law.exponent()))
+                + " | "
+                + (law == null ? "-" : two(law.residual()))
+                + " |";
     }
 
     /** Where a cost passes its budget, the smallest size first. */
     private static List<Shortfall> shortfalls(Map<Series, List<Sample>> series) {
         List<Shortfall> found = new ArrayList<>();
-        series.forEach((of, points) -> {
-            if (!Double.isNaN(of.measure.budget)) {
-                Sample last = points.get(points.size() - 1);
-                double size = reached(of.measure.budget, points);
-                String text = Double.isInfinite(size) ? "not in sight" : "some " + Math.round(size);
-                found.add(new Shortfall(size, "| " + text + " | " + of.axis.name().toLowerCase() + " | "
-                    + of.measure.role + " | " + of.measure.label + " | " + shortNumber(of.measure.budget) + " "
-                    + of.measure.unit + " | " + shortNumber(last.value()) + " at " + last.size() + ", "
-                    + shortNumber(last.value() / of.measure.budget) + " of the budget |"));
-            }
-        });
+        series.forEach(
+                (of, points) -> {
+                    if (!Double.isNaN(of.measure.budget)) {
+                        Sample last = points.get(points.size() - 1);
+                        double size = reached(of.measure.budget, points);
+                        String text =
+                                Double.isInfinite(size)
+                                        ? "not in sight"
+                                        : "some " + Math.round(size);
+                        found.add(
+                                new Shortfall(
+                                        size,
+                                        "| "
+                                                + text
+                                                + " | "
+                                                + of.axis.name().toLowerCase()
+                                                + " | "
+                                                + of.measure.role
+                                                + " | "
+                                                + of.measure.label
+                                                + " | "
+                                                + shortNumber(of.measure.budget)
+                                                + " "
+                                                + of.measure.unit
+                                                + " | "
+                                                + shortNumber(last.value())
+                                                + " at "
+                                                + last.size()
+                                                + ", "
+                                                + shortNumber(last.value() / of.measure.budget)
+                                                + " of the budget |"));
+                    }
+                });
         found.sort(Comparator.comparingDouble(Shortfall::size));
         return found;
     }
 
-    /** Between the two points that lie round the budget; beyond them by the line through the last two, if it grows. */
+    /**
+     * Between the two points that lie round the budget; beyond them by the line through the last
+     * two, if it grows.
+     */
     private static double reached(double budget, List<Sample> points) {
         for (int i = 1; i < points.size(); i++) {
             Sample before = points.get(i - 1);
@@ -106,7 +181,10 @@
             return points.get(0).size();
         }
         PowerLaw law = PowerLaw.fit(points.subList(Math.max(0, points.size() - 2), points.size()));
-        double size = law == null || law.exponent() < FLAT ? Double.POSITIVE_INFINITY : law.sizeAt(budget);
+        double size =
+                law == null || law.exponent() < FLAT
+                        ? Double.POSITIVE_INFINITY
+                        : law.sizeAt(budget);
         return size > FAR * points.get(points.size() - 1).size() ? Double.POSITIVE_INFINITY : size;
     }
 
--- a/src/main/java/damsonslip/lab/SlopesCommand.java
+++ b/src/main/java/damsonslip/lab/SlopesCommand.java
@@ -10,14 +10,19 @@
 import picocli.CommandLine.Spec;
 
 /** {@code lab slopes}: the tables of an earlier run, worked out again from its CSV. */
-@Command(name = "slopes", mixinStandardHelpOptions = true, description = "Recomputes a run's tables from its CSV.")
+@Command(
+        name = "slopes",
+        mixinStandardHelpOptions = true,
+        description = "Recomputes a run's tables from its CSV.")
 final class SlopesCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", arity = "1..*",
-        description = "what lab scale and lab real wrote with --csv; of both, the ratio is told as well")
+    @Parameters(
+            paramLabel = "FILE",
+            arity = "1..*",
+            description =
+                    "what lab scale and lab real wrote with --csv; of both, the ratio is told as well")
     private List<String> files;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws BadInput {
--- a/src/main/java/damsonslip/lab/soak/Clock.java
+++ b/src/main/java/damsonslip/lab/soak/Clock.java
@@ -5,7 +5,7 @@
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
 
-    private Clock() { }
+    private Clock() {}
 
     static long nowUs() {
         return System.nanoTime() / 1_000;
--- a/src/main/java/damsonslip/lab/soak/DiscoveryFront.java
+++ b/src/main/java/damsonslip/lab/soak/DiscoveryFront.java
@@ -12,16 +12,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Discovery as one scheduler sees it, at an address of its own, so that it is known what each has been told and when. It
- * can be down, slow, or leave open watches silent.
+ * Discovery as one scheduler sees it, at an address of its own, so that it is known what each has
+ * been told and when. It can be down, slow, or leave open watches silent.
  */
 final class DiscoveryFront implements Closeable {
     private static final long PULSE_US = 2 * Clock.SECOND;
     private static final int BACKLOG = 50;
 
     private final Membership membership;
+
     /** When each change was written to this scheduler's watch, by its generation. */
     private final Map<Integer, Long> toldUs;
+
     private final ServerSocket server;
     private final Set<Watch> watches = ConcurrentHashMap.newKeySet();
     private volatile boolean down;
@@ -123,7 +125,10 @@
             }
         }
 
-        /** The scheduler says nothing on a watch; its end is read, since what is written after that is told to nobody. */
+        /**
+         * The scheduler says nothing on a watch; its end is read, since what is written after that
+         * is told to nobody.
+         */
         private void awaitEnd() throws IOException {
             try {
                 wire.read();
--- a/src/main/java/damsonslip/lab/soak/FaultControl.java
+++ b/src/main/java/damsonslip/lab/soak/FaultControl.java
@@ -11,11 +11,12 @@
 import java.util.Map;
 
 /**
- * Commands the fault library in one process, through a file that both map; a command takes effect with the next call.
+ * Commands the fault library in one process, through a file that both map; a command takes effect
+ * with the next call.
  *
- * <p>Layout, in the machine's byte order: the wall clock's offset in nanoseconds (8 bytes, 8 unused), then for each
- * {@link SystemCall} 40 bytes: errno, every so manieth call, milliseconds to wait, most bytes (4 bytes each), calls,
- * failed calls (8 bytes each), 8 unused.
+ * <p>Layout, in the machine's byte order: the wall clock's offset in nanoseconds (8 bytes, 8
+ * unused), then for each {@link SystemCall} 40 bytes: errno, every so manieth call, milliseconds to
+ * wait, most bytes (4 bytes each), calls, failed calls (8 bytes each), 8 unused.
  */
 public final class FaultControl {
     private static final int SIZE = 4_096;
@@ -36,7 +37,8 @@
         this.library = library;
         this.file = Files.createTempFile(folder, "faults", ".control");
         Files.write(file, new byte[SIZE]);
-        try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
+        try (FileChannel channel =
+                FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
             control = channel.map(FileChannel.MapMode.READ_WRITE, 0, SIZE);
         }
         control.order(ByteOrder.nativeOrder());
--- a/src/main/java/damsonslip/lab/soak/FaultLibrary.java
+++ b/src/main/java/damsonslip/lab/soak/FaultLibrary.java
@@ -12,32 +12,51 @@
 public final class FaultLibrary {
     /** Where the source lies, from the root of the repository. */
     public static final Path SOURCE = Path.of("src", "test", "c", "faults.c");
+
     private static final long BUILD_S = 60;
 
-    private FaultLibrary() { }
+    private FaultLibrary() {}
 
     /**
-     * Builds the library into this folder and gives its path, or nothing where the machine has no compiler.
+     * Builds the library into this folder and gives its path, or nothing where the machine has no
+     * compiler.
      *
      * @throws IOException if the source cannot be built
      */
-    public static Optional<Path> build(Path source, Path folder) throws IOException, InterruptedException {
+    public static Optional<Path> build(Path source, Path folder)
+            throws IOException, InterruptedException {
         Files.createDirectories(folder);
         Path log = Files.createTempFile(folder, "faults", ".log");
         Path built = Files.createTempFile(folder, "faults", ".so");
         Process compiler;
         try {
-            compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", built.toString(), source.toString(),
-                "-ldl").redirectErrorStream(true).redirectOutput(log.toFile()).start();
+            compiler =
+                    new ProcessBuilder(
+                                    "cc",
+                                    "-shared",
+                                    "-fPIC",
+                                    "-O2",
+                                    "-o",
+                                    built.toString(),
+                                    source.toString(),
+                                    "-ldl")
+                            .redirectErrorStream(true)
+                            .redirectOutput(log.toFile())
+                            .start();
         } catch (IOException e) { // there is no such program
             return Optional.empty();
         }
         if (!compiler.waitFor(BUILD_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
             compiler.destroyForcibly();
-            throw new IOException("the fault library was not built: " + Files.readString(log, StandardCharsets.UTF_8));
+            throw new IOException(
+                    "the fault library was not built: "
+                            + Files.readString(log, StandardCharsets.UTF_8));
         }
         Path library = folder.resolve("faults.so").toAbsolutePath();
-        Files.move(built, library, StandardCopyOption.ATOMIC_MOVE); // another process may build it as well
+        Files.move(
+                built,
+                library,
+                StandardCopyOption.ATOMIC_MOVE); // another process may build it as well
         return Optional.of(library);
     }
 }
--- a/src/main/java/damsonslip/lab/soak/FaultProxy.java
+++ b/src/main/java/damsonslip/lab/soak/FaultProxy.java
@@ -15,8 +15,9 @@
 import java.util.function.IntSupplier;
 
 /**
- * The network between schedulers and one worker: passes bytes on both ways, and harms them as its condition says. What goes
- * to the worker is only split or cut, since that is when an attempt begins; answers are delayed and held back as well.
+ * The network between schedulers and one worker: passes bytes on both ways, and harms them as its
+ * condition says. What goes to the worker is only split or cut, since that is when an attempt
+ * begins; answers are delayed and held back as well.
  */
 final class FaultProxy implements Closeable {
     /** What the network does. */
@@ -42,6 +43,7 @@
     private static final long SPLIT_PAUSE_US = Clock.MILLISECOND / 2;
     private static final long LONGEST_DELAY_US = 60 * Clock.MILLISECOND;
     private static final long STALL_LOOK_US = 20 * Clock.MILLISECOND;
+
     /** Of what passes while it cuts, one piece of so many is the last of its connection. */
     private static final int CUT_ONE_OF = 12;
 
@@ -49,11 +51,16 @@
     private final Random random;
     private final ServerSocket server;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+
     /** When the request at hand was first read, by the port from which it is passed on. */
     private final Map<Integer, Long> beganUs = new ConcurrentHashMap<>();
+
     private volatile Condition condition = Condition.WELL;
 
-    /** Listens on a port of its own, and leads to the one that the target has when a connection comes. */
+    /**
+     * Listens on a port of its own, and leads to the one that the target has when a connection
+     * comes.
+     */
     FaultProxy(IntSupplier targetPort, long seed) throws IOException {
         this.targetPort = targetPort;
         this.random = new Random(seed);
@@ -65,7 +72,10 @@
         return server.getLocalPort();
     }
 
-    /** When the request began to come that is passed on from this port, or then if nothing is known of it. */
+    /**
+     * When the request began to come that is passed on from this port, or then if nothing is known
+     * of it.
+     */
     long beganUs(int fromPort, long thenUs) {
         return beganUs.getOrDefault(fromPort, thenUs);
     }
@@ -89,7 +99,9 @@
         try {
             near.setTcpNoDelay(true);
             far.setTcpNoDelay(true);
-            far.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort.getAsInt()), CONNECT_MS);
+            far.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort.getAsInt()),
+                    CONNECT_MS);
         } catch (IOException e) { // nobody is there: the near side learns it by a reset
             end(near, far, true);
             return;
@@ -99,7 +111,8 @@
         pass(near, far, port, false);
     }
 
-    private void pass(Socket from, Socket to, int port, boolean answers) throws InterruptedException {
+    private void pass(Socket from, Socket to, int port, boolean answers)
+            throws InterruptedException {
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
@@ -138,10 +151,14 @@
         return cuts && chance() * CUT_ONE_OF < 1;
     }
 
-    private void write(OutputStream out, byte[] bytes, int length) throws IOException, InterruptedException {
-        for (int at = 0; at < length;) {
+    private void write(OutputStream out, byte[] bytes, int length)
+            throws IOException, InterruptedException {
+        for (int at = 0; at < length; ) {
             boolean splits = condition == Condition.SPLITTING;
-            int piece = splits ? Math.min(length - at, 1 + (int) (chance() * LARGEST_PIECE)) : length - at;
+            int piece =
+                    splits
+                            ? Math.min(length - at, 1 + (int) (chance() * LARGEST_PIECE))
+                            : length - at;
             out.write(bytes, at, piece);
             at += piece;
             if (splits) {
--- a/src/main/java/damsonslip/lab/soak/HoldUps.java
+++ b/src/main/java/damsonslip/lab/soak/HoldUps.java
@@ -3,12 +3,15 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** When the soak's own process was held up: times that its clients and workers wrote down then are late by as much. */
+/**
+ * When the soak's own process was held up: times that its clients and workers wrote down then are
+ * late by as much.
+ */
 final class HoldUps {
     private static final long TICK_US = 5 * Clock.MILLISECOND;
     private static final long WORTH_A_NOTE_US = 10 * Clock.MILLISECOND;
 
-    private record HoldUp(long atUs, long lateUs) { }
+    private record HoldUp(long atUs, long lateUs) {}
 
     private final Queue<HoldUp> seen = new ConcurrentLinkedQueue<>();
     private final Thread ticking = Threads.start("hold-ups", this::tick);
@@ -26,8 +29,11 @@
 
     /** The longest hold-up that ended in this span. */
     long longestUs(long fromUs, long toUs) {
-        return seen.stream().filter(one -> one.atUs() >= fromUs && one.atUs() - one.lateUs() <= toUs)
-            .mapToLong(HoldUp::lateUs).max().orElse(0);
+        return seen.stream()
+                .filter(one -> one.atUs() >= fromUs && one.atUs() - one.lateUs() <= toUs)
+                .mapToLong(HoldUp::lateUs)
+                .max()
+                .orElse(0);
     }
 
     void stop() {
--- a/src/main/java/damsonslip/lab/soak/Ledger.java
+++ b/src/main/java/damsonslip/lab/soak/Ledger.java
@@ -7,10 +7,16 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** What clients and workers saw of each request; written by many threads, read once the run is over. */
+/**
+ * What clients and workers saw of each request; written by many threads, read once the run is over.
+ */
 final class Ledger {
     /** What repeating a request does. */
-    enum Effect { REPEATABLE, KEYED, ONCE }
+    enum Effect {
+        REPEATABLE,
+        KEYED,
+        ONCE
+    }
 
     /** How a request ended for its client. */
     enum End {
@@ -20,7 +26,9 @@
         LEFT,
         /** A new connection was closed or reset with no answer. */
         CLOSED_NEW,
-        /** A kept connection was closed or reset with no answer: it may have crossed the request. */
+        /**
+         * A kept connection was closed or reset with no answer: it may have crossed the request.
+         */
         CLOSED_KEPT,
         /** Its time, and half a second more, passed with no answer. */
         UNANSWERED,
@@ -34,8 +42,10 @@
         final int scheduler;
         final Effect effect;
         final long timeLeftUs;
+
         /** Before its first byte was written, and after its last. */
         volatile long beganUs;
+
         volatile long sentUs;
         volatile long leftUs = Long.MAX_VALUE / 2; // never, with room to add to it
         volatile long endedUs;
@@ -56,7 +66,7 @@
      * A request that came to a worker whole.
      *
      * @param incarnation how often the worker had been started anew by then
-     * @param toldUs      the time that it says is left
+     * @param toldUs the time that it says is left
      */
     static final class Attempt {
         final String worker;
@@ -67,7 +77,13 @@
         final long toldUs;
         volatile boolean provenNotRun;
 
-        Attempt(String worker, String zone, int incarnation, long beganUs, long wholeUs, long toldUs) {
+        Attempt(
+                String worker,
+                String zone,
+                int incarnation,
+                long beganUs,
+                long wholeUs,
+                long toldUs) {
             this.worker = worker;
             this.zone = zone;
             this.incarnation = incarnation;
@@ -78,7 +94,7 @@
     }
 
     /** Something that broke a rule by itself. */
-    record Finding(String rule, String id, String detail) { }
+    record Finding(String rule, String id, String detail) {}
 
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
     private final Queue<Finding> findings = new ConcurrentLinkedQueue<>();
--- a/src/main/java/damsonslip/lab/soak/Membership.java
+++ b/src/main/java/damsonslip/lab/soak/Membership.java
@@ -6,22 +6,37 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The list of workers that discovery tells, with the history of its changes. Safe for use by several threads. */
+/**
+ * The list of workers that discovery tells, with the history of its changes. Safe for use by
+ * several threads.
+ */
 final class Membership {
     /** What the list says of a worker. */
-    enum Lifecycle { READY, DRAINING, GONE }
+    enum Lifecycle {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** A worker as it is listed. */
     record Entry(String id, int port, String zone, Lifecycle lifecycle, long startedMs) {
         String json() {
-            return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port + "\",\"zone\":\"" + zone
-                + "\",\"machineType\":\"k\",\"cell\":0,\"lifecycle\":\"" + lifecycle.name().toLowerCase(Locale.ROOT)
-                + "\",\"weight\":1.0,\"startedAtMs\":" + startedMs + "}";
+            return "{\"instanceId\":\""
+                    + id
+                    + "\",\"hostPort\":\"127.0.0.1:"
+                    + port
+                    + "\",\"zone\":\""
+                    + zone
+                    + "\",\"machineType\":\"k\",\"cell\":0,\"lifecycle\":\""
+                    + lifecycle.name().toLowerCase(Locale.ROOT)
+                    + "\",\"weight\":1.0,\"startedAtMs\":"
+                    + startedMs
+                    + "}";
         }
     }
 
     /** A change, when it was made. */
-    record Change(int generation, Entry entry, long atUs) { }
+    record Change(int generation, Entry entry, long atUs) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
@@ -51,7 +66,10 @@
 
     /** The whole list in discovery's form. */
     synchronized String whole() {
-        return object(generation, true, entries.values().stream().filter(e -> e.lifecycle() != Lifecycle.GONE).toList());
+        return object(
+                generation,
+                true,
+                entries.values().stream().filter(e -> e.lifecycle() != Lifecycle.GONE).toList());
     }
 
     /** These changes in discovery's form; the list's own generation if there are none. */
@@ -61,7 +79,12 @@
     }
 
     private static String object(int generation, boolean whole, List<Entry> entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":["
-            + String.join(",", entries.stream().map(Entry::json).toList()) + "]}";
+        return "{\"generation\":"
+                + generation
+                + ",\"reset\":"
+                + whole
+                + ",\"instances\":["
+                + String.join(",", entries.stream().map(Entry::json).toList())
+                + "]}";
     }
 }
--- a/src/main/java/damsonslip/lab/soak/SchedulerProcess.java
+++ b/src/main/java/damsonslip/lab/soak/SchedulerProcess.java
@@ -12,13 +12,27 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** One real scheduler of the fleet: its process, which may be replaced, its files and its view of discovery. */
+/**
+ * One real scheduler of the fleet: its process, which may be replaced, its files and its view of
+ * discovery.
+ */
 final class SchedulerProcess {
     /** The run line of deploy/balancer.toml, but for the jar and the archive. */
-    private static final List<String> FLAGS = List.of("-Djava.locale.providers=COMPAT",
-        "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider", "-Dslf4j.internal.verbosity=WARN", "-Xms24m", "-Xmx64m",
-        "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:ReservedCodeCacheSize=24m",
-        "-XX:MaxMetaspaceSize=48m", "-XX:-UsePerfData", "-Xshare:auto");
+    private static final List<String> FLAGS =
+            List.of(
+                    "-Djava.locale.providers=COMPAT",
+                    "-Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider",
+                    "-Dslf4j.internal.verbosity=WARN",
+                    "-Xms24m",
+                    "-Xmx64m",
+                    "-Xss256k",
+                    "-XX:+UseSerialGC",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:ReservedCodeCacheSize=24m",
+                    "-XX:MaxMetaspaceSize=48m",
+                    "-XX:-UsePerfData",
+                    "-Xshare:auto");
+
     private static final long READY_US = 30 * Clock.SECOND;
     private static final int EXIT_BY_SIGTERM = 143;
 
@@ -46,18 +60,28 @@
     private final FaultControl faults;
     private final Ledger ledger;
     private final Membership membership;
+
     /** When each change was told, by its generation. */
     private final Map<Integer, Long> toldUs = new ConcurrentHashMap<>();
+
     private final List<DiscoveryFront> fronts = new CopyOnWriteArrayList<>();
+
     /** When it was killed outright; whatever it held then is its client's to repeat. */
     private final List<Span> kills = new CopyOnWriteArrayList<>();
+
     private final List<Path> logs = new CopyOnWriteArrayList<>();
     private volatile Process process;
     private volatile long readyUs;
     private volatile boolean leaving;
 
-    SchedulerProcess(int number, Setup setup, int port, FaultControl faults, Ledger ledger, Membership membership)
-        throws IOException {
+    SchedulerProcess(
+            int number,
+            Setup setup,
+            int port,
+            FaultControl faults,
+            Ledger ledger,
+            Membership membership)
+            throws IOException {
         this.number = number;
         this.setup = setup;
         this.port = port;
@@ -98,10 +122,21 @@
     }
 
     private void writeConfig() throws IOException {
-        Files.writeString(config(), "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + port
-            + "\",\"discovery\":\"127.0.0.1:" + discovery().port() + "\",\"seed\":\"" + (number + 1)
-            + "\",\"limits\":{\"sockets\":512},\"known\":" + membership.whole() + ",\"settings\":" + setup.settings()
-            + "}");
+        Files.writeString(
+                config(),
+                "{\"name\":\"n"
+                        + number
+                        + "\",\"listen\":\"127.0.0.1:"
+                        + port
+                        + "\",\"discovery\":\"127.0.0.1:"
+                        + discovery().port()
+                        + "\",\"seed\":\""
+                        + (number + 1)
+                        + "\",\"limits\":{\"sockets\":512},\"known\":"
+                        + membership.whole()
+                        + ",\"settings\":"
+                        + setup.settings()
+                        + "}");
     }
 
     void start() throws IOException {
@@ -112,7 +147,8 @@
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(setup.program());
         command.add("serve");
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("ROUTER_CONFIG", config().toString());
         builder.environment().put("TMPDIR", setup.folder().toString());
         if (faults != null) {
@@ -140,7 +176,10 @@
         readyUs = Clock.nowUs();
     }
 
-    /** The JVM drops signals where it can start no thread (KNOWN-RED.txt): that trouble ends with a signal. */
+    /**
+     * The JVM drops signals where it can start no thread (KNOWN-RED.txt): that trouble ends with a
+     * signal.
+     */
     private void signal(String name) throws IOException, InterruptedException {
         if (faults != null) {
             faults.restore(SystemCall.THREAD_CREATE);
@@ -153,7 +192,10 @@
         leaving = true;
         signal("TERM");
         if (!process.waitFor(mostUs, TimeUnit.MICROSECONDS)) {
-            ledger.find("stop", "n" + number, "still running " + mostUs / Clock.MILLISECOND + " ms after SIGTERM");
+            ledger.find(
+                    "stop",
+                    "n" + number,
+                    "still running " + mostUs / Clock.MILLISECOND + " ms after SIGTERM");
             kill();
         } else if (process.exitValue() != EXIT_BY_SIGTERM) {
             ledger.find("stop", "n" + number, "exit code " + process.exitValue());
@@ -177,14 +219,20 @@
         kills.add(new Span(fromUs, Clock.nowUs()));
     }
 
-    /** Stands still for so long; one shell does it all, since to start another program may take as long again. */
+    /**
+     * Stands still for so long; one shell does it all, since to start another program may take as
+     * long again.
+     */
     void pause(long us) throws IOException, InterruptedException {
         long pid = process.pid();
         String commands = "kill -STOP " + pid + "; sleep " + us / 1e6 + "; kill -CONT " + pid;
         new ProcessBuilder("sh", "-c", commands).start().waitFor();
     }
 
-    /** Discovery moves to another address; the old one accepts nobody and ends its watches after 1.5 s. */
+    /**
+     * Discovery moves to another address; the old one accepts nobody and ends its watches after 1.5
+     * s.
+     */
     void reload() throws IOException, InterruptedException {
         if (leaving || !process.isAlive()) {
             return;
--- a/src/main/java/damsonslip/lab/soak/SoakClient.java
+++ b/src/main/java/damsonslip/lab/soak/SoakClient.java
@@ -11,10 +11,14 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A client that sends one request after another, each to some scheduler, on kept and on new connections. */
+/**
+ * A client that sends one request after another, each to some scheduler, on kept and on new
+ * connections.
+ */
 final class SoakClient {
     /** After its time a request is answered for half a second more; then it is lost (STANDING). */
     static final long LATE_US = Clock.SECOND / 2;
+
     private static final long HARNESS_US = 300 * Clock.MILLISECOND;
     private static final long PAUSE_US = 40 * Clock.MILLISECOND;
     private static final long UNREACHABLE_US = 100 * Clock.MILLISECOND;
@@ -27,7 +31,12 @@
     private final Map<Integer, Wire> kept = new HashMap<>();
     private int count;
 
-    SoakClient(String name, List<SchedulerProcess> schedulers, Ledger ledger, long seed, AtomicInteger leavePercent) {
+    SoakClient(
+            String name,
+            List<SchedulerProcess> schedulers,
+            Ledger ledger,
+            long seed,
+            AtomicInteger leavePercent) {
         this.name = name;
         this.schedulers = schedulers;
         this.ledger = ledger;
@@ -38,8 +47,12 @@
     void run(long untilUs) throws InterruptedException {
         while (Clock.nowUs() < untilUs) {
             int scheduler = random.nextInt(schedulers.size());
-            Request request = new Request(name + "-" + ++count, scheduler, Effect.values()[random.nextInt(3)],
-                (500 + random.nextInt(2_000)) * Clock.MILLISECOND);
+            Request request =
+                    new Request(
+                            name + "-" + ++count,
+                            scheduler,
+                            Effect.values()[random.nextInt(3)],
+                            (500 + random.nextInt(2_000)) * Clock.MILLISECOND);
             ledger.add(request);
             Wire wire = kept.remove(scheduler);
             boolean onKept = wire != null;
@@ -56,7 +69,8 @@
         }
     }
 
-    private void ask(Wire wire, Request request, boolean onKept) throws IOException, InterruptedException {
+    private void ask(Wire wire, Request request, boolean onKept)
+            throws IOException, InterruptedException {
         try {
             write(wire, request);
         } catch (IOException e) {
@@ -80,10 +94,18 @@
     }
 
     private void write(Wire wire, Request request) throws IOException, InterruptedException {
-        String key = request.effect == Effect.KEYED ? "Idempotency-Key: k-" + request.id + "\r\n" : "";
-        String text = "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + request.id + "\r\nX-Service-Class: "
-            + request.effect.name().toLowerCase(java.util.Locale.ROOT) + "\r\nX-Time-Left: "
-            + request.timeLeftUs / Clock.MILLISECOND + "m\r\n" + key + "Content-Length: 4\r\n\r\nbody";
+        String key =
+                request.effect == Effect.KEYED ? "Idempotency-Key: k-" + request.id + "\r\n" : "";
+        String text =
+                "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
+                        + request.id
+                        + "\r\nX-Service-Class: "
+                        + request.effect.name().toLowerCase(java.util.Locale.ROOT)
+                        + "\r\nX-Time-Left: "
+                        + request.timeLeftUs / Clock.MILLISECOND
+                        + "m\r\n"
+                        + key
+                        + "Content-Length: 4\r\n\r\nbody";
         request.beganUs = Clock.nowUs();
         if (random.nextInt(10) == 0) {
             wire.sendInPieces(text, 4, 3 * Clock.MILLISECOND);
--- a/src/main/java/damsonslip/lab/soak/SoakCommand.java
+++ b/src/main/java/damsonslip/lab/soak/SoakCommand.java
@@ -20,8 +20,11 @@
 import picocli.CommandLine.Spec;
 
 /** {@code lab soak}: real schedulers under overlapping troubles, judged by the rules. */
-@Command(name = "soak", mixinStandardHelpOptions = true,
-    description = "Plays seeds of overlapping troubles on real schedulers over loopback, and names each broken rule.")
+@Command(
+        name = "soak",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays seeds of overlapping troubles on real schedulers over loopback, and names each broken rule.")
 public final class SoakCommand implements Callable<Integer> {
     private static final int MOST_PROCESSES = 60;
     private static final int MOST_SECONDS = 60;
@@ -33,36 +36,61 @@
     @Option(names = "--count", defaultValue = "1", description = "so many seeds (${DEFAULT-VALUE})")
     private int count;
 
-    @Option(names = "--seconds", defaultValue = "12", description = "of load for each seed (${DEFAULT-VALUE})")
+    @Option(
+            names = "--seconds",
+            defaultValue = "12",
+            description = "of load for each seed (${DEFAULT-VALUE})")
     private int seconds;
 
-    @Option(names = "--processes", defaultValue = "24", description = "schedulers (${DEFAULT-VALUE})")
+    @Option(
+            names = "--processes",
+            defaultValue = "24",
+            description = "schedulers (${DEFAULT-VALUE})")
     private int processes;
 
-    @Option(names = "--without", split = ",", description = "troubles of the plan to leave out, by number")
+    @Option(
+            names = "--without",
+            split = ",",
+            description = "troubles of the plan to leave out, by number")
     private Set<Integer> without = new HashSet<>();
 
-    @Option(names = "--only", split = ",", description = "the only troubles of the plan to keep, by number")
+    @Option(
+            names = "--only",
+            split = ",",
+            description = "the only troubles of the plan to keep, by number")
     private Set<Integer> only = new HashSet<>();
 
-    @Option(names = "--shrink", description = "leaves troubles of a failing seed out until only the needed ones are left")
+    @Option(
+            names = "--shrink",
+            description =
+                    "leaves troubles of a failing seed out until only the needed ones are left")
     private boolean shrink;
 
-    @Option(names = "--folder", defaultValue = "target/soak", description = "for logs (${DEFAULT-VALUE})")
+    @Option(
+            names = "--folder",
+            defaultValue = "target/soak",
+            description = "for logs (${DEFAULT-VALUE})")
     private Path folder;
 
-    @Option(names = "--jar", defaultValue = "target/damsonslip.jar", description = "the program (${DEFAULT-VALUE})")
+    @Option(
+            names = "--jar",
+            defaultValue = "target/damsonslip.jar",
+            description = "the program (${DEFAULT-VALUE})")
     private Path jar;
 
-    @Option(names = "--archive", defaultValue = "target/damsonslip.jsa", description = "its classes (${DEFAULT-VALUE})")
+    @Option(
+            names = "--archive",
+            defaultValue = "target/damsonslip.jsa",
+            description = "its classes (${DEFAULT-VALUE})")
     private Path archive;
 
-    @Option(names = "--faults", defaultValue = "src/test/c/faults.c",
-        description = "the source of the fault library (${DEFAULT-VALUE})")
+    @Option(
+            names = "--faults",
+            defaultValue = "src/test/c/faults.c",
+            description = "the source of the fault library (${DEFAULT-VALUE})")
     private Path faults;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     private Optional<Path> library = Optional.empty();
 
@@ -87,7 +115,9 @@
                 }
             }
         }
-        out.printf("seeds %d to %d: %d passed, %d failed%n", seed, seed + count - 1, count - failed, failed);
+        out.printf(
+                "seeds %d to %d: %d passed, %d failed%n",
+                seed, seed + count - 1, count - failed, failed);
         return failed == 0 ? 0 : 1;
     }
 
@@ -102,7 +132,9 @@
     }
 
     private Verdict play(SoakPlan plan) throws IOException, InterruptedException {
-        Path own = Files.createTempDirectory(Files.createDirectories(folder), "seed-" + plan.seed() + "-");
+        Path own =
+                Files.createTempDirectory(
+                        Files.createDirectories(folder), "seed-" + plan.seed() + "-");
         SchedulerProcess.Setup shared = new SchedulerProcess.Setup(own, program(), "");
         Verdict verdict = new SoakRun(plan, seconds * Clock.SECOND, own, library, shared).play();
         if (verdict.passed()) {
@@ -129,22 +161,45 @@
     }
 
     private void print(PrintWriter out, SoakPlan plan, Verdict verdict) {
-        out.printf("seed %d: %s; %d requests, %d served, %d kept connections ended under one, ", plan.seed(),
-            verdict.passed() ? "passed" : "FAILED", verdict.requests(), verdict.served(), verdict.closedKept());
-        out.printf("guards %d, held up %d ms, %d us of CPU a request; %s%n", verdict.reported(),
-            verdict.longestHoldUpUs() / Clock.MILLISECOND, verdict.cpuUs(), plan.troubles());
-        verdict.findings().stream().limit(MOST_FINDINGS)
-            .forEach(one -> out.println("  " + one.rule() + " " + one.id() + ": " + one.detail()));
+        out.printf(
+                "seed %d: %s; %d requests, %d served, %d kept connections ended under one, ",
+                plan.seed(),
+                verdict.passed() ? "passed" : "FAILED",
+                verdict.requests(),
+                verdict.served(),
+                verdict.closedKept());
+        out.printf(
+                "guards %d, held up %d ms, %d us of CPU a request; %s%n",
+                verdict.reported(),
+                verdict.longestHoldUpUs() / Clock.MILLISECOND,
+                verdict.cpuUs(),
+                plan.troubles());
+        verdict.findings().stream()
+                .limit(MOST_FINDINGS)
+                .forEach(
+                        one ->
+                                out.println(
+                                        "  " + one.rule() + " " + one.id() + ": " + one.detail()));
         if (verdict.findings().size() > MOST_FINDINGS) {
-            out.println("  and " + (verdict.findings().size() - MOST_FINDINGS) + " more: " + verdict.findings().stream()
-                .collect(Collectors.groupingBy(Finding::rule, Collectors.counting())));
+            out.println(
+                    "  and "
+                            + (verdict.findings().size() - MOST_FINDINGS)
+                            + " more: "
+                            + verdict.findings().stream()
+                                    .collect(
+                                            Collectors.groupingBy(
+                                                    Finding::rule, Collectors.counting())));
         }
         out.flush();
     }
 
-    /** Leaves one trouble after the other out as long as one of the same rules breaks without it. */
-    private void shrink(PrintWriter out, long of, Verdict verdict) throws IOException, InterruptedException {
-        Set<String> rules = verdict.findings().stream().map(Finding::rule).collect(Collectors.toSet());
+    /**
+     * Leaves one trouble after the other out as long as one of the same rules breaks without it.
+     */
+    private void shrink(PrintWriter out, long of, Verdict verdict)
+            throws IOException, InterruptedException {
+        Set<String> rules =
+                verdict.findings().stream().map(Finding::rule).collect(Collectors.toSet());
         Set<Integer> leftOut = new HashSet<>(without);
         for (Trouble trouble : plan(of, without, only).troubles()) {
             Set<Integer> trial = new HashSet<>(leftOut);
--- a/src/main/java/damsonslip/lab/soak/SoakWorker.java
+++ b/src/main/java/damsonslip/lab/soak/SoakWorker.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
 
-/** A worker on loopback, well or in one of its troubles; it writes down every attempt that comes to it. */
+/**
+ * A worker on loopback, well or in one of its troubles; it writes down every attempt that comes to
+ * it.
+ */
 final class SoakWorker {
     /** How it treats what comes. */
     enum Mood {
@@ -51,15 +54,25 @@
     private volatile Mood mood = Mood.WELL;
     private volatile boolean draining;
     private volatile ServerSocket server;
+
     /** What schedulers reach it through; null if they reach it directly. */
     private final FaultProxy proxy;
+
     private volatile int incarnation;
     private volatile long startedUs;
     private volatile long startedMs;
 
-    /** @param behindProxy whether schedulers reach it through a network that can be harmed */
-    SoakWorker(String id, String zone, Ledger ledger, Membership membership, long seed, boolean behindProxy)
-        throws IOException {
+    /**
+     * @param behindProxy whether schedulers reach it through a network that can be harmed
+     */
+    SoakWorker(
+            String id,
+            String zone,
+            Ledger ledger,
+            Membership membership,
+            long seed,
+            boolean behindProxy)
+            throws IOException {
         this.id = id;
         this.zone = zone;
         this.ledger = ledger;
@@ -124,12 +137,14 @@
         fresh.setReuseAddress(true);
         fresh.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
         server = fresh;
-        Threads.start(id, () -> {
-            while (!fresh.isClosed()) {
-                Wire wire = new Wire(fresh.accept());
-                Threads.start(id, () -> serve(wire));
-            }
-        });
+        Threads.start(
+                id,
+                () -> {
+                    while (!fresh.isClosed()) {
+                        Wire wire = new Wire(fresh.accept());
+                        Threads.start(id, () -> serve(wire));
+                    }
+                });
     }
 
     private void serve(Wire wire) throws IOException, InterruptedException {
@@ -141,8 +156,12 @@
                     return;
                 }
                 if (message.first().startsWith("GET")) {
-                    wire.send("HTTP/1.1 " + (draining ? "503 No" : "200 OK") + "\r\nX-Backend-Load: TEXT x0="
-                        + slots.availablePermits() + "\r\nContent-Length: 0\r\n\r\n");
+                    wire.send(
+                            "HTTP/1.1 "
+                                    + (draining ? "503 No" : "200 OK")
+                                    + "\r\nX-Backend-Load: TEXT x0="
+                                    + slots.availablePermits()
+                                    + "\r\nContent-Length: 0\r\n\r\n");
                 } else if (!job(wire, message)) {
                     return;
                 }
@@ -157,13 +176,25 @@
         String job = message.field("X-Correlation-Id");
         Request request = ledger.request(job);
         if (request == null) {
-            ledger.find("stranger", String.valueOf(job), "worker " + id + " got an id that no client sent");
+            ledger.find(
+                    "stranger",
+                    String.valueOf(job),
+                    "worker " + id + " got an id that no client sent");
             wire.send("HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        long beganUs = proxy == null ? message.beganUs() : proxy.beganUs(wire.peerPort(), message.beganUs());
-        Attempt attempt = new Attempt(id, zone, incarnation, beganUs, message.wholeUs(),
-            micros(message.field("X-Time-Left")));
+        long beganUs =
+                proxy == null
+                        ? message.beganUs()
+                        : proxy.beganUs(wire.peerPort(), message.beganUs());
+        Attempt attempt =
+                new Attempt(
+                        id,
+                        zone,
+                        incarnation,
+                        beganUs,
+                        message.wholeUs(),
+                        micros(message.field("X-Time-Left")));
         request.attempts.add(attempt);
         switch (mood) {
             case HANGING -> {
@@ -189,14 +220,25 @@
     private boolean run(Wire wire, String job) throws IOException, InterruptedException {
         slots.acquire();
         try {
-            wire.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line(job, "started", "")));
+            wire.send(
+                    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            + chunk(line(job, "started", "")));
             Clock.sleepUs((long) (-Math.log(1 - random.nextDouble()) * MEAN_JOB_US));
             if (mood == Mood.RESETTING) {
                 wire.reset();
                 return false;
             }
-            String end = chunk(line(job, "done", ",\"result\":\"r-" + job + "\",\"load\":{\"x0\":"
-                + slots.availablePermits() + "}")) + "0\r\n\r\n";
+            String end =
+                    chunk(
+                                    line(
+                                            job,
+                                            "done",
+                                            ",\"result\":\"r-"
+                                                    + job
+                                                    + "\",\"load\":{\"x0\":"
+                                                    + slots.availablePermits()
+                                                    + "}"))
+                            + "0\r\n\r\n";
             if (mood == Mood.IN_PIECES) {
                 wire.sendInPieces(end, 6, 2 * Clock.MILLISECOND);
             } else {
@@ -213,7 +255,15 @@
     }
 
     private String line(String job, String state, String more) {
-        return "{\"id\":\"" + job + "\",\"from\":\"" + id + "\",\"state\":\"" + state + "\"" + more + "}\n";
+        return "{\"id\":\""
+                + job
+                + "\",\"from\":\""
+                + id
+                + "\",\"state\":\""
+                + state
+                + "\""
+                + more
+                + "}\n";
     }
 
     private static String chunk(String text) {
--- a/src/main/java/damsonslip/lab/soak/Threads.java
+++ b/src/main/java/damsonslip/lab/soak/Threads.java
@@ -11,16 +11,21 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private Threads() { }
+    private Threads() {}
 
     static Thread start(String name, Task task) {
-        Thread thread = new Thread(null, () -> {
-            try {
-                task.run();
-            } catch (IOException | InterruptedException e) {
-                // the other side has gone, or the run is over
-            }
-        }, name, STACK);
+        Thread thread =
+                new Thread(
+                        null,
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException | InterruptedException e) {
+                                // the other side has gone, or the run is over
+                            }
+                        },
+                        name,
+                        STACK);
         thread.setDaemon(true);
         thread.start();
         return thread;
--- a/src/main/java/damsonslip/lab/soak/Wire.java
+++ b/src/main/java/damsonslip/lab/soak/Wire.java
@@ -12,13 +12,17 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** One side of a connection with blocking reads of HTTP messages, which remembers when each began and when it was whole. */
+/**
+ * One side of a connection with blocking reads of HTTP messages, which remembers when each began
+ * and when it was whole.
+ */
 final class Wire implements Closeable {
     private static final int CONNECT_MS = 2_000;
     private static final int BUFFER = 8 * 1024;
 
     /** A message as it came, with the times at which its first and its last byte were read. */
-    record Message(String first, Map<String, String> fields, byte[] body, long beganUs, long wholeUs) {
+    record Message(
+            String first, Map<String, String> fields, byte[] body, long beganUs, long wholeUs) {
         String field(String name) {
             return fields.get(name.toLowerCase(Locale.ROOT));
         }
@@ -74,7 +78,8 @@
     }
 
     /** Sends a text in so many pieces with a pause between each two. */
-    void sendInPieces(String text, int pieces, long pauseUs) throws IOException, InterruptedException {
+    void sendInPieces(String text, int pieces, long pauseUs)
+            throws IOException, InterruptedException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         int size = Math.max(1, bytes.length / pieces);
         for (int at = 0; at < bytes.length; at += size) {
@@ -94,7 +99,9 @@
         for (String line = line(); !line.isEmpty(); line = line()) {
             int colon = line.indexOf(':');
             if (colon > 0) {
-                fields.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+                fields.put(
+                        line.substring(0, colon).toLowerCase(Locale.ROOT),
+                        line.substring(colon + 1).strip());
             }
         }
         byte[] body = bytes(Integer.parseInt(fields.getOrDefault("content-length", "0")));
--- a/src/main/java/damsonslip/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/management/ManagementConnection.java
@@ -7,20 +7,33 @@
 import java.util.List;
 import org.eclipse.jetty.io.EndPoint;
 
-/** A connection to the management port: reads one request, writes one response and closes. Confined to the loop. */
+/**
+ * A connection to the management port: reads one request, writes one response and closes. Confined
+ * to the loop.
+ */
 final class ManagementConnection extends Link {
     /** Bytes of a request: a verb and a worker's id. */
     private static final int LONGEST_LINE = 512;
-    /** Time for a complete request, and again for reading the response: twice what a response may take by the page. */
+
+    /**
+     * Time for a complete request, and again for reading the response: twice what a response may
+     * take by the page.
+     */
     private static final long REQUEST_TIMEOUT_US = 2_000_000;
-    /** A request is answered within a second (DAYS), also where the disk takes longer; saying it again is harmless. */
+
+    /**
+     * A request is answered within a second (DAYS), also where the disk takes longer; saying it
+     * again is harmless.
+     */
     private static final long RESPONSE_TIMEOUT_US = 900_000;
 
     private final ManagementServer server;
     private final Lines lines = new Lines(LONGEST_LINE);
     private Loop.Timer timeout;
+
     /** The request has come whole, or too late. */
     private boolean taken;
+
     private boolean responded;
     long openedUs;
 
@@ -32,7 +45,11 @@
     @Override
     protected void opened() {
         openedUs = server.loop().now();
-        timeout = server.loop().in(REQUEST_TIMEOUT_US, () -> finish(ManagementResponse.no("no whole call came")));
+        timeout =
+                server.loop()
+                        .in(
+                                REQUEST_TIMEOUT_US,
+                                () -> finish(ManagementResponse.no("no whole call came")));
         server.opened(this);
     }
 
@@ -49,8 +66,14 @@
         } else if (!whole.isEmpty()) {
             taken = true;
             timeout.cancel();
-            timeout = server.loop().in(RESPONSE_TIMEOUT_US,
-                () -> respond(ManagementResponse.no("not done yet; say it again")));
+            timeout =
+                    server.loop()
+                            .in(
+                                    RESPONSE_TIMEOUT_US,
+                                    () ->
+                                            respond(
+                                                    ManagementResponse.no(
+                                                            "not done yet; say it again")));
             server.answer(whole.get(0), this::respond);
         }
     }
@@ -70,14 +93,15 @@
     private void respond(ByteBuffer response) {
         if (!responded && !isClosed()) {
             responded = true;
-            write(() -> { }, response);
+            write(() -> {}, response);
             endWhenWritten();
-            server.loop().in(REQUEST_TIMEOUT_US, this::end); // the response gets as long as the request
+            server.loop()
+                    .in(REQUEST_TIMEOUT_US, this::end); // the response gets as long as the request
         }
     }
 
     @Override
-    protected void lost() { }
+    protected void lost() {}
 
     @Override
     protected void released() {
@@ -87,7 +111,10 @@
         server.closed(this);
     }
 
-    /** The order in which connections are closed when there are too many: those being closed anyway, then the oldest. */
+    /**
+     * The order in which connections are closed when there are too many: those being closed anyway,
+     * then the oldest.
+     */
     static int closingOrder(ManagementConnection one, ManagementConnection other) {
         int leaves = Boolean.compare(other.isLingering(), one.isLingering());
         return leaves != 0 ? leaves : Long.compare(one.openedUs, other.openedUs);
--- a/src/main/java/damsonslip/management/ManagementRequest.java
+++ b/src/main/java/damsonslip/management/ManagementRequest.java
@@ -3,13 +3,18 @@
 /**
  * A decoded request of the management protocol.
  *
- * @param verb     what is asked for
+ * @param verb what is asked for
  * @param workerId the worker that it concerns; null for a verb that takes none
  */
 record ManagementRequest(Verb verb, String workerId) {
     /** The verbs, spelled as on the wire. */
     enum Verb {
-        READY(false), STATS(false), DISABLE(true), ENABLE(true), DRAIN(false), UNDRAIN(false);
+        READY(false),
+        STATS(false),
+        DISABLE(true),
+        ENABLE(true),
+        DRAIN(false),
+        UNDRAIN(false);
 
         private final boolean takesWorkerId;
 
@@ -38,7 +43,11 @@
             throw new MalformedException("unknown call");
         }
         if (words.length != (verb.takesWorkerId ? 2 : 1)) {
-            throw new MalformedException(verb + (verb.takesWorkerId ? " takes the id of one worker" : " takes no words"));
+            throw new MalformedException(
+                    verb
+                            + (verb.takesWorkerId
+                                    ? " takes the id of one worker"
+                                    : " takes no words"));
         }
         return new ManagementRequest(verb, verb.takesWorkerId ? words[1] : null);
     }
--- a/src/main/java/damsonslip/management/ManagementResponse.java
+++ b/src/main/java/damsonslip/management/ManagementResponse.java
@@ -8,7 +8,7 @@
 
 /** Encodes the responses of the management protocol, in UTF-8. */
 final class ManagementResponse {
-    private ManagementResponse() { }
+    private ManagementResponse() {}
 
     /** {@code YES} or {@code NO} with a message, on one line. */
     static ByteBuffer of(OperationResult result) {
@@ -20,12 +20,18 @@
         return encode("NO " + reason + "\n");
     }
 
-    /** A line in StatsD's format for each metric, {@code router.NAME:VALUE|c} or {@code |g}, and {@code END}. */
+    /**
+     * A line in StatsD's format for each metric, {@code router.NAME:VALUE|c} or {@code |g}, and
+     * {@code END}.
+     */
     static ByteBuffer of(List<Metric> metrics) {
         StringBuilder text = new StringBuilder();
         for (Metric metric : metrics) {
-            text.append("router.").append(metric.name()).append(':').append(metric.value())
-                .append(metric.gauge() ? "|g\n" : "|c\n");
+            text.append("router.")
+                    .append(metric.name())
+                    .append(':')
+                    .append(metric.value())
+                    .append(metric.gauge() ? "|g\n" : "|c\n");
         }
         return encode(text.append("END\n").toString());
     }
--- a/src/main/java/damsonslip/management/ManagementServer.java
+++ b/src/main/java/damsonslip/management/ManagementServer.java
@@ -15,16 +15,28 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * Listens on the management port, on a selector of its own, so that operators get through whatever the clients do.
- * Connections are accepted on the selector's thread; everything else runs on the event loop.
+ * Listens on the management port, on a selector of its own, so that operators get through whatever
+ * the clients do. Connections are accepted on the selector's thread; everything else runs on the
+ * event loop.
  */
 public final class ManagementServer extends RoomAcceptor<ManagementConnection> {
-    /** Connections at a time; beyond that the one that has been open longest without a complete request is closed. */
+    /**
+     * Connections at a time; beyond that the one that has been open longest without a complete
+     * request is closed.
+     */
     private static final int MAX_CONNECTIONS = 12;
-    /** Connections accepted in a burst, before the loop has closed others: a complete request may be among them. */
+
+    /**
+     * Connections accepted in a burst, before the loop has closed others: a complete request may be
+     * among them.
+     */
     private static final int OVERFLOW = 24;
-    /** File descriptors used at most: the connections, the listener, and the three of its selector. */
+
+    /**
+     * File descriptors used at most: the connections, the listener, and the three of its selector.
+     */
     public static final int SOCKETS = MAX_CONNECTIONS + OVERFLOW + 4;
+
     /** Required by the selector; no outgoing connections are made here. */
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
@@ -33,8 +45,12 @@
 
     /** Creates a server that does not listen yet. */
     public ManagementServer(Loop loop) {
-        super(new Room<>(MAX_CONNECTIONS, OVERFLOW, connection -> !connection.awaitsResult(),
-            ManagementConnection::closingOrder));
+        super(
+                new Room<>(
+                        MAX_CONNECTIONS,
+                        OVERFLOW,
+                        connection -> !connection.awaitsResult(),
+                        ManagementConnection::closingOrder));
         this.loop = loop;
     }
 
--- a/src/main/java/damsonslip/membership/ProbeResult.java
+++ b/src/main/java/damsonslip/membership/ProbeResult.java
@@ -4,7 +4,10 @@
 public enum ProbeResult {
     /** Answered with 200: it takes work. */
     HEALTHY,
-    /** The same, over a connection that has stood since discovery was last heard: it has not been started anew since. */
+    /**
+     * The same, over a connection that has stood since discovery was last heard: it has not been
+     * started anew since.
+     */
     HEALTHY_THROUGHOUT,
     /** Answered otherwise: it drains, or is in trouble. */
     UNHEALTHY,
--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -1,22 +1,28 @@
 package damsonslip.membership;
 
 /**
- * Translates the start times that discovery's list gives for workers, which are on the wall clock of the machines, to the
- * caller's clock, whose distance from that may be wrong by an hour and more: it was read once, at the start of the process.
+ * Translates the start times that discovery's list gives for workers, which are on the wall clock
+ * of the machines, to the caller's clock, whose distance from that may be wrong by an hour and
+ * more: it was read once, at the start of the process.
  *
- * <p>A start that was seen to happen needs no wall clock: it lies between the list before and the one that tells of it.
- * Where the stamp contradicts that, the worker counts as started now, which is the safe side: it gets less. Two such
- * starts in a row that ask for the same correction are taken for an error of the own clock, and correct the stamps of
- * workers whose start was not seen as well; a single one may be an error of that worker's clock. A stamp from the future
- * counts as now.
+ * <p>A start that was seen to happen needs no wall clock: it lies between the list before and the
+ * one that tells of it. Where the stamp contradicts that, the worker counts as started now, which
+ * is the safe side: it gets less. Two such starts in a row that ask for the same correction are
+ * taken for an error of the own clock, and correct the stamps of workers whose start was not seen
+ * as well; a single one may be an error of that worker's clock. A stamp from the future counts as
+ * now.
  *
- * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several threads.
+ * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several
+ * threads.
  */
 public final class StartTimes {
     /** The stamp of a worker that started long ago. */
     public static final long LONG_AGO = Long.MIN_VALUE;
 
-    /** News may come this late: a change counts as told within 6 s (STANDING), and a start is listed once it is ready. */
+    /**
+     * News may come this late: a change counts as told within 6 s (STANDING), and a start is listed
+     * once it is ready.
+     */
     private static final long LATE_NEWS_US = 10_000_000;
 
     private boolean heard;
@@ -24,7 +30,10 @@
     private long correctionUs;
     private long askedForUs;
 
-    /** A list was taken in; {@code fromDiscovery} tells that discovery has told all that it knows now. */
+    /**
+     * A list was taken in; {@code fromDiscovery} tells that discovery has told all that it knows
+     * now.
+     */
     public void listed(boolean fromDiscovery, long nowUs) {
         if (fromDiscovery) {
             heard = true;
@@ -37,7 +46,9 @@
         return heard;
     }
 
-    /** Gives the start of a worker whose stamp was not on the last list, where {@link #seesStarts}. */
+    /**
+     * Gives the start of a worker whose stamp was not on the last list, where {@link #seesStarts}.
+     */
     public long seen(long stampUs, long nowUs) {
         if (stampUs == LONG_AGO) {
             return LONG_AGO;
--- a/src/main/java/damsonslip/membership/WorkerLease.java
+++ b/src/main/java/damsonslip/membership/WorkerLease.java
@@ -1,26 +1,36 @@
 package damsonslip.membership;
 
 /**
- * What a worker's own answers to probes allow while discovery, once heard, fails its calls and no list of it holds.
+ * What a worker's own answers to probes allow while discovery, once heard, fails its calls and no
+ * list of it holds.
  *
- * <p>A worker that drains answers a probe with 200 no more once discovery lists it as draining (measured, see
- * docs/incidents/2026-12-02-outages-and-service.md). So whoever gets that answer cannot have been told of a drain before
- * the probe was sent, and the grace of a drain cannot end before the probe's time and the grace. Until then the worker may
- * be sent to. A worker whose connections failed since discovery was last heard may have been removed, or started anew and
- * be cold: only a list can tell. So it has to answer over a connection that has stood since.
+ * <p>A worker that drains answers a probe with 200 no more once discovery lists it as draining
+ * (measured, see docs/incidents/2026-12-02-outages-and-service.md). So whoever gets that answer
+ * cannot have been told of a drain before the probe was sent, and the grace of a drain cannot end
+ * before the probe's time and the grace. Until then the worker may be sent to. A worker whose
+ * connections failed since discovery was last heard may have been removed, or started anew and be
+ * cold: only a list can tell. So it has to answer over a connection that has stood since.
  *
- * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several threads.
+ * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several
+ * threads.
  */
 public final class WorkerLease {
     /** A worker that drains goes on to do so, and one that is overloaded needs time. */
     private static final long REFUSED_AGAIN_US = 1_000_000;
+
     /** A probe that this machine could not send says nothing of the worker. */
     private static final long UNSENT_AGAIN_US = 100_000;
+
     private static final long NEVER = Long.MIN_VALUE;
 
     private int outstanding;
-    /** When the oldest probe that is not answered yet was sent; which of several is answered cannot be told. */
+
+    /**
+     * When the oldest probe that is not answered yet was sent; which of several is answered cannot
+     * be told.
+     */
     private long probedAt = NEVER;
+
     private long validUntil = NEVER;
     private long nextProbeAt = NEVER;
     private long failedAt = NEVER;
@@ -40,7 +50,7 @@
     public void probeEnded(ProbeResult result, long graceUs, long nowUs) {
         outstanding = Math.max(0, outstanding - 1);
         switch (result) {
-            case HEALTHY -> { } // it may have been removed, or started anew, meanwhile
+            case HEALTHY -> {} // it may have been removed, or started anew, meanwhile
             case HEALTHY_THROUGHOUT -> {
                 if (failedAt < probedAt) { // else the answer may be of the process before the break
                     validUntil = Math.max(validUntil, probedAt + graceUs);
@@ -71,9 +81,14 @@
         return outstanding > 0;
     }
 
-    /** Whether a job may wait for this worker: it may be sent to, or an answer to a probe may come soon that says so. */
+    /**
+     * Whether a job may wait for this worker: it may be sent to, or an answer to a probe may come
+     * soon that says so.
+     */
     public boolean isWorthAwaiting(long heardUs, long nowUs) {
-        return isValid(nowUs) || isAwaited() || failedAt <= heardUs && nextProbeAt <= nowUs + UNSENT_AGAIN_US;
+        return isValid(nowUs)
+                || isAwaited()
+                || failedAt <= heardUs && nextProbeAt <= nowUs + UNSENT_AGAIN_US;
     }
 
     /** Whether a probe now may lead to a lease, where discovery was last heard then. */
--- a/src/main/java/damsonslip/net/Address.java
+++ b/src/main/java/damsonslip/net/Address.java
@@ -9,7 +9,7 @@
 public final class Address {
     private static final Pattern HOST = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
 
-    private Address() { }
+    private Address() {}
 
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -18,7 +18,8 @@
             if (!HOST.matcher(host).matches()) {
                 throw new IllegalArgumentException("not an address: " + text);
             }
-            return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
+            return new InetSocketAddress(
+                    InetAddress.getByName(host), Integer.parseInt(text.substring(colon + 1)));
         } catch (NumberFormatException | UnknownHostException e) {
             throw new IllegalArgumentException("not an address: " + text, e);
         }
--- a/src/main/java/damsonslip/net/ArrivalBound.java
+++ b/src/main/java/damsonslip/net/ArrivalBound.java
@@ -1,10 +1,12 @@
 package damsonslip.net;
 
 /**
- * The last moment at which a socket, or a listener's queue, was seen empty: what is read from it now came later. Where the
- * process was held up that may be long ago, and whoever waits there has that much less time than it says.
+ * The last moment at which a socket, or a listener's queue, was seen empty: what is read from it
+ * now came later. Where the process was held up that may be long ago, and whoever waits there has
+ * that much less time than it says.
  *
- * <p>{@link #seenEmpty} and {@link #arrivedAfterUs} are safe for several threads; the others belong to the selector's.
+ * <p>{@link #seenEmpty} and {@link #arrivedAfterUs} are safe for several threads; the others belong
+ * to the selector's.
  */
 final class ArrivalBound {
     private static final long NEVER = Long.MAX_VALUE;
@@ -33,7 +35,9 @@
         }
     }
 
-    /** The newest round has reported it: so the one before, if it was watched there, found it empty. */
+    /**
+     * The newest round has reported it: so the one before, if it was watched there, found it empty.
+     */
     void reported() {
         if (watchedFrom < rounds.round()) {
             seenEmpty(rounds.beganBeforeUs());
--- a/src/main/java/damsonslip/net/DialFailure.java
+++ b/src/main/java/damsonslip/net/DialFailure.java
@@ -7,13 +7,21 @@
 public enum DialFailure {
     /** The other side, or the network on the way there, refused it or said nothing. */
     UNREACHABLE,
-    /** This machine had no socket, port or memory for it, so that nothing is known of the other side. */
+    /**
+     * This machine had no socket, port or memory for it, so that nothing is known of the other
+     * side.
+     */
     LOCAL,
-    /** It came up, and this machine did not hear of it within the limit: it was held up, or did not watch the socket. */
+    /**
+     * It came up, and this machine did not hear of it within the limit: it was held up, or did not
+     * watch the socket.
+     */
     UNHEARD;
 
     /** Tells by what the call threw that was to begin the connection. */
     static DialFailure of(Exception thrown) {
-        return thrown instanceof ConnectException || thrown instanceof NoRouteToHostException ? UNREACHABLE : LOCAL;
+        return thrown instanceof ConnectException || thrown instanceof NoRouteToHostException
+                ? UNREACHABLE
+                : LOCAL;
     }
 }
--- a/src/main/java/damsonslip/net/Lines.java
+++ b/src/main/java/damsonslip/net/Lines.java
@@ -5,7 +5,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a body into its lines; bounded, so that a peer that never ends one cannot fill the memory. */
+/**
+ * Cuts a body into its lines; bounded, so that a peer that never ends one cannot fill the memory.
+ */
 public final class Lines {
     private final int most;
     private ByteArrayOutputStream begun = new ByteArrayOutputStream();
--- a/src/main/java/damsonslip/net/Link.java
+++ b/src/main/java/damsonslip/net/Link.java
@@ -13,61 +13,83 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One open connection. Jetty's selector only tells that there is something to do; reading, deciding and writing
- * all happen on the {@link Loop}, so that subclasses need no locks.
+ * One open connection. Jetty's selector only tells that there is something to do; reading, deciding
+ * and writing all happen on the {@link Loop}, so that subclasses need no locks.
  */
 public abstract class Link extends AbstractConnection {
     private static final Logger LOG = LoggerFactory.getLogger(Link.class);
     private static final int IN_BUFFER = 8 * 1024;
+
     /** How long a peer may take to close its side after the last answer. */
     private static final long LINGER_US = 500_000;
-    /** So much of what still comes after the last answer is read and dropped; the rest stays with the system. */
+
+    /**
+     * So much of what still comes after the last answer is read and dropped; the rest stays with
+     * the system.
+     */
     private static final int MOST_DROPPED = 128 * 1024;
 
     /**
-     * While more than this waits to be written to a peer, nothing is read from it: what it asks for further would wait as
-     * well. As large as the largest usual answer, so that one alone stops nobody; reading goes on once a quarter is left.
+     * While more than this waits to be written to a peer, nothing is read from it: what it asks for
+     * further would wait as well. As large as the largest usual answer, so that one alone stops
+     * nobody; reading goes on once a quarter is left.
      */
     private static final int HIGH = 256 * 1024;
+
     private static final int LOW = HIGH / 4;
 
-    /** So much is read from a peer at one go, however fast it sends; then others have their turn. */
+    /**
+     * So much is read from a peer at one go, however fast it sends; then others have their turn.
+     */
     private static final int MOST_AT_ONCE = 64 * 1024;
 
     /**
-     * What a request may have waited here unseen without its being counted. A worker may be told 0.15 s more than the
-     * client has (STANDING); a third of that is kept for the time from the look to the write. Where nothing holds the
-     * process up, two rounds of the selector stay below this, and nothing is taken from anybody.
+     * What a request may have waited here unseen without its being counted. A worker may be told
+     * 0.15 s more than the client has (STANDING); a third of that is kept for the time from the
+     * look to the write. Where nothing holds the process up, two rounds of the selector stay below
+     * this, and nothing is taken from anybody.
      */
     static final long TOLERATED_WAIT_US = 100_000;
 
     /** What a read gives at the end of the stream; less is {@link LoopEndPoint#NOT_NOW}. */
     private static final int END = -1;
 
-    /** A read that the system could not make is made again; so many in a row leave the rest to a later turn. */
+    /**
+     * A read that the system could not make is made again; so many in a row leave the rest to a
+     * later turn.
+     */
     private static final int MOST_TRIES = 4;
+
     private static final long TRY_AGAIN_US = 1_000;
 
     private static final ByteBuffer[] NOTHING = {};
 
-    private record Out(ByteBuffer[] bytes, Runnable written) { }
+    private record Out(ByteBuffer[] bytes, Runnable written) {}
 
     private final Loop loop;
     private final int mostAhead;
     private ByteBuffer in = BufferUtil.allocate(IN_BUFFER);
     private final ArrayDeque<Out> out = new ArrayDeque<>();
     private boolean writing;
+
     /** What waits has passed the high mark, and not yet fallen below the low one. */
     private boolean full;
+
     /** What is being written; its buffers show what the system has not taken yet. */
     private ByteBuffer[] current = NOTHING;
+
     private boolean closed;
     private boolean endedByPeer;
     private boolean closeWhenWritten;
     private boolean lingering;
     private int dropped;
-    /** Bytes read and written until now, or what stands for them; a look that changes it has found something. */
+
+    /**
+     * Bytes read and written until now, or what stands for them; a look that changes it has found
+     * something.
+     */
     private long progress;
+
     private long progressAtLastLook;
 
     protected Link(EndPoint endPoint, Loop loop) {
@@ -75,7 +97,8 @@
     }
 
     /**
-     * A link that goes on reading though nobody takes what it reads, so that it learns of its peer's departure.
+     * A link that goes on reading though nobody takes what it reads, so that it learns of its
+     * peer's departure.
      *
      * @param mostAhead so much is kept of it; then nothing more is read
      */
@@ -88,16 +111,25 @@
     /** The connection is up. */
     protected abstract void opened();
 
-    /** Bytes have come in; what is left in the buffer is shown again with the next ones, or on {@link #again}. */
+    /**
+     * Bytes have come in; what is left in the buffer is shown again with the next ones, or on
+     * {@link #again}.
+     */
     protected abstract void received(ByteBuffer bytes);
 
     /** The system is ready to give or take bytes; told before any are read or written. */
-    protected void selected() { }
+    protected void selected() {}
 
-    /** All that has come until now was read, and the connection stands; told whenever nothing more is there to read. */
-    protected void readComplete() { }
+    /**
+     * All that has come until now was read, and the connection stands; told whenever nothing more
+     * is there to read.
+     */
+    protected void readComplete() {}
 
-    /** The other side, or the network, has ended the connection; told once, and not after {@link #end}. */
+    /**
+     * The other side, or the network, has ended the connection; told once, and not after {@link
+     * #end}.
+     */
     protected abstract void lost();
 
     public final boolean isClosed() {
@@ -112,8 +144,9 @@
     }
 
     /**
-     * Reads and writes what the selector has not told of, if nothing has moved since the last look. Guards against a socket
-     * that the system does not watch, because it had no memory for that (epoll_ctl(2)): such a socket says nothing.
+     * Reads and writes what the selector has not told of, if nothing has moved since the last look.
+     * Guards against a socket that the system does not watch, because it had no memory for that
+     * (epoll_ctl(2)): such a socket says nothing.
      */
     final void lookBehindSelector() {
         boolean quiet = progress == progressAtLastLook;
@@ -149,9 +182,10 @@
     }
 
     /**
-     * Closes the connection once everything is written. Guards the last answer: closing with bytes unread would
-     * reset the connection, and the peer might never see what was written, so these are read and dropped first.
-     * That is bounded, since a peer that sends 60 MB at full speed would keep the loop from everybody else.
+     * Closes the connection once everything is written. Guards the last answer: closing with bytes
+     * unread would reset the connection, and the peer might never see what was written, so these
+     * are read and dropped first. That is bounded, since a peer that sends 60 MB at full speed
+     * would keep the loop from everybody else.
      */
     protected final void endWhenWritten() {
         closeWhenWritten = true;
@@ -161,8 +195,9 @@
     }
 
     /**
-     * Ends the connection in good order, or at once if it was to end already. Guards what was written last: bytes that
-     * come in the moment of a close would have the system reset the connection, and take that along.
+     * Ends the connection in good order, or at once if it was to end already. Guards what was
+     * written last: bytes that come in the moment of a close would have the system reset the
+     * connection, and take that along.
      */
     final void makeWay() {
         if (closeWhenWritten) { // it has been asked before
@@ -172,7 +207,10 @@
         }
     }
 
-    /** Ends it in good order between requests; who has sent a part of one may be owed a word about it. */
+    /**
+     * Ends it in good order between requests; who has sent a part of one may be owed a word about
+     * it.
+     */
     protected void endUnserved() {
         endWhenWritten();
     }
@@ -190,7 +228,7 @@
     }
 
     /** The connection is closed, whoever did it. */
-    protected void released() { }
+    protected void released() {}
 
     /** Writes in order; tells once the last byte has been handed to the system. */
     protected final void write(Runnable written, ByteBuffer... bytes) {
@@ -209,10 +247,15 @@
 
     /** When what was read last had come at the earliest: until then there was nothing to read. */
     protected final long arrivedAfterUs() {
-        return getEndPoint() instanceof LoopEndPoint endPoint ? endPoint.arrival().arrivedAfterUs() : loop.now();
+        return getEndPoint() instanceof LoopEndPoint endPoint
+                ? endPoint.arrival().arrivedAfterUs()
+                : loop.now();
     }
 
-    /** When what was read last counts as come: now, unless it may have waited here for longer than is tolerated. */
+    /**
+     * When what was read last counts as come: now, unless it may have waited here for longer than
+     * is tolerated.
+     */
     protected final long arrivalUs() {
         return Math.min(loop.now(), arrivedAfterUs() + TOLERATED_WAIT_US);
     }
@@ -220,7 +263,7 @@
     /** Bytes that the system has not taken yet. */
     protected final long backlog() {
         return (writing ? BufferUtil.remaining(current) : 0)
-            + out.stream().mapToLong(next -> BufferUtil.remaining(next.bytes())).sum();
+                + out.stream().mapToLong(next -> BufferUtil.remaining(next.bytes())).sum();
     }
 
     private void writeNext() {
@@ -240,8 +283,8 @@
     }
 
     /**
-     * Told on the loop, since {@link Links} has all writing done there: whatever event comes next finds it known already
-     * whether the last byte has left.
+     * Told on the loop, since {@link Links} has all writing done there: whatever event comes next
+     * finds it known already whether the last byte has left.
      */
     private final class Written implements Callback {
         private final Runnable then;
@@ -280,12 +323,13 @@
     @Override
     public final void onOpen() {
         super.onOpen();
-        loop.execute(() -> {
-            if (!closed) {
-                opened();
-                read();
-            }
-        });
+        loop.execute(
+                () -> {
+                    if (!closed) {
+                        opened();
+                        read();
+                    }
+                });
     }
 
     /** Told on the loop, like the end of a write. */
@@ -353,10 +397,14 @@
                     return;
                 }
             }
-            // a full buffer that nobody takes from stays unread: what a peer sends ahead is bounded by it, and by the marks
+            // a full buffer that nobody takes from stays unread: what a peer sends ahead is bounded
+            // by it, and by the marks
         } catch (IOException e) {
             broken();
-        } catch (RuntimeException e) { // guards against a link that nobody reads from any more, yet stays open
+        } catch (
+                RuntimeException
+                        e) { // guards against a link that nobody reads from any more, yet stays
+            // open
             LOG.error("a connection is given up", e);
             broken();
         }
@@ -404,7 +452,10 @@
         return !BufferUtil.isFull(in);
     }
 
-    /** Makes a buffer that was read to its very end usable from its start; else it would count as full. */
+    /**
+     * Makes a buffer that was read to its very end usable from its start; else it would count as
+     * full.
+     */
     private void taken() {
         if (BufferUtil.isEmpty(in)) {
             if (in.capacity() > IN_BUFFER) {
--- a/src/main/java/damsonslip/net/Links.java
+++ b/src/main/java/damsonslip/net/Links.java
@@ -27,62 +27,83 @@
 /** Opens and accepts {@link Link}s, over one selector of Jetty's. */
 public final class Links extends SelectorManager {
     private static final Logger LOG = LoggerFactory.getLogger(Links.class);
+
     /**
-     * What the system may hold of a message for a server that does not take it. Small, so that the last byte of a large
-     * one has not left while the peer stands still; a head and the usual body fit in several times.
+     * What the system may hold of a message for a server that does not take it. Small, so that the
+     * last byte of a large one has not left while the peer stands still; a head and the usual body
+     * fit in several times.
      */
     private static final int SEND_BUFFER = 16 * 1024;
-    /** The same for peers that connect to us, whose links are longer: 0.6 MB/s at 0.1 s, and any usual answer whole. */
+
+    /**
+     * The same for peers that connect to us, whose links are longer: 0.6 MB/s at 0.1 s, and any
+     * usual answer whole.
+     */
     private static final int ANSWER_BUFFER = 64 * 1024;
 
     /**
-     * A selector, what it hands over, and two to spare while either waits. The JDK's pool, since Jetty's own makes code for
-     * its threads' names and looks for a security manager: a tenth of a start's CPU.
+     * A selector, what it hands over, and two to spare while either waits. The JDK's pool, since
+     * Jetty's own makes code for its threads' names and looks for a security manager: a tenth of a
+     * start's CPU.
      */
     private static final int MOST_THREADS = 4;
 
     /**
-     * The selector looks this often though nothing happens. So it is known of every socket that it was empty two rounds ago
-     * at the latest, and only a process that was held up has to reckon with more ({@link Link#TOLERATED_WAIT_US}).
+     * The selector looks this often though nothing happens. So it is known of every socket that it
+     * was empty two rounds ago at the latest, and only a process that was held up has to reckon
+     * with more ({@link Link#TOLERATED_WAIT_US}).
      */
     private static final long ROUND_MS = 40;
-    /** A round that took so long was held up: what comes behind it would count as old as its begin. */
+
+    /**
+     * A round that took so long was held up: what comes behind it would count as old as its begin.
+     */
     private static final long HELD_UP_US = 2 * ROUND_MS * 1_000;
 
     /**
-     * Sockets that stay quiet are looked at this often, since the system may not watch them (epoll_ctl(2)). Below the half
-     * second by which an answer may be late at the most (STANDING).
+     * Sockets that stay quiet are looked at this often, since the system may not watch them
+     * (epoll_ctl(2)). Below the half second by which an answer may be late at the most (STANDING).
      */
     private static final long LOOK_US = 400_000;
 
     private final Loop loop;
     private final RoundClock rounds;
+
     /** All that were opened, and some that are closed since the last look; touched on the loop. */
     private final List<Link> open = new ArrayList<>();
+
     private final Listeners listeners;
+
     /** Accepted, and not yet set up. */
     private final Map<SelectableChannel, Admission> admitted = new ConcurrentHashMap<>();
+
     private volatile ManagedSelector selector;
 
     /** A connection that was accepted, and when it has come at the earliest. */
-    private record Admission(ListeningSocket listener, long arrivedAfterUs) { }
+    private record Admission(ListeningSocket listener, long arrivedAfterUs) {}
 
     /** Makes the link for a connection that is up. */
     public interface Opening {
         Link open(EndPoint endPoint);
 
         /** The connection never came up; told on the loop. */
-        default void failed(DialFailure why) { }
+        default void failed(DialFailure why) {}
     }
 
     /** Decides on connections that come in. */
     public interface Accepting extends Opening {
-        /** Whether a connection may be accepted now; who comes meanwhile waits to be. Called on the selector's thread. */
+        /**
+         * Whether a connection may be accepted now; who comes meanwhile waits to be. Called on the
+         * selector's thread.
+         */
         default boolean hasRoom() {
             return true;
         }
 
-        /** Takes room for one more, if there is any: it will be opened or turned back. Called on any thread. */
+        /**
+         * Takes room for one more, if there is any: it will be opened or turned back. Called on any
+         * thread.
+         */
         boolean admit();
 
         /** What was admitted has failed before it was opened. Called on any thread. */
@@ -96,7 +117,10 @@
         this.listeners = new Listeners(loop, () -> selector, this::accepted);
     }
 
-    /** Starts the selector; waits where the system has no descriptors to give just now. Not to be called on the loop. */
+    /**
+     * Starts the selector; waits where the system has no descriptors to give just now. Not to be
+     * called on the loop.
+     */
     public static Links start(Loop loop, long connectTimeoutMs) throws IOException {
         Links links = SocketShortage.outlast(() -> started(loop, connectTimeoutMs));
         loop.in(LOOK_US, links::lookBehindSelector);
@@ -123,10 +147,19 @@
         loop.in(LOOK_US, this::lookBehindSelector);
     }
 
-    /** All are there from the start: one that cannot be started later would cost the connection that asked for it. */
+    /**
+     * All are there from the start: one that cannot be started later would cost the connection that
+     * asked for it.
+     */
     private static ThreadPoolExecutor threads() {
-        ThreadPoolExecutor threads = new ThreadPoolExecutor(MOST_THREADS, MOST_THREADS, 0, TimeUnit.SECONDS,
-            new LinkedBlockingQueue<>(), Links::thread);
+        ThreadPoolExecutor threads =
+                new ThreadPoolExecutor(
+                        MOST_THREADS,
+                        MOST_THREADS,
+                        0,
+                        TimeUnit.SECONDS,
+                        new LinkedBlockingQueue<>(),
+                        Links::thread);
         threads.prestartAllCoreThreads();
         return threads;
     }
@@ -142,8 +175,8 @@
     }
 
     /**
-     * Listens there until the result is closed; waits where the system has no socket to give just now. Not to be called on
-     * the loop.
+     * Listens there until the result is closed; waits where the system has no socket to give just
+     * now. Not to be called on the loop.
      */
     public Closeable listen(InetSocketAddress address, Accepting taker) throws IOException {
         return SocketShortage.outlast(() -> open(address, taker, false));
@@ -154,17 +187,21 @@
      *
      * @param shared whether another process may listen there as well
      */
-    public ListeningPort open(InetSocketAddress address, Accepting taker, boolean shared) throws IOException {
-        ListeningSocket socket = listeners.bind(address, taker, shared, new ArrivalBound(rounds, loop.now()));
+    public ListeningPort open(InetSocketAddress address, Accepting taker, boolean shared)
+            throws IOException {
+        ListeningSocket socket =
+                listeners.bind(address, taker, shared, new ArrivalBound(rounds, loop.now()));
         Closeable acceptor = acceptor(socket.server());
-        selector.submit(watching -> socket.queue().watched(true)); // behind the acceptor's own registration
+        selector.submit(
+                watching -> socket.queue().watched(true)); // behind the acceptor's own registration
         return new ListeningPort(loop, listeners, socket, acceptor);
     }
 
     /**
      * Opens a connection; the opening is told on the loop how that went.
      *
-     * @return gives the dial up and frees its descriptor, if it has not come up yet; whether that is told is left open
+     * @return gives the dial up and frees its descriptor, if it has not come up yet; whether that
+     *     is told is left open
      */
     public Closeable connect(InetSocketAddress address, Opening opening) {
         SocketChannel channel = null;
@@ -176,7 +213,9 @@
             if (channel.connect(address)) {
                 accept(channel, opening);
             } else {
-                connect(channel, new PendingDial(channel, opening, loop, getConnectTimeout() * 1_000));
+                connect(
+                        channel,
+                        new PendingDial(channel, opening, loop, getConnectTimeout() * 1_000));
             }
         } catch (IOException | RuntimeException e) {
             close(channel);
@@ -188,8 +227,9 @@
     }
 
     /**
-     * Takes the next connection on the selector's thread. Where the system refuses, this says that nobody waits: Jetty
-     * answers a failure by closing the connection that it accepted before, whose request would be lost.
+     * Takes the next connection on the selector's thread. Where the system refuses, this says that
+     * nobody waits: Jetty answers a failure by closing the connection that it accepted before,
+     * whose request would be lost.
      */
     @Override
     protected SelectableChannel doAccept(SelectableChannel server) {
@@ -230,27 +270,38 @@
     /** The selector, in rounds of bounded length whose times are known. */
     @Override
     protected ManagedSelector newSelector(int id) {
-        selector = new ManagedSelector(this, id) {
-            @Override
-            protected int nioSelect(Selector asked, boolean now) throws IOException {
-                rounds.begins();
-                boolean heldUp = rounds.lastTookUs() > HELD_UP_US; // then at once a round that is known to be short
-                return now || heldUp ? asked.selectNow() : asked.select(ROUND_MS);
-            }
-        };
+        selector =
+                new ManagedSelector(this, id) {
+                    @Override
+                    protected int nioSelect(Selector asked, boolean now) throws IOException {
+                        rounds.begins();
+                        boolean heldUp =
+                                rounds.lastTookUs()
+                                        > HELD_UP_US; // then at once a round that is known to be
+                        // short
+                        return now || heldUp ? asked.selectNow() : asked.select(ROUND_MS);
+                    }
+                };
         return selector;
     }
 
     @Override
-    protected EndPoint newEndPoint(SelectableChannel channel, ManagedSelector selecting, SelectionKey key) {
+    protected EndPoint newEndPoint(
+            SelectableChannel channel, ManagedSelector selecting, SelectionKey key) {
         Admission admission = admitted.get(channel);
         long afterUs = admission == null ? loop.now() : admission.arrivedAfterUs();
-        return new LoopEndPoint((SocketChannel) channel, selecting, new RearmableKey(key), getScheduler(), loop,
-            new ArrivalBound(rounds, afterUs));
+        return new LoopEndPoint(
+                (SocketChannel) channel,
+                selecting,
+                new RearmableKey(key),
+                getScheduler(),
+                loop,
+                new ArrivalBound(rounds, afterUs));
     }
 
     @Override
-    public Connection newConnection(SelectableChannel channel, EndPoint endPoint, Object attachment) {
+    public Connection newConnection(
+            SelectableChannel channel, EndPoint endPoint, Object attachment) {
         admitted.remove(channel);
         Link link = ((Opening) attachment).open(endPoint);
         loop.execute(() -> open.add(link));
--- a/src/main/java/damsonslip/net/Listeners.java
+++ b/src/main/java/damsonslip/net/Listeners.java
@@ -17,13 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The listening sockets of one selector: binds them, accepts from them, and has the selector leave one alone for a while
- * after an accept that failed.
+ * The listening sockets of one selector: binds them, accepts from them, and has the selector leave
+ * one alone for a while after an accept that failed.
  */
 final class Listeners {
     private static final Logger LOG = LoggerFactory.getLogger(Listeners.class);
     private static final int BACKLOG = 512;
-    /** So long until a listener whose connections fill their room is looked at again: some turns of the loop. */
+
+    /**
+     * So long until a listener whose connections fill their room is looked at again: some turns of
+     * the loop.
+     */
     private static final long FULL_REST_US = 2_000;
 
     private final Map<SelectableChannel, ListeningSocket> sockets = new ConcurrentHashMap<>();
@@ -36,7 +40,9 @@
         void accepted(SocketChannel connection, ListeningSocket listener) throws IOException;
     }
 
-    /** @param selector the selector, once it has been started */
+    /**
+     * @param selector the selector, once it has been started
+     */
     Listeners(Loop loop, Supplier<ManagedSelector> selector, Admission admission) {
         this.loop = loop;
         this.selector = selector;
@@ -47,9 +53,10 @@
      * Begins to listen there; accepting is left to the selector.
      *
      * @param shared whether another process may listen there as well
-     * @param queue  when those who wait in its queue have come at the earliest
+     * @param queue when those who wait in its queue have come at the earliest
      */
-    ListeningSocket bind(InetSocketAddress address, Links.Accepting taker, boolean shared, ArrivalBound queue)
+    ListeningSocket bind(
+            InetSocketAddress address, Links.Accepting taker, boolean shared, ArrivalBound queue)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
@@ -69,14 +76,16 @@
     }
 
     /**
-     * Lets other processes listen there as well. The JDK asks once, as it loads, whether the system can do that, and takes
-     * a socket that it is not given for a no. Serving alone goes before: an upgrade beside this process will not start.
+     * Lets other processes listen there as well. The JDK asks once, as it loads, whether the system
+     * can do that, and takes a socket that it is not given for a no. Serving alone goes before: an
+     * upgrade beside this process will not start.
      */
     private static void share(ServerSocketChannel server) throws IOException {
         if (server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
-            LOG.warn("event=port_not_shared reason=\"no socket could be had as the program began\"");
+            LOG.warn(
+                    "event=port_not_shared reason=\"no socket could be had as the program began\"");
         }
     }
 
@@ -96,7 +105,10 @@
         return null;
     }
 
-    /** Takes the next connection, or null where nobody waits or the system refuses; called on the selector's thread. */
+    /**
+     * Takes the next connection, or null where nobody waits or the system refuses; called on the
+     * selector's thread.
+     */
     SocketChannel acceptNext(SelectableChannel server) {
         ListeningSocket listener = sockets.get(server);
         if (listener == null) { // it is being closed
@@ -127,11 +139,14 @@
         return any;
     }
 
-    private SocketChannel acceptIfRoom(ListeningSocket listener) throws ListeningSocket.AcceptFailedException {
+    private SocketChannel acceptIfRoom(ListeningSocket listener)
+            throws ListeningSocket.AcceptFailedException {
         return listener.taker().hasRoom() ? listener.accept(loop.now()) : null;
     }
 
-    /** Takes in who waits without the selector's notice; called on its thread, which alone accepts. */
+    /**
+     * Takes in who waits without the selector's notice; called on its thread, which alone accepts.
+     */
     void acceptUnnoticed(Selector opened) {
         for (ListeningSocket listener : sockets.values()) {
             if (listener.isWatched(opened) && acceptUnnoticed(listener)) {
@@ -153,7 +168,10 @@
         }
     }
 
-    /** The selector does not look at the listener for a while: it would be ready at once, and again at once. */
+    /**
+     * The selector does not look at the listener for a while: it would be ready at once, and again
+     * at once.
+     */
     private void rest(ListeningSocket listener, long restUs) {
         ManagedSelector looking = selector.get();
         listener.watch(looking.getSelector(), false);
--- a/src/main/java/damsonslip/net/ListeningPort.java
+++ b/src/main/java/damsonslip/net/ListeningPort.java
@@ -6,7 +6,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** An address where connections are accepted, which can be given up without turning away anybody who came before that. */
+/**
+ * An address where connections are accepted, which can be given up without turning away anybody who
+ * came before that.
+ */
 public final class ListeningPort implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningPort.class);
     private static final long LOOK_US = 1_000;
@@ -17,7 +20,9 @@
     private final Closeable acceptor;
     private boolean shut;
 
-    /** @param acceptor has the selector let go of the socket */
+    /**
+     * @param acceptor has the selector let go of the socket
+     */
     ListeningPort(Loop loop, Listeners listeners, ListeningSocket socket, Closeable acceptor) {
         this.loop = loop;
         this.listeners = listeners;
@@ -33,9 +38,10 @@
     }
 
     /**
-     * Shuts it; called on the loop. Guards against connections that the system has accepted and nobody has taken: a
-     * close resets them. The JVM puts the close off until the selector has let go of the socket, and all who come
-     * until then would be lost; so the selector lets go first, then all are taken, and the close follows at once.
+     * Shuts it; called on the loop. Guards against connections that the system has accepted and
+     * nobody has taken: a close resets them. The JVM puts the close off until the selector has let
+     * go of the socket, and all who come until then would be lost; so the selector lets go first,
+     * then all are taken, and the close follows at once.
      */
     public void shut() {
         try {
@@ -51,7 +57,10 @@
         return shut;
     }
 
-    /** While accepts fail it stays open: its close would reset who waits, and they may go well in a moment. */
+    /**
+     * While accepts fail it stays open: its close would reset who waits, and they may go well in a
+     * moment.
+     */
     private void letGo() {
         boolean free = !socket.server().isRegistered();
         try {
--- a/src/main/java/damsonslip/net/ListeningSocket.java
+++ b/src/main/java/damsonslip/net/ListeningSocket.java
@@ -10,10 +10,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A listening socket and what became of its accepts. An accept may fail because the system is out of descriptors, buffers
- * or memory (accept(2)); who waits in the queue is not lost then, and is taken in once an accept goes well again.
+ * A listening socket and what became of its accepts. An accept may fail because the system is out
+ * of descriptors, buffers or memory (accept(2)); who waits in the queue is not lost then, and is
+ * taken in once an accept goes well again.
  *
- * <p>{@link #accept} is called by one thread at a time: the selector's, and the loop once the selector has let go.
+ * <p>{@link #accept} is called by one thread at a time: the selector's, and the loop once the
+ * selector has let go.
  */
 final class ListeningSocket {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningSocket.class);
@@ -51,7 +53,8 @@
     /**
      * Takes the next connection, or null where nobody waits.
      *
-     * @throws AcceptFailedException if the system refuses, with the time to rest before the next try
+     * @throws AcceptFailedException if the system refuses, with the time to rest before the next
+     *     try
      */
     SocketChannel accept(long nowUs) throws AcceptFailedException {
         try {
@@ -72,8 +75,12 @@
     private void log(long nowUs, long restUs, IOException cause) {
         if (nowUs >= loggedUs + LOG_EVERY_US) {
             loggedUs = nowUs;
-            LOG.warn("event=accept_failed listener={} failures={} rest_us={} error=\"{}\"", server, failures, restUs,
-                cause.getMessage());
+            LOG.warn(
+                    "event=accept_failed listener={} failures={} rest_us={} error=\"{}\"",
+                    server,
+                    failures,
+                    restUs,
+                    cause.getMessage());
         }
     }
 
--- a/src/main/java/damsonslip/net/LoopEndPoint.java
+++ b/src/main/java/damsonslip/net/LoopEndPoint.java
@@ -13,20 +13,26 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A connection whose selector only tells what it is ready for; that is then done on the loop. Guards against a write that
- * is finished on the selector's thread and told of later than it happened: a reset that is read in between would find that
- * the last byte had not left, and what must run once would be sent elsewhere.
+ * A connection whose selector only tells what it is ready for; that is then done on the loop.
+ * Guards against a write that is finished on the selector's thread and told of later than it
+ * happened: a reset that is read in between would find that the last byte had not left, and what
+ * must run once would be sent elsewhere.
  */
 final class LoopEndPoint extends SocketChannelEndPoint {
-    /** What {@link #fill} gives where the system could not read just now; below the end of the stream. */
+    /**
+     * What {@link #fill} gives where the system could not read just now; below the end of the
+     * stream.
+     */
     static final int NOT_NOW = -2;
 
     /**
-     * For so long, and so many times, a connection's transfers fail in a row until it counts as broken. A failure that
-     * tells of its end tells so again at once or by the end of the stream; one for lack of memory passes. The time alone
-     * would not do: where the process is held up, it may be over before the second try.
+     * For so long, and so many times, a connection's transfers fail in a row until it counts as
+     * broken. A failure that tells of its end tells so again at once or by the end of the stream;
+     * one for lack of memory passes. The time alone would not do: where the process is held up, it
+     * may be over before the second try.
      */
     private static final long FAILING_US = 50_000;
+
     private static final int MOST_FAILURES = 16;
     private static final long NEVER = Long.MIN_VALUE;
     private static final int END = -1;
@@ -38,8 +44,13 @@
     private long failingSinceUs = NEVER;
     private int failures;
 
-    LoopEndPoint(SocketChannel channel, ManagedSelector selector, RearmableKey key, Scheduler scheduler, Loop loop,
-                 ArrivalBound arrival) {
+    LoopEndPoint(
+            SocketChannel channel,
+            ManagedSelector selector,
+            RearmableKey key,
+            Scheduler scheduler,
+            Loop loop,
+            ArrivalBound arrival) {
         super(channel, selector, key, scheduler);
         this.loop = loop;
         this.selector = selector;
@@ -53,8 +64,9 @@
     }
 
     /**
-     * Reads once. Where the system fails the read for lack of memory (recv(2)) or a signal interrupts it, the connection
-     * stands, and this gives {@link #NOT_NOW}; Jetty would take either for the end of the stream.
+     * Reads once. Where the system fails the read for lack of memory (recv(2)) or a signal
+     * interrupts it, the connection stands, and this gives {@link #NOT_NOW}; Jetty would take
+     * either for the end of the stream.
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
@@ -83,7 +95,9 @@
         }
     }
 
-    /** Writes what the system takes; what it refuses for lack of memory (send(2)) is offered again. */
+    /**
+     * Writes what the system takes; what it refuses for lack of memory (send(2)) is offered again.
+     */
     @Override
     public boolean flush(ByteBuffer... buffers) throws IOException {
         try {
@@ -120,30 +134,35 @@
         arrival.reported();
         Runnable ready = super.onSelected();
         if (ready != null) {
-            loop.execute(() -> {
-                if (getConnection() instanceof Link link) {
-                    link.selected();
-                }
-                ready.run();
-            });
+            loop.execute(
+                    () -> {
+                        if (getConnection() instanceof Link link) {
+                            link.selected();
+                        }
+                        ready.run();
+                    });
         }
         return null;
     }
 
-    /** Goes on with a write that waits for room, though the selector has not told of any; called on the loop. */
+    /**
+     * Goes on with a write that waits for room, though the selector has not told of any; called on
+     * the loop.
+     */
     void tryWriting() {
         getWriteFlusher().completeWrite();
     }
 
     /** Has the system watch the socket anew, as it seems not to; safe for several threads. */
     void watchAnew() {
-        selector.submit(before -> {
-            if (key.isValid()) {
-                key.disarm();
-                arrival.watched(false);
-                selector.submit(behind -> rearm());
-            }
-        });
+        selector.submit(
+                before -> {
+                    if (key.isValid()) {
+                        key.disarm();
+                        arrival.watched(false);
+                        selector.submit(behind -> rearm());
+                    }
+                });
     }
 
     private void rearm() {
--- a/src/main/java/damsonslip/net/Outflow.java
+++ b/src/main/java/damsonslip/net/Outflow.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches one message being written to a peer, by what the system has not taken yet, and tells when the peer is too slow.
- * Most messages are taken at once, and nothing is set up for those.
+ * Watches one message being written to a peer, by what the system has not taken yet, and tells when
+ * the peer is too slow. Most messages are taken at once, and nothing is set up for those.
  */
 public final class Outflow {
     /** A message under way is looked at this often: short beside every grace. */
@@ -27,7 +27,8 @@
      * @param backlog how much the system has not taken
      * @param tooSlow what to do when the peer does not keep up; told once for each message
      */
-    public Outflow(Loop loop, MinimumDataRate.Limits limits, LongSupplier backlog, Runnable tooSlow) {
+    public Outflow(
+            Loop loop, MinimumDataRate.Limits limits, LongSupplier backlog, Runnable tooSlow) {
         this.loop = loop;
         this.pace = new MinimumDataRate(limits);
         this.backlog = backlog;
@@ -55,7 +56,8 @@
 
     /** The same for people to read. */
     public SlowPeer shown(String what, String peer) {
-        return new SlowPeer(what, peer, backlog.getAsLong(), pace.rate(loop.now()), pace.leftUs(loop.now()));
+        return new SlowPeer(
+                what, peer, backlog.getAsLong(), pace.rate(loop.now()), pace.leftUs(loop.now()));
     }
 
     private void look() {
--- a/src/main/java/damsonslip/net/PendingDial.java
+++ b/src/main/java/damsonslip/net/PendingDial.java
@@ -6,8 +6,9 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection on its way. The system may not watch it (epoll_ctl(2) fails for lack of memory), or the selector may be held
- * up; then nothing is heard when it comes up, and its time limit passes. That says nothing of the other side.
+ * A connection on its way. The system may not watch it (epoll_ctl(2) fails for lack of memory), or
+ * the selector may be held up; then nothing is heard when it comes up, and its time limit passes.
+ * That says nothing of the other side.
  */
 final class PendingDial implements Links.Opening {
     /** It is looked at this long before its limit. */
@@ -24,7 +25,10 @@
         this.look = loop.in(limitUs - LOOK_BEFORE_US, this::lookBehindSelector);
     }
 
-    /** What is found here the selector does not find any more, and its limit passes without a word: so it ends here. */
+    /**
+     * What is found here the selector does not find any more, and its limit passes without a word:
+     * so it ends here.
+     */
     private void lookBehindSelector() {
         try {
             if (channel.isConnectionPending() && channel.finishConnect()) {
--- a/src/main/java/damsonslip/net/RearmableKey.java
+++ b/src/main/java/damsonslip/net/RearmableKey.java
@@ -5,15 +5,20 @@
 import java.nio.channels.Selector;
 
 /**
- * A selection key whose registration with the system can be made again. Where epoll_ctl(2) fails for lack of memory, the
- * JDK takes the socket for registered all the same, and asks the system again only once the interest has changed.
+ * A selection key whose registration with the system can be made again. Where epoll_ctl(2) fails
+ * for lack of memory, the JDK takes the socket for registered all the same, and asks the system
+ * again only once the interest has changed.
  *
  * <p>Used on the selector's thread.
  */
 final class RearmableKey extends SelectionKey {
     private final SelectionKey key;
-    /** What the selector is to report; the key itself has none while it is being registered anew. */
+
+    /**
+     * What the selector is to report; the key itself has none while it is being registered anew.
+     */
     private int wanted;
+
     private boolean rearming;
 
     RearmableKey(SelectionKey key) {
@@ -21,7 +26,9 @@
         this.wanted = key.interestOps();
     }
 
-    /** Takes the registration back; {@link #rearm} makes it again, behind the selector's next round. */
+    /**
+     * Takes the registration back; {@link #rearm} makes it again, behind the selector's next round.
+     */
     void disarm() {
         rearming = true;
         key.interestOps(0);
--- a/src/main/java/damsonslip/net/Room.java
+++ b/src/main/java/damsonslip/net/Room.java
@@ -11,9 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * The connections that there is room for. Guards usual clients against those that open hundreds and say nothing:
- * when it is full, the newest is let in and the one that is missed least has to go. All but {@link #admit},
- * {@link #hasRoom} and {@link #turnedBack} is called on the loop.
+ * The connections that there is room for. Guards usual clients against those that open hundreds and
+ * say nothing: when it is full, the newest is let in and the one that is missed least has to go.
+ * All but {@link #admit}, {@link #hasRoom} and {@link #turnedBack} is called on the loop.
  */
 public final class Room<L extends Link> {
     private volatile int most;
@@ -24,10 +24,10 @@
     private final AtomicInteger held = new AtomicInteger();
 
     /**
-     * @param most     so many stay
+     * @param most so many stay
      * @param overflow so many more may be held for the moment until one has gone
-     * @param mayGo    whether a connection may be ended to make room
-     * @param missed   the order in which they go
+     * @param mayGo whether a connection may be ended to make room
+     * @param missed the order in which they go
      */
     public Room(int most, int overflow, Predicate<L> mayGo, Comparator<L> missed) {
         this.most = most;
@@ -43,8 +43,9 @@
     }
 
     /**
-     * Takes room for one more, if it can be held at all; it will be told as opened and closed, or as turned back. Guards
-     * against a crowd accepted at one go: counted only once each is set up, it would pass a look at the count together.
+     * Takes room for one more, if it can be held at all; it will be told as opened and closed, or
+     * as turned back. Guards against a crowd accepted at one go: counted only once each is set up,
+     * it would pass a look at the count together.
      */
     public boolean admit() {
         int limit = most + overflow;
@@ -62,8 +63,9 @@
     }
 
     /**
-     * Takes it in; if all others are needed, it is the one that goes. Who says goodbye holds half of the overflow at the
-     * most. Guards against a crowd that never closes its side: its goodbyes would fill all the room there is.
+     * Takes it in; if all others are needed, it is the one that goes. Who says goodbye holds half
+     * of the overflow at the most. Guards against a crowd that never closes its side: its goodbyes
+     * would fill all the room there is.
      */
     public void opened(L link) {
         open.add(link);
@@ -75,22 +77,28 @@
         }
     }
 
-    /** Ends the one that is missed least; the newest if all others are needed, and nobody if that is needed as well. */
+    /**
+     * Ends the one that is missed least; the newest if all others are needed, and nobody if that is
+     * needed as well.
+     */
     private void makeRoom(L newest) {
         Set<L> needed = new HashSet<>();
         needed.add(newest);
         boolean made = false;
         while (!made) {
-            Optional<L> next = open.stream().filter(other -> !other.isLingering() && !needed.contains(other)).filter(mayGo)
-                .min(missed);
+            Optional<L> next =
+                    open.stream()
+                            .filter(other -> !other.isLingering() && !needed.contains(other))
+                            .filter(mayGo)
+                            .min(missed);
             made = makeWay(next.orElse(newest)) || next.isEmpty();
             next.ifPresent(needed::add);
         }
     }
 
     /**
-     * Ends this one, unless it turns out to be needed. Guards against the loss of a request that has come and that nobody
-     * has read yet: an end would drop it.
+     * Ends this one, unless it turns out to be needed. Guards against the loss of a request that
+     * has come and that nobody has read yet: an end would drop it.
      */
     private boolean makeWay(L link) {
         link.look();
--- a/src/main/java/damsonslip/net/RoomAcceptor.java
+++ b/src/main/java/damsonslip/net/RoomAcceptor.java
@@ -1,9 +1,10 @@
 package damsonslip.net;
 
 /**
- * Accepts connections of one kind into a {@link Room}, which bounds their number; those beyond it wait in the listener's
- * queue until the event loop has let others go. {@link #hasRoom}, {@link #admit} and {@link #turnedBack} are called on any
- * thread, {@link #opened} and {@link #closed} by the connections, on the event loop.
+ * Accepts connections of one kind into a {@link Room}, which bounds their number; those beyond it
+ * wait in the listener's queue until the event loop has let others go. {@link #hasRoom}, {@link
+ * #admit} and {@link #turnedBack} are called on any thread, {@link #opened} and {@link #closed} by
+ * the connections, on the event loop.
  */
 public abstract class RoomAcceptor<L extends Link> implements Links.Accepting {
     private final Room<L> room;
--- a/src/main/java/damsonslip/net/RoundClock.java
+++ b/src/main/java/damsonslip/net/RoundClock.java
@@ -3,10 +3,10 @@
 import java.util.function.LongSupplier;
 
 /**
- * Numbers a selector's rounds and remembers when the last two began. A socket that was watched in a round and not
- * reported by it was empty at some moment after that round began: whatever is found there later has come after that. The
- * time at which a round returned would not do, since the thread may be held up between the system's look and its own.
- * Used on the selector's thread.
+ * Numbers a selector's rounds and remembers when the last two began. A socket that was watched in a
+ * round and not reported by it was empty at some moment after that round began: whatever is found
+ * there later has come after that. The time at which a round returned would not do, since the
+ * thread may be held up between the system's look and its own. Used on the selector's thread.
  */
 final class RoundClock {
     private final LongSupplier nowUs;
--- a/src/main/java/damsonslip/operations/Metric.java
+++ b/src/main/java/damsonslip/operations/Metric.java
@@ -3,7 +3,8 @@
 /**
  * The value of a counter or gauge at one moment.
  *
- * @param name  the metric's name, followed by a full stop and the job class where it is kept by class
+ * @param name the metric's name, followed by a full stop and the job class where it is kept by
+ *     class
  * @param value its value
  * @param gauge whether it goes up and down; a counter only grows from the start of the process
  */
--- a/src/main/java/damsonslip/operations/OperationResult.java
+++ b/src/main/java/damsonslip/operations/OperationResult.java
@@ -4,7 +4,7 @@
  * The result of an operator's command.
  *
  * @param succeeded whether what was asked for holds now
- * @param message   a few plain words for the operator
+ * @param message a few plain words for the operator
  */
 public record OperationResult(boolean succeeded, String message) {
     static OperationResult success(String message) {
--- a/src/main/java/damsonslip/operations/Operations.java
+++ b/src/main/java/damsonslip/operations/Operations.java
@@ -25,16 +25,21 @@
 public final class Operations {
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
 
-    /** Applies a change of the worker overrides and, where there is a store, makes it outlive the process. */
+    /**
+     * Applies a change of the worker overrides and, where there is a store, makes it outlive the
+     * process.
+     */
     public interface OverrideStore {
         /** Keeps nothing beyond the process. */
-        OverrideStore NONE = (change, kept, failed) -> {
-            change.run();
-            kept.run();
-        };
+        OverrideStore NONE =
+                (change, kept, failed) -> {
+                    change.run();
+                    kept.run();
+                };
 
         /**
-         * Applies the change and tells on the event loop, then or later, that it is kept or that it could not be.
+         * Applies the change and tells on the event loop, then or later, that it is kept or that it
+         * could not be.
          */
         void change(Runnable change, Runnable kept, Consumer<IOException> failed);
     }
@@ -57,22 +62,34 @@
         return new OperationResult(state == State.SERVING, state.name().toLowerCase(Locale.ROOT));
     }
 
-    /** Disables a worker: no further requests are sent to it until {@link #enable}; tells on the loop, then or later. */
+    /**
+     * Disables a worker: no further requests are sent to it until {@link #enable}; tells on the
+     * loop, then or later.
+     */
     public void disable(String id, Consumer<OperationResult> done) {
         change(id, front.driver()::disable, id + " gets nothing new", done);
     }
 
-    /** Enables a disabled worker, which is treated as one that has just started; tells on the loop, then or later. */
+    /**
+     * Enables a disabled worker, which is treated as one that has just started; tells on the loop,
+     * then or later.
+     */
     public void enable(String id, Consumer<OperationResult> done) {
         change(id, front.driver()::enable, id + " is used again", done);
     }
 
-    private void change(String id, Predicate<String> change, String changed, Consumer<OperationResult> done) {
+    private void change(
+            String id, Predicate<String> change, String changed, Consumer<OperationResult> done) {
         AtomicBoolean isKnown = new AtomicBoolean();
-        overrides.change(() -> isKnown.set(change.test(id)), () -> done.accept(kept(id, isKnown.get(), changed)), error -> {
-            LOG.warn("the bans cannot be kept: {}", error.getMessage());
-            done.accept(OperationResult.failure("it cannot be kept for other processes; say it again"));
-        });
+        overrides.change(
+                () -> isKnown.set(change.test(id)),
+                () -> done.accept(kept(id, isKnown.get(), changed)),
+                error -> {
+                    LOG.warn("the bans cannot be kept: {}", error.getMessage());
+                    done.accept(
+                            OperationResult.failure(
+                                    "it cannot be kept for other processes; say it again"));
+                });
     }
 
     private static OperationResult kept(String id, boolean isKnown, String changed) {
@@ -116,11 +133,20 @@
         metrics.add(Metric.counter("dispatches", counters.get(Count.EXECUTIONS_WRITTEN)));
         metrics.add(Metric.gauge("concurrent", driver.open()));
         Set<String> targets = driver.targets();
-        Map<String, WorkerState> states = driver.workers().stream()
-            .collect(Collectors.toMap(WorkerState::id, worker -> worker));
+        Map<String, WorkerState> states =
+                driver.workers().stream()
+                        .collect(Collectors.toMap(WorkerState::id, worker -> worker));
         metrics.add(Metric.gauge("targets", targets.size()));
-        metrics.add(Metric.gauge("targets_disabled", targets.stream().map(states::get)
-            .filter(worker -> worker != null && (!worker.running() || worker.paused())).count()));
+        metrics.add(
+                Metric.gauge(
+                        "targets_disabled",
+                        targets.stream()
+                                .map(states::get)
+                                .filter(
+                                        worker ->
+                                                worker != null
+                                                        && (!worker.running() || worker.paused()))
+                                .count()));
         metrics.add(Metric.counter("reload_success", counters.get(Count.RELOADS_DONE)));
         metrics.add(Metric.counter("reload_failure", counters.get(Count.RELOADS_REFUSED)));
         return metrics;
