--- a/src/main/java/damsonslip/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/overrides/WorkerOverrides.java
@@ -14,19 +14,25 @@
 import java.util.stream.Collectors;
 
 /**
- * The operators' overrides of the worker list, by worker id. A disabled worker counts as draining, whatever discovery
- * says of it and however often it leaves and returns. An enabled one counts as started at that moment, unless the list
- * names a later start, since operators restart a worker while it is disabled and it has to warm up.
+ * The operators' overrides of the worker list, by worker id. A disabled worker counts as draining,
+ * whatever discovery says of it and however often it leaves and returns. An enabled one counts as
+ * started at that moment, unless the list names a later start, since operators restart a worker
+ * while it is disabled and it has to warm up.
  *
  * <p>Not thread-safe; times are in microseconds since the Unix epoch.
  */
 public final class WorkerOverrides {
     /** First line of the serialized form, with its version. */
     private static final String HEADER = "damsonslip bans 1";
+
     private static final String FOOTER = "end";
     private static final String DISABLED = "out";
     private static final String ENABLED = "back";
-    /** An enabled worker counts as warm everywhere after this time, and one that is gone will hardly come back. */
+
+    /**
+     * An enabled worker counts as warm everywhere after this time, and one that is gone will hardly
+     * come back.
+     */
     private static final long RETENTION_US = 600_000_000;
 
     /** A text that is not a complete serialized form; the message is one line for the log. */
@@ -38,17 +44,23 @@
         }
     }
 
-    /** The last entry of each worker that a list has named; one that a later list left out has status GONE. */
+    /**
+     * The last entry of each worker that a list has named; one that a later list left out has
+     * status GONE.
+     */
     private final Map<String, Worker> lastListed = new TreeMap<>();
+
     /** Since when those have been gone that are. */
     private final Map<String, Long> goneSinceUs = new HashMap<>();
+
     private final Set<String> disabled = new TreeSet<>();
+
     /** When each worker was enabled again. */
     private final Map<String, Long> enabledAtUs = new TreeMap<>();
 
     /**
-     * Records a list from discovery and returns it with the overrides applied. Workers that are long gone are forgotten,
-     * unless they are disabled.
+     * Records a list from discovery and returns it with the overrides applied. Workers that are
+     * long gone are forgotten, unless they are disabled.
      *
      * @param mode whether the list is complete, so that workers it leaves out are gone
      */
@@ -62,18 +74,20 @@
     }
 
     private void forget(long nowUs) {
-        lastListed.forEach((id, worker) -> {
-            if (worker.status() == Status.GONE) {
-                goneSinceUs.putIfAbsent(id, nowUs);
-            } else {
-                goneSinceUs.remove(id);
-            }
-        });
-        goneSinceUs.forEach((id, sinceUs) -> {
-            if (sinceUs < nowUs - RETENTION_US && !disabled.contains(id)) {
-                lastListed.remove(id);
-            }
-        });
+        lastListed.forEach(
+                (id, worker) -> {
+                    if (worker.status() == Status.GONE) {
+                        goneSinceUs.putIfAbsent(id, nowUs);
+                    } else {
+                        goneSinceUs.remove(id);
+                    }
+                });
+        goneSinceUs.forEach(
+                (id, sinceUs) -> {
+                    if (sinceUs < nowUs - RETENTION_US && !disabled.contains(id)) {
+                        lastListed.remove(id);
+                    }
+                });
         goneSinceUs.keySet().retainAll(lastListed.keySet());
     }
 
@@ -93,7 +107,10 @@
         return lastListed.containsKey(id) || disabled.contains(id);
     }
 
-    /** What the newest list that named this worker says of it, without the overrides; null if none has. */
+    /**
+     * What the newest list that named this worker says of it, without the overrides; null if none
+     * has.
+     */
     public Worker listed(String id) {
         return lastListed.get(id);
     }
@@ -108,7 +125,9 @@
         return disabled.add(id) ? listChanges(List.of(id)) : List.of();
     }
 
-    /** Enables a worker again; returns the list changes that follow, none if it was not disabled. */
+    /**
+     * Enables a worker again; returns the list changes that follow, none if it was not disabled.
+     */
     public List<Worker> enable(String id, long nowUs) {
         if (!disabled.remove(id)) {
             return List.of();
@@ -118,49 +137,69 @@
     }
 
     private List<Worker> listChanges(Collection<String> ids) {
-        return ids.stream().filter(lastListed::containsKey).map(id -> overridden(lastListed.get(id))).toList();
+        return ids.stream()
+                .filter(lastListed::containsKey)
+                .map(id -> overridden(lastListed.get(id)))
+                .toList();
     }
 
     /** The ids of the workers that are on the list now, running or draining. */
     public Set<String> listedWorkers() {
-        return lastListed.values().stream().filter(worker -> worker.status() != Status.GONE).map(Worker::id)
-            .collect(Collectors.toCollection(TreeSet::new));
+        return lastListed.values().stream()
+                .filter(worker -> worker.status() != Status.GONE)
+                .map(Worker::id)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** Serializes the overrides as lines for {@link #restore} in another process; drops entries past their retention. */
+    /**
+     * Serializes the overrides as lines for {@link #restore} in another process; drops entries past
+     * their retention.
+     */
     public String serialize(long nowUs) {
         enabledAtUs.values().removeIf(at -> at < nowUs - RETENTION_US);
         StringBuilder text = new StringBuilder(HEADER).append('\n');
         disabled.forEach(id -> text.append(DISABLED).append(' ').append(id).append('\n'));
-        enabledAtUs.forEach((id, at) -> text.append(ENABLED).append(' ').append(id).append(' ').append(at).append('\n'));
+        enabledAtUs.forEach(
+                (id, at) ->
+                        text.append(ENABLED)
+                                .append(' ')
+                                .append(id)
+                                .append(' ')
+                                .append(at)
+                                .append('\n'));
         return text.append(FOOTER).append('\n').toString();
     }
 
     /**
      * Replaces the overrides by those of another process and returns the list changes that follow.
      *
-     * @throws MalformedException if the text is incomplete or of another version; nothing has changed then
+     * @throws MalformedException if the text is incomplete or of another version; nothing has
+     *     changed then
      */
     public List<Worker> restore(String text) throws MalformedException {
         Parsed parsed = parse(text);
         Set<String> changed = new TreeSet<>(parsed.disabled());
         changed.addAll(disabled);
         changed.removeIf(id -> parsed.disabled().contains(id) && disabled.contains(id));
-        parsed.enabledAtUs().forEach((id, at) -> {
-            if (!at.equals(enabledAtUs.put(id, at))) {
-                changed.add(id);
-            }
-        });
+        parsed.enabledAtUs()
+                .forEach(
+                        (id, at) -> {
+                            if (!at.equals(enabledAtUs.put(id, at))) {
+                                changed.add(id);
+                            }
+                        });
         disabled.clear();
         disabled.addAll(parsed.disabled());
         return new ArrayList<>(listChanges(changed));
     }
 
-    private record Parsed(Set<String> disabled, Map<String, Long> enabledAtUs) { }
+    private record Parsed(Set<String> disabled, Map<String, Long> enabledAtUs) {}
 
     private static Parsed parse(String text) throws MalformedException {
         List<String> lines = text.lines().toList();
-        if (lines.size() < 2 || !lines.get(0).equals(HEADER) || !lines.get(lines.size() - 1).equals(FOOTER)) {
+        if (lines.size() < 2
+                || !lines.get(0).equals(HEADER)
+                || !lines.get(lines.size() - 1).equals(FOOTER)) {
             throw new MalformedException("not a whole text of '" + HEADER + "'");
         }
         Parsed parsed = new Parsed(new TreeSet<>(), new HashMap<>());
@@ -168,7 +207,9 @@
             String[] words = line.split(" ");
             if (words.length == 2 && words[0].equals(DISABLED)) {
                 parsed.disabled().add(words[1]);
-            } else if (words.length == 3 && words[0].equals(ENABLED) && words[2].matches("[0-9]{1,18}")) {
+            } else if (words.length == 3
+                    && words[0].equals(ENABLED)
+                    && words[2].matches("[0-9]{1,18}")) {
                 parsed.enabledAtUs().put(words[1], Long.parseLong(words[2]));
             } else {
                 throw new MalformedException("a line that is not understood: " + line);
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -46,24 +46,43 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The platform's front put together: HTTP from clients, HTTP to workers, the list from discovery. */
+/**
+ * The platform's front put together: HTTP from clients, HTTP to workers, the list from discovery.
+ */
 public final class Platform implements Front {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
-    /** Descriptors for what is neither a client's nor a worker's connection: files, the selector, discovery. */
+
+    /**
+     * Descriptors for what is neither a client's nor a worker's connection: files, the selector,
+     * discovery.
+     */
     private static final int OTHER_SOCKETS = 24;
-    /** One part of so many is for connections that were accepted just now and for which others have yet to go. */
+
+    /**
+     * One part of so many is for connections that were accepted just now and for which others have
+     * yet to go.
+     */
     private static final int OVERFLOW_PART = 8;
 
     /**
-     * A start that takes longer has failed by the operators' pages. Below that it is late and not lost: where a hundred
-     * processes start at once each is held up by the others, and one that ended for it would have to be started anew.
+     * A start that takes longer has failed by the operators' pages. Below that it is late and not
+     * lost: where a hundred processes start at once each is held up by the others, and one that
+     * ended for it would have to be started anew.
      */
     private static final long BEGIN_MS = 30_000;
 
-    /** A file that is just being written is whole within this time; one that is not has been meant so. */
+    /**
+     * A file that is just being written is whole within this time; one that is not has been meant
+     * so.
+     */
     private static final long TORN_FILE_MS = 1_000;
-    /** So long until a file that could not be read is tried again: short beside the 1.5 s for which discovery stays. */
+
+    /**
+     * So long until a file that could not be read is tried again: short beside the 1.5 s for which
+     * discovery stays.
+     */
     private static final long RELOAD_AGAIN_MS = 100;
+
     /** So long until a folder that could not be used is tried again. */
     private static final long FOLDER_AGAIN_US = 1_000_000;
 
@@ -81,20 +100,41 @@
     private ServerSide servers;
     private ListeningPort listener;
     private UpgradeCoordinator handover;
+
     /** Bans outlive the process, and hold in all others of this scheduler, by way of a folder. */
     private boolean keepsBans;
+
     private boolean folderTried;
 
-    public Platform(Loop loop, Phase phase, Counters counters, NodeConfig config,
-                    Map<String, String> environment) {
+    public Platform(
+            Loop loop,
+            Phase phase,
+            Counters counters,
+            NodeConfig config,
+            Map<String, String> environment) {
         this.loop = loop;
         this.phase = phase;
         this.counters = counters;
         this.config = config;
         this.environment = environment;
         this.stopTimes = ShutdownTimes.of(longestDeadlineUs());
-        this.driver = new Driver(config.site().settings().withProbesThatTellDrains(), config.seed(), loop, counters);
-        phase.onChange(() -> loop.execute(() -> driver.events().add(loop.now(), Kind.PHASE, "", phase.state(), 0)));
+        this.driver =
+                new Driver(
+                        config.site().settings().withProbesThatTellDrains(),
+                        config.seed(),
+                        loop,
+                        counters);
+        phase.onChange(
+                () ->
+                        loop.execute(
+                                () ->
+                                        driver.events()
+                                                .add(
+                                                        loop.now(),
+                                                        Kind.PHASE,
+                                                        "",
+                                                        phase.state(),
+                                                        0)));
     }
 
     @Override
@@ -102,7 +142,9 @@
         InetSocketAddress listen = address("listen", config.listen());
         InetSocketAddress discovery = address("discovery", config.discovery());
         Links links = Links.start(loop, config.site().connectUs() / 1000);
-        clients = new ClientSide(links, config.site(), driver, phase, counters, rest(1) / 2, overflow(1));
+        clients =
+                new ClientSide(
+                        links, config.site(), driver, phase, counters, rest(1) / 2, overflow(1));
         servers = new ServerSide(links, config.site(), driver, counters, discovery, rest(1) / 2);
         HostGroup.Update known = known(servers.hosts());
         Path folder = folder();
@@ -112,10 +154,18 @@
         if (!serving(open)) {
             return; // told to end before anybody could come
         }
-        LOG.info("{} listens on {}, {} workers known", config.name(), config.listen(), known.entries().size());
+        LOG.info(
+                "{} listens on {}, {} workers known",
+                config.name(),
+                config.listen(),
+                known.entries().size());
     }
 
-    private void begin(HostGroup.Update known, InetSocketAddress listen, Path folder, CompletableFuture<Boolean> open) {
+    private void begin(
+            HostGroup.Update known,
+            InetSocketAddress listen,
+            Path folder,
+            CompletableFuture<Boolean> open) {
         driver.begin(servers, servers.begin(known));
         if (folder != null) {
             openFolder(folder); // the bans, and who else sends, before the first query
@@ -124,10 +174,17 @@
         servers.whenTold(relieved, () -> open(listen, folder != null, open));
     }
 
-    /** On the loop, where a stop is told as well: it finds the listener open, and shuts it, or keeps it from opening. */
+    /**
+     * On the loop, where a stop is told as well: it finds the listener open, and shuts it, or keeps
+     * it from opening.
+     */
     private void open(InetSocketAddress listen, boolean shared, CompletableFuture<Boolean> open) {
         try {
-            driver.monitor().permits(StartGuard.check(new StartGuard.Facts(driver.isBegun(), !shared || folderTried)));
+            driver.monitor()
+                    .permits(
+                            StartGuard.check(
+                                    new StartGuard.Facts(
+                                            driver.isBegun(), !shared || folderTried)));
             phase.moveTo(State.SERVING); // nobody who comes shall have to wait
             if (phase.is(State.SERVING)) {
                 listener = clients.listen(listen, shared);
@@ -148,8 +205,8 @@
     }
 
     /**
-     * Opens the folder where processes of one scheduler meet. A full or failing disk does not keep this one from serving:
-     * it goes on alone, and tries again.
+     * Opens the folder where processes of one scheduler meet. A full or failing disk does not keep
+     * this one from serving: it goes on alone, and tries again.
      */
     private void openFolder(Path folder) {
         if (phase.atLeast(State.FINISHING)) {
@@ -157,7 +214,9 @@
         }
         folderTried = true;
         try {
-            handover = new UpgradeCoordinator(new SharedDirectory(folder), loop, driver, this::divided);
+            handover =
+                    new UpgradeCoordinator(
+                            new SharedDirectory(folder), loop, driver, this::divided);
         } catch (IOException e) {
             LOG.warn("event=folder_unusable folder={} error=\"{}\"", folder, e.getMessage());
             loop.in(FOLDER_AGAIN_US, () -> openFolder(folder));
@@ -203,7 +262,10 @@
         return config.sockets() / processes / OVERFLOW_PART;
     }
 
-    /** Descriptors for clients' and workers' connections, where so many processes share those of one scheduler. */
+    /**
+     * Descriptors for clients' and workers' connections, where so many processes share those of one
+     * scheduler.
+     */
     private int rest(int processes) {
         int others = OTHER_SOCKETS + (config.mgmt().isEmpty() ? 0 : ManagementServer.SOCKETS);
         return config.sockets() / processes - others - overflow(processes);
@@ -239,9 +301,10 @@
     }
 
     /**
-     * Follows discovery to where the file names it now; open executions go on, and so does the list as it stands. Called on
-     * the signal's own thread, which waits where the file cannot be read or used in this moment: the signal does not come
-     * again, and the discovery of before ends. Meanwhile discovery may have moved, and counts from the signal.
+     * Follows discovery to where the file names it now; open executions go on, and so does the list
+     * as it stands. Called on the signal's own thread, which waits where the file cannot be read or
+     * used in this moment: the signal does not come again, and the discovery of before ends.
+     * Meanwhile discovery may have moved, and counts from the signal.
      */
     @Override
     public void reload(long signalNs) {
@@ -259,7 +322,8 @@
                     loop.execute(() -> servers.configurationNews(AddressNews.UNREAD, signalUs));
                     refused = true;
                 }
-                if (!(e instanceof UnreadableFile) && System.nanoTime() > patienceEndsNs || !pause()) {
+                if (!(e instanceof UnreadableFile) && System.nanoTime() > patienceEndsNs
+                        || !pause()) {
                     loop.execute(() -> servers.configurationNews(AddressNews.READ, signalUs));
                     return;
                 }
@@ -301,23 +365,35 @@
 
     @Override
     public void leave() {
-        loop.execute(() -> {
-            long toldUs = loop.now();
-            if (listener == null) { // nobody could come yet, and nobody will
-                phase.moveTo(State.ENDED);
-            } else if (handover == null) {
-                leaveServing(toldUs);
-            } else {
-                handover.refresh(() -> leaveServing(toldUs)); // whether a successor serves decides how to leave
-            }
-        });
+        loop.execute(
+                () -> {
+                    long toldUs = loop.now();
+                    if (listener == null) { // nobody could come yet, and nobody will
+                        phase.moveTo(State.ENDED);
+                    } else if (handover == null) {
+                        leaveServing(toldUs);
+                    } else {
+                        handover.refresh(
+                                () ->
+                                        leaveServing(
+                                                toldUs)); // whether a successor serves decides how
+                        // to leave
+                    }
+                });
     }
 
     private void leaveServing(long toldUs) {
         clients.answerBy(toldUs + stopTimes.answerDeadlineUs());
         loop.at(toldUs + stopTimes.answerDeadlineUs(), driver::answerAll);
-        new Leave(loop, phase, stopTimes.acceptUs(), longestDeadlineUs(), this::succeeded, this::shut,
-            this::done).begin();
+        new Leave(
+                        loop,
+                        phase,
+                        stopTimes.acceptUs(),
+                        longestDeadlineUs(),
+                        this::succeeded,
+                        this::shut,
+                        this::done)
+                .begin();
     }
 
     private long longestDeadlineUs() {
@@ -344,8 +420,10 @@
 
     private void shut() {
         listener.shut();
-        clients.sendAway(succeeded() ? ConnectionDraining.forUpgrade(loop.now(), stopTimes)
-            : ConnectionDraining.forShutdown(loop.now()));
+        clients.sendAway(
+                succeeded()
+                        ? ConnectionDraining.forUpgrade(loop.now(), stopTimes)
+                        : ConnectionDraining.forShutdown(loop.now()));
     }
 
     private boolean done() {
@@ -358,11 +436,14 @@
             return;
         }
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> {
-            handover.close(done::countDown);
-        });
+        loop.execute(
+                () -> {
+                    handover.close(done::countDown);
+                });
         try {
-            done.await(LAST_TASK_MS, TimeUnit.MILLISECONDS); // a mark that stays is harmless: nobody holds its lock
+            done.await(
+                    LAST_TASK_MS,
+                    TimeUnit.MILLISECONDS); // a mark that stays is harmless: nobody holds its lock
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/damsonslip/platform/clients/Arrivals.java
+++ b/src/main/java/damsonslip/platform/clients/Arrivals.java
@@ -3,22 +3,26 @@
 import java.util.ArrayDeque;
 
 /**
- * When the bytes that wait to be read have come. Guards the deadlines of requests that are written ahead: their clients'
- * time runs from when they were sent, not from when the requests before them were answered. Used on the loop.
+ * When the bytes that wait to be read have come. Guards the deadlines of requests that are written
+ * ahead: their clients' time runs from when they were sent, not from when the requests before them
+ * were answered. Used on the loop.
  */
 final class Arrivals {
-    /** What comes within this time counts as come together: exact enough for any deadline, and few entries. */
+    /**
+     * What comes within this time counts as come together: exact enough for any deadline, and few
+     * entries.
+     */
     private static final long TOGETHER_US = 10_000;
 
     /**
      * When something has come.
      *
      * @param earliestUs not before this: until then nothing was there to read
-     * @param takenUs    it counts as come then, by all that is tolerated
+     * @param takenUs it counts as come then, by all that is tolerated
      */
-    record Arrival(long earliestUs, long takenUs) { }
+    record Arrival(long earliestUs, long takenUs) {}
 
-    private record Part(int bytes, Arrival at) { }
+    private record Part(int bytes, Arrival at) {}
 
     private final ArrayDeque<Part> parts = new ArrayDeque<>();
     private int waiting;
--- a/src/main/java/damsonslip/platform/clients/ClientLink.java
+++ b/src/main/java/damsonslip/platform/clients/ClientLink.java
@@ -21,21 +21,26 @@
 
 /** A client's connection: one query at a time, from its bytes to its answer. */
 final class ClientLink extends Link implements AnswerListener {
-    private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] CONTINUE =
+            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** Within this time of the connection's start, or of its first bytes, a query has to be whole. */
+    /**
+     * Within this time of the connection's start, or of its first bytes, a query has to be whole.
+     */
     private static final long WHOLE_US = 2_000_000;
 
     /**
-     * How a client has to read its answer: nothing may move for 5 s at first; later for as long as what it has read is
-     * worth at 2 KB/s, a weak mobile link. An answer that fits into the system's buffers is taken at once, whatever the
-     * client does.
+     * How a client has to read its answer: nothing may move for 5 s at first; later for as long as
+     * what it has read is worth at 2 KB/s, a weak mobile link. An answer that fits into the
+     * system's buffers is taken at once, whatever the client does.
      */
-    private static final MinimumDataRate.Limits READING = new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
+    private static final MinimumDataRate.Limits READING =
+            new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     /**
-     * What is read of a client while its query waits: a further message as large as they may be. Guards against departures
-     * that go unnoticed behind what was sent ahead: as long as there is room, the end of the connection is read as well.
+     * What is read of a client while its query waits: a further message as large as they may be.
+     * Guards against departures that go unnoticed behind what was sent ahead: as long as there is
+     * room, the end of the connection is read as well.
      */
     private static final int MOST_AHEAD = Field.MOST_HEADERS + Field.MOST_BODY;
 
@@ -44,18 +49,28 @@
     private final QueryReader reader = new QueryReader();
     private final Arrivals arrivals = new Arrivals();
     private Exchange exchange;
+
     /**
-     * A query that has come whole and is taken once all that came behind it is read. Guards against a client that has left
-     * by then: where the loop was held up, query and close are there together, and an attempt would be for nobody.
+     * A query that has come whole and is taken once all that came behind it is read. Guards against
+     * a client that has left by then: where the loop was held up, query and close are there
+     * together, and an attempt would be for nobody.
      */
     private Query arrived;
+
     /** A message is being served, by a worker or by ourselves. */
     private boolean busy;
+
     private boolean leaving;
-    /** Runs while a message is awaited, the first one from the start on, others once they have begun. */
+
+    /**
+     * Runs while a message is awaited, the first one from the start on, others once they have
+     * begun.
+     */
     private Loop.Timer overdue;
+
     /** Whole messages that could be read, and those of them that a worker has served. */
     private int whole;
+
     private int served;
     long idleSinceUs;
 
@@ -97,7 +112,7 @@
                 ask(head, came);
             } else {
                 if (reader.takeContinue()) {
-                    write(() -> { }, ByteBuffer.wrap(CONTINUE));
+                    write(() -> {}, ByteBuffer.wrap(CONTINUE));
                 }
                 if (reader.midway() && overdue == null) {
                     overdue = side.loop().in(WHOLE_US, this::overdue);
@@ -109,8 +124,9 @@
     }
 
     /**
-     * Looks at what has come behind the query at hand. Guards against a length that is too small: the rest of the
-     * body can be no query, and what was cut off must not be served as though it were one.
+     * Looks at what has come behind the query at hand. Guards against a length that is too small:
+     * the rest of the body can be no query, and what was cut off must not be served as though it
+     * were one.
      */
     private void checkAhead(ByteBuffer bytes) {
         boolean query = QueryReader.mayBegin(bytes);
@@ -126,10 +142,15 @@
         }
         exchange = null;
         arrived = null;
-        refuse(new QueryHead.Bad(400, query ? "too much sent ahead of its answer" : "longer than it says"));
+        refuse(
+                new QueryHead.Bad(
+                        400, query ? "too much sent ahead of its answer" : "longer than it says"));
     }
 
-    /** An error is the last thing on a connection: who has sent one bad message may have hidden others in it. */
+    /**
+     * An error is the last thing on a connection: who has sent one bad message may have hidden
+     * others in it.
+     */
     private void refuse(QueryHead.Bad bad) {
         busy = true;
         leaving = true;
@@ -137,7 +158,10 @@
         reply(bad.status(), bad.getMessage(), HttpFields.build());
     }
 
-    /** Guards against clients that say nothing, or never end what they say: these would fill all the room there is. */
+    /**
+     * Guards against clients that say nothing, or never end what they say: these would fill all the
+     * room there is.
+     */
     private void overdue() {
         overdue = null;
         boolean begun = reader.midway();
@@ -167,13 +191,18 @@
                     throw new QueryHead.Bad(405, "POST only");
                 }
                 Query query = head.query(side.site(), came, side.latestUs());
-                if (query.deadlineUs() <= side.loop().now()) { // its time has passed behind the ones before it
+                if (query.deadlineUs()
+                        <= side.loop().now()) { // its time has passed behind the ones before it
                     reply(503, "out of time", HttpFields.build());
                     return;
                 }
                 arrived = query;
             }
-            case "/healthz" -> reply(side.healthy() ? 200 : 503, side.healthy() ? "ok" : "leaving", HttpFields.build());
+            case "/healthz" ->
+                    reply(
+                            side.healthy() ? 200 : 503,
+                            side.healthy() ? "ok" : "leaving",
+                            HttpFields.build());
             default -> throw new QueryHead.Bad(404, "no such path");
         }
     }
@@ -194,7 +223,10 @@
         }
     }
 
-    /** While the query is being taken there is no exchange yet, and all that had come was read in that moment. */
+    /**
+     * While the query is being taken there is no exchange yet, and all that had come was read in
+     * that moment.
+     */
     @Override
     public void readPending() {
         if (exchange != null) {
@@ -213,11 +245,17 @@
             }
             case THROTTLED -> {
                 if (answer.retryAfterUs() > 0 && side.site().retryAfter()) {
-                    fields.add("Retry-After", String.format(Locale.ROOT, "%.3f", answer.retryAfterUs() / 1e6));
+                    fields.add(
+                            "Retry-After",
+                            String.format(Locale.ROOT, "%.3f", answer.retryAfterUs() / 1e6));
                 }
                 reply(503, "throttled", fields);
             }
-            case FAILED -> reply(answer.late() ? 504 : 502, answer.late() ? "out of time" : "failed", fields);
+            case FAILED ->
+                    reply(
+                            answer.late() ? 504 : 502,
+                            answer.late() ? "out of time" : "failed",
+                            fields);
         }
     }
 
@@ -226,7 +264,9 @@
         if (leaving) {
             fields.add("Connection", "close");
         }
-        write(this::answered, Encoder.answer(status, fields, body.getBytes(StandardCharsets.UTF_8)));
+        write(
+                this::answered,
+                Encoder.answer(status, fields, body.getBytes(StandardCharsets.UTF_8)));
         if (!isClosed()) {
             reading.begin();
             side.checkBudget(reading);
@@ -241,7 +281,9 @@
         return reading;
     }
 
-    /** Guards the room and the memory that a client would hold for ever that never reads its answer. */
+    /**
+     * Guards the room and the memory that a client would hold for ever that never reads its answer.
+     */
     void readsNothing() {
         side.readsNothing();
         end();
@@ -259,7 +301,10 @@
         side.loop().execute(this::again);
     }
 
-    /** Ends it between queries; one that has just come is served first, and one that crosses the end is not read as one. */
+    /**
+     * Ends it between queries; one that has just come is served first, and one that crosses the end
+     * is not read as one.
+     */
     void endIfIdle() {
         if (idle()) {
             look();
@@ -272,7 +317,7 @@
     /** Carries out what sending clients away means for this one. */
     void drain(ConnectionDraining draining) {
         switch (draining.actionFor(side.loop().now(), busy, reader.midway(), idleSinceUs)) {
-            case KEEP -> { }
+            case KEEP -> {}
             case CLOSE -> endIfIdle();
             case REJECT -> rejectPart();
         }
@@ -309,7 +354,9 @@
         return !busy || isLingering();
     }
 
-    /** How much it would be missed: usual clients send at once, get their results, and come back. */
+    /**
+     * How much it would be missed: usual clients send at once, get their results, and come back.
+     */
     private int worth() {
         boolean asked = whole > 0 || reader.midway();
         return isLingering() ? 0 : !asked ? 1 : served == 0 ? 2 : 3;
@@ -338,6 +385,8 @@
     }
 
     private String closeReason() {
-        return isEndedByPeer() ? "the client has ended it" : isLingering() ? "said goodbye" : "given up";
+        return isEndedByPeer()
+                ? "the client has ended it"
+                : isLingering() ? "said goodbye" : "given up";
     }
 }
--- a/src/main/java/damsonslip/platform/clients/ClientSide.java
+++ b/src/main/java/damsonslip/platform/clients/ClientSide.java
@@ -33,10 +33,16 @@
 public final class ClientSide implements Links.Accepting {
     /** Answers that wait to be read may hold this part of the heap, all together. */
     private static final int PART_OF_HEAP = 8;
+
     private static final Logger LOG = LoggerFactory.getLogger(ClientSide.class);
+
     /** Ids of queries that are remembered: more than come in within the longest deadline. */
     private static final int MOST_TAKEN = 4_000;
-    /** Connections that are to go are looked at this often: short beside every time in {@link ConnectionDraining}. */
+
+    /**
+     * Connections that are to go are looked at this often: short beside every time in {@link
+     * ConnectionDraining}.
+     */
     private static final long SWEEP_US = 50_000;
 
     private final Links links;
@@ -48,19 +54,29 @@
     private long latestUs = Long.MAX_VALUE;
     private ConnectionDraining draining;
     private boolean succeeded;
+
     /** The ids of the queries taken lately, the oldest first. */
-    private final Map<String, Boolean> taken = new LinkedHashMap<>() {
-        private static final long serialVersionUID = 1L;
+    private final Map<String, Boolean> taken =
+            new LinkedHashMap<>() {
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_TAKEN;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+                    return size() > MOST_TAKEN;
+                }
+            };
 
-    /** At most so many connections are kept, with some more for the moment until others have gone. */
-    public ClientSide(Links links, Site site, Driver driver, Phase phase, Counters counters, int mostLinks,
-                      int overflow) {
+    /**
+     * At most so many connections are kept, with some more for the moment until others have gone.
+     */
+    public ClientSide(
+            Links links,
+            Site site,
+            Driver driver,
+            Phase phase,
+            Counters counters,
+            int mostLinks,
+            int overflow) {
         this.links = links;
         this.site = site;
         this.driver = driver;
@@ -79,7 +95,9 @@
         room.resize(mostLinks, overflow);
     }
 
-    /** Ends connections by this rule, until {@link #stay}; one that holds already stays as it is. */
+    /**
+     * Ends connections by this rule, until {@link #stay}; one that holds already stays as it is.
+     */
     public void sendAway(ConnectionDraining rule) {
         if (draining == null) {
             draining = rule;
@@ -100,14 +118,17 @@
     }
 
     /**
-     * Whether no client's connection is left, and none is on its way in. Those that say goodbye count: an exit over bytes
-     * that come then would reset them, and take the last answer along.
+     * Whether no client's connection is left, and none is on its way in. Those that say goodbye
+     * count: an exit over bytes that come then would reset them, and take the last answer along.
      */
     public boolean gone() {
         return room.isEmpty();
     }
 
-    /** Another process of this scheduler takes what comes: to the front, the address goes on being healthy. */
+    /**
+     * Another process of this scheduler takes what comes: to the front, the address goes on being
+     * healthy.
+     */
     public void succeeded(boolean so) {
         succeeded = so;
     }
@@ -143,9 +164,10 @@
     }
 
     /**
-     * Takes a query in. Guards against an id that comes twice: every query has one of its own, a client's retry too,
-     * so a second one is a stranger's that borrows it, or the same query hurled at us again as soon as it was turned
-     * away. Neither may run beside or after the first, nor disturb it.
+     * Takes a query in. Guards against an id that comes twice: every query has one of its own, a
+     * client's retry too, so a second one is a stranger's that borrows it, or the same query hurled
+     * at us again as soon as it was turned away. Neither may run beside or after the first, nor
+     * disturb it.
      */
     Exchange take(Query query, ClientLink link) throws QueryHead.Bad {
         if (driver.holds(query.id()) || taken.containsKey(query.id())) {
@@ -166,17 +188,23 @@
     }
 
     /**
-     * Guards the heap: many clients that read nothing hold an answer each. Looked at when a further answer was not taken at
-     * once, which usual clients' answers are.
+     * Guards the heap: many clients that read nothing hold an answer each. Looked at when a further
+     * answer was not taken at once, which usual clients' answers are.
      */
     void checkBudget(Outflow newest) {
         if (newest.waits()) {
-            List<ClientLink> over = BufferBudget.over(Runtime.getRuntime().maxMemory() / PART_OF_HEAP, room.all().stream()
-                .filter(link -> link.reading().waits()).map(link -> link.reading().holding(link)).toList());
-            over.forEach(link -> {
-                LOG.warn("answers that are not read hold more than their part of the heap");
-                link.readsNothing();
-            });
+            List<ClientLink> over =
+                    BufferBudget.over(
+                            Runtime.getRuntime().maxMemory() / PART_OF_HEAP,
+                            room.all().stream()
+                                    .filter(link -> link.reading().waits())
+                                    .map(link -> link.reading().holding(link))
+                                    .toList());
+            over.forEach(
+                    link -> {
+                        LOG.warn("answers that are not read hold more than their part of the heap");
+                        link.readsNothing();
+                    });
         }
     }
 
--- a/src/main/java/damsonslip/platform/clients/QueryHead.java
+++ b/src/main/java/damsonslip/platform/clients/QueryHead.java
@@ -9,13 +9,16 @@
 /**
  * A client's message, decoded once.
  *
- * @param method  as it came
- * @param target  path and query, as they came
- * @param fields  the header fields that matter here, by their names in lower case
- * @param body    the content
+ * @param method as it came
+ * @param target path and query, as they came
+ * @param fields the header fields that matter here, by their names in lower case
+ * @param body the content
  */
 record QueryHead(String method, String target, Map<String, String> fields, byte[] body) {
-    /** No worker has more slots, or more units of memory; what claims more would only spoil the estimates. */
+    /**
+     * No worker has more slots, or more units of memory; what claims more would only spoil the
+     * estimates.
+     */
     private static final int MOST_SLOTS = 64;
 
     /** A message that cannot be served, and the status that says so. */
@@ -51,8 +54,9 @@
     }
 
     /**
-     * What goes on to a worker has to arrive there as it was: an id in another form is a stranger's. Beyond plain ASCII the
-     * two messages would be decoded and encoded by rules that nobody has agreed on.
+     * What goes on to a worker has to arrive there as it was: an id in another form is a
+     * stranger's. Beyond plain ASCII the two messages would be decoded and encoded by rules that
+     * nobody has agreed on.
      */
     private static String plain(String what, String text, char first) throws Bad {
         if (text != null && !text.chars().allMatch(c -> c >= first && c <= '~')) {
@@ -61,7 +65,10 @@
         return text;
     }
 
-    /** Who it is for, by the names that the settings give; where these have none, nobody in particular. */
+    /**
+     * Who it is for, by the names that the settings give; where these have none, nobody in
+     * particular.
+     */
     private int tenant(Site site) throws Bad {
         if (site.tenantNames().isEmpty()) {
             return 0;
@@ -73,7 +80,10 @@
         return tenant;
     }
 
-    /** The query that this message asks, which came then; it is answered by the latest time at any rate. */
+    /**
+     * The query that this message asks, which came then; it is answered by the latest time at any
+     * rate.
+     */
     Query query(Site site, Arrivals.Arrival came, long latestUs) throws Bad {
         String id = plain(Field.ID, needed(Field.ID), ' ');
         int jobClass = site.classNames().indexOf(needed(Field.CLASS));
@@ -87,22 +97,39 @@
         try {
             String told = field(Field.TIME_LEFT);
             timeLeft = told == null ? site.deadlineUs(jobClass) : Field.micros(told);
-            for (String fact : field(Field.FACTS) == null ? new String[0] : field(Field.FACTS).split(",")) {
+            for (String fact :
+                    field(Field.FACTS) == null ? new String[0] : field(Field.FACTS).split(",")) {
                 int at = fact.indexOf('=');
                 String value = fact.substring(at + 1).trim();
                 switch (at < 0 ? "" : fact.substring(0, at).trim()) {
-                    case "cores_needed", "slots" -> slots = Math.max(1, (int) Field.figure(value, MOST_SLOTS));
+                    case "cores_needed", "slots" ->
+                            slots = Math.max(1, (int) Field.figure(value, MOST_SLOTS));
                     case "mem_needed", "memory" -> memory = Field.figure(value, MOST_SLOTS);
-                    default -> { }
+                    default -> {}
                 }
             }
         } catch (IllegalArgumentException e) {
             throw new Bad(400, "not a figure: " + e.getMessage());
         }
-        HttpForward forward = new HttpForward(method, plain("target", target, '!'), plain(Field.KEY, field(Field.KEY), ' '),
-            plain("Content-Type", field("Content-Type"), ' '), body);
+        HttpForward forward =
+                new HttpForward(
+                        method,
+                        plain("target", target, '!'),
+                        plain(Field.KEY, field(Field.KEY), ' '),
+                        plain("Content-Type", field("Content-Type"), ' '),
+                        body);
         long deadline = Math.min(came.takenUs() + timeLeft, latestUs);
-        return new Query(id, jobClass, tenant, deadline, came.earliestUs() + timeLeft, slots, memory, null,
-            Integer.MAX_VALUE, null, forward);
+        return new Query(
+                id,
+                jobClass,
+                tenant,
+                deadline,
+                came.earliestUs() + timeLeft,
+                slots,
+                memory,
+                null,
+                Integer.MAX_VALUE,
+                null,
+                forward);
     }
 }
--- a/src/main/java/damsonslip/platform/clients/QueryReader.java
+++ b/src/main/java/damsonslip/platform/clients/QueryReader.java
@@ -21,12 +21,19 @@
 
 /** Decodes a client's bytes, message by message. */
 final class QueryReader implements HttpParser.RequestHandler {
-    private static final List<String> METHODS = Arrays.stream(HttpMethod.values()).map(m -> m.asString() + " ").toList();
-    private static final int LONGEST_METHOD = METHODS.stream().mapToInt(String::length).max().orElseThrow();
-    /** Fields that mean something here; a message that has one of them twice says two things at once. */
-    private static final Set<String> SINGLE = Stream
-        .of(Field.ID, Field.CLASS, Field.TENANT, Field.TIME_LEFT, Field.KEY, Field.FACTS)
-        .map(name -> name.toLowerCase(Locale.ROOT)).collect(Collectors.toUnmodifiableSet());
+    private static final List<String> METHODS =
+            Arrays.stream(HttpMethod.values()).map(m -> m.asString() + " ").toList();
+    private static final int LONGEST_METHOD =
+            METHODS.stream().mapToInt(String::length).max().orElseThrow();
+
+    /**
+     * Fields that mean something here; a message that has one of them twice says two things at
+     * once.
+     */
+    private static final Set<String> SINGLE =
+            Stream.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIME_LEFT, Field.KEY, Field.FACTS)
+                    .map(name -> name.toLowerCase(Locale.ROOT))
+                    .collect(Collectors.toUnmodifiableSet());
 
     private final HttpParser parser = new HttpParser(this, Field.MOST_HEADERS);
     private Map<String, String> fields = new HashMap<>();
@@ -62,7 +69,8 @@
         byte[] start = new byte[Math.min(LONGEST_METHOD, bytes.limit() - from)];
         bytes.get(from, start);
         String text = new String(start, StandardCharsets.ISO_8859_1);
-        return METHODS.stream().anyMatch(method -> text.startsWith(method) || method.startsWith(text));
+        return METHODS.stream()
+                .anyMatch(method -> text.startsWith(method) || method.startsWith(text));
     }
 
     /** Whether the connection may serve a further message. */
@@ -143,13 +151,16 @@
     }
 
     @Override
-    public void earlyEOF() { }
+    public void earlyEOF() {}
 
     @Override
     public void badMessage(HttpException failure) {
         if (bad == null) {
             int status = failure.getCode() == 414 ? 431 : failure.getCode();
-            bad = new QueryHead.Bad(status, failure.getReason() == null ? "malformed" : failure.getReason());
+            bad =
+                    new QueryHead.Bad(
+                            status,
+                            failure.getReason() == null ? "malformed" : failure.getReason());
         }
     }
 }
--- a/src/main/java/damsonslip/platform/http/Encoder.java
+++ b/src/main/java/damsonslip/platform/http/Encoder.java
@@ -15,12 +15,14 @@
 public final class Encoder {
     private static final int HEAD = 2 * Field.MOST_HEADERS;
 
-    private Encoder() { }
+    private Encoder() {}
 
     /** The bytes of a request. */
-    public static ByteBuffer[] request(String method, String target, HttpFields fields, byte[] body) {
-        MetaData.Request request = new MetaData.Request(method, HttpURI.from(target), HttpVersion.HTTP_1_1, fields,
-            body.length);
+    public static ByteBuffer[] request(
+            String method, String target, HttpFields fields, byte[] body) {
+        MetaData.Request request =
+                new MetaData.Request(
+                        method, HttpURI.from(target), HttpVersion.HTTP_1_1, fields, body.length);
         ByteBuffer head = BufferUtil.allocate(HEAD);
         try {
             ByteBuffer content = ByteBuffer.wrap(body);
@@ -33,12 +35,19 @@
 
     /** The bytes of an answer. */
     public static ByteBuffer[] answer(int status, HttpFields fields, byte[] body) {
-        MetaData.Response response = new MetaData.Response(status, HttpStatus.getMessage(status),
-            HttpVersion.HTTP_1_1, fields, body.length);
+        MetaData.Response response =
+                new MetaData.Response(
+                        status,
+                        HttpStatus.getMessage(status),
+                        HttpVersion.HTTP_1_1,
+                        fields,
+                        body.length);
         ByteBuffer head = BufferUtil.allocate(HEAD);
         try {
             ByteBuffer content = ByteBuffer.wrap(body);
-            expectFlush(new HttpGenerator().generateResponse(response, false, head, null, content, true));
+            expectFlush(
+                    new HttpGenerator()
+                            .generateResponse(response, false, head, null, content, true));
             return new ByteBuffer[] {head, content};
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/main/java/damsonslip/platform/http/Field.java
+++ b/src/main/java/damsonslip/platform/http/Field.java
@@ -20,23 +20,32 @@
 
     private static final Pattern FIGURE = Pattern.compile("[0-9]{1,20}(\\.[0-9]{1,20})?");
 
-    private Field() { }
+    private Field() {}
 
-    /** Reads {@code 480m} or {@code 480000u} as microseconds; no number or no known unit is an error. */
+    /**
+     * Reads {@code 480m} or {@code 480000u} as microseconds; no number or no known unit is an
+     * error.
+     */
     public static long micros(String text) {
         int end = text.length() - 1;
-        long unit = end < 1 ? 0 : switch (text.charAt(end)) {
-            case 'm' -> 1000;
-            case 'u' -> 1;
-            default -> 0;
-        };
+        long unit =
+                end < 1
+                        ? 0
+                        : switch (text.charAt(end)) {
+                            case 'm' -> 1000;
+                            case 'u' -> 1;
+                            default -> 0;
+                        };
         if (unit == 0) {
             throw new IllegalArgumentException("not a time: " + text);
         }
         return Math.round(figure(text.substring(0, end), MOST_US / unit) * unit);
     }
 
-    /** Reads a plain decimal number; Java's own reader would take {@code 5d}, {@code 0x1p4} and {@code NaN} as well. */
+    /**
+     * Reads a plain decimal number; Java's own reader would take {@code 5d}, {@code 0x1p4} and
+     * {@code NaN} as well.
+     */
     public static double figure(String text, long most) {
         double number = FIGURE.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
         if (!(number >= 0 && number <= most)) {
--- a/src/main/java/damsonslip/platform/http/HttpForward.java
+++ b/src/main/java/damsonslip/platform/http/HttpForward.java
@@ -4,4 +4,4 @@
 
 /** What of a query goes on to a worker as it came. */
 public record HttpForward(String method, String target, String key, String contentType, byte[] body)
-    implements Query.Cargo { }
+        implements Query.Cargo {}
--- a/src/main/java/damsonslip/platform/servers/AnswerReader.java
+++ b/src/main/java/damsonslip/platform/servers/AnswerReader.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Takes bytes in. Guards against what comes behind an answer's end: nobody asked for it, and the next answer could not
-     * be told from it, so that the connection must not serve again.
+     * Takes bytes in. Guards against what comes behind an answer's end: nobody asked for it, and
+     * the next answer could not be told from it, so that the connection must not serve again.
      */
     void read(ByteBuffer bytes) {
         while (!broken && BufferUtil.hasContent(bytes)) {
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void earlyEOF() { }
+    public void earlyEOF() {}
 
     @Override
     public void badMessage(HttpException failure) {
--- a/src/main/java/damsonslip/platform/servers/Discovery.java
+++ b/src/main/java/damsonslip/platform/servers/Discovery.java
@@ -21,33 +21,56 @@
 /** Watches discovery's list, one watch at a time; when to ask again is the module's decision. */
 final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
-    /** A watch says something every two seconds; one that is silent for longer than this is dead. */
+
+    /**
+     * A watch says something every two seconds; one that is silent for longer than this is dead.
+     */
     private static final long SILENT_US = 3_500_000;
+
     private static final int MOST_OBJECT = 4 * 1024 * 1024;
+
     /**
-     * A head or a line that has begun comes on at this rate, or the watch is broken, though a byte now and then keeps it
-     * from being silent: a list of 60 workers has 10 KB, and news that take longer are too old.
+     * A head or a line that has begun comes on at this rate, or the watch is broken, though a byte
+     * now and then keeps it from being silent: a list of 60 workers has 10 KB, and news that take
+     * longer are too old.
      */
-    private static final MinimumDataRate.Limits COMING = new MinimumDataRate.Limits(SILENT_US, SILENT_US, 4 * 1024);
+    private static final MinimumDataRate.Limits COMING =
+            new MinimumDataRate.Limits(SILENT_US, SILENT_US, 4 * 1024);
 
     private final Links links;
     private final HostGroup hosts;
     private final Driver driver;
-    /** Where lists are pushed, what is there counts as told whether it is watched or not, and asking costs nothing. */
+
+    /**
+     * Where lists are pushed, what is there counts as told whether it is watched or not, and asking
+     * costs nothing.
+     */
     private static final long PUSHED_AGAIN_US = 50_000;
 
     private final boolean pushed;
     private InetSocketAddress address;
+
     /** The number of the newest attempt to watch; of older ones nothing is told any more. */
     private int newest;
+
     /** The newest attempt has neither come up nor failed yet. */
     private boolean dialling;
-    /** No list has come from this address yet: another discovery may count otherwise, so its first is asked for whole. */
+
+    /**
+     * No list has come from this address yet: another discovery may count otherwise, so its first
+     * is asked for whole.
+     */
     private boolean unheard;
+
     private Watch current;
-    private Runnable told = () -> { };
+    private Runnable told = () -> {};
 
-    Discovery(Links links, InetSocketAddress address, HostGroup hosts, Driver driver, boolean pushed) {
+    Discovery(
+            Links links,
+            InetSocketAddress address,
+            HostGroup hosts,
+            Driver driver,
+            boolean pushed) {
         this.links = links;
         this.address = address;
         this.hosts = hosts;
@@ -57,16 +80,17 @@
 
     /** Tells once, when the first list has come or it was waited for so long. */
     void whenTold(long mostUs, Runnable next) {
-        told = () -> {
-            told = () -> { };
-            next.run();
-        };
+        told =
+                () -> {
+                    told = () -> {};
+                    next.run();
+                };
         links.loop().in(mostUs, () -> told.run());
     }
 
     /**
-     * Discovery has moved: watches it there at once. Guards against the wait for the old watch to end, during
-     * which news would go unheard; the old one counts until the new one is up.
+     * Discovery has moved: watches it there at once. Guards against the wait for the old watch to
+     * end, during which news would go unheard; the old one counts until the new one is up.
      *
      * @param sinceUs when the operators asked for the reload
      */
@@ -80,7 +104,10 @@
         }
     }
 
-    /** Begins a watch, unless there is one or one is on its way: another dial would make the first one's watch void. */
+    /**
+     * Begins a watch, unless there is one or one is on its way: another dial would make the first
+     * one's watch void.
+     */
     void watch() {
         if (!dialling && (current == null || current.number != newest)) {
             connect();
@@ -90,26 +117,35 @@
     private void connect() {
         int number = ++newest;
         dialling = true;
-        links.connect(address, new Links.Opening() {
-            @Override
-            public Link open(EndPoint endPoint) {
-                return new Watch(endPoint, links.loop(), number);
-            }
+        links.connect(
+                address,
+                new Links.Opening() {
+                    @Override
+                    public Link open(EndPoint endPoint) {
+                        return new Watch(endPoint, links.loop(), number);
+                    }
 
-            @Override
-            public void failed(DialFailure why) {
-                String words = switch (why) {
-                    case UNREACHABLE -> "it cannot be reached";
-                    case LOCAL -> "no socket can be had here";
-                    case UNHEARD -> "its connection came up unheard";
-                };
-                ListMode loss = why == DialFailure.UNREACHABLE ? ListMode.UNREACHABLE : ListMode.NOT_CALLED;
-                over(number, words, loss, links.loop().now());
-            }
-        });
+                    @Override
+                    public void failed(DialFailure why) {
+                        String words =
+                                switch (why) {
+                                    case UNREACHABLE -> "it cannot be reached";
+                                    case LOCAL -> "no socket can be had here";
+                                    case UNHEARD -> "its connection came up unheard";
+                                };
+                        ListMode loss =
+                                why == DialFailure.UNREACHABLE
+                                        ? ListMode.UNREACHABLE
+                                        : ListMode.NOT_CALLED;
+                        over(number, words, loss, links.loop().now());
+                    }
+                });
     }
 
-    /** Has the list watched again, unless a newer watch is on its way: where it is asked for, when the module says so. */
+    /**
+     * Has the list watched again, unless a newer watch is on its way: where it is asked for, when
+     * the module says so.
+     */
     private void over(int number, String why, ListMode loss, long heardUs) {
         LOG.info("the watch on discovery is over: {}", why);
         if (number == newest) {
@@ -151,20 +187,29 @@
             heard();
             coming.begin(links.loop().now());
             HttpFields fields = HttpFields.build().add("Host", "discovery");
-            write(() -> { },
-                Encoder.request("GET", "/v1/servers?watch=1&after=" + (unheard ? 0 : hosts.generation()), fields,
-                    new byte[0]));
+            write(
+                    () -> {},
+                    Encoder.request(
+                            "GET",
+                            "/v1/servers?watch=1&after=" + (unheard ? 0 : hosts.generation()),
+                            fields,
+                            new byte[0]));
         }
 
         private void heard() {
-            heardUs = arrivedAfterUs(); // what waited here unseen was told when it came, not when it was read
+            heardUs =
+                    arrivedAfterUs(); // what waited here unseen was told when it came, not when it
+            // was read
             if (silent != null) {
                 silent.cancel();
             }
             silent = links.loop().in(SILENT_US, this::quiet);
         }
 
-        /** Where the loop was held up, what has come meanwhile is not read yet: the time is up, and the watch is well. */
+        /**
+         * Where the loop was held up, what has come meanwhile is not read yet: the time is up, and
+         * the watch is well.
+         */
         private void quiet() {
             Loop.Timer due = silent;
             look();
--- a/src/main/java/damsonslip/platform/servers/HostGroup.java
+++ b/src/main/java/damsonslip/platform/servers/HostGroup.java
@@ -21,16 +21,21 @@
 /** Discovery's list: where each worker listens, and since when it wants nothing new. */
 public final class HostGroup {
     private static final Logger LOG = LoggerFactory.getLogger(HostGroup.class);
-    /** This much before the drain grace ends, nothing is begun any more: bytes need time to leave. */
+
+    /**
+     * This much before the drain grace ends, nothing is begun any more: bytes need time to leave.
+     */
     private static final long MARGIN_US = 150_000;
 
     /** A list or its changes, decoded once. */
-    public record Update(long generation, boolean whole, List<Entry> entries) { }
+    public record Update(long generation, boolean whole, List<Entry> entries) {}
 
     /** One worker of it. */
-    public record Entry(Worker worker, InetSocketAddress address) { }
+    public record Entry(Worker worker, InetSocketAddress address) {}
 
-    /** Addresses of workers that have stopped are kept so long: what is under way there has ended. */
+    /**
+     * Addresses of workers that have stopped are kept so long: what is under way there has ended.
+     */
     private static final long RETENTION_US = 600_000_000;
 
     /** A list that cannot be read; the message is one plain line. */
@@ -42,7 +47,7 @@
         }
     }
 
-    private record Host(InetSocketAddress address, long stoppedAtUs) { }
+    private record Host(InetSocketAddress address, long stoppedAtUs) {}
 
     private static final long RUNNING = Long.MAX_VALUE;
 
@@ -58,11 +63,15 @@
         try {
             return decode(Tree.read(line));
         } catch (JsonProcessingException e) {
-            throw new Malformed("host group: not JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new Malformed(
+                    "host group: not JSON: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
-    /** Reads a list; an entry that cannot be used is left out with a message, and the others count. */
+    /**
+     * Reads a list; an entry that cannot be used is left out with a message, and the others count.
+     */
     public Update decode(JsonNode list) throws Malformed {
         if (list == null || !list.path("instances").isArray()) {
             throw new Malformed("host group: no list of instances");
@@ -75,7 +84,8 @@
                 LOG.warn("host group: left out an entry: {}", e.getMessage());
             }
         }
-        return new Update(list.path("generation").asLong(0), list.path("reset").asBoolean(false), entries);
+        return new Update(
+                list.path("generation").asLong(0), list.path("reset").asBoolean(false), entries);
     }
 
     private Entry entry(JsonNode entry) {
@@ -84,12 +94,13 @@
             throw new IllegalArgumentException("it has no instanceId");
         }
         String state = entry.path("lifecycle").asText("");
-        Status status = switch (state) {
-            case "ready" -> Status.RUNNING;
-            case "draining" -> Status.DRAINING;
-            case "gone" -> Status.GONE;
-            default -> throw new IllegalArgumentException(id + ": lifecycle: " + state);
-        };
+        Status status =
+                switch (state) {
+                    case "ready" -> Status.RUNNING;
+                    case "draining" -> Status.DRAINING;
+                    case "gone" -> Status.GONE;
+                    default -> throw new IllegalArgumentException(id + ": lifecycle: " + state);
+                };
         int zone = index(site.zoneNames(), entry.path("zone"), id);
         int kind = index(site.kindNames(), entry.path("machineType"), id);
         long startedMs = entry.path("startedAtMs").asLong(0);
@@ -106,7 +117,8 @@
     private static int index(List<String> names, JsonNode name, String id) {
         int at = names.indexOf(name.asText(""));
         if (at < 0) {
-            throw new IllegalArgumentException(id + ": unknown zone or machine type: " + name.asText(""));
+            throw new IllegalArgumentException(
+                    id + ": unknown zone or machine type: " + name.asText(""));
         }
         return at;
     }
@@ -121,14 +133,21 @@
             workers.add(worker);
             Host before = hosts.get(worker.id());
             boolean was = before != null && before.stoppedAtUs() != RUNNING;
-            long stopped = worker.status() == Status.RUNNING ? RUNNING : was ? before.stoppedAtUs() : nowUs;
+            long stopped =
+                    worker.status() == Status.RUNNING
+                            ? RUNNING
+                            : was ? before.stoppedAtUs() : nowUs;
             hosts.put(worker.id(), new Host(entry.address(), stopped));
         }
         if (update.whole()) {
-            hosts.replaceAll((id, host) -> named.contains(id) || host.stoppedAtUs() != RUNNING ? host
-                : new Host(host.address(), nowUs));
+            hosts.replaceAll(
+                    (id, host) ->
+                            named.contains(id) || host.stoppedAtUs() != RUNNING
+                                    ? host
+                                    : new Host(host.address(), nowUs));
         }
-        // nothing is sent to a worker that is unknown, so that what drains for long may be forgotten as well
+        // nothing is sent to a worker that is unknown, so that what drains for long may be
+        // forgotten as well
         hosts.values().removeIf(host -> host.stoppedAtUs() < nowUs - RETENTION_US);
         generation = update.generation();
         return workers;
@@ -147,19 +166,26 @@
         return host == null ? null : host.address();
     }
 
-    /** Since when the worker is known to drain or to have gone; {@link Long#MAX_VALUE} if it runs or is unknown. */
+    /**
+     * Since when the worker is known to drain or to have gone; {@link Long#MAX_VALUE} if it runs or
+     * is unknown.
+     */
     long stoppedAtUs(String worker) {
         Host host = hosts.get(worker);
         return host == null ? RUNNING : host.stoppedAtUs();
     }
 
     /**
-     * Whether bytes may still be sent to a worker. Guards the drain rule where the decision came before the
-     * news and the connection only after it.
+     * Whether bytes may still be sent to a worker. Guards the drain rule where the decision came
+     * before the news and the connection only after it.
      */
     boolean maySend(String worker, long nowUs) {
         Host host = hosts.get(worker);
-        return host != null && (host.stoppedAtUs() == RUNNING
-            || nowUs < host.stoppedAtUs() + site.settings().guarantees().drainGraceUs() - MARGIN_US);
+        return host != null
+                && (host.stoppedAtUs() == RUNNING
+                        || nowUs
+                                < host.stoppedAtUs()
+                                        + site.settings().guarantees().drainGraceUs()
+                                        - MARGIN_US);
     }
 }
--- a/src/main/java/damsonslip/platform/servers/JobState.java
+++ b/src/main/java/damsonslip/platform/servers/JobState.java
@@ -8,12 +8,19 @@
 /**
  * A line of a worker's answer, decoded once.
  *
- * @param kind   what it tells
+ * @param kind what it tells
  * @param result what the job gave, where done
  * @param report the worker's load, or null
  */
 record JobState(Kind kind, String result, Report report) {
-    enum Kind { STARTED, RUNNING, DONE, FAILED, RETURNED, LOST }
+    enum Kind {
+        STARTED,
+        RUNNING,
+        DONE,
+        FAILED,
+        RETURNED,
+        LOST
+    }
 
     /** Reads a line about this job; null if it is none. */
     static JobState read(String line, String id) {
@@ -22,26 +29,37 @@
             if (node == null || !id.equals(node.path("id").asText())) {
                 return null;
             }
-            Kind kind = switch (node.path("state").asText("")) {
-                case "started" -> Kind.STARTED;
-                case "running" -> Kind.RUNNING;
-                case "done" -> node.path("result").isMissingNode() ? null : Kind.DONE;
-                case "failed" -> Kind.FAILED;
-                case "returned" -> Kind.RETURNED;
-                case "lost" -> Kind.LOST;
-                default -> null;
-            };
+            Kind kind =
+                    switch (node.path("state").asText("")) {
+                        case "started" -> Kind.STARTED;
+                        case "running" -> Kind.RUNNING;
+                        case "done" -> node.path("result").isMissingNode() ? null : Kind.DONE;
+                        case "failed" -> Kind.FAILED;
+                        case "returned" -> Kind.RETURNED;
+                        case "lost" -> Kind.LOST;
+                        default -> null;
+                    };
             JsonNode result = node.path("result");
-            return kind == null ? null
-                : new JobState(kind, result.isTextual() ? result.asText() : result.toString(), report(node.path("load")));
+            return kind == null
+                    ? null
+                    : new JobState(
+                            kind,
+                            result.isTextual() ? result.asText() : result.toString(),
+                            report(node.path("load")));
         } catch (JsonProcessingException e) {
             return null;
         }
     }
 
     private static Report report(JsonNode load) {
-        return load.isObject() ? new Report(load.path("x0").asDouble(Double.NaN), load.path("x1").asDouble(Double.NaN),
-            load.path("inflight").asDouble(Double.NaN), Double.NaN, load.path("eps").asDouble(Double.NaN)) : null;
+        return load.isObject()
+                ? new Report(
+                        load.path("x0").asDouble(Double.NaN),
+                        load.path("x1").asDouble(Double.NaN),
+                        load.path("inflight").asDouble(Double.NaN),
+                        Double.NaN,
+                        load.path("eps").asDouble(Double.NaN))
+                : null;
     }
 
     /** Reads a load header such as {@code TEXT util=0.61, x0=2}; null if there is none. */
@@ -65,7 +83,7 @@
                     case "x1" -> memory = value;
                     case "inflight" -> held = value;
                     case "eps" -> errors = value;
-                    default -> { }
+                    default -> {}
                 }
             } catch (NumberFormatException e) {
                 // a figure that is none is left out; the others still count
--- a/src/main/java/damsonslip/platform/servers/Objects.java
+++ b/src/main/java/damsonslip/platform/servers/Objects.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * Cuts a stream into its JSON objects by their braces, however many lines each of them takes; bounded, so that one that
- * never ends cannot fill the memory. What is between the braces is for the parser to judge.
+ * Cuts a stream into its JSON objects by their braces, however many lines each of them takes;
+ * bounded, so that one that never ends cannot fill the memory. What is between the braces is for
+ * the parser to judge.
  */
 public final class Objects {
     private final int most;
@@ -15,6 +16,7 @@
     private int depth;
     private boolean inText;
     private boolean escaped;
+
     /** Nothing stands in the line at hand yet. */
     private boolean blank;
 
@@ -23,8 +25,8 @@
     }
 
     /**
-     * The objects that end in this part; null if something stands between them, one is too long, or an empty line tells
-     * that the sender took one to be whole that is not.
+     * The objects that end in this part; null if something stands between them, one is too long, or
+     * an empty line tells that the sender took one to be whole that is not.
      */
     public List<String> take(byte[] part) {
         List<String> whole = new ArrayList<>(1);
@@ -63,7 +65,7 @@
             case '"' -> inText = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
-            default -> { }
+            default -> {}
         }
         return depth == 0;
     }
--- a/src/main/java/damsonslip/platform/servers/ServerLink.java
+++ b/src/main/java/damsonslip/platform/servers/ServerLink.java
@@ -26,28 +26,41 @@
 final class ServerLink extends Link implements AnswerReader.Taker {
     private static final int MOST_LINE = 256 * 1024;
     private static final byte[] NOTHING = {};
+
     /**
-     * A request has 64 KB at most and workers are near: one that takes nothing for half a second stands still, and there is
-     * time left for another. At this rate the largest one has two seconds.
+     * A request has 64 KB at most and workers are near: one that takes nothing for half a second
+     * stands still, and there is time left for another. At this rate the largest one has two
+     * seconds.
      */
-    private static final MinimumDataRate.Limits TAKING = new MinimumDataRate.Limits(500_000, 500_000, 32 * 1024);
+    private static final MinimumDataRate.Limits TAKING =
+            new MinimumDataRate.Limits(500_000, 500_000, 32 * 1024);
 
     /**
-     * The time that a worker is told counts by the request's last byte, of which it may be 0.15 s too much (STANDING); a
-     * third of that is kept for hold-ups. A request that takes longer is given up before its last byte.
+     * The time that a worker is told counts by the request's last byte, of which it may be 0.15 s
+     * too much (STANDING); a third of that is kept for hold-ups. A request that takes longer is
+     * given up before its last byte.
      */
     private static final long LATE_LAST_BYTE_US = 100_000;
-    /** Smaller requests fit into the system's buffers several times over, and are written in one go. */
+
+    /**
+     * Smaller requests fit into the system's buffers several times over, and are written in one go.
+     */
     private static final int LARGE_REQUEST = 8 * 1024;
+
     /** What is reckoned from the pace of one try is taken with a quarter on top. */
     private static final double UPLOAD_MARGIN = 1.25;
 
     /**
-     * A second answer may follow the first some milliseconds late. A link that has rested for this long since its last
-     * answer has none to come, so that an answer without an id belongs to the request at hand.
+     * A second answer may follow the first some milliseconds late. A link that has rested for this
+     * long since its last answer has none to come, so that an answer without an id belongs to the
+     * request at hand.
      */
     static final long SETTLED_US = 100_000;
-    /** An answer whose last line has come ends in the same moment; one that goes on for this long never ends. */
+
+    /**
+     * An answer whose last line has come ends in the same moment; one that goes on for this long
+     * never ends.
+     */
     private static final long END_US = 500_000;
 
     private final ServerSide side;
@@ -58,23 +71,32 @@
     private Execution execution;
     private boolean probing;
     private ProbeResult healthyTells = ProbeResult.HEALTHY;
+
     /** A request was begun, and its answer is not whole. */
     private boolean busy;
+
     /** The last byte of the request is written: from here on the job may run. */
     private boolean written;
+
     private int status;
     private Report report;
     private boolean unprocessed;
+
     /** Bytes of a large request that the system did not take at once. */
     private int waitedFor;
+
     /** How long it had been idle when the request at hand was begun; below 0 if it was new. */
     private long idledUs = -1;
+
     private boolean used;
     private final Outflow taking;
+
     /** Runs while a probe's answer is awaited. */
     private Loop.Timer probeTime;
+
     /** Runs from an answer's last line to the end of the answer. */
     private Loop.Timer ending;
+
     long idleSinceUs;
     private long openedUs;
 
@@ -101,8 +123,11 @@
     void carry(Execution next, long toldUs) {
         execution = next;
         HttpForward forward = (HttpForward) next.query().cargo();
-        HttpFields.Mutable fields = HttpFields.build().add("Host", "app.svc").add(Field.ID, next.query().id())
-            .add(Field.TIME_LEFT, Field.text(toldUs));
+        HttpFields.Mutable fields =
+                HttpFields.build()
+                        .add("Host", "app.svc")
+                        .add(Field.ID, next.query().id())
+                        .add(Field.TIME_LEFT, Field.text(toldUs));
         if (forward.key() != null) {
             fields.add(Field.KEY, forward.key());
         }
@@ -112,7 +137,10 @@
         begin(Encoder.request(forward.method(), forward.target(), fields, forward.body()));
     }
 
-    /** How long a worker may take itself to be awaited: its client may give up before the scheduler does. */
+    /**
+     * How long a worker may take itself to be awaited: its client may give up before the scheduler
+     * does.
+     */
     static long toldUs(Execution execution, long nowUs) {
         long endsByUs = Math.min(execution.endsByUs(), execution.query().earliestDeadlineUs());
         return Math.max(0, endsByUs - nowUs - execution.expectedUploadUs());
@@ -181,7 +209,10 @@
         }
     }
 
-    /** Writes all but the last byte first: what was told may be too old by the time at which that could leave. */
+    /**
+     * Writes all but the last byte first: what was told may be too old by the time at which that
+     * could leave.
+     */
     private void writeLarge(ByteBuffer[] request, int bytes) {
         ByteBuffer end = request[request.length - 1];
         ByteBuffer last = end.duplicate().position(end.limit() - 1);
@@ -192,7 +223,9 @@
     }
 
     private void writeLast(ByteBuffer last, int bytes, long tookUs) {
-        if (execution != null && !execution.isAwaited() && isClosed()) { // its client has left: nothing more is written
+        if (execution != null
+                && !execution.isAwaited()
+                && isClosed()) { // its client has left: nothing more is written
             return;
         }
         // what the system took at once comes to the worker at the pace of the rest
@@ -215,8 +248,8 @@
     }
 
     /**
-     * A request that the worker takes too slowly is given up while its last byte is still here: it provably never ran,
-     * and may go elsewhere whatever its class.
+     * A request that the worker takes too slowly is given up while its last byte is still here: it
+     * provably never ran, and may go elsewhere whatever its class.
      */
     private void standsStill() {
         side.standsStill(worker);
@@ -224,7 +257,9 @@
         lost();
     }
 
-    /** The rest of a request does not follow a client that has left; its departure ends this link. */
+    /**
+     * The rest of a request does not follow a client that has left; its departure ends this link.
+     */
     @Override
     protected void selected() {
         if (execution != null && !written) {
@@ -294,7 +329,7 @@
         report = state.report() == null ? report : state.report();
         switch (state.kind()) {
             case STARTED -> side.driver().started(execution);
-            case RUNNING -> { }
+            case RUNNING -> {}
             case DONE -> finish(Outcome.SERVED, state.result());
             case FAILED -> finish(Outcome.ERROR, null);
             case RETURNED -> finish(Outcome.FULL, null);
@@ -309,11 +344,13 @@
 
     @Override
     public void ended(boolean persistent) {
-        if (isClosed()) { // given up over one of its lines; a closed link must not be kept for the next request
+        if (isClosed()) { // given up over one of its lines; a closed link must not be kept for the
+            // next request
             return;
         }
         stopEnding();
-        if (!written) { // whatever was answered, it was not this request, which has not come whole and never will
+        if (!written) { // whatever was answered, it was not this request, which has not come whole
+            // and never will
             end();
             lost();
             return;
@@ -324,7 +361,11 @@
             boolean turnedAway = unprocessed && (status == 503 || status == 504);
             boolean unproven = turnedAway && !settled() && side.once(execution);
             // a 200 that ends before its last line tells no more than a connection that breaks
-            finish(unproven || status == 200 ? Outcome.RESET : turnedAway ? Outcome.FULL : Outcome.ERROR, null);
+            finish(
+                    unproven || status == 200
+                            ? Outcome.RESET
+                            : turnedAway ? Outcome.FULL : Outcome.ERROR,
+                    null);
         }
         busy = false;
         lines.rest();
@@ -371,7 +412,10 @@
         }
     }
 
-    /** Takes in what has come while it rested, a stranger's bytes or the end; tells whether it still stands. */
+    /**
+     * Takes in what has come while it rested, a stranger's bytes or the end; tells whether it still
+     * stands.
+     */
     boolean stands() {
         look();
         return !isClosed();
--- a/src/main/java/damsonslip/platform/servers/ServerSide.java
+++ b/src/main/java/damsonslip/platform/servers/ServerSide.java
@@ -42,18 +42,39 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends executions to workers over kept server links, and learns from discovery which workers there are. */
+/**
+ * Sends executions to workers over kept server links, and learns from discovery which workers there
+ * are.
+ */
 public final class ServerSide implements WorkerSide {
     private static final Logger LOG = LoggerFactory.getLogger(ServerSide.class);
-    /** An idle link is not used again this close to the worker's own limit, where its close may cross a request. */
+
+    /**
+     * An idle link is not used again this close to the worker's own limit, where its close may
+     * cross a request.
+     */
     private static final long IDLE_MARGIN_US = 3_000_000;
+
     private static final long SWEEP_US = 500_000;
-    /** What was pushed is there at once; where discovery is down nothing is, and nothing counts as told. */
+
+    /**
+     * What was pushed is there at once; where discovery is down nothing is, and nothing counts as
+     * told.
+     */
     private static final long PUSHED_FIRST_US = 500_000;
-    /** From then on the module sends by the list of the process before, whether discovery was heard or not. */
+
+    /**
+     * From then on the module sends by the list of the process before, whether discovery was heard
+     * or not.
+     */
     private static final long ASKED_FIRST_US = DiscoveryWatch.FIRST_ANSWER_US;
-    /** Two processes that share the fewest descriptors would have none left; with these each still serves. */
+
+    /**
+     * Two processes that share the fewest descriptors would have none left; with these each still
+     * serves.
+     */
     private static final int FEWEST_LINKS = 8;
+
     private static final ArrayDeque<ServerLink> NONE = new ArrayDeque<>(0);
 
     private final Links links;
@@ -66,26 +87,38 @@
     private final Map<String, ArrayDeque<ServerLink>> idle = new HashMap<>();
     private final KeptAge keptAge = new KeptAge();
     private final Set<ServerLink> open = new HashSet<>();
+
     /** Links on their way, the oldest first. */
     private final Set<Dial> dials = new LinkedHashSet<>();
+
     private final Map<Execution, ServerLink> carrying = new HashMap<>();
 
-    public ServerSide(Links links, Site site, Driver driver, Counters counters, InetSocketAddress discovery,
-                      int mostLinks) {
+    public ServerSide(
+            Links links,
+            Site site,
+            Driver driver,
+            Counters counters,
+            InetSocketAddress discovery,
+            int mostLinks) {
         this.links = links;
         this.site = site;
         this.driver = driver;
         this.counters = counters;
         this.most = Math.max(FEWEST_LINKS, mostLinks);
         this.hosts = new HostGroup(site);
-        this.discovery = new Discovery(links, discovery, hosts, driver, !site.settings().listOnRequest());
+        this.discovery =
+                new Discovery(links, discovery, hosts, driver, !site.settings().listOnRequest());
     }
 
     /** There is room for so many links from now on; idle ones beyond that go. */
     public void resize(int mostLinks) {
         most = Math.max(FEWEST_LINKS, mostLinks);
-        List<ServerLink> spare = idle.values().stream().flatMap(ArrayDeque::stream)
-            .sorted(Comparator.comparingLong(link -> link.idleSinceUs)).limit(Math.max(0, open.size() - most)).toList();
+        List<ServerLink> spare =
+                idle.values().stream()
+                        .flatMap(ArrayDeque::stream)
+                        .sorted(Comparator.comparingLong(link -> link.idleSinceUs))
+                        .limit(Math.max(0, open.size() - most))
+                        .toList();
         spare.forEach(this::closeForRoom);
     }
 
@@ -96,11 +129,11 @@
     }
 
     /**
-     * Goes on once what counts as told is known: at once where lists are asked for, else when the first one has been
-     * pushed, or nothing has come for a while.
+     * Goes on once what counts as told is known: at once where lists are asked for, else when the
+     * first one has been pushed, or nothing has come for a while.
      *
-     * @param relieved whether another process serves until then: there is time for the first list to come, without which
-     *                 nothing can be sent
+     * @param relieved whether another process serves until then: there is time for the first list
+     *     to come, without which nothing can be sent
      */
     public void whenTold(boolean relieved, Runnable next) {
         if (!site.settings().listOnRequest()) {
@@ -138,8 +171,12 @@
             driver.ended(execution, Execution.End.of(Outcome.NEVER_SENT));
             return;
         }
-        connect(worker, address, execution::open, link -> dialled(link, execution),
-            why -> driver.ended(execution, Execution.End.of(outcomeOf(why))));
+        connect(
+                worker,
+                address,
+                execution::open,
+                link -> dialled(link, execution),
+                why -> driver.ended(execution, Execution.End.of(outcomeOf(why))));
     }
 
     /** A machine without sockets says nothing of the worker, which is not to be spared for it. */
@@ -151,27 +188,37 @@
         return site.settings().classes().get(execution.query().jobClass()).effect();
     }
 
-    /** Whether it matters what an answer proves: a second run would be one too many, or has to be where the first was. */
+    /**
+     * Whether it matters what an answer proves: a second run would be one too many, or has to be
+     * where the first was.
+     */
     boolean once(Execution execution) {
         return effect(execution) != Effect.SAFE;
     }
 
     /** Opens a link; there has to be room for it. */
-    private void connect(String worker, InetSocketAddress address, BooleanSupplier awaited, Consumer<ServerLink> up,
-                         Consumer<DialFailure> failed) {
+    private void connect(
+            String worker,
+            InetSocketAddress address,
+            BooleanSupplier awaited,
+            Consumer<ServerLink> up,
+            Consumer<DialFailure> failed) {
         Dial dial = new Dial(awaited, up, failed);
         dials.add(dial);
-        dial.closer = links.connect(address, new Links.Opening() {
-            @Override
-            public Link open(EndPoint endPoint) {
-                return new ServerLink(endPoint, ServerSide.this, worker, dial::up);
-            }
-
-            @Override
-            public void failed(DialFailure why) {
-                dial.failed(why);
-            }
-        });
+        dial.closer =
+                links.connect(
+                        address,
+                        new Links.Opening() {
+                            @Override
+                            public Link open(EndPoint endPoint) {
+                                return new ServerLink(endPoint, ServerSide.this, worker, dial::up);
+                            }
+
+                            @Override
+                            public void failed(DialFailure why) {
+                                dial.failed(why);
+                            }
+                        });
     }
 
     /** A link that has neither come up nor failed yet. */
@@ -204,7 +251,11 @@
         void giveUp() {
             dials.remove(this);
             counters.add(Count.SERVER_DIALS_GIVEN_UP);
-            loop().execute(() -> failed.accept(DialFailure.UNREACHABLE)); // it has not come up until now
+            loop().execute(
+                            () ->
+                                    failed.accept(
+                                            DialFailure
+                                                    .UNREACHABLE)); // it has not come up until now
             try {
                 closer.close();
             } catch (IOException e) {
@@ -220,8 +271,9 @@
     }
 
     /**
-     * Begins an execution on a link that has come up for it. Guards the rules for jobs whose client had gone by then, or
-     * whose window had passed: these were never sent, and the module may place them elsewhere.
+     * Begins an execution on a link that has come up for it. Guards the rules for jobs whose client
+     * had gone by then, or whose window had passed: these were never sent, and the module may place
+     * them elsewhere.
      */
     private void dialled(ServerLink link, Execution execution) {
         if (execution.mayBegin(loop().now())) {
@@ -238,7 +290,8 @@
             counters.add(Count.DRAINED_SENDS_STOPPED);
             idle(link);
             // a lease that has run out meanwhile says nothing of the worker
-            Outcome outcome = mayProbe(execution.worker()) ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED;
+            Outcome outcome =
+                    mayProbe(execution.worker()) ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED;
             driver.ended(execution, Execution.End.of(outcome));
             return;
         }
@@ -256,7 +309,10 @@
         return driver.mayUse(worker) && mayProbe(worker);
     }
 
-    /** Whether nothing that is known here keeps a worker from being asked; a probe is how to learn more. */
+    /**
+     * Whether nothing that is known here keeps a worker from being asked; a probe is how to learn
+     * more.
+     */
     private boolean mayProbe(String worker) {
         return hosts.maySend(worker, loop().now()) && !driver.bars(worker);
     }
@@ -264,7 +320,13 @@
     void written(Execution execution) {
         counters.add(Count.EXECUTIONS_WRITTEN);
         if (execution != null) { // it may have been given up while it was written
-            driver.events().add(loop().now(), Kind.WRITTEN, execution.query().id(), execution.worker(), execution.number());
+            driver.events()
+                    .add(
+                            loop().now(),
+                            Kind.WRITTEN,
+                            execution.query().id(),
+                            execution.worker(),
+                            execution.number());
         }
     }
 
@@ -306,8 +368,18 @@
         if (kept != null) {
             ask(kept);
         } else if (makeRoom()) {
-            connect(worker, address, () -> false, this::ask, why -> driver.probed(worker,
-                why == DialFailure.LOCAL ? ProbeResult.NOT_SENT : ProbeResult.UNREACHABLE, null));
+            connect(
+                    worker,
+                    address,
+                    () -> false,
+                    this::ask,
+                    why ->
+                            driver.probed(
+                                    worker,
+                                    why == DialFailure.LOCAL
+                                            ? ProbeResult.NOT_SENT
+                                            : ProbeResult.UNREACHABLE,
+                                    null));
         } else {
             loop().execute(() -> driver.probed(worker, ProbeResult.NOT_SENT, null));
         }
@@ -324,14 +396,19 @@
 
     /** Asks a worker over a connection that has stood since then, if one is idle. */
     private void probeOverLasting(String worker, long sinceUs) {
-        Optional<ServerLink> resting = idle.getOrDefault(worker, NONE).stream()
-            .filter(link -> link.standsSince(sinceUs) && fresh(link)).findFirst();
+        Optional<ServerLink> resting =
+                idle.getOrDefault(worker, NONE).stream()
+                        .filter(link -> link.standsSince(sinceUs) && fresh(link))
+                        .findFirst();
         if (resting.isPresent() && resting.get().stands()) {
             idle.get(worker).remove(resting.get());
             resting.get().probe(site.probeUs(), ProbeResult.HEALTHY_THROUGHOUT);
             return;
         }
-        boolean carries = open.stream().anyMatch(link -> link.worker().equals(worker) && link.standsSince(sinceUs));
+        boolean carries =
+                open.stream()
+                        .anyMatch(
+                                link -> link.worker().equals(worker) && link.standsSince(sinceUs));
         ProbeResult none = carries ? ProbeResult.NOT_SENT : ProbeResult.NO_LASTING_CONNECTION;
         loop().execute(() -> driver.probed(worker, none, null));
     }
@@ -340,12 +417,18 @@
         driver.probed(worker, result, report);
     }
 
-    /** The configuration names this address of discovery, by a reload that was asked for at that time. */
+    /**
+     * The configuration names this address of discovery, by a reload that was asked for at that
+     * time.
+     */
     public void discoverAt(InetSocketAddress address, long sinceUs) {
         discovery.moveTo(address, sinceUs);
     }
 
-    /** The configuration could not be read, or only now, after a reload that was asked for at that time. */
+    /**
+     * The configuration could not be read, or only now, after a reload that was asked for at that
+     * time.
+     */
     public void configurationNews(AddressNews news, long sinceUs) {
         driver.discoveryAddress(news, sinceUs);
     }
@@ -358,8 +441,8 @@
     // ---- kept links
 
     /**
-     * The link that was used last, so that the others age out and can be closed in time; null if it is too old for
-     * what it is to carry. What must not run twice takes the last that is settled.
+     * The link that was used last, so that the others age out and can be closed in time; null if it
+     * is too old for what it is to carry. What must not run twice takes the last that is settled.
      */
     private ServerLink keptLink(String worker, Effect effect) {
         long settledUs = effect == Effect.SAFE ? 0 : ServerLink.SETTLED_US;
@@ -389,7 +472,8 @@
     /** Whether it is far enough from the worker's own limit, and from what has proved too old. */
     private boolean fresh(ServerLink link) {
         long idled = loop().now() - link.idleSinceUs;
-        return idled < site.idleUs() - Math.min(IDLE_MARGIN_US, site.idleUs() / 2) && keptAge.serves(idled, false);
+        return idled < site.idleUs() - Math.min(IDLE_MARGIN_US, site.idleUs() / 2)
+                && keptAge.serves(idled, false);
     }
 
     KeptAge keptAge() {
@@ -402,8 +486,14 @@
 
     /** A link has ended over this execution, which is told in this turn of the loop. */
     void closedOver(Execution execution) {
-        loop().execute(() -> driver.monitor().permits(CloseGuard.checkWorkerConnection(execution.query().id(),
-            execution.worker(), execution.open())));
+        loop().execute(
+                        () ->
+                                driver.monitor()
+                                        .permits(
+                                                CloseGuard.checkWorkerConnection(
+                                                        execution.query().id(),
+                                                        execution.worker(),
+                                                        execution.open())));
     }
 
     void closed(ServerLink link) {
@@ -415,21 +505,26 @@
     }
 
     /**
-     * Makes room for one more link, and tells whether there is any. Guards the descriptors: a dial holds one as a link
-     * does, for as long as the settings let it take, also where its job has long been moved or given up. Such a dial goes
-     * first, the oldest of them, and then the link that has been idle for longest.
+     * Makes room for one more link, and tells whether there is any. Guards the descriptors: a dial
+     * holds one as a link does, for as long as the settings let it take, also where its job has
+     * long been moved or given up. Such a dial goes first, the oldest of them, and then the link
+     * that has been idle for longest.
      */
     private boolean makeRoom() {
         if (open.size() + dials.size() < most) {
             return true;
         }
-        Optional<Dial> forsaken = dials.stream().filter(dial -> !dial.awaited.getAsBoolean()).findFirst();
+        Optional<Dial> forsaken =
+                dials.stream().filter(dial -> !dial.awaited.getAsBoolean()).findFirst();
         if (forsaken.isPresent()) {
             forsaken.get().giveUp();
             return true;
         }
-        Optional<ServerLink> spare = idle.values().stream().filter(kept -> !kept.isEmpty()).map(ArrayDeque::peekFirst)
-            .min(Comparator.comparingLong(link -> link.idleSinceUs));
+        Optional<ServerLink> spare =
+                idle.values().stream()
+                        .filter(kept -> !kept.isEmpty())
+                        .map(ArrayDeque::peekFirst)
+                        .min(Comparator.comparingLong(link -> link.idleSinceUs));
         spare.ifPresent(this::closeForRoom);
         return spare.isPresent();
     }
@@ -446,8 +541,11 @@
 
     private void sweep() {
         keptAge.fade();
-        List<ServerLink> old = idle.values().stream().flatMap(ArrayDeque::stream)
-            .filter(link -> !fresh(link)).toList();
+        List<ServerLink> old =
+                idle.values().stream()
+                        .flatMap(ArrayDeque::stream)
+                        .filter(link -> !fresh(link))
+                        .toList();
         old.forEach(this::closeIdle);
         idle.values().removeIf(ArrayDeque::isEmpty);
         links.loop().in(SWEEP_US, this::sweep);
@@ -460,7 +558,9 @@
 
     void standsStill(String worker) {
         counters.add(Count.UPLOADS_GIVEN_UP);
-        LOG.warn("worker {} takes a request too slowly; it is given up before its last byte", worker);
+        LOG.warn(
+                "worker {} takes a request too slowly; it is given up before its last byte",
+                worker);
     }
 
     void slowUpload(String worker, long takesUs) {
--- a/src/main/java/damsonslip/program/FleetLogs.java
+++ b/src/main/java/damsonslip/program/FleetLogs.java
@@ -18,11 +18,17 @@
 import java.util.PriorityQueue;
 import java.util.stream.Stream;
 
-/** The command {@code fleet}: reads a folder of schedulers' logs, one file each, and prints what they did together. */
+/**
+ * The command {@code fleet}: reads a folder of schedulers' logs, one file each, and prints what
+ * they did together.
+ */
 final class FleetLogs {
-    private FleetLogs() { }
+    private FleetLogs() {}
 
-    /** A scheduler's log and its next line; logs are read side by side, since together they may not fit in memory. */
+    /**
+     * A scheduler's log and its next line; logs are read side by side, since together they may not
+     * fit in memory.
+     */
     private static final class Log {
         private final String name;
         private final BufferedReader reader;
@@ -30,7 +36,8 @@
 
         Log(Path file) throws IOException {
             name = file.getFileName().toString();
-            CharsetDecoder decoder = StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPLACE);
+            CharsetDecoder decoder =
+                    StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPLACE);
             reader = new BufferedReader(new InputStreamReader(Files.newInputStream(file), decoder));
         }
 
@@ -54,7 +61,8 @@
         try (Stream<Path> listed = Files.list(folder)) {
             files = listed.filter(Files::isRegularFile).sorted().toList();
         }
-        PriorityQueue<Log> logs = new PriorityQueue<>(Comparator.comparingLong((Log log) -> log.next.atUs()));
+        PriorityQueue<Log> logs =
+                new PriorityQueue<>(Comparator.comparingLong((Log log) -> log.next.atUs()));
         for (Path file : files) {
             Log log = new Log(file);
             if (log.advance()) {
@@ -62,7 +70,10 @@
             }
         }
         if (logs.isEmpty()) {
-            throw new BadInput("fleet: no traces in " + folder + "; run the schedulers with deploy/trace.toml");
+            throw new BadInput(
+                    "fleet: no traces in "
+                            + folder
+                            + "; run the schedulers with deploy/trace.toml");
         }
         Fleet fleet = new Fleet();
         for (Log log = logs.poll(); log != null; log = logs.poll()) {
--- a/src/main/java/damsonslip/program/Main.java
+++ b/src/main/java/damsonslip/program/Main.java
@@ -20,25 +20,33 @@
 /** The command line: {@code java -jar damsonslip.jar COMMAND}. */
 public final class Main {
     private static final String USAGE =
-        "usage: java -jar damsonslip.jar serve [FILE] | console [ADDRESS [COMMAND]] | conformance HOST:PORT"
-        + " | bench HOST:PORT | fleet FOLDER | lab COMMAND | simhost | rehearse";
+            "usage: java -jar damsonslip.jar serve [FILE] | console [ADDRESS [COMMAND]] | conformance HOST:PORT"
+                    + " | bench HOST:PORT | fleet FOLDER | lab COMMAND | simhost | rehearse";
 
-    private Main() { }
+    private Main() {}
 
     public static void main(String[] args) {
-        int code = run(args, new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out),
-            System.err);
+        int code =
+                run(
+                        args,
+                        new FileInputStream(FileDescriptor.in),
+                        new FileOutputStream(FileDescriptor.out),
+                        System.err);
         if (code >= 0) {
             System.exit(code);
         }
     }
 
-    /** Runs the command and returns its exit code: 1 on bad input, 2 on usage, -1 while it goes on serving. */
+    /**
+     * Runs the command and returns its exit code: 1 on bad input, 2 on usage, -1 while it goes on
+     * serving.
+     */
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
         String command = args.length == 0 ? "" : args[0];
         boolean withFile = args.length == 2 && command.equals("serve");
-        boolean withMore = List.of("console", "conformance", "bench", "lab").contains(command)
-            || args.length == 2 && command.equals("fleet");
+        boolean withMore =
+                List.of("console", "conformance", "bench", "lab").contains(command)
+                        || args.length == 2 && command.equals("fleet");
         if (args.length != 1 && !withFile && !withMore) {
             err.println(USAGE);
             return 2;
@@ -56,21 +64,28 @@
                         err.println(USAGE);
                         return 2;
                     }
-                    FleetLogs.run(Path.of(args[1]), new PrintStream(out, true, StandardCharsets.UTF_8));
+                    FleetLogs.run(
+                            Path.of(args[1]), new PrintStream(out, true, StandardCharsets.UTF_8));
                 }
-                case "console" -> ConsoleClient.run(List.of(args).subList(1, args.length),
-                    new PrintStream(out, true, StandardCharsets.UTF_8));
+                case "console" ->
+                        ConsoleClient.run(
+                                List.of(args).subList(1, args.length),
+                                new PrintStream(out, true, StandardCharsets.UTF_8));
                 case "conformance" -> {
-                    return Conformance.run(List.of(args).subList(1, args.length),
-                        new PrintStream(out, true, StandardCharsets.UTF_8));
+                    return Conformance.run(
+                            List.of(args).subList(1, args.length),
+                            new PrintStream(out, true, StandardCharsets.UTF_8));
                 }
                 case "bench" -> {
-                    return Bench.run(List.of(args).subList(1, args.length),
-                        new PrintStream(out, true, StandardCharsets.UTF_8));
+                    return Bench.run(
+                            List.of(args).subList(1, args.length),
+                            new PrintStream(out, true, StandardCharsets.UTF_8));
                 }
                 case "lab" -> {
-                    return Lab.run(List.of(args).subList(1, args.length),
-                        new PrintStream(out, true, StandardCharsets.UTF_8), err);
+                    return Lab.run(
+                            List.of(args).subList(1, args.length),
+                            new PrintStream(out, true, StandardCharsets.UTF_8),
+                            err);
                 }
                 default -> {
                     err.println(USAGE);
--- a/src/main/java/damsonslip/program/Serve.java
+++ b/src/main/java/damsonslip/program/Serve.java
@@ -22,9 +22,12 @@
     /** Past this, a stop no longer waits for queries to end. */
     private static final long LONGEST_STOP_MS = 60_000;
 
-    private Serve() { }
+    private Serve() {}
 
-    /** Serves the platform, whose configuration the environment names, or what an operator's file sets up. */
+    /**
+     * Serves the platform, whose configuration the environment names, or what an operator's file
+     * sets up.
+     */
     static void start(String file, Map<String, String> environment) throws BadInput, IOException {
         HangUp hangUp = HangUp.caught();
         Termination termination = Termination.handled();
@@ -51,14 +54,17 @@
                 console = config.console();
                 second = config.mgmt();
             }
-            // before the first connection is taken: a stop that came in between would end the program over its query
+            // before the first connection is taken: a stop that came in between would end the
+            // program over its query
             Runnable stopping = () -> stop(front, phase, counters);
             stop = new Thread(stopping, "stop");
             Runtime.getRuntime().addShutdownHook(stop); // for an exit of the program's own
             termination.after(stopping);
             ManagementServer mgmt = new ManagementServer(loop);
             if (!second.isBlank()) {
-                mgmt.listen(second); // before clients find the door open: one that is taken ends the program
+                mgmt.listen(
+                        second); // before clients find the door open: one that is taken ends the
+                // program
             }
             front.start();
             Operations operations = new Operations(phase, counters, front, keeper);
--- a/src/main/java/damsonslip/program/SignalTable.java
+++ b/src/main/java/damsonslip/program/SignalTable.java
@@ -10,24 +10,27 @@
 import sun.misc.Signal;
 
 /**
- * Takes the place of the JDK's table of signal handlers. The JDK's dispatcher looks a signal up there and starts a thread
- * for the handler that it finds; this table hands the signal to a {@link SignalThread} instead and names no handler.
+ * Takes the place of the JDK's table of signal handlers. The JDK's dispatcher looks a signal up
+ * there and starts a thread for the handler that it finds; this table hands the signal to a {@link
+ * SignalThread} instead and names no handler.
  *
- * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar asks for. Where it is not open,
- * or another JDK keeps its handlers elsewhere, the JDK's own table stays and one line of the log says so.
+ * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar asks
+ * for. Where it is not open, or another JDK keeps its handlers elsewhere, the JDK's own table stays
+ * and one line of the log says so.
  */
 final class SignalTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
     private static final Logger LOG = LoggerFactory.getLogger(SignalTable.class);
     private static final String JDK_CLASS = "jdk.internal.misc.Signal";
     private static final String JDK_FIELD = "handlers";
+
     /** The thread on which the JDK dispatches; others look handlers up in order to replace them. */
     private static final String DISPATCHER = "Signal Dispatcher";
 
     /** Installed by the first signal that is directed; null where the JDK's table stays. */
     private static final SignalTable INSTALLED = install();
 
-    private record Direction(Signal signal, SignalThread thread) { }
+    private record Direction(Signal signal, SignalThread thread) {}
 
     /** By the name that the JDK's own signals have as text, such as {@code SIGTERM}. */
     private final transient Map<String, Direction> directions = new ConcurrentHashMap<>();
@@ -53,7 +56,9 @@
                 field.set(null, table);
                 return table;
             }
-        } catch (ReflectiveOperationException | InaccessibleObjectException | ClassCastException e) {
+        } catch (ReflectiveOperationException
+                | InaccessibleObjectException
+                | ClassCastException e) {
             LOG.warn("event=signal_threads_not_reserved error=\"{}\"", e.getMessage());
             return null;
         }
--- a/src/main/java/damsonslip/program/SignalThread.java
+++ b/src/main/java/damsonslip/program/SignalThread.java
@@ -7,9 +7,10 @@
 import sun.misc.Signal;
 
 /**
- * A thread, started beforehand, on which the action of a signal runs. The JDK starts a thread for each signal that it
- * receives and drops the signal if the system cannot start one (pthread_create(3), EAGAIN). Signals are handled one after
- * the other, in the order in which they were received.
+ * A thread, started beforehand, on which the action of a signal runs. The JDK starts a thread for
+ * each signal that it receives and drops the signal if the system cannot start one
+ * (pthread_create(3), EAGAIN). Signals are handled one after the other, in the order in which they
+ * were received.
  */
 final class SignalThread {
     private static final Logger LOG = LoggerFactory.getLogger(SignalThread.class);
@@ -19,19 +20,22 @@
 
     /** What a signal asks for. */
     interface Action {
-        /** @param receivedNs when the process received it, by {@link System#nanoTime} */
+        /**
+         * @param receivedNs when the process received it, by {@link System#nanoTime}
+         */
         void run(Signal signal, long receivedNs);
     }
 
-    private record Received(Signal signal, long atNs) { }
+    private record Received(Signal signal, long atNs) {}
 
     private SignalThread(Action action) {
         this.action = action;
     }
 
     /**
-     * Runs the action on each of these signals from now on, in place of what the JDK does by itself. Where the JDK's table
-     * of handlers cannot be replaced, the action runs on a thread that the JDK starts then.
+     * Runs the action on each of these signals from now on, in place of what the JDK does by
+     * itself. Where the JDK's table of handlers cannot be replaced, the action runs on a thread
+     * that the JDK starts then.
      *
      * @param names names of signals without their prefix, such as {@code TERM}
      */
@@ -51,7 +55,10 @@
         thread.start();
     }
 
-    /** Takes note of a signal; called on the JDK's thread that dispatches signals, which must not wait. */
+    /**
+     * Takes note of a signal; called on the JDK's thread that dispatches signals, which must not
+     * wait.
+     */
     void receive(Signal signal) {
         received.add(new Received(signal, System.nanoTime()));
     }
--- a/src/main/java/damsonslip/program/Termination.java
+++ b/src/main/java/damsonslip/program/Termination.java
@@ -2,14 +2,17 @@
 
 import sun.misc.Signal;
 
-/** SIGTERM and SIGINT: ends the program in good order, and at once before there is anything to bring to an end. */
+/**
+ * SIGTERM and SIGINT: ends the program in good order, and at once before there is anything to bring
+ * to an end.
+ */
 final class Termination {
     /** A shell's exit code for a process that a signal has ended, less the signal's number. */
     private static final int SIGNALLED = 128;
 
-    private Runnable stop = () -> { };
+    private Runnable stop = () -> {};
 
-    private Termination() { }
+    private Termination() {}
 
     /** Handles the signals from now on. */
     static Termination handled() {
@@ -27,7 +30,10 @@
         return stop;
     }
 
-    /** Ends without the JVM's shutdown hooks: the JVM starts a thread for each, and may have none to start. */
+    /**
+     * Ends without the JVM's shutdown hooks: the JVM starts a thread for each, and may have none to
+     * start.
+     */
     private void end(Signal signal) {
         try {
             stop().run();
--- a/src/main/java/damsonslip/settings/NodeConfig.java
+++ b/src/main/java/damsonslip/settings/NodeConfig.java
@@ -11,31 +11,47 @@
 /**
  * What a real scheduler is told at its start.
  *
- * @param name      its name
- * @param listen    where clients connect
+ * @param name its name
+ * @param listen where clients connect
  * @param discovery where the list of workers is
- * @param seed      for random numbers
- * @param sockets   how many descriptors it may hold
- * @param known     the list of workers as it had it last, undecoded
- * @param site      the deployment
- * @param mgmt      where the operators' tools call; empty: nowhere
+ * @param seed for random numbers
+ * @param sockets how many descriptors it may hold
+ * @param known the list of workers as it had it last, undecoded
+ * @param site the deployment
+ * @param mgmt where the operators' tools call; empty: nowhere
  */
-public record NodeConfig(String name, String listen, String discovery, long seed, int sockets, JsonNode known,
-                         Site site, String mgmt) {
+public record NodeConfig(
+        String name,
+        String listen,
+        String discovery,
+        long seed,
+        int sockets,
+        JsonNode known,
+        Site site,
+        String mgmt) {
     private static final int FEWEST_SOCKETS = 128;
 
-    /** Reads the file that the environment names; the environment's own figures stand in for absent ones. */
+    /**
+     * Reads the file that the environment names; the environment's own figures stand in for absent
+     * ones.
+     */
     public static NodeConfig read(Map<String, String> environment) throws BadInput {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
             throw new BadInput("config: ROUTER_CONFIG names no file");
         }
         JsonNode root = parse(file);
-        String name = root.path("name").asText(environment.getOrDefault("ROUTER_NAME", "scheduler"));
-        return new NodeConfig(name, needed(root, "listen", environment.get("ROUTER_LISTEN")),
-            needed(root, "discovery", environment.get("ROUTER_DISCOVERY")), seed(root.path("seed").asText("0")),
-            Math.max(FEWEST_SOCKETS, root.path("limits").path("sockets").asInt(1024)), root.path("known"),
-            Site.read(root.path("settings")), root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
+        String name =
+                root.path("name").asText(environment.getOrDefault("ROUTER_NAME", "scheduler"));
+        return new NodeConfig(
+                name,
+                needed(root, "listen", environment.get("ROUTER_LISTEN")),
+                needed(root, "discovery", environment.get("ROUTER_DISCOVERY")),
+                seed(root.path("seed").asText("0")),
+                Math.max(FEWEST_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
+                root.path("known"),
+                Site.read(root.path("settings")),
+                root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
     }
 
     private static JsonNode parse(String file) throws BadInput {
@@ -46,8 +62,11 @@
             }
             return root;
         } catch (JsonProcessingException e) {
-            throw new BadInput("config: " + file + ": not JSON: "
-                + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new BadInput(
+                    "config: "
+                            + file
+                            + ": not JSON: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new UnreadableFile("config: " + file + ": cannot be read");
         } catch (InvalidPathException e) {
--- a/src/main/java/damsonslip/settings/SettingsReader.java
+++ b/src/main/java/damsonslip/settings/SettingsReader.java
@@ -11,21 +11,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Turns the wire's settings into the library's; unknown keys are ignored, absent ones take defaults. */
+/**
+ * Turns the wire's settings into the library's; unknown keys are ignored, absent ones take
+ * defaults.
+ */
 public final class SettingsReader {
-    private SettingsReader() { }
+    private SettingsReader() {}
 
     public static Settings read(JsonNode conf) throws BadInput {
         if (conf == null || !conf.isObject()) {
             throw new BadInput("settings: conf is not an object");
         }
         try {
-            return new Settings(integer(conf, "instances", 1), integer(conf, "slot_no", 0),
-                integer(conf, "zone", 0), Math.max(1, conf.path("azs").size()),
-                Math.max(1, conf.path("shapes").size()), classes(conf), quotas(conf),
-                limits(conf), guarantees(conf.path("guarantees")), reporting(conf),
-                listOnRequest(conf.path("registry_mode")),
-                conf.path("specifics").path("tells_start").asBoolean(false), micros(conf, "tick_s", 0.001));
+            return new Settings(
+                    integer(conf, "instances", 1),
+                    integer(conf, "slot_no", 0),
+                    integer(conf, "zone", 0),
+                    Math.max(1, conf.path("azs").size()),
+                    Math.max(1, conf.path("shapes").size()),
+                    classes(conf),
+                    quotas(conf),
+                    limits(conf),
+                    guarantees(conf.path("guarantees")),
+                    reporting(conf),
+                    listOnRequest(conf.path("registry_mode")),
+                    conf.path("specifics").path("tells_start").asBoolean(false),
+                    micros(conf, "tick_s", 0.001));
         } catch (IllegalArgumentException e) {
             throw new BadInput(e.getMessage());
         }
@@ -36,23 +47,36 @@
         List<JobClass> classes = new ArrayList<>();
         for (JsonNode lane : conf.path("lanes")) {
             int i = classes.size();
-            double stretch = specifics.path("class_stretch").path(i).asDouble(number(lane, "aim_stretch", 0));
+            double stretch =
+                    specifics
+                            .path("class_stretch")
+                            .path(i)
+                            .asDouble(number(lane, "aim_stretch", 0));
             String semantics = lane.path("semantics").asText("once");
-            Effect effect = switch (semantics) {
-                case "repeatable" -> Effect.SAFE;
-                case "by_key" -> Effect.KEYED;
-                case "once" -> Effect.UNSAFE;
-                default -> throw new BadInput("settings: lanes.semantics: " + semantics);
-            };
+            Effect effect =
+                    switch (semantics) {
+                        case "repeatable" -> Effect.SAFE;
+                        case "by_key" -> Effect.KEYED;
+                        case "once" -> Effect.UNSAFE;
+                        default -> throw new BadInput("settings: lanes.semantics: " + semantics);
+                    };
             String scope = lane.path("dedup_scope").asText("cell");
-            Group group = switch (scope) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                case "cell" -> Group.CELL;
-                default -> throw new BadInput("settings: lanes.dedup_scope: " + scope);
-            };
-            classes.add(new JobClass(micros(lane, "aim_s", 1), stretch, number(lane, "value", 1), effect,
-                group, micros(lane, "window_s", 0), specifics.path("class_kind").path(i).asInt(-1)));
+            Group group =
+                    switch (scope) {
+                        case "all" -> Group.ALL;
+                        case "zone" -> Group.ZONE;
+                        case "cell" -> Group.CELL;
+                        default -> throw new BadInput("settings: lanes.dedup_scope: " + scope);
+                    };
+            classes.add(
+                    new JobClass(
+                            micros(lane, "aim_s", 1),
+                            stretch,
+                            number(lane, "value", 1),
+                            effect,
+                            group,
+                            micros(lane, "window_s", 0),
+                            specifics.path("class_kind").path(i).asInt(-1)));
         }
         return classes;
     }
@@ -68,14 +92,23 @@
     private static Limits limits(JsonNode conf) throws BadInput {
         JsonNode limits = conf.path("limits");
         JsonNode prices = conf.path("prices");
-        return new Limits(integer(limits, "send_cap", 1), limits.path("may_cancel").asBoolean(false),
-            limits.path("may_probe").asBoolean(false), number(prices, "probe", 0), number(prices, "cross_zone", 0));
+        return new Limits(
+                integer(limits, "send_cap", 1),
+                limits.path("may_cancel").asBoolean(false),
+                limits.path("may_probe").asBoolean(false),
+                number(prices, "probe", 0),
+                number(prices, "cross_zone", 0));
     }
 
     private static Guarantees guarantees(JsonNode figures) throws BadInput {
-        return new Guarantees(micros(figures, "grace_to_answer_s", 0), micros(figures, "drain_grace_s", 0),
-            micros(figures, "ask_every_s", 10), number(figures, "cold_share", 1),
-            micros(figures, "cold_s", 0), number(figures, "fall_multiple", 1), micros(figures, "fall_s", 1));
+        return new Guarantees(
+                micros(figures, "grace_to_answer_s", 0),
+                micros(figures, "drain_grace_s", 0),
+                micros(figures, "ask_every_s", 10),
+                number(figures, "cold_share", 1),
+                micros(figures, "cold_s", 0),
+                number(figures, "fall_multiple", 1),
+                micros(figures, "fall_s", 1));
     }
 
     private static boolean listOnRequest(JsonNode mode) throws BadInput {
--- a/src/main/java/damsonslip/settings/Tree.java
+++ b/src/main/java/damsonslip/settings/Tree.java
@@ -12,14 +12,15 @@
 import java.io.UncheckedIOException;
 
 /**
- * Reads JSON into the library's tree by the library's parser, without its mapper: to set one up, with all that it may map
- * to, takes a part of a start that clients notice, and nothing here is mapped. Depth and lengths are the parser's bounds.
+ * Reads JSON into the library's tree by the library's parser, without its mapper: to set one up,
+ * with all that it may map to, takes a part of a start that clients notice, and nothing here is
+ * mapped. Depth and lengths are the parser's bounds.
  */
 public final class Tree {
     private static final JsonFactory PARSERS = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private Tree() { }
+    private Tree() {}
 
     /** Decodes the first value; null if there is none. */
     public static JsonNode read(String text) throws JsonProcessingException {
--- a/src/main/java/damsonslip/simhost/SimHost.java
+++ b/src/main/java/damsonslip/simhost/SimHost.java
@@ -28,7 +28,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Hosts the decisions of many dispatchers on the simulator's wire: a batch of events in, a reply out. */
+/**
+ * Hosts the decisions of many dispatchers on the simulator's wire: a batch of events in, a reply
+ * out.
+ */
 public final class SimHost {
     private static final int OUT_BUFFER = 1 << 16;
 
@@ -59,7 +62,9 @@
         } catch (BadInput e) {
             throw atLine(e.getMessage());
         } catch (JsonProcessingException e) {
-            throw atLine("not as expected in JSON: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw atLine(
+                    "not as expected in JSON: "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -90,7 +95,9 @@
             int dispatcher = line.dispatcher();
             switch (line.cmd()) {
                 case "create" ->
-                    instances.put(dispatcher, new Rules(SettingsReader.read(line.conf()), line.seed()));
+                        instances.put(
+                                dispatcher,
+                                new Rules(SettingsReader.read(line.conf()), line.seed()));
                 case "kill" -> instances.remove(dispatcher);
                 default -> handle(dispatcher, clock, line.event());
             }
--- a/src/main/java/damsonslip/simhost/WireLine.java
+++ b/src/main/java/damsonslip/simhost/WireLine.java
@@ -75,8 +75,11 @@
             case "cmd" -> cmd = in.getText();
             case "dispatcher" -> dispatcher = in.getIntValue();
             case "ts_s" -> moment = in.getDoubleValue();
-            case "prng" -> seed = in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
-                ? in.getBigIntegerValue().longValue() : in.getLongValue();
+            case "prng" ->
+                    seed =
+                            in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
+                                    ? in.getBigIntegerValue().longValue()
+                                    : in.getLongValue();
             case "conf" -> conf = in.readValueAsTree();
             case "mode" -> mode = in.getText();
             case "items" -> items = workers(in);
@@ -119,7 +122,10 @@
                     case "pack" -> cell = in.getIntValue();
                     case "class_of_host" -> kind = in.getIntValue();
                     case "since_s" ->
-                        since = in.getDoubleValue() == 0 ? Long.MIN_VALUE : micros(in.getDoubleValue());
+                            since =
+                                    in.getDoubleValue() == 0
+                                            ? Long.MIN_VALUE
+                                            : micros(in.getDoubleValue());
                     default -> in.skipChildren();
                 }
             }
@@ -154,7 +160,7 @@
                 case "x1" -> freeMemory = in.getDoubleValue();
                 case "inflight" -> held = in.getDoubleValue();
                 case "eps" -> errors = in.getDoubleValue();
-                default -> { }
+                default -> {}
             }
         }
         return new Report(freeSlots, freeMemory, held, Double.NaN, errors);
@@ -184,16 +190,34 @@
     Event event() throws BadInput {
         return switch (cmd()) {
             case "sync" -> new ListUpdate(listMode(), items == null ? List.of() : items);
-            case "job_in" -> new JobArrived(needed(opId, "op_id"), needed(lane, "lane"), tenant, subject,
-                micros(needed(deadline, "drop_dead_s")), slots, memory);
-            case "signal" -> topic == STARTED
-                ? new AttemptStarted(needed(opId, "op_id"), needed(round, "round_no")) : null;
-            case "result" -> new AttemptEnded(needed(opId, "op_id"), needed(round, "round_no"), outcome(),
-                closed, load);
+            case "job_in" ->
+                    new JobArrived(
+                            needed(opId, "op_id"),
+                            needed(lane, "lane"),
+                            tenant,
+                            subject,
+                            micros(needed(deadline, "drop_dead_s")),
+                            slots,
+                            memory);
+            case "signal" ->
+                    topic == STARTED
+                            ? new AttemptStarted(needed(opId, "op_id"), needed(round, "round_no"))
+                            : null;
+            case "result" ->
+                    new AttemptEnded(
+                            needed(opId, "op_id"),
+                            needed(round, "round_no"),
+                            outcome(),
+                            closed,
+                            load);
             case "vanished" -> new JobGone(needed(opId, "op_id"));
             case "probe_result" ->
-                new ProbeEnded(needed(runner, "runner"),
-                    outcome() == Outcome.SERVED ? ProbeResult.HEALTHY : ProbeResult.UNREACHABLE, load);
+                    new ProbeEnded(
+                            needed(runner, "runner"),
+                            outcome() == Outcome.SERVED
+                                    ? ProbeResult.HEALTHY
+                                    : ProbeResult.UNREACHABLE,
+                            load);
             case "deadline_hit" -> new TimerDue(needed(label, "label"));
             case "ack_first", "memo" -> null;
             default -> throw new BadInput("unknown cmd: " + cmd);
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -13,30 +13,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls the store on a thread of its own, in the order asked, and tells the loop how that went. Whatever has come
- * together while the store was busy goes there in one journey. What waits is bounded: a store that hangs fails
- * calls, and does not fill the memory.
+ * Calls the store on a thread of its own, in the order asked, and tells the loop how that went.
+ * Whatever has come together while the store was busy goes there in one journey. What waits is
+ * bounded: a store that hangs fails calls, and does not fill the memory.
  */
 public final class AsyncStore {
     private static final Logger LOG = LoggerFactory.getLogger(AsyncStore.class);
-    /** About what a store does in a second; a call that has to wait for longer is better told at once. */
+
+    /**
+     * About what a store does in a second; a call that has to wait for longer is better told at
+     * once.
+     */
     private static final int MOST_WAITING = 40_000;
+
     /** So many go together at the most: a journey stays well within the store's time limit. */
     private static final int MOST_TOGETHER = 512;
+
     /** While the store is down, calls fail at once and only one in this time tries it. */
     private static final long DOWN_NS = TimeUnit.MILLISECONDS.toNanos(250);
+
     private static final long KEEP_RETRY_US = 500_000;
     private static final long LAST_WAIT_S = 2;
 
-    private record Call<T>(Op<T> op, Consumer<T> then, Runnable failed) { }
+    private record Call<T>(Op<T> op, Consumer<T> then, Runnable failed) {}
 
     private final Loop loop;
     private final JobStore store;
     private final LinkedBlockingQueue<Call<?>> calls = new LinkedBlockingQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
     private final Thread thread = new Thread(this::work, "store");
-    /** The newest record of each job that is on its way: an older one that failed must not be written after it. */
+
+    /**
+     * The newest record of each job that is on its way: an older one that failed must not be
+     * written after it.
+     */
     private final Map<String, JobRecord> newest = new HashMap<>();
+
     private volatile boolean closing;
     private volatile boolean down;
     private long downUntilNs;
@@ -76,28 +88,37 @@
         calls.add(call);
     }
 
-    /** Writes a record, again and again until the store has it or a newer one is written. Called on the loop. */
+    /**
+     * Writes a record, again and again until the store has it or a newer one is written. Called on
+     * the loop.
+     */
     public void keep(JobRecord record) {
-        keep(record, () -> { }, () -> { });
+        keep(record, () -> {}, () -> {});
     }
 
     /** The same; tells how the first try went. */
     public void keep(JobRecord record, Runnable then, Runnable failed) {
-        enqueue(new Call<>(new Op.Put(record), done -> then.run(), () -> {
-            failed.run();
-            if (newest.get(record.id()) == record) {
-                loop.in(KEEP_RETRY_US, () -> {
-                    if (newest.get(record.id()) == record) {
-                        keep(record);
-                    }
-                });
-            }
-        }));
+        enqueue(
+                new Call<>(
+                        new Op.Put(record),
+                        done -> then.run(),
+                        () -> {
+                            failed.run();
+                            if (newest.get(record.id()) == record) {
+                                loop.in(
+                                        KEEP_RETRY_US,
+                                        () -> {
+                                            if (newest.get(record.id()) == record) {
+                                                keep(record);
+                                            }
+                                        });
+                            }
+                        }));
     }
 
     /** Does it again and again until the store has done it. */
     public void insist(Op<?> op) {
-        enqueue(new Call<>(op, done -> { }, () -> loop.in(KEEP_RETRY_US, () -> insist(op))));
+        enqueue(new Call<>(op, done -> {}, () -> loop.in(KEEP_RETRY_US, () -> insist(op))));
     }
 
     private void work() {
@@ -127,11 +148,12 @@
             loop.execute(() -> together.forEach(call -> tell(call, e)));
             return;
         }
-        loop.execute(() -> {
-            for (int i = 0; i < together.size(); i++) {
-                tell(together.get(i), results.get(i));
-            }
-        });
+        loop.execute(
+                () -> {
+                    for (int i = 0; i < together.size(); i++) {
+                        tell(together.get(i), results.get(i));
+                    }
+                });
     }
 
     @SuppressWarnings("unchecked") // an Op<T> gives a T
--- a/src/main/java/damsonslip/store/JobStore.java
+++ b/src/main/java/damsonslip/store/JobStore.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Where jobs outlive the program: a port. Calls wait for their answer, so none is made on the loop. */
+/**
+ * Where jobs outlive the program: a port. Calls wait for their answer, so none is made on the loop.
+ */
 public interface JobStore extends AutoCloseable {
     /**
      * Carries these out in their order.
--- a/src/main/java/damsonslip/store/MemoryStore.java
+++ b/src/main/java/damsonslip/store/MemoryStore.java
@@ -13,7 +13,7 @@
     /** Jobs that are over are remembered up to this many, so that a repeated push finds them. */
     private static final int MOST_OVER = 20_000;
 
-    private record Held(JobRecord record, String body) { }
+    private record Held(JobRecord record, String body) {}
 
     private final Map<String, Held> jobs = new LinkedHashMap<>();
     private final Set<String> over = new LinkedHashSet<>();
@@ -47,24 +47,34 @@
             bodies.ids().forEach(id -> found.add(body(id)));
             return found;
         } else if (op instanceof Op.Drop drop) {
-            drop.ids().forEach(id -> {
-                jobs.remove(id);
-                over.remove(id);
-            });
+            drop.ids()
+                    .forEach(
+                            id -> {
+                                jobs.remove(id);
+                                over.remove(id);
+                            });
             return null;
         } else if (op instanceof Op.Open) {
-            return jobs.values().stream().map(Held::record).filter(record -> !record.state().isFinal())
-                .map(JobRecord::id).toList();
+            return jobs.values().stream()
+                    .map(Held::record)
+                    .filter(record -> !record.state().isFinal())
+                    .map(JobRecord::id)
+                    .toList();
         } else if (op instanceof Op.Load load) {
-            return load.ids().stream().map(jobs::get).filter(Objects::nonNull).map(Held::record)
-                .filter(record -> !record.state().isFinal()).toList();
+            return load.ids().stream()
+                    .map(jobs::get)
+                    .filter(Objects::nonNull)
+                    .map(Held::record)
+                    .filter(record -> !record.state().isFinal())
+                    .toList();
         }
         return aside(op);
     }
 
     private Object aside(Op<?> op) {
         if (op instanceof Op.Note note) {
-            Map<String, String> kind = notes.computeIfAbsent(note.kind(), k -> new LinkedHashMap<>());
+            Map<String, String> kind =
+                    notes.computeIfAbsent(note.kind(), k -> new LinkedHashMap<>());
             if (note.words() == null) {
                 kind.remove(note.key());
             } else {
@@ -87,7 +97,9 @@
 
     private Void put(JobRecord record, String body) {
         boolean ended = record.state().isFinal();
-        jobs.put(record.id(), new Held(record, ended ? null : body)); // a job that is over needs no body
+        jobs.put(
+                record.id(),
+                new Held(record, ended ? null : body)); // a job that is over needs no body
         if (ended && over.add(record.id()) && over.size() > MOST_OVER) {
             String oldest = over.iterator().next();
             over.remove(oldest);
@@ -99,5 +111,5 @@
     }
 
     @Override
-    public void close() { }
+    public void close() {}
 }
--- a/src/main/java/damsonslip/store/RedisStore.java
+++ b/src/main/java/damsonslip/store/RedisStore.java
@@ -18,18 +18,24 @@
 import redis.clients.jedis.params.SetParams;
 
 /**
- * Keeps jobs in Redis: for each a key with its record and one with its body, which several schedulers share, and for
- * each scheduler the set of its jobs that are not over. What is asked for together goes there in one pipeline: a
- * journey to and fro for each job was what bounded the jobs a second.
+ * Keeps jobs in Redis: for each a key with its record and one with its body, which several
+ * schedulers share, and for each scheduler the set of its jobs that are not over. What is asked for
+ * together goes there in one pipeline: a journey to and fro for each job was what bounded the jobs
+ * a second.
  */
 public final class RedisStore implements JobStore {
     private static final Logger LOG = LoggerFactory.getLogger(RedisStore.class);
     private static final String PREFIX = "damsonslip:";
     private static final char OWNER = '\n';
-    /** A store on the same network answers within a few milliseconds; past this it counts as down. */
+
+    /**
+     * A store on the same network answers within a few milliseconds; past this it counts as down.
+     */
     private static final int TIMEOUT_MS = 500;
+
     /** A job that is over is remembered this long, so that a repeated push finds it. */
     private static final long KEEP_OVER_S = TimeUnit.DAYS.toSeconds(1);
+
     /** A worker's first appearance is remembered this long: by then it is warm in any case. */
     private static final long KEEP_WORKER_S = TimeUnit.HOURS.toSeconds(1);
 
@@ -39,12 +45,15 @@
 
     /** Connects when first asked, so that the scheduler starts while the store is down. */
     public RedisStore(HostAndPort address, String password, String scheduler) {
-        DefaultJedisClientConfig.Builder config = DefaultJedisClientConfig.builder()
-            .connectionTimeoutMillis(TIMEOUT_MS).socketTimeoutMillis(TIMEOUT_MS);
+        DefaultJedisClientConfig.Builder config =
+                DefaultJedisClientConfig.builder()
+                        .connectionTimeoutMillis(TIMEOUT_MS)
+                        .socketTimeoutMillis(TIMEOUT_MS);
         if (!password.isEmpty()) {
             config.password(password);
         }
-        this.redis = RedisClient.builder().hostAndPort(address).clientConfig(config.build()).build();
+        this.redis =
+                RedisClient.builder().hostAndPort(address).clientConfig(config.build()).build();
         this.scheduler = scheduler;
         this.open = PREFIX + "open:" + scheduler;
     }
@@ -117,15 +126,18 @@
     private Result aside(AbstractPipeline line, Op<?> op) {
         if (op instanceof Op.Note note) {
             String where = notes(note.kind());
-            Response<Long> done = note.words() == null ? line.hdel(where, note.key())
-                : line.hset(where, note.key(), note.words());
+            Response<Long> done =
+                    note.words() == null
+                            ? line.hdel(where, note.key())
+                            : line.hset(where, note.key(), note.words());
             return all(List.of(done));
         } else if (op instanceof Op.Notes notes) {
             Response<Map<String, String>> found = line.hgetAll(notes(notes.kind()));
             return found::get;
         } else if (op instanceof Op.FirstSeen seen) {
             String key = PREFIX + "worker:" + seen.worker();
-            line.set(key, Long.toString(seen.nowMs()), SetParams.setParams().nx().ex(KEEP_WORKER_S));
+            line.set(
+                    key, Long.toString(seen.nowMs()), SetParams.setParams().nx().ex(KEEP_WORKER_S));
             Response<String> first = line.get(key);
             line.expire(key, KEEP_WORKER_S);
             return () -> first.get() == null ? seen.nowMs() : Long.parseLong(first.get());
@@ -134,13 +146,14 @@
     }
 
     /**
-     * Listed before it is written, and its body before its record: a crash in between leaves a name without a job,
-     * never a lost job and never a record without a body.
+     * Listed before it is written, and its body before its record: a crash in between leaves a name
+     * without a job, never a lost job and never a record without a body.
      */
     private Result add(AbstractPipeline line, JobRecord record, String body) {
         Response<Long> listed = line.sadd(open, record.id());
         Response<String> text = line.set(body(record.id()), body, SetParams.setParams().nx());
-        Response<String> fresh = line.set(key(record.id()), encode(record), SetParams.setParams().nx());
+        Response<String> fresh =
+                line.set(key(record.id()), encode(record), SetParams.setParams().nx());
         Response<String> there = line.get(key(record.id()));
         return () -> {
             listed.get();
@@ -152,11 +165,17 @@
     private List<Response<?>> put(AbstractPipeline line, JobRecord record) {
         List<Response<?>> done = new ArrayList<>(3);
         if (record.state().isFinal()) {
-            done.add(line.set(key(record.id()), encode(record), SetParams.setParams().ex(KEEP_OVER_S)));
+            done.add(
+                    line.set(
+                            key(record.id()),
+                            encode(record),
+                            SetParams.setParams().ex(KEEP_OVER_S)));
             done.add(line.del(body(record.id())));
             done.add(line.srem(open, record.id()));
         } else {
-            if (record.state() != JobRecord.State.RESERVED) { // what is reserved was listed when it was taken in
+            if (record.state()
+                    != JobRecord.State
+                            .RESERVED) { // what is reserved was listed when it was taken in
                 done.add(line.sadd(open, record.id()));
             }
             done.add(line.set(key(record.id()), encode(record)));
@@ -179,7 +198,8 @@
         return () -> {
             List<JobRecord> found = new ArrayList<>();
             for (String text : texts.get()) {
-                JobRecord record = text == null || !text.startsWith(scheduler + OWNER) ? null : readable(text);
+                JobRecord record =
+                        text == null || !text.startsWith(scheduler + OWNER) ? null : readable(text);
                 if (record != null && !record.state().isFinal()) {
                     found.add(record);
                 }
@@ -199,8 +219,9 @@
     }
 
     /**
-     * A record stands behind the name of the scheduler that took the job in. Guards against a second one that has the
-     * same id pushed to it, lists it before it knows, and would take the job up at its next start.
+     * A record stands behind the name of the scheduler that took the job in. Guards against a
+     * second one that has the same id pushed to it, lists it before it knows, and would take the
+     * job up at its next start.
      */
     private String encode(JobRecord record) {
         return scheduler + OWNER + record.encode();
@@ -210,8 +231,8 @@
         return JobRecord.decode(text.substring(text.indexOf(OWNER) + 1));
     }
 
-    private static Response<List<String>> many(AbstractPipeline line, List<String> ids,
-                                               java.util.function.UnaryOperator<String> key) {
+    private static Response<List<String>> many(
+            AbstractPipeline line, List<String> ids, java.util.function.UnaryOperator<String> key) {
         return line.mget(ids.stream().map(key).toArray(String[]::new));
     }
 
--- a/src/test/java/damsonslip/ColdFleet.java
+++ b/src/test/java/damsonslip/ColdFleet.java
@@ -38,24 +38,33 @@
 import java.util.function.Supplier;
 
 /**
- * Many dispatchers on one simulated clock, all sending to the same workers, and the work that reaches each worker while
- * it is cold. Times are microseconds, work is microseconds of one slot.
+ * Many dispatchers on one simulated clock, all sending to the same workers, and the work that
+ * reaches each worker while it is cold. Times are microseconds, work is microseconds of one slot.
  *
- * <p>The workers are hollow: they run whatever comes, report room as told, and never slow down, so that nothing but the
- * dispatchers' own budget holds the work back. The same seed gives the same run.
+ * <p>The workers are hollow: they run whatever comes, report room as told, and never slow down, so
+ * that nothing but the dispatchers' own budget holds the work back. The same seed gives the same
+ * run.
  */
 final class ColdFleet {
     static final long SECOND = 1_000_000;
-    /** What a new connection or a probe costs a worker: the same figure as the module's own guess. */
+
+    /**
+     * What a new connection or a probe costs a worker: the same figure as the module's own guess.
+     */
     private static final double HANDSHAKE_US = 3_000;
+
     private static final long NETWORK_US = 1_000;
     private static final long PATIENCE_US = 3 * SECOND;
-    /** A fall breaks the rule if more than this part of the load came from dispatchers that had been told of the start. */
+
+    /**
+     * A fall breaks the rule if more than this part of the load came from dispatchers that had been
+     * told of the start.
+     */
     private static final double TOLD_SHARE = 2.0 / 3;
 
     /**
-     * A class of jobs: how the settings name it, what a job really takes in each of its slots, how many slots that are,
-     * and which part of all jobs is of the class.
+     * A class of jobs: how the settings name it, what a job really takes in each of its slots, how
+     * many slots that are, and which part of all jobs is of the class.
      */
     record Traffic(JobClass of, double workUs, int slots, double share) {
         double work() {
@@ -63,12 +72,33 @@
         }
     }
 
-    /** A deployment and the load on it; {@code toldDispatchers} is how many there are by the settings. */
-    record Site(int dispatchers, int toldDispatchers, Guarantees guarantees, Reporting reporting, int workerSlots,
-                List<Traffic> traffic, double jobsPerSecond) {
+    /**
+     * A deployment and the load on it; {@code toldDispatchers} is how many there are by the
+     * settings.
+     */
+    record Site(
+            int dispatchers,
+            int toldDispatchers,
+            Guarantees guarantees,
+            Reporting reporting,
+            int workerSlots,
+            List<Traffic> traffic,
+            double jobsPerSecond) {
         Settings settings(int number) {
-            return new Settings(toldDispatchers, number % toldDispatchers, number % 2, 2, 1, classes(), List.of(),
-                new Limits(4, true, true, 0.002, 0.1), guarantees, reporting, false, true, 4_000);
+            return new Settings(
+                    toldDispatchers,
+                    number % toldDispatchers,
+                    number % 2,
+                    2,
+                    1,
+                    classes(),
+                    List.of(),
+                    new Limits(4, true, true, 0.002, 0.1),
+                    guarantees,
+                    reporting,
+                    false,
+                    true,
+                    4_000);
         }
 
         /** Jobs of one class may differ in their slots. */
@@ -80,33 +110,49 @@
             return traffic.stream().mapToDouble(t -> t.share() * t.work()).sum();
         }
 
-        /** Requests of mean work that push a cold worker over, if they come within the rule's time up to this age. */
+        /**
+         * Requests of mean work that push a cold worker over, if they come within the rule's time
+         * up to this age.
+         */
         double bound(long age) {
             double warmth = guarantees.warmth(age - guarantees.fallUs() / 2);
-            double n = guarantees.fallMultiple() * warmth * workerSlots * guarantees.fallUs() / meanWork();
+            double n =
+                    guarantees.fallMultiple()
+                            * warmth
+                            * workerSlots
+                            * guarantees.fallUs()
+                            / meanWork();
             return n + 2 * Math.sqrt(n) + 2;
         }
     }
 
     /** Work that reached a worker, and whether its sender had been told of the worker's start. */
-    private record Load(long at, double work, boolean told) { }
+    private record Load(long at, double work, boolean told) {}
 
     /**
      * The span in which a start of a worker came nearest to the rule's bound.
      *
-     * @param ratio  all work in the span, in parts of the bound
-     * @param told   the part of that work that schedulers sent that had been told of the start
+     * @param ratio all work in the span, in parts of the bound
+     * @param told the part of that work that schedulers sent that had been told of the start
      * @param broken whether the worker's first fall, if there was one, breaks the rule
      */
-    record Worst(String worker, long startUs, long ageUs, double ratio, double told, boolean broken, int requests) { }
+    record Worst(
+            String worker,
+            long startUs,
+            long ageUs,
+            double ratio,
+            double told,
+            boolean broken,
+            int requests) {}
 
-    private record Planned(long at, long order, Runnable what) { }
+    private record Planned(long at, long order, Runnable what) {}
 
     private final class Hollow {
         final String id;
         long started;
         boolean up = true;
         boolean full;
+
         /** The loads of each start. */
         final TreeMap<Long, List<Load>> loads = new TreeMap<>();
 
@@ -116,12 +162,15 @@
         }
 
         void load(double work, boolean told) {
-            loads.computeIfAbsent(started, fresh -> new ArrayList<>()).add(new Load(now, work, told));
+            loads.computeIfAbsent(started, fresh -> new ArrayList<>())
+                    .add(new Load(now, work, told));
         }
 
         Report report(boolean asked) {
             boolean reports = asked || site.reporting() == Reporting.WITH_ANSWERS;
-            return reports ? new Report(full ? 0 : site.workerSlots(), Double.NaN, Double.NaN) : null;
+            return reports
+                    ? new Report(full ? 0 : site.workerSlots(), Double.NaN, Double.NaN)
+                    : null;
         }
 
         Dispatch.Worker entry() {
@@ -129,7 +178,7 @@
         }
     }
 
-    private record Work(Traffic traffic, List<Boolean> open) { }
+    private record Work(Traffic traffic, List<Boolean> open) {}
 
     private final class Instance {
         final int number;
@@ -172,11 +221,13 @@
 
         private void later(long inUs, Event event) {
             int of = life;
-            at(now + inUs, () -> {
-                if (of == life) {
-                    give(event);
-                }
-            });
+            at(
+                    now + inUs,
+                    () -> {
+                        if (of == life) {
+                            give(event);
+                        }
+                    });
         }
 
         private void act(Action action) {
@@ -191,8 +242,11 @@
                 if (w.up) {
                     reach(w, HANDSHAKE_US);
                 }
-                later(NETWORK_US, w.up ? new ProbeEnded(w.id, ProbeResult.HEALTHY, w.report(true))
-                    : new ProbeEnded(w.id, ProbeResult.UNREACHABLE, null));
+                later(
+                        NETWORK_US,
+                        w.up
+                                ? new ProbeEnded(w.id, ProbeResult.HEALTHY, w.report(true))
+                                : new ProbeEnded(w.id, ProbeResult.UNREACHABLE, null));
             } else if (action instanceof WatchList) {
                 throw new IllegalStateException("lists are pushed here");
             }
@@ -223,27 +277,44 @@
             end(wait + took, send.job(), attempt, Outcome.SERVED, () -> w.report(false));
         }
 
-        private void end(long inUs, String id, int attempt, Outcome outcome, Supplier<Report> report) {
+        private void end(
+                long inUs, String id, int attempt, Outcome outcome, Supplier<Report> report) {
             int of = life;
             Work job = jobs.get(id);
-            at(now + inUs, () -> {
-                if (of == life && job.open().set(attempt, false)) {
-                    give(new AttemptEnded(id, attempt, outcome, outcome == Outcome.SERVED, report.get()));
-                }
-            });
+            at(
+                    now + inUs,
+                    () -> {
+                        if (of == life && job.open().set(attempt, false)) {
+                            give(
+                                    new AttemptEnded(
+                                            id,
+                                            attempt,
+                                            outcome,
+                                            outcome == Outcome.SERVED,
+                                            report.get()));
+                        }
+                    });
         }
     }
 
     final Site site;
     final SplittableRandom random;
+
     /** The parts of all sends that workers turn away, and that start only after a second. */
     double turnedAway;
+
     double stuck;
-    /** How much later than discovery a dispatcher hears of a change at the least, and how much more at the most. */
+
+    /**
+     * How much later than discovery a dispatcher hears of a change at the least, and how much more
+     * at the most.
+     */
     long listEarliest;
+
     long listDelay;
     private final PriorityQueue<Planned> plan =
-        new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
     private final TreeMap<String, Hollow> workers = new TreeMap<>();
     private final List<Instance> instances = new ArrayList<>();
     private long now = SECOND;
@@ -277,12 +348,14 @@
     private void arrivals(Instance instance, double busy) {
         double perUs = site.jobsPerSecond() * busy * pressure / site.dispatchers() / SECOND;
         long wait = (long) Math.min(10 * SECOND, -Math.log(1 - random.nextDouble()) / perUs);
-        at(now + wait, () -> {
-            if (instances.contains(instance)) {
-                arrive(instance);
-                arrivals(instance, busy);
-            }
-        });
+        at(
+                now + wait,
+                () -> {
+                    if (instances.contains(instance)) {
+                        arrive(instance);
+                        arrivals(instance, busy);
+                    }
+                });
     }
 
     private void arrive(Instance instance) {
@@ -308,7 +381,10 @@
         pressure = times;
     }
 
-    /** All warm workers report to be full from now on, so that whatever is allowed goes to the cold ones. */
+    /**
+     * All warm workers report to be full from now on, so that whatever is allowed goes to the cold
+     * ones.
+     */
     void fillWarm() {
         workers.values().forEach(w -> w.full = w.started == Long.MIN_VALUE);
     }
@@ -331,11 +407,13 @@
         List<Dispatch.Worker> list = entries();
         for (Instance instance : instances) {
             long delay = listEarliest + random.nextLong(listDelay + 1);
-            at(now + delay, () -> {
-                if (newer(list, instance.known)) {
-                    instance.list(ListMode.CHANGES, list);
-                }
-            });
+            at(
+                    now + delay,
+                    () -> {
+                        if (newer(list, instance.known)) {
+                            instance.list(ListMode.CHANGES, list);
+                        }
+                    });
         }
     }
 
@@ -348,7 +426,10 @@
         return list.stream().mapToDouble(w -> Math.max(0, w.startedUs())).sum();
     }
 
-    /** A part of the dispatchers, by number, ends and starts anew at once; the list that they kept is as they had it. */
+    /**
+     * A part of the dispatchers, by number, ends and starts anew at once; the list that they kept
+     * is as they had it.
+     */
     void restart(double part) {
         instances.stream().filter(i -> i.number < part * instances.size()).forEach(Instance::start);
     }
@@ -361,8 +442,9 @@
     }
 
     /**
-     * A second process of each of these dispatchers starts, which counts as one of twice as many from its first moment;
-     * the older one counts so after the first time, and is gone after the second, when the newcomer is alone again.
+     * A second process of each of these dispatchers starts, which counts as one of twice as many
+     * from its first moment; the older one counts so after the first time, and is gone after the
+     * second, when the newcomer is alone again.
      */
     void upgrade(double part, long dividedAfter, long goneAfter) {
         for (Instance older : List.copyOf(instances.subList(0, (int) (part * instances.size())))) {
@@ -373,11 +455,13 @@
             instances.add(newcomer);
             arrivals(newcomer, 1);
             at(now + dividedAfter, () -> older.divide(2, 0));
-            at(now + goneAfter, () -> {
-                older.life++;
-                instances.remove(older);
-                newcomer.divide(1, 0);
-            });
+            at(
+                    now + goneAfter,
+                    () -> {
+                        older.life++;
+                        instances.remove(older);
+                        newcomer.divide(1, 0);
+                    });
         }
     }
 
@@ -395,11 +479,12 @@
     List<Worst> worst() {
         List<Worst> all = new ArrayList<>();
         for (Hollow w : workers.values()) {
-            w.loads.forEach((start, loads) -> {
-                if (start != Long.MIN_VALUE) {
-                    all.add(worst(w.id, start, loads));
-                }
-            });
+            w.loads.forEach(
+                    (start, loads) -> {
+                        if (start != Long.MIN_VALUE) {
+                            all.add(worst(w.id, start, loads));
+                        }
+                    });
         }
         return all;
     }
@@ -427,6 +512,7 @@
                 worst = new Worst(id, start, age, ratio, inSpan[1] / sum, false, loads.size());
             }
         }
-        return new Worst(id, start, worst.ageUs(), worst.ratio(), worst.told(), broken, loads.size());
+        return new Worst(
+                id, start, worst.ageUs(), worst.ratio(), worst.told(), broken, loads.size());
     }
 }
--- a/src/test/java/damsonslip/ColdFleetTest.java
+++ b/src/test/java/damsonslip/ColdFleetTest.java
@@ -22,36 +22,49 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Rule 4 over a whole fleet: whatever all dispatchers together send to a worker while it is cold stays, in any span of
- * the rule's length, within N + 2 x root of N + 2 requests of mean work, or came mostly from those that could not know.
+ * Rule 4 over a whole fleet: whatever all dispatchers together send to a worker while it is cold
+ * stays, in any span of the rule's length, within N + 2 x root of N + 2 requests of mean work, or
+ * came mostly from those that could not know.
  */
 class ColdFleetTest {
     /** By now each class has been timed and each worker's reports seen, where traffic allows it. */
     private static final long START = 6 * SECOND;
+
     private static final long END = 16 * SECOND;
     private static final int SEEDS = 4;
 
     /** What happens beside two workers that start cold while all others are full. */
     enum Trouble {
-        NONE((fleet, fall) -> { }),
+        NONE((fleet, fall) -> {}),
         LATE_LISTS((fleet, fall) -> fleet.listDelay = 2 * SECOND),
-        /** All are told just before a window of the budget ends, and may spend this one and the next at once. */
+        /**
+         * All are told just before a window of the budget ends, and may spend this one and the next
+         * at once.
+         */
         NEWS_AT_THE_END_OF_A_WINDOW((fleet, fall) -> fleet.listEarliest = fall - 30_000),
-        MOST_RESTART_AT_ONCE((fleet, fall) -> fleet.at(START + fall * 3 / 2, () -> fleet.restart(0.7))),
-        RESTART_BEFORE_THE_NEWS((fleet, fall) -> {
-            fleet.listDelay = 2 * SECOND;
-            fleet.at(START + SECOND / 2, () -> fleet.restart(0.7));
-        }),
+        MOST_RESTART_AT_ONCE(
+                (fleet, fall) -> fleet.at(START + fall * 3 / 2, () -> fleet.restart(0.7))),
+        RESTART_BEFORE_THE_NEWS(
+                (fleet, fall) -> {
+                    fleet.listDelay = 2 * SECOND;
+                    fleet.at(START + SECOND / 2, () -> fleet.restart(0.7));
+                }),
         HALF_ARE_GONE((fleet, fall) -> fleet.at(START + fall * 3 / 2, () -> fleet.leave(0.5))),
-        UPGRADES((fleet, fall) -> fleet.at(START + fall / 2, () -> fleet.upgrade(0.3, SECOND / 4, 3 * SECOND))),
-        TURNED_AWAY_AND_MOVED((fleet, fall) -> {
-            fleet.turnedAway = 0.3;
-            fleet.stuck = 0.3;
-        }),
-        A_COLD_WORKER_RESTARTS((fleet, fall) -> {
-            fleet.at(START + 3 * SECOND, () -> fleet.killWorker("cold0"));
-            fleet.at(START + 7 * SECOND / 2, () -> fleet.startWorker("cold0"));
-        }),
+        UPGRADES(
+                (fleet, fall) ->
+                        fleet.at(
+                                START + fall / 2,
+                                () -> fleet.upgrade(0.3, SECOND / 4, 3 * SECOND))),
+        TURNED_AWAY_AND_MOVED(
+                (fleet, fall) -> {
+                    fleet.turnedAway = 0.3;
+                    fleet.stuck = 0.3;
+                }),
+        A_COLD_WORKER_RESTARTS(
+                (fleet, fall) -> {
+                    fleet.at(START + 3 * SECOND, () -> fleet.killWorker("cold0"));
+                    fleet.at(START + 7 * SECOND / 2, () -> fleet.startWorker("cold0"));
+                }),
         BURST((fleet, fall) -> fleet.at(START + fall - 30_000, () -> fleet.burst(4)));
 
         final BiConsumer<ColdFleet, Long> of;
@@ -62,22 +75,37 @@
     }
 
     private static Traffic traffic(long workUs, int slots, double share) {
-        return new Traffic(new JobClass(workUs, 2, 1, Effect.SAFE, Group.ALL, 5 * SECOND, -1), workUs, slots, share);
+        return new Traffic(
+                new JobClass(workUs, 2, 1, Effect.SAFE, Group.ALL, 5 * SECOND, -1),
+                workUs,
+                slots,
+                share);
     }
 
-    private static Guarantees guarantees(double share, double coldS, double multiple, double fallS) {
-        return new Guarantees(16_000, 500_000, 10 * SECOND, share, (long) (coldS * SECOND), multiple,
-            (long) (fallS * SECOND));
+    private static Guarantees guarantees(
+            double share, double coldS, double multiple, double fallS) {
+        return new Guarantees(
+                16_000,
+                500_000,
+                10 * SECOND,
+                share,
+                (long) (coldS * SECOND),
+                multiple,
+                (long) (fallS * SECOND));
     }
 
     /**
-     * Any deployment, with up to so many classes: cold workers, classes and reports differ, and more comes in than cold
-     * workers may take.
+     * Any deployment, with up to so many classes: cold workers, classes and reports differ, and
+     * more comes in than cold workers may take.
      */
     static Site anySite(SplittableRandom random, int mostClasses) {
         int dispatchers = new int[] {20, 30, 100}[random.nextInt(3)];
-        Guarantees guarantees = guarantees(0.05 + 0.45 * random.nextDouble(), 5 + 35 * random.nextDouble(),
-            1.5 + 4.5 * random.nextDouble(), 0.5 + 3.5 * random.nextDouble());
+        Guarantees guarantees =
+                guarantees(
+                        0.05 + 0.45 * random.nextDouble(),
+                        5 + 35 * random.nextDouble(),
+                        1.5 + 4.5 * random.nextDouble(),
+                        0.5 + 3.5 * random.nextDouble());
         int workerSlots = new int[] {1, 2, 4, 8}[random.nextInt(4)];
         double[] weights = random.doubles(1 + random.nextInt(mostClasses), 0.1, 1).toArray();
         double sum = 0;
@@ -87,14 +115,23 @@
         List<Traffic> traffic = new ArrayList<>();
         for (double weight : weights) {
             long workUs = (long) (20_000 * Math.pow(50, random.nextDouble()));
-            traffic.add(traffic(workUs, 1 + random.nextInt(Math.min(workerSlots, 3)), weight / sum));
+            traffic.add(
+                    traffic(workUs, 1 + random.nextInt(Math.min(workerSlots, 3)), weight / sum));
         }
         Reporting reporting = random.nextBoolean() ? Reporting.WITH_ANSWERS : Reporting.BY_PROBE;
-        Site site = new Site(dispatchers, dispatchers, guarantees, reporting, workerSlots, traffic, 1);
+        Site site =
+                new Site(dispatchers, dispatchers, guarantees, reporting, workerSlots, traffic, 1);
         double slots = workerSlots * guarantees.warmth(4 * SECOND);
         double allowed = guarantees.fallMultiple() * slots * SECOND / site.meanWork();
         double jobsPerSecond = Math.min(1_200, 6 * allowed);
-        return new Site(dispatchers, dispatchers, guarantees, reporting, workerSlots, traffic, jobsPerSecond);
+        return new Site(
+                dispatchers,
+                dispatchers,
+                guarantees,
+                reporting,
+                workerSlots,
+                traffic,
+                jobsPerSecond);
     }
 
     /** Two workers start cold, half a second apart, while all others are full. */
@@ -121,22 +158,42 @@
         assertTrue(requests > 50 * SEEDS, "cold workers get something: " + requests);
     }
 
-    /** Guards against budgets that rest on a guess: without reports nobody is taken to have four slots. */
+    /**
+     * Guards against budgets that rest on a guess: without reports nobody is taken to have four
+     * slots.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void smallColdWorkersAreSparedByDispatchersThatHaveJustStarted(int workerSlots) {
-        Site site = new Site(100, 100, guarantees(0.35, 10, 4.5, 2), Reporting.WITH_ANSWERS, workerSlots,
-            List.of(traffic(50_000, 1, 1)), 1_000);
+        Site site =
+                new Site(
+                        100,
+                        100,
+                        guarantees(0.35, 10, 4.5, 2),
+                        Reporting.WITH_ANSWERS,
+                        workerSlots,
+                        List.of(traffic(50_000, 1, 1)),
+                        1_000);
         for (Worst worst : play(site, 1, Trouble.MOST_RESTART_AT_ONCE.of)) {
             assertFalse(worst.broken(), worst.toString());
         }
     }
 
-    /** Shows that the tests above can fail: thirty dispatchers that take themselves for ten spend three budgets. */
+    /**
+     * Shows that the tests above can fail: thirty dispatchers that take themselves for ten spend
+     * three budgets.
+     */
     @Test
     void aFleetThatCountsItselfTooSmallPushesAColdWorkerOver() {
-        Site site = new Site(30, 10, guarantees(0.25, 8, 3, 2), Reporting.WITH_ANSWERS, 4,
-            List.of(traffic(50_000, 1, 1)), 1_000);
+        Site site =
+                new Site(
+                        30,
+                        10,
+                        guarantees(0.25, 8, 3, 2),
+                        Reporting.WITH_ANSWERS,
+                        4,
+                        List.of(traffic(50_000, 1, 1)),
+                        1_000);
         assertTrue(play(site, 1, Trouble.NONE.of).stream().anyMatch(Worst::broken));
     }
 }
--- a/src/test/java/damsonslip/DeployTest.java
+++ b/src/test/java/damsonslip/DeployTest.java
@@ -19,40 +19,58 @@
 /** The deploy file says which sources make up the scheduler, and how it starts. */
 class DeployTest {
     private static final Path SOURCES = Path.of("src/main/java/damsonslip");
+
     /** Commands of their own, which no scheduler runs. */
     private static final Set<String> TOOLS =
-        Set.of("simhost", "conformance", "bench", "fleet", "faktoryclient", "lab");
+            Set.of("simhost", "conformance", "bench", "fleet", "faktoryclient", "lab");
 
     @Test
     void policyAndNodeNameEverySourceOfTheScheduler() throws IOException {
-        Set<String> named = Pattern.compile("\"src/main/java/damsonslip/([^\"]+)\"")
-            .matcher(Files.readString(Path.of("deploy/balancer.toml"))).results().map(found -> found.group(1))
-            .collect(Collectors.toCollection(TreeSet::new));
+        Set<String> named =
+                Pattern.compile("\"src/main/java/damsonslip/([^\"]+)\"")
+                        .matcher(Files.readString(Path.of("deploy/balancer.toml")))
+                        .results()
+                        .map(found -> found.group(1))
+                        .collect(Collectors.toCollection(TreeSet::new));
         try (Stream<Path> there = Files.list(SOURCES)) {
-            assertEquals(there.map(path -> path.getFileName().toString()).filter(name -> !TOOLS.contains(name))
-                .collect(Collectors.toCollection(TreeSet::new)), named);
+            assertEquals(
+                    there.map(path -> path.getFileName().toString())
+                            .filter(name -> !TOOLS.contains(name))
+                            .collect(Collectors.toCollection(TreeSet::new)),
+                    named);
         }
     }
 
     @Test
     void theSchedulerIsOneProcessThatTheShellBecomes() throws IOException {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
+        String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow();
         assertTrue(run.startsWith("run = \"exec java "), run);
         assertTrue(Pattern.compile("[;&|]").matcher(run).results().findAny().isEmpty(), run);
     }
 
-    /** A start on part of a core has no time to make methods for joined texts, nor to read the calendars of the world. */
+    /**
+     * A start on part of a core has no time to make methods for joined texts, nor to read the
+     * calendars of the world.
+     */
     @Test
     void startsMakeNoCodeAndLoadNoLocales() throws IOException {
         try (Stream<Path> classes = Files.walk(Path.of("target/classes"))) {
             for (Path path : classes.filter(file -> file.toString().endsWith(".class")).toList()) {
                 String code = Files.readString(path, StandardCharsets.ISO_8859_1);
-                assertFalse(code.contains("makeConcatWithConstants"), path + " joins text by code made at run time");
+                assertFalse(
+                        code.contains("makeConcatWithConstants"),
+                        path + " joins text by code made at run time");
             }
         }
         for (String line : Files.readAllLines(Path.of("deploy/balancer.toml")).subList(0, 2)) {
-            for (String word : List.of("-Djava.locale.providers=COMPAT ", "-Dslf4j.provider=org.slf4j.simple.")) {
+            for (String word :
+                    List.of(
+                            "-Djava.locale.providers=COMPAT ",
+                            "-Dslf4j.provider=org.slf4j.simple.")) {
                 assertTrue(line.contains(word), "archived and run alike: " + line);
             }
         }
--- a/src/test/java/damsonslip/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/FetchingWorkersTest.java
@@ -19,25 +19,41 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** What the module makes of workers that offer their slots by themselves, and of jobs that not all of them take. */
+/**
+ * What the module makes of workers that offer their slots by themselves, and of jobs that not all
+ * of them take.
+ */
 class FetchingWorkersTest {
     private static Script script() {
-        return new Script(Script.settings(1, 0, Script.jobClass(Effect.SAFE, Group.ALL),
-            Script.jobClass(Effect.UNSAFE, Group.ALL)));
+        return new Script(
+                Script.settings(
+                        1,
+                        0,
+                        Script.jobClass(Effect.SAFE, Group.ALL),
+                        Script.jobClass(Effect.UNSAFE, Group.ALL)));
     }
 
     private static List<String> send(Script script, String id, Predicate<String> fits) {
-        return sent(script.give(new JobArrived(id, 0, 0, null, script.now + 10 * Script.SECOND, 1, 0, 1, fits)));
+        return sent(
+                script.give(
+                        new JobArrived(
+                                id, 0, 0, null, script.now + 10 * Script.SECOND, 1, 0, 1, fits)));
     }
 
     private static List<String> sent(List<Action> actions) {
         List<String> workers = new ArrayList<>();
-        actions.stream().filter(Send.class::isInstance).forEach(action -> workers.add(((Send) action).worker()));
+        actions.stream()
+                .filter(Send.class::isInstance)
+                .forEach(action -> workers.add(((Send) action).worker()));
         return workers;
     }
 
     private static void offers(Script script, String worker, int free, int slots) {
-        script.give(new ProbeEnded(worker, ProbeResult.HEALTHY, Report.offered(free, Double.NaN, slots - free, slots)));
+        script.give(
+                new ProbeEnded(
+                        worker,
+                        ProbeResult.HEALTHY,
+                        Report.offered(free, Double.NaN, slots - free, slots)));
     }
 
     private static void ended(Script script, String id, Outcome outcome) {
@@ -68,7 +84,11 @@
         WorkerState state = script.rules.workers(script.now).get(0);
         assertEquals(0, state.free(), 0.01);
         ended(script, "j0", Outcome.SERVED);
-        assertEquals(0, script.rules.workers(script.now).get(0).free(), 0.01, "its slot is free once it is offered");
+        assertEquals(
+                0,
+                script.rules.workers(script.now).get(0).free(),
+                0.01,
+                "its slot is free once it is offered");
         offers(script, "w0", 1, 20);
         assertEquals(1, script.rules.workers(script.now).get(0).free(), 0.01);
     }
@@ -97,12 +117,15 @@
         send(script, "good", null);
         ended(script, "good", Outcome.SERVED);
         for (int i = 0; i < 4; i++) {
-            assertTrue(!script.rules.workers(script.now).get(0).paused(), "what was done between counts");
+            assertTrue(
+                    !script.rules.workers(script.now).get(0).paused(),
+                    "what was done between counts");
             offers(script, "w0", 4, 4);
             send(script, "g" + i, null);
             ended(script, "g" + i, Outcome.ERROR);
         }
-        assertTrue(script.rules.workers(script.now).get(0).paused(), "four with nothing done between");
+        assertTrue(
+                script.rules.workers(script.now).get(0).paused(), "four with nothing done between");
     }
 
     @Test
--- a/src/test/java/damsonslip/ForgottenWorkersTest.java
+++ b/src/test/java/damsonslip/ForgottenWorkersTest.java
@@ -21,13 +21,17 @@
 class ForgottenWorkersTest {
     private static final int WORKERS = 20;
     private static final long MINUTE = 60 * SECOND;
+
     /** What may still be known: the workers of the last ten minutes, and those that are there. */
     private static final int MOST_KNOWN = 12 * WORKERS;
 
-    private final Script script = new Script(Script.settings(1, 0, jobClass(Effect.SAFE, Group.ALL)));
+    private final Script script =
+            new Script(Script.settings(1, 0, jobClass(Effect.SAFE, Group.ALL)));
 
     private static Dispatch.Worker[] release(int round) {
-        return IntStream.range(0, WORKERS).mapToObj(i -> worker("w" + round + "-" + i)).toArray(Dispatch.Worker[]::new);
+        return IntStream.range(0, WORKERS)
+                .mapToObj(i -> worker("w" + round + "-" + i))
+                .toArray(Dispatch.Worker[]::new);
     }
 
     @Test
@@ -64,7 +68,8 @@
         script.list(ListMode.CHANGES, worker("a", 0, 0, Status.GONE, Long.MIN_VALUE));
         script.pass(20 * MINUTE);
         assertEquals(1, script.rules.workers(script.now).size());
-        script.list(ListMode.CHANGES, worker("a"), worker("b", 0, 0, Status.DRAINING, Long.MIN_VALUE));
+        script.list(
+                ListMode.CHANGES, worker("a"), worker("b", 0, 0, Status.DRAINING, Long.MIN_VALUE));
         assertEquals("a", sentTo(script.job("j1"), "j1"));
     }
 }
--- a/src/test/java/damsonslip/FourRulesTest.java
+++ b/src/test/java/damsonslip/FourRulesTest.java
@@ -83,14 +83,18 @@
         assertTrue(script.ended("x", 0, Outcome.SERVED).isEmpty());
         assertTrue(script.started("x", 3).isEmpty());
         assertTrue(script.give(new JobGone("x")).isEmpty());
-        assertTrue(script.give(new Dispatch.ProbeEnded("nobody", ProbeResult.HEALTHY, null)).isEmpty());
+        assertTrue(
+                script.give(new Dispatch.ProbeEnded("nobody", ProbeResult.HEALTHY, null))
+                        .isEmpty());
         assertTrue(script.give(new Dispatch.TimerDue("j:x")).isEmpty());
     }
 
     // ---- rule 2: no effect twice
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMED_OUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMED_OUT", "RESET", "CANCELLED"})
     void anUnsafeJobThatMayHaveRunFailsAndIsNotRepeated(Outcome outcome) {
         Script script = of(Effect.UNSAFE, Group.ALL).workers(3);
         script.job("a");
@@ -100,7 +104,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "NOT_CONNECTED", "NEVER_SENT"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "NOT_CONNECTED", "NEVER_SENT"})
     void anUnsafeJobProvenNotRunIsSentAgain(Outcome outcome) {
         Script script = of(Effect.UNSAFE, Group.ALL).workers(3);
         script.job("a");
@@ -122,13 +128,17 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Group.class, names = {"ZONE", "CELL"})
+    @EnumSource(
+            value = Group.class,
+            names = {"ZONE", "CELL"})
     void aKeyedJobIsRepeatedOnlyWithinItsGroup(Group group) {
         Script script = of(Effect.KEYED, group);
-        script.list(ListMode.KEPT, worker("a", 0, 0, Status.RUNNING, Long.MIN_VALUE),
-            worker("b", 0, 0, Status.RUNNING, Long.MIN_VALUE),
-            worker("c", 1, 1, Status.RUNNING, Long.MIN_VALUE),
-            worker("d", 1, 1, Status.RUNNING, Long.MIN_VALUE));
+        script.list(
+                ListMode.KEPT,
+                worker("a", 0, 0, Status.RUNNING, Long.MIN_VALUE),
+                worker("b", 0, 0, Status.RUNNING, Long.MIN_VALUE),
+                worker("c", 1, 1, Status.RUNNING, Long.MIN_VALUE),
+                worker("d", 1, 1, Status.RUNNING, Long.MIN_VALUE));
         for (int i = 0; i < 20; i++) {
             String id = "job" + i;
             String first = sentTo(script.job(id), id);
@@ -170,7 +180,8 @@
         Script script = of(Effect.SAFE, Group.ALL);
         script.list(ListMode.KEPT, worker("a"), worker("b"), worker("c"));
         script.list(ListMode.CHANGES, worker("a", 0, 0, Status.DRAINING, Long.MIN_VALUE));
-        script.list(ListMode.COMPLETE, worker("a", 0, 0, Status.DRAINING, Long.MIN_VALUE), worker("c"));
+        script.list(
+                ListMode.COMPLETE, worker("a", 0, 0, Status.DRAINING, Long.MIN_VALUE), worker("c"));
         for (int i = 0; i < 30; i++) {
             String id = "job" + i;
             String to = sentTo(script.job(id), id);
@@ -183,21 +194,29 @@
 
     @Test
     void anAskedListIsWatchedAndAskedAgainAfterAFailure() {
-        Script script = new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script script =
+                new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         script.list(ListMode.KEPT, worker("a"));
         assertEquals(1, only(script.pass(SECOND), WatchList.class).size());
         for (int i = 0; i < 8; i++) {
             script.list(ListMode.FAILED);
-            assertEquals(1, only(script.pass(10 * SECOND), WatchList.class).size(), "after failure " + i);
+            assertEquals(
+                    1,
+                    only(script.pass(10 * SECOND), WatchList.class).size(),
+                    "after failure " + i);
         }
         script.list(ListMode.CHANGES, worker("a"));
         assertTrue(only(script.pass(20 * SECOND), WatchList.class).isEmpty());
     }
 
-    /** A list that discovery no longer vouches for may name workers that drain: what comes is turned away at once. */
+    /**
+     * A list that discovery no longer vouches for may name workers that drain: what comes is turned
+     * away at once.
+     */
     @Test
     void nothingIsSentOnAListThatNobodyVouchesFor() {
-        Script script = new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script script =
+                new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         script.list(ListMode.KEPT, worker("a"));
         script.pass(SECOND);
         script.list(ListMode.CHANGES);
@@ -211,10 +230,14 @@
         assertEquals("a", Script.sentTo(script.job("told"), "told"));
     }
 
-    /** A zone that comes back with its schedulers: what they get in their first moment waits for the news. */
+    /**
+     * A zone that comes back with its schedulers: what they get in their first moment waits for the
+     * news.
+     */
     @Test
     void whatComesBeforeTheFirstListIsHeldForIt() {
-        Script script = new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script script =
+                new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         script.list(ListMode.KEPT, worker("gone"), worker("here"));
         assertNull(sentTo(script.job("x"), "x"));
         script.pass(SECOND / 2);
@@ -224,7 +247,8 @@
     /** What an operator does here is no word from discovery. */
     @Test
     void anOverrideDoesNotVouchForTheList() {
-        Script script = new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script script =
+                new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         script.list(ListMode.KEPT, worker("a"), worker("b"));
         script.pass(5 * SECOND);
         script.list(ListMode.OVERRIDES, worker("b", 0, 0, Status.DRAINING, Long.MIN_VALUE));
@@ -234,7 +258,8 @@
     /** Held jobs are answered when the list runs out, and not kept until their deadline. */
     @Test
     void whatIsHeldIsAnsweredWhenTheListRunsOut() {
-        Script script = new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script script =
+                new Script(settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         script.list(ListMode.KEPT, worker("a"));
         script.pass(4 * SECOND);
         for (int i = 0; i < 12; i++) {
@@ -244,7 +269,10 @@
         int sent = only(script.all, Dispatch.Send.class).size();
         assertTrue(answered + sent < 12, "some are held");
         script.pass(SECOND / 2);
-        assertEquals(12, only(script.all, Refuse.class).size() + only(script.all, Dispatch.Send.class).size());
+        assertEquals(
+                12,
+                only(script.all, Refuse.class).size()
+                        + only(script.all, Dispatch.Send.class).size());
     }
 
     // ---- rule 4: cold workers
@@ -256,7 +284,8 @@
         List<Long> sends = new ArrayList<>();
         double jobUs = 200_000;
         for (int number = 0; number < dispatchers; number++) {
-            Script script = new Script(settings(dispatchers, number, jobClass(Effect.SAFE, Group.ALL)));
+            Script script =
+                    new Script(settings(dispatchers, number, jobClass(Effect.SAFE, Group.ALL)));
             script.list(ListMode.KEPT, worker("cold", 0, 0, Status.RUNNING, start));
             for (int i = 0; i < 400; i++) {
                 String id = "job" + i;
@@ -270,7 +299,9 @@
         assertFalse(sends.isEmpty(), "a cold worker gets something");
         for (long from = start; from < start + 6 * SECOND; from += 100_000) {
             long begin = from;
-            double work = sends.stream().filter(t -> t >= begin && t < begin + 2 * SECOND).count() * jobUs;
+            double work =
+                    sends.stream().filter(t -> t >= begin && t < begin + 2 * SECOND).count()
+                            * jobUs;
             double capacity = 4 * (0.25 + 0.75 * (begin - start) / (8.0 * SECOND));
             assertTrue(work <= 3 * capacity * 2 * SECOND, work + " at " + (begin - start));
         }
@@ -288,7 +319,8 @@
     private static int coldSends(int processes) {
         int sends = 0;
         for (int number = 0; number < 3 * processes; number++) {
-            Script script = new Script(settings(3, number / processes, jobClass(Effect.SAFE, Group.ALL)));
+            Script script =
+                    new Script(settings(3, number / processes, jobClass(Effect.SAFE, Group.ALL)));
             script.list(ListMode.KEPT, worker("cold", 0, 0, Status.RUNNING, SECOND));
             if (processes > 1) {
                 script.give(new Dispatch.Divided(3 * processes, number));
@@ -296,10 +328,16 @@
             for (int i = 0; i < 400; i++) {
                 List<Dispatch.Action> actions = new ArrayList<>(script.job("job" + i));
                 actions.addAll(script.pass(20_000));
-                List<Dispatch.Send> open = new ArrayList<>(Script.only(actions, Dispatch.Send.class));
-                for (int next = 0; next < open.size(); next++) { // each end may lead to the next send
+                List<Dispatch.Send> open =
+                        new ArrayList<>(Script.only(actions, Dispatch.Send.class));
+                for (int next = 0;
+                        next < open.size();
+                        next++) { // each end may lead to the next send
                     sends++;
-                    open.addAll(Script.only(script.ended(open.get(next).job(), 0, Outcome.SERVED), Dispatch.Send.class));
+                    open.addAll(
+                            Script.only(
+                                    script.ended(open.get(next).job(), 0, Outcome.SERVED),
+                                    Dispatch.Send.class));
                 }
             }
         }
@@ -318,6 +356,8 @@
             script.list(ListMode.CHANGES, worker("a", 0, 0, Status.RUNNING, script.now));
             sent += sentTo(script.job("y"), "y") == null ? 0 : 1;
         }
-        assertTrue(sent > 0 && sent <= 10, sent + " of 40 take their turn, where the budget holds 11 jobs");
+        assertTrue(
+                sent > 0 && sent <= 10,
+                sent + " of 40 take their turn, where the budget holds 11 jobs");
     }
 }
