--- a/src/test/java/damsonslip/LargeFleetTest.java
+++ b/src/test/java/damsonslip/LargeFleetTest.java
@@ -36,7 +36,10 @@
 class LargeFleetTest {
     private static final JobClass SAFE = jobClass(Effect.SAFE, Group.ALL);
 
-    /** Guards against sending into the queues of workers of which nothing was heard as though they were idle. */
+    /**
+     * Guards against sending into the queues of workers of which nothing was heard as though they
+     * were idle.
+     */
     @Test
     void workersThatNothingWasHeardOfAreTakenToBeAsFullAsTheRest() {
         Script script = new Script(settings(14, 0, SAFE)).workers(8);
@@ -48,7 +51,9 @@
         }
         script.list(ListMode.CHANGES, worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
         WorkerState far = script.rules.workers(script.now).get(0);
-        assertTrue(far.id().equals("far") && far.free() < 2, "no report says that anybody has room: " + far);
+        assertTrue(
+                far.id().equals("far") && far.free() < 2,
+                "no report says that anybody has room: " + far);
     }
 
     /** Guards against figures from before a release: soon after it the same workers are full. */
@@ -61,11 +66,18 @@
             script.pass(3 * SECOND / 2);
             script.ended("j" + i, 0, Outcome.SERVED);
         }
-        double free = script.rules.workers(script.now).stream().mapToDouble(WorkerState::free).average().orElseThrow();
+        double free =
+                script.rules.workers(script.now).stream()
+                        .mapToDouble(WorkerState::free)
+                        .average()
+                        .orElseThrow();
         assertTrue(free < 1.3, "ten reports in fifteen seconds say that all are full: " + free);
     }
 
-    /** Guards against each dispatcher finding a failing worker by its own losses, when every report tells of all errors. */
+    /**
+     * Guards against each dispatcher finding a failing worker by its own losses, when every report
+     * tells of all errors.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.8, 3})
     void whoeverHeardOfErrorsKeepsWhatMustNotBeRepeatedAway(double errors) {
@@ -73,18 +85,29 @@
         List<Dispatch.Action> first = script.job("first");
         String failing = Script.sentTo(first, "first");
         script.pass(100_000);
-        script.give(new AttemptEnded("first", 0, Outcome.SERVED, true,
-            new Report(4, Double.NaN, Double.NaN, Double.NaN, errors)));
+        script.give(
+                new AttemptEnded(
+                        "first",
+                        0,
+                        Outcome.SERVED,
+                        true,
+                        new Report(4, Double.NaN, Double.NaN, Double.NaN, errors)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             used.add(Script.sentTo(script.job("j" + i), "j" + i));
             script.pass(150_000);
             script.ended("j" + i, 0, Outcome.SERVED);
         }
-        assertEquals(errors < 1, used.contains(failing), "one error in a second is chance, more are not: " + used);
+        assertEquals(
+                errors < 1,
+                used.contains(failing),
+                "one error in a second is chance, more are not: " + used);
     }
 
-    /** Of many workers each dispatcher sees few jobs: two have to do, as long as nothing else is known of them. */
+    /**
+     * Of many workers each dispatcher sees few jobs: two have to do, as long as nothing else is
+     * known of them.
+     */
     @Test
     void aSlowWorkerIsFoundByFewJobs() {
         Script script = new Script(settings(14, 0, SAFE)).workers(10);
@@ -96,10 +119,15 @@
             script.pass(to.equals("w3") ? 400_000 : 100_000);
             script.ended("j" + i, 0, Outcome.SERVED);
         }
-        assertTrue(jobs.get("w3") <= 2, "a worker four times slower had " + jobs.get("w3") + " of 60 jobs");
+        assertTrue(
+                jobs.get("w3") <= 2,
+                "a worker four times slower had " + jobs.get("w3") + " of 60 jobs");
     }
 
-    /** Guards against turning away, beside slots seen free, what a small pool cannot take while its one worker is out. */
+    /**
+     * Guards against turning away, beside slots seen free, what a small pool cannot take while its
+     * one worker is out.
+     */
     @Test
     void aPoolWhoseWorkersAreOutBorrowsWhateverIsFree() {
         Script script = new Script(settings(1, 0, SAFE, SAFE)).workers(8);
@@ -115,7 +143,10 @@
         assertTrue(lent != null && !lent.equals(own), "sent to " + own + ", then to " + lent);
     }
 
-    /** Guards against turning away what earns much in little time beside slots that a cheaper class leaves free. */
+    /**
+     * Guards against turning away what earns much in little time beside slots that a cheaper class
+     * leaves free.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 5})
     void whatEarnsMoreBorrowsAnySlotSeenFree(double worth) {
@@ -135,7 +166,10 @@
         assertEquals(worth > 1, used > 4, "half of the workers are its own: it used " + used);
     }
 
-    /** Guards against sending job after job to full workers while no report comes: what does not start tells as much. */
+    /**
+     * Guards against sending job after job to full workers while no report comes: what does not
+     * start tells as much.
+     */
     @Test
     void aJobThatDoesNotStartTellsThatItsWorkerAndThoseLikeItAreFull() {
         Script script = new Script(settings(14, 0, SAFE)).workers(8);
@@ -150,13 +184,17 @@
         script.pass(110_000); // and it is moved
         script.ended("x", 0, Outcome.CANCELLED);
         script.pass(20_000);
-        assertTrue(script.rules.workers(script.now).stream().anyMatch(w -> w.id().equals(to) && w.free() < 1.5), to);
+        assertTrue(
+                script.rules.workers(script.now).stream()
+                        .anyMatch(w -> w.id().equals(to) && w.free() < 1.5),
+                to);
         assertTrue(free(script) < before - 0.5, "from " + before + " to " + free(script));
     }
 
     /**
-     * Of so many jobs one starts 150 ms after it was sent, wherever that is, and the others at once. Guards against moving
-     * where queues are everywhere: where workers run on what was called off, the moves are the load that keeps them up.
+     * Of so many jobs one starts 150 ms after it was sent, wherever that is, and the others at
+     * once. Guards against moving where queues are everywhere: where workers run on what was called
+     * off, the moves are the load that keeps them up.
      */
     @ParameterizedTest
     @CsvSource({"1, 0, 3", "2, 0, 10", "10, 35, 40"})
@@ -180,31 +218,43 @@
         assertTrue(moved >= least && moved <= most, moved + " are moved");
     }
 
-    /** Discovery fails for all at once, again and again: what they do next does not come in step. */
+    /**
+     * Discovery fails for all at once, again and again: what they do next does not come in step.
+     */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
     void callsForTheListAndReDealingSpreadOut(int dispatchers) {
         List<Long> calls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
         for (int number = 0; number < dispatchers; number++) {
-            Rules rules = new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
+            Rules rules =
+                    new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
             List<Dispatch.Action> actions = new ArrayList<>();
             for (int failure = 0; failure < 4; failure++) {
                 actions.clear();
                 rules.handle(SECOND + failure, new ListUpdate(ListMode.FAILED, List.of()), actions);
-                Script.only(actions, SetTimer.class).forEach(timer -> {
-                    if (timer.label().equals("deal")) {
-                        deals.add(timer.atUs());
-                    }
-                });
+                Script.only(actions, SetTimer.class)
+                        .forEach(
+                                timer -> {
+                                    if (timer.label().equals("deal")) {
+                                        deals.add(timer.atUs());
+                                    }
+                                });
             }
             calls.add(Script.only(actions, SetTimer.class).get(0).atUs());
         }
-        assertTrue(crowd(calls, 100_000) < dispatchers / 5 + 3, "calls in a tenth of a second: " + crowd(calls, 100_000));
-        assertTrue(crowd(deals, 50_000) < dispatchers / 5 + 3, "deals in a twentieth: " + crowd(deals, 50_000));
+        assertTrue(
+                crowd(calls, 100_000) < dispatchers / 5 + 3,
+                "calls in a tenth of a second: " + crowd(calls, 100_000));
+        assertTrue(
+                crowd(deals, 50_000) < dispatchers / 5 + 3,
+                "deals in a twentieth: " + crowd(deals, 50_000));
     }
 
-    /** All start at once with the same list and get a query each: neither first calls nor links fall together. */
+    /**
+     * All start at once with the same list and get a query each: neither first calls nor links fall
+     * together.
+     */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
     void startsAndLinkOpeningsSpreadOut(int dispatchers) {
@@ -212,12 +262,21 @@
         List<Long> deals = new ArrayList<>();
         Map<String, Integer> opened = new HashMap<>();
         for (int number = 0; number < dispatchers; number++) {
-            Rules rules = new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
+            Rules rules =
+                    new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
             List<Dispatch.Action> actions = new ArrayList<>();
-            rules.handle(SECOND, new ListUpdate(ListMode.KEPT, IntStream.range(0, 40).mapToObj(i -> worker("w" + i))
-                .toList()), actions);
-            rules.handle(SECOND, new ListUpdate(ListMode.CHANGES, List.of()), actions); // nothing is sent before
-            rules.handle(SECOND, new Dispatch.JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
+            rules.handle(
+                    SECOND,
+                    new ListUpdate(
+                            ListMode.KEPT,
+                            IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList()),
+                    actions);
+            rules.handle(
+                    SECOND,
+                    new ListUpdate(ListMode.CHANGES, List.of()),
+                    actions); // nothing is sent before
+            rules.handle(
+                    SECOND, new Dispatch.JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
             for (SetTimer timer : Script.only(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
                     calls.add(timer.atUs());
@@ -228,20 +287,35 @@
             opened.merge(Script.only(actions, Send.class).get(0).worker(), 1, Integer::sum);
         }
         assertEquals(dispatchers, calls.size());
-        assertTrue(crowd(calls, 50_000) < dispatchers / 4 + 3, "calls in a twentieth: " + crowd(calls, 50_000));
-        assertTrue(crowd(deals, 50_000) < dispatchers / 5 + 3, "deals in a twentieth: " + crowd(deals, 50_000));
+        assertTrue(
+                crowd(calls, 50_000) < dispatchers / 4 + 3,
+                "calls in a twentieth: " + crowd(calls, 50_000));
+        assertTrue(
+                crowd(deals, 50_000) < dispatchers / 5 + 3,
+                "deals in a twentieth: " + crowd(deals, 50_000));
         int most = opened.values().stream().max(Integer::compare).orElseThrow();
-        assertTrue(most < dispatchers / 10 + 3, most + " of " + dispatchers + " go to one of 40 workers first");
+        assertTrue(
+                most < dispatchers / 10 + 3,
+                most + " of " + dispatchers + " go to one of 40 workers first");
     }
 
     /** The most of them that fall into any stretch of this length. */
     private static long crowd(List<Long> times, long length) {
-        return times.stream().mapToLong(from -> times.stream().filter(at -> at >= from && at < from + length).count())
-            .max().orElseThrow();
+        return times.stream()
+                .mapToLong(
+                        from ->
+                                times.stream()
+                                        .filter(at -> at >= from && at < from + length)
+                                        .count())
+                .max()
+                .orElseThrow();
     }
 
     private static double free(Script script) {
-        return script.rules.workers(script.now).stream().mapToDouble(WorkerState::free).average().orElseThrow();
+        return script.rules.workers(script.now).stream()
+                .mapToDouble(WorkerState::free)
+                .average()
+                .orElseThrow();
     }
 
     /** The first deal comes before the first query is served, on code that is not compiled yet. */
@@ -249,14 +323,20 @@
     void dealingManyWorkersTakesLittleTime() {
         Script script = new Script(settings(100, 0, SAFE, SAFE));
         long before = System.nanoTime();
-        script.list(ListMode.KEPT, IntStream.range(0, 3_000)
-            .mapToObj(i -> worker("w" + i, i % 2, 0, Status.RUNNING, Long.MIN_VALUE)).toArray(Dispatch.Worker[]::new));
+        script.list(
+                ListMode.KEPT,
+                IntStream.range(0, 3_000)
+                        .mapToObj(i -> worker("w" + i, i % 2, 0, Status.RUNNING, Long.MIN_VALUE))
+                        .toArray(Dispatch.Worker[]::new));
         long tookMs = (System.nanoTime() - before) / 1_000_000;
         assertTrue(tookMs < 5_000, "3,000 workers took " + tookMs + " ms");
         assertEquals(3_000, script.rules.pools().stream().mapToInt(PoolState::workers).sum());
     }
 
-    /** Workers of one release are all cold together: a dispatcher shall not have its turn at all or none of them. */
+    /**
+     * Workers of one release are all cold together: a dispatcher shall not have its turn at all or
+     * none of them.
+     */
     @Test
     void turnsAtColdWorkersDoNotFallTogether() {
         Script script = new Script(settings(40, 3, SAFE));
@@ -267,9 +347,12 @@
         script.list(ListMode.KEPT, fresh.toArray(Dispatch.Worker[]::new));
         for (int turn = 0; turn < 3; turn++) {
             Set<String> reached = new HashSet<>();
-            steps(script, 90, "turn" + turn).forEach(sends -> sends.forEach(send -> reached.add(send.worker())));
+            steps(script, 90, "turn" + turn)
+                    .forEach(sends -> sends.forEach(send -> reached.add(send.worker())));
             script.pass(10 * 20_000); // to the next turn
-            assertTrue(reached.size() > 2 && reached.size() < 20, "turn " + turn + ": " + reached.size() + " of 24");
+            assertTrue(
+                    reached.size() > 2 && reached.size() < 20,
+                    "turn " + turn + ": " + reached.size() + " of 24");
         }
     }
 
@@ -288,7 +371,10 @@
         return all;
     }
 
-    /** However many there are, all together keep within what a cold worker bears, in any window of the rule's length. */
+    /**
+     * However many there are, all together keep within what a cold worker bears, in any window of
+     * the rule's length.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 100})
     void allDispatchersTogetherSpareAColdWorker(int dispatchers) {
@@ -298,7 +384,10 @@
             script.list(ListMode.KEPT, worker("cold", 0, 0, Status.RUNNING, SECOND));
             List<List<Send>> steps = steps(script, 400, "job");
             for (int i = 0; i < 400; i++) {
-                sent[i] += 0.2 * steps.get(i).size(); // what a job of this class takes, in core-seconds
+                sent[i] +=
+                        0.2
+                                * steps.get(i)
+                                        .size(); // what a job of this class takes, in core-seconds
             }
         }
         for (int from = 0; from < 290; from++) {
--- a/src/test/java/damsonslip/OrdinaryPathTest.java
+++ b/src/test/java/damsonslip/OrdinaryPathTest.java
@@ -8,8 +8,8 @@
 import static damsonslip.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -37,7 +37,10 @@
 class OrdinaryPathTest {
     private static final JobClass SAFE = jobClass(Effect.SAFE, Group.ALL);
 
-    /** Sends jobs of both classes for a while, each served after a tenth of a second; where each class went. */
+    /**
+     * Sends jobs of both classes for a while, each served after a tenth of a second; where each
+     * class went.
+     */
     private static List<Set<String>> pools(Script script, int jobs) {
         List<Set<String>> used = List.of(new TreeSet<>(), new TreeSet<>());
         for (int i = 0; i < jobs; i++) {
@@ -87,9 +90,22 @@
     @Test
     void aBoundClassKeepsToItsKind() {
         JobClass bound = new JobClass(200_000, 2, 1, Effect.SAFE, Group.ALL, SECOND, 1);
-        Script script = new Script(new Dispatch.Settings(1, 0, 0, 1, 2, List.of(SAFE, bound), List.of(),
-            new Dispatch.Limits(4, true, true, 0, 0), new Dispatch.Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
-            Dispatch.Reporting.WITH_ANSWERS, false, true, 1_000));
+        Script script =
+                new Script(
+                        new Dispatch.Settings(
+                                1,
+                                0,
+                                0,
+                                1,
+                                2,
+                                List.of(SAFE, bound),
+                                List.of(),
+                                new Dispatch.Limits(4, true, true, 0, 0),
+                                new Dispatch.Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
+                                Dispatch.Reporting.WITH_ANSWERS,
+                                false,
+                                true,
+                                1_000));
         List<Dispatch.Worker> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             list.add(new Dispatch.Worker("w" + i, 0, 0, i % 2, Status.RUNNING, Long.MIN_VALUE));
@@ -216,9 +232,10 @@
     void callsThatBreakTheContractAreNamedAndChangeNothing() {
         Script script = new Script(settings(1, 0, SAFE)).workers(2);
         IllegalArgumentException unknown =
-            assertThrows(IllegalArgumentException.class, () -> script.job("a", 3, 0, null));
+                assertThrows(IllegalArgumentException.class, () -> script.job("a", 3, 0, null));
         assertTrue(unknown.getMessage().contains("unknown class: 3"));
-        assertThrows(IllegalArgumentException.class, () -> new JobArrived(null, 0, 0, null, 1, 1, 0));
+        assertThrows(
+                IllegalArgumentException.class, () -> new JobArrived(null, 0, 0, null, 1, 1, 0));
         script.now -= SECOND / 2;
         assertThrows(IllegalArgumentException.class, () -> script.job("a"));
         script.now += SECOND;
@@ -226,7 +243,9 @@
         assertThrows(IllegalArgumentException.class, () -> script.job("a"));
     }
 
-    /** A worker that fails at once always looks free: without a pause it would draw all there is. */
+    /**
+     * A worker that fails at once always looks free: without a pause it would draw all there is.
+     */
     @Test
     void aWorkerThatFailsEverythingAtOnceIsLeftOutAndTriedWithWhatMayBeRepeated() {
         JobClass once = jobClass(Effect.UNSAFE, Group.ALL);
@@ -235,18 +254,31 @@
         for (int i = 0; i < 400; i++) {
             String id = "job" + i;
             List<Action> at = script.job(id, i % 2, 0, null);
-            for (int attempt = 0; "w0".equals(sentTo(at, id)) || "w3".equals(sentTo(at, id)); attempt++) {
+            for (int attempt = 0;
+                    "w0".equals(sentTo(at, id)) || "w3".equals(sentTo(at, id));
+                    attempt++) {
                 failed[i % 2]++;
                 at = script.ended(id, attempt, Outcome.ERROR);
             }
             script.pass(SECOND / 20);
-            script.ended(id, only(script.all, Send.class).stream().filter(s -> s.job().equals(id)).toList().size() - 1,
-                Outcome.SERVED);
+            script.ended(
+                    id,
+                    only(script.all, Send.class).stream()
+                                    .filter(s -> s.job().equals(id))
+                                    .toList()
+                                    .size()
+                            - 1,
+                    Outcome.SERVED);
         }
-        assertTrue(failed[0] > 0 && failed[0] + failed[1] < 30, failed[0] + " and " + failed[1] + " failed");
+        assertTrue(
+                failed[0] > 0 && failed[0] + failed[1] < 30,
+                failed[0] + " and " + failed[1] + " failed");
     }
 
-    /** A threshold bounds what waits for the own pool; beside a pool that is mostly free nobody is turned away. */
+    /**
+     * A threshold bounds what waits for the own pool; beside a pool that is mostly free nobody is
+     * turned away.
+     */
     @Test
     void whatWouldBeRefusedBorrowsFromAPoolThatIsMostlyFree() {
         Script script = new Script(settings(1, 0, SAFE, SAFE)).workers(10);
@@ -256,10 +288,15 @@
             all.addAll(script.job("burst" + i, 0, 0, null));
         }
         assertEquals(0, only(all, Refuse.class).size());
-        assertTrue(only(all, Send.class).stream().map(Send::worker).distinct().count() > 5, "beyond the own five");
+        assertTrue(
+                only(all, Send.class).stream().map(Send::worker).distinct().count() > 5,
+                "beyond the own five");
     }
 
-    /** Reports come late: a second after four jobs were sent they show these four, which have just ended. */
+    /**
+     * Reports come late: a second after four jobs were sent they show these four, which have just
+     * ended.
+     */
     @Test
     void ownJobsThatHaveEndedAreFreeSlotsWhateverALateReportSays() {
         Script script = new Script(settings(1, 0, SAFE)).workers(1);
@@ -276,7 +313,10 @@
         assertEquals("w0", sentTo(script.job("f"), "f"));
     }
 
-    /** A silent worker's jobs go elsewhere, once, if they may be repeated; a subject's stay with its worker. */
+    /**
+     * A silent worker's jobs go elsewhere, once, if they may be repeated; a subject's stay with its
+     * worker.
+     */
     @Test
     void aJobThatDoesNotStartMovesToWhereThereIsRoomIfItMayBeRepeated() {
         JobClass once = jobClass(Effect.UNSAFE, Group.ALL);
@@ -299,13 +339,32 @@
     @ParameterizedTest
     @CsvSource({"0.1,near", "0.02,far", "0,far"})
     void theFurtherFreeOneIsUsedWhereCrossingIsCheap(double zonePrice, String used) {
-        Script script = new Script(settings(1, 0, List.of(), false, zonePrice, jobClass(Effect.SAFE, Group.ALL)));
-        script.list(ListMode.KEPT, worker("near", 0, 0, Status.RUNNING, Long.MIN_VALUE),
-            worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
+        Script script =
+                new Script(
+                        settings(
+                                1,
+                                0,
+                                List.of(),
+                                false,
+                                zonePrice,
+                                jobClass(Effect.SAFE, Group.ALL)));
+        script.list(
+                ListMode.KEPT,
+                worker("near", 0, 0, Status.RUNNING, Long.MIN_VALUE),
+                worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
         script.pass(2 * SECOND);
         for (int i = 0; i < 3; i++) { // three of four slots are in use nearby
-            script.give(new JobArrived("j" + i, 0, 0, null, script.now + 10 * SECOND, 1, 0, Integer.MAX_VALUE,
-                "near"::equals));
+            script.give(
+                    new JobArrived(
+                            "j" + i,
+                            0,
+                            0,
+                            null,
+                            script.now + 10 * SECOND,
+                            1,
+                            0,
+                            Integer.MAX_VALUE,
+                            "near"::equals));
             script.started("j" + i, 0);
         }
         assertEquals(used, sentTo(script.job("x"), "x"));
@@ -321,7 +380,9 @@
         }
         script.list(ListMode.KEPT, list.toArray(Dispatch.Worker[]::new));
         for (Set<String> used : pools(script, 400)) {
-            assertTrue(used.stream().allMatch(w -> w.compareTo("w4") >= 0), "all in the own zone: " + used);
+            assertTrue(
+                    used.stream().allMatch(w -> w.compareTo("w4") >= 0),
+                    "all in the own zone: " + used);
         }
     }
 
@@ -335,10 +396,14 @@
         List<Action> after = script.ended("b", 0, Outcome.RESET);
         assertEquals("w0", sentTo(after, "b"), "at once");
         script.pass(SECOND);
-        assertNull(sentTo(script.ended("b", 1, Outcome.RESET), "b"), "a quiet one is spared for a while");
+        assertNull(
+                sentTo(script.ended("b", 1, Outcome.RESET), "b"),
+                "a quiet one is spared for a while");
     }
 
-    /** A worker that has slowed down looks as free as others, and each of its jobs comes too late. */
+    /**
+     * A worker that has slowed down looks as free as others, and each of its jobs comes too late.
+     */
     @Test
     void aSlowWorkerIsUsedOnlyWhereAllElseIsTaken() {
         Script script = new Script(settings(1, 0, SAFE)).workers(4);
@@ -354,7 +419,10 @@
         assertTrue(slow > 0 && slow < 20, slow + " of 200");
     }
 
-    /** Where a class's whole pool is slow its mean tells nothing: what it lends elsewhere shows how long jobs take. */
+    /**
+     * Where a class's whole pool is slow its mean tells nothing: what it lends elsewhere shows how
+     * long jobs take.
+     */
     @Test
     void aPoolWhoseWorkersAreAllSlowBorrowsInsteadOfUsingThem() {
         Script script = new Script(settings(1, 0, SAFE, SAFE)).workers(4);
@@ -376,13 +444,16 @@
                 }
             }
             script.pass(SECOND / 10);
-            only(script.all, Send.class).stream().map(Send::job)
-                .filter(job -> job.startsWith(prefix) && !slow.contains(job))
-                .forEach(job -> script.ended(job, 0, Outcome.SERVED));
+            only(script.all, Send.class).stream()
+                    .map(Send::job)
+                    .filter(job -> job.startsWith(prefix) && !slow.contains(job))
+                    .forEach(job -> script.ended(job, 0, Outcome.SERVED));
             script.pass(SECOND);
             slow.forEach(job -> script.ended(job, 0, Outcome.SERVED));
             late[round < 60 ? 0 : 1] += slow.size();
         }
-        assertTrue(late[0] > 0 && late[1] < late[0] / 2, late[0] + ", then " + late[1] + " at slow workers");
+        assertTrue(
+                late[0] > 0 && late[1] < late[0] / 2,
+                late[0] + ", then " + late[1] + " at slow workers");
     }
 }
--- a/src/test/java/damsonslip/ProbedCandidatesTest.java
+++ b/src/test/java/damsonslip/ProbedCandidatesTest.java
@@ -28,29 +28,50 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where only probes tell of loads, a job asks some workers before it goes to one: older reports are of little use. */
+/**
+ * Where only probes tell of loads, a job asks some workers before it goes to one: older reports are
+ * of little use.
+ */
 class ProbedCandidatesTest {
     private static final int WORKERS = 8;
     private static final int CANDIDATES = 4;
     private static final long LOOK_US = 40_000;
 
-    private final Script script = new Script(new Settings(100, 0, 0, 1, 1,
-        List.of(jobClass(Effect.SAFE, Group.ALL)), List.of(), new Limits(4, false, true, 0.002, 0.1),
-        new Guarantees(16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND), Reporting.BY_PROBE, false, true,
-        4_000));
+    private final Script script =
+            new Script(
+                    new Settings(
+                            100,
+                            0,
+                            0,
+                            1,
+                            1,
+                            List.of(jobClass(Effect.SAFE, Group.ALL)),
+                            List.of(),
+                            new Limits(4, false, true, 0.002, 0.1),
+                            new Guarantees(
+                                    16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND),
+                            Reporting.BY_PROBE,
+                            false,
+                            true,
+                            4_000));
     private final List<String> asked = new ArrayList<>();
     private List<Action> first;
 
     @BeforeEach
     void aJobComes() {
-        script.list(ListMode.KEPT, IntStream.range(0, WORKERS).mapToObj(i -> worker("w" + i))
-            .toArray(Dispatch.Worker[]::new));
+        script.list(
+                ListMode.KEPT,
+                IntStream.range(0, WORKERS)
+                        .mapToObj(i -> worker("w" + i))
+                        .toArray(Dispatch.Worker[]::new));
         first = script.job("j1");
         only(first, Probe.class).forEach(probe -> asked.add(probe.worker()));
     }
 
     private List<Action> reports(String worker, double free) {
-        return script.give(new ProbeEnded(worker, ProbeResult.HEALTHY, new Report(free, Double.NaN, Double.NaN)));
+        return script.give(
+                new ProbeEnded(
+                        worker, ProbeResult.HEALTHY, new Report(free, Double.NaN, Double.NaN)));
     }
 
     @Test
@@ -79,6 +100,8 @@
     void asksNobodyWhoHasJustReported() {
         asked.forEach(worker -> reports(worker, 4));
         List<Action> second = script.job("j2");
-        assertTrue(only(second, Probe.class).stream().noneMatch(probe -> asked.contains(probe.worker())));
+        assertTrue(
+                only(second, Probe.class).stream()
+                        .noneMatch(probe -> asked.contains(probe.worker())));
     }
 }
--- a/src/test/java/damsonslip/ProbedWorkersTest.java
+++ b/src/test/java/damsonslip/ProbedWorkersTest.java
@@ -30,17 +30,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is sent while no list of discovery holds: nothing but to workers that have just said that they take work. */
+/**
+ * What is sent while no list of discovery holds: nothing but to workers that have just said that
+ * they take work.
+ */
 class ProbedWorkersTest {
-    /** The list of a watch that was lost holds for 6.35 s; discovery fails all calls from then on. */
+    /**
+     * The list of a watch that was lost holds for 6.35 s; discovery fails all calls from then on.
+     */
     private static final long NO_LIST_US = 7 * SECOND;
+
     /** The grace of a drain, less what bytes need to leave. */
     private static final long LEASE_US = 350_000;
 
     private final Script script = new Script(settings());
 
     private static Settings settings() {
-        return Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)).withProbesThatTellDrains();
+        return Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL))
+                .withProbesThatTellDrains();
     }
 
     /** Two workers whose list holds no more, and was heard until its watch was lost. */
@@ -119,15 +126,23 @@
         List<Action> all = new ArrayList<>(script.pass(3 * SECOND));
         all.addAll(script.job("j2"));
         assertTrue(only(all, Probe.class).isEmpty());
-        assertEquals(1, only(all, Refuse.class).stream().filter(refused -> refused.job().equals("j2")).count(),
-            "nobody can be asked: it is answered at once");
+        assertEquals(
+                1,
+                only(all, Refuse.class).stream()
+                        .filter(refused -> refused.job().equals("j2"))
+                        .count(),
+                "nobody can be asked: it is answered at once");
         script.list(ListMode.CHANGES);
         assertNotNull(sentTo(script.job("j3"), "j3"), "a list tells of restarts");
     }
 
-    /** A new connection does not tell whether its worker was started anew, or removed, meanwhile. */
+    /**
+     * A new connection does not tell whether its worker was started anew, or removed, meanwhile.
+     */
     @ParameterizedTest
-    @EnumSource(value = ProbeResult.class, names = {"HEALTHY", "NO_LASTING_CONNECTION"})
+    @EnumSource(
+            value = ProbeResult.class,
+            names = {"HEALTHY", "NO_LASTING_CONNECTION"})
     void onlyAConnectionThatHasStoodSinceDiscoveryWasHeardGivesALease(ProbeResult result) {
         loseTheList();
         String asked = probed(script.job("j1"));
@@ -155,7 +170,10 @@
         assertFalse(script.rules.mayUse(asked, script.now));
     }
 
-    /** Which of the two came first cannot be told: the answer may be of the process before the break. */
+    /**
+     * Which of the two came first cannot be told: the answer may be of the process before the
+     * break.
+     */
     @Test
     void anAnswerBehindABrokenConnectionIsNoLease() {
         loseTheList();
@@ -165,7 +183,10 @@
         assertFalse(script.rules.mayUse(asked, script.now));
     }
 
-    /** A worker that starts anew breaks the connections that rest; it is cold then, which only a list tells. */
+    /**
+     * A worker that starts anew breaks the connections that rest; it is cold then, which only a
+     * list tells.
+     */
     @Test
     void aRestingConnectionThatBreaksKeepsItsWorkerFromBeingAsked() {
         loseTheList();
@@ -218,8 +239,9 @@
     }
 
     /**
-     * A process that has just started may have a list of long ago: a zone that was lost comes back with its schedulers and
-     * its workers, which are well, and which discovery has removed meanwhile.
+     * A process that has just started may have a list of long ago: a zone that was lost comes back
+     * with its schedulers and its workers, which are well, and which discovery has removed
+     * meanwhile.
      */
     @Test
     void aStartAsksNobodyUntilDiscoveryHasTold() {
@@ -233,16 +255,22 @@
         assertNull(sentTo(all, "j2"));
     }
 
-    /** A worker of another zone was not lost together with this scheduler, and answers for itself. */
+    /**
+     * A worker of another zone was not lost together with this scheduler, and answers for itself.
+     */
     @Test
     void aStartAsksWorkersOfOtherZones() {
-        script.list(ListMode.KEPT, worker("a"), worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
+        script.list(
+                ListMode.KEPT, worker("a"), worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
         assertEquals("far", probed(script.job("j1")));
         assertEquals("far", sentTo(answers("far", ProbeResult.HEALTHY), "j1"));
         assertFalse(script.rules.mayUse("a", script.now));
     }
 
-    /** Who was cut off from discovery may be cut off together with workers that it has removed meanwhile. */
+    /**
+     * Who was cut off from discovery may be cut off together with workers that it has removed
+     * meanwhile.
+     */
     @Test
     void whoCouldNotReachDiscoveryAsksNobody() {
         loseTheList();
@@ -256,7 +284,9 @@
     @ParameterizedTest
     @EnumSource(ProbeResult.class)
     void whereProbesTellNothingOfDrainsNothingIsSent(ProbeResult result) {
-        Script other = new Script(Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
+        Script other =
+                new Script(
+                        Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
         other.list(ListMode.KEPT, worker("a"));
         other.list(ListMode.COMPLETE, worker("a"));
         other.give(new ListUpdate(ListMode.FAILED, List.of(), other.now));
--- a/src/test/java/damsonslip/Script.java
+++ b/src/test/java/damsonslip/Script.java
@@ -31,8 +31,9 @@
     final Rules rules;
     final List<Action> all = new ArrayList<>();
     private final PriorityQueue<SetTimer> timers =
-        new PriorityQueue<>((a, b) -> Long.compare(a.atUs(), b.atUs()));
+            new PriorityQueue<>((a, b) -> Long.compare(a.atUs(), b.atUs()));
     long now = SECOND;
+
     /** What workers report to be free. */
     double free = 4;
 
@@ -48,18 +49,33 @@
         return settings(dispatchers, number, List.of(), false, classes);
     }
 
-    static Settings settings(int dispatchers, int number, List<Double> quotas, boolean ask,
-                             JobClass... classes) {
+    static Settings settings(
+            int dispatchers, int number, List<Double> quotas, boolean ask, JobClass... classes) {
         return settings(dispatchers, number, quotas, ask, 0.1, classes);
     }
 
     /** The same where an attempt that crosses zones costs this part of a job. */
-    static Settings settings(int dispatchers, int number, List<Double> quotas, boolean ask, double zonePrice,
-                             JobClass... classes) {
-        return new Settings(dispatchers, number, 0, 2, 1, List.of(classes), quotas,
-            new Limits(4, true, true, 0.002, zonePrice),
-            new Guarantees(16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND),
-            Reporting.WITH_ANSWERS, ask, true, 4_000);
+    static Settings settings(
+            int dispatchers,
+            int number,
+            List<Double> quotas,
+            boolean ask,
+            double zonePrice,
+            JobClass... classes) {
+        return new Settings(
+                dispatchers,
+                number,
+                0,
+                2,
+                1,
+                List.of(classes),
+                quotas,
+                new Limits(4, true, true, 0.002, zonePrice),
+                new Guarantees(16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND),
+                Reporting.WITH_ANSWERS,
+                ask,
+                true,
+                4_000);
     }
 
     static Dispatch.Worker worker(String id, int zone, int cell, Status status, long started) {
@@ -105,8 +121,13 @@
     }
 
     List<Action> ended(String id, int attempt, Outcome outcome) {
-        return give(new AttemptEnded(id, attempt, outcome, outcome == Outcome.SERVED,
-            new Report(free, Double.NaN, Double.NaN)));
+        return give(
+                new AttemptEnded(
+                        id,
+                        attempt,
+                        outcome,
+                        outcome == Outcome.SERVED,
+                        new Report(free, Double.NaN, Double.NaN)));
     }
 
     List<Action> started(String id, int attempt) {
--- a/src/test/java/damsonslip/SizeTest.java
+++ b/src/test/java/damsonslip/SizeTest.java
@@ -12,7 +12,8 @@
 class SizeTest {
     private static List<String> filled(String file) throws IOException {
         return Files.readAllLines(Path.of("src/main/java/damsonslip", file)).stream()
-            .filter(line -> !line.isBlank()).toList();
+                .filter(line -> !line.isBlank())
+                .toList();
     }
 
     @Test
@@ -26,6 +27,8 @@
         List<String> lines = Files.readAllLines(Path.of("src/main/java/damsonslip/Rules.java"));
         long filled = lines.stream().filter(line -> !line.isBlank()).count();
         assertTrue(filled <= 886, filled + " lines");
-        assertTrue(lines.stream().allMatch(line -> line.length() <= 110), "no line over 110 characters");
+        assertTrue(
+                lines.stream().allMatch(line -> line.length() <= 110),
+                "no line over 110 characters");
     }
 }
--- a/src/test/java/damsonslip/ThresholdTest.java
+++ b/src/test/java/damsonslip/ThresholdTest.java
@@ -23,7 +23,8 @@
         int found = Threshold.search(n, load, 1, q, 1, FINE);
         double at = revenue(n, load, q, found);
         assertTrue(at >= revenue(n, load, q, found - 1), "K is no worse than one less");
-        assertTrue(at + 1e-9 * load >= revenue(n, load, q, found + 1), "and no worse than one more");
+        assertTrue(
+                at + 1e-9 * load >= revenue(n, load, q, found + 1), "and no worse than one more");
     }
 
     @Test
--- a/src/test/java/damsonslip/conformance/ConformanceTest.java
+++ b/src/test/java/damsonslip/conformance/ConformanceTest.java
@@ -15,12 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The suite against this program on each store, and against a server that gets everything wrong. */
+/**
+ * The suite against this program on each store, and against a server that gets everything wrong.
+ */
 class ConformanceTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
-    private static String play(int port, int code, String... more) throws IOException, InterruptedException {
+    private static String play(int port, int code, String... more)
+            throws IOException, InterruptedException {
         String[] arguments = new String[more.length + 2];
         arguments[0] = "conformance";
         arguments[1] = "127.0.0.1:" + port;
@@ -37,10 +39,17 @@
         int port = Program.freePort();
         try (RedisStandIn redis = new RedisStandIn()) {
             String address = store.equals("memory") ? store : FaktoryServer.address(redis);
-            String file = FaktoryServer.settings(port, address, "127.0.0.1:7420", "",
-                "password = \"\"  ", "password = \"open sesame\"  ");
-            try (Program program = new Program(null, "serve", Program.file(dir, file).toString())
-                     .awaitWord("taken up from the store")) {
+            String file =
+                    FaktoryServer.settings(
+                            port,
+                            address,
+                            "127.0.0.1:7420",
+                            "",
+                            "password = \"\"  ",
+                            "password = \"open sesame\"  ");
+            try (Program program =
+                    new Program(null, "serve", Program.file(dir, file).toString())
+                            .awaitWord("taken up from the store")) {
                 String told = play(port, 0, "--password", "open sesame", "--flush");
                 assertFalse(told.contains("FAULT"), told);
                 assertTrue(told.matches("(?s).*all +6[0-9] +0\\s*"), told);
@@ -52,12 +61,15 @@
     /** Shows that the cases can fail: this server says OK whatever it is asked. */
     @Test
     void aServerThatOnlySaysOkIsFoundOut() throws Exception {
-        try (Peer.Server yes = new Peer.Server(0, peer -> {
-            peer.send("+HI {\"v\":2}\r\n");
-            while (peer.line() != null) {
-                peer.send("+OK\r\n");
-            }
-        })) {
+        try (Peer.Server yes =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.send("+HI {\"v\":2}\r\n");
+                            while (peer.line() != null) {
+                                peer.send("+OK\r\n");
+                            }
+                        })) {
             String told = play(yes.port(), 1);
             assertTrue(told.contains("FAULT  handshake: HELLO comes first"), told);
             assertTrue(told.contains("FAULT  push: a plain job comes to a worker as it was"), told);
--- a/src/test/java/damsonslip/core/FailingActionTest.java
+++ b/src/test/java/damsonslip/core/FailingActionTest.java
@@ -21,26 +21,39 @@
 /** An action of the decisions that a front fails to carry out. */
 class FailingActionTest {
     private static final long DEADLINE_US = 300_000;
-    private static final WorkerSide FAILING = new WorkerSide() {
-        @Override
-        public void start(Execution execution) {
-            throw new IllegalStateException("a fault of the front");
-        }
+    private static final WorkerSide FAILING =
+            new WorkerSide() {
+                @Override
+                public void start(Execution execution) {
+                    throw new IllegalStateException("a fault of the front");
+                }
 
-        @Override
-        public void cancel(Execution execution) { }
+                @Override
+                public void cancel(Execution execution) {}
 
-        @Override
-        public void probe(String worker, long connectedByUs) { }
+                @Override
+                public void probe(String worker, long connectedByUs) {}
 
-        @Override
-        public void watch() { }
-    };
+                @Override
+                public void watch() {}
+            };
 
     private static Settings settings() {
         JobClass once = new JobClass(200_000, 2, 1, Effect.UNSAFE, Group.ALL, 0, -1);
-        return new Settings(1, 0, 0, 1, 1, List.of(once), List.of(), new Limits(3, true, false, 0, 0),
-            new Guarantees(50_000, 500_000, 10_000_000, 1, 0, 1, 1_000_000), Reporting.WITH_ANSWERS, false, true, 1_000);
+        return new Settings(
+                1,
+                0,
+                0,
+                1,
+                1,
+                List.of(once),
+                List.of(),
+                new Limits(3, true, false, 0, 0),
+                new Guarantees(50_000, 500_000, 10_000_000, 1, 0, 1, 1_000_000),
+                Reporting.WITH_ANSWERS,
+                false,
+                true,
+                1_000);
     }
 
     /** Its request is answered at its time all the same, and the caller goes on. */
@@ -51,12 +64,28 @@
         Driver driver = new Driver(settings(), 1, loop, counters);
         CompletableFuture<Answer> answered = new CompletableFuture<>();
         CompletableFuture<Exchange> taken = new CompletableFuture<>();
-        loop.execute(() -> {
-            driver.begin(FAILING, List.of(new Worker("a", 0, 0, 0, Status.RUNNING, Long.MIN_VALUE)));
-            long endsUs = loop.now() + DEADLINE_US;
-            taken.complete(driver.take(
-                new Query("q", 0, 0, endsUs, endsUs, 1, 0, null, Integer.MAX_VALUE, null, null), answered::complete));
-        });
+        loop.execute(
+                () -> {
+                    driver.begin(
+                            FAILING,
+                            List.of(new Worker("a", 0, 0, 0, Status.RUNNING, Long.MIN_VALUE)));
+                    long endsUs = loop.now() + DEADLINE_US;
+                    taken.complete(
+                            driver.take(
+                                    new Query(
+                                            "q",
+                                            0,
+                                            0,
+                                            endsUs,
+                                            endsUs,
+                                            1,
+                                            0,
+                                            null,
+                                            Integer.MAX_VALUE,
+                                            null,
+                                            null),
+                                    answered::complete));
+                });
         assertNotNull(taken.get(5, TimeUnit.SECONDS), "the call returns");
         assertEquals(Answer.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
         assertEquals(1, counters.get(Count.ACTIONS_FAILED));
--- a/src/test/java/damsonslip/core/LoopTest.java
+++ b/src/test/java/damsonslip/core/LoopTest.java
@@ -16,12 +16,14 @@
         AtomicInteger failed = new AtomicInteger();
         CountDownLatch next = new CountDownLatch(1);
         loop.onTaskFailed(failed::incrementAndGet);
-        loop.execute(() -> {
-            throw new IllegalStateException("a fault");
-        });
-        loop.execute(() -> {
-            throw new AssertionError("an error");
-        });
+        loop.execute(
+                () -> {
+                    throw new IllegalStateException("a fault");
+                });
+        loop.execute(
+                () -> {
+                    throw new AssertionError("an error");
+                });
         loop.execute(next::countDown);
         assertTrue(next.await(5, TimeUnit.SECONDS));
         assertEquals(2, failed.get());
--- a/src/test/java/damsonslip/datarate/BufferBudgetTest.java
+++ b/src/test/java/damsonslip/datarate/BufferBudgetTest.java
@@ -7,8 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 class BufferBudgetTest {
-    private static final List<Holding<String>> ALL = List.of(new Holding<>("small", 100, 0), new Holding<>("still", 900, 0),
-        new Holding<>("moves", 900, 5_000), new Holding<>("crawls", 900, 10));
+    private static final List<Holding<String>> ALL =
+            List.of(
+                    new Holding<>("small", 100, 0),
+                    new Holding<>("still", 900, 0),
+                    new Holding<>("moves", 900, 5_000),
+                    new Holding<>("crawls", 900, 10));
 
     @Test
     void nobodyGoesWithinTheBudget() {
--- a/src/test/java/damsonslip/datarate/MinimumDataRateTest.java
+++ b/src/test/java/damsonslip/datarate/MinimumDataRateTest.java
@@ -7,12 +7,18 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who keeps up and who does not: 2 s of grace, 5 s of patience at the most, 1,000 bytes a second. */
+/**
+ * Who keeps up and who does not: 2 s of grace, 5 s of patience at the most, 1,000 bytes a second.
+ */
 class MinimumDataRateTest {
     private static final long S = 1_000_000;
-    private final MinimumDataRate rate = new MinimumDataRate(new MinimumDataRate.Limits(2 * S, 5 * S, 1_000));
+    private final MinimumDataRate rate =
+            new MinimumDataRate(new MinimumDataRate.Limits(2 * S, 5 * S, 1_000));
 
-    /** When it is let go, looked at each 10 ms, if so many bytes come each so often; -1 if not within a minute. */
+    /**
+     * When it is let go, looked at each 10 ms, if so many bytes come each so often; -1 if not
+     * within a minute.
+     */
     private double letGo(long bytes, long everyUs) {
         rate.begin(0);
         for (long now = 0; now <= 60 * S; now += S / 100) {
--- a/src/test/java/damsonslip/faktory/FaktoryTest.java
+++ b/src/test/java/damsonslip/faktory/FaktoryTest.java
@@ -18,12 +18,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program as a Faktory server, between producers, workers and a store that this test plays. */
+/**
+ * The real program as a Faktory server, between producers, workers and a store that this test
+ * plays.
+ */
 class FaktoryTest {
     private static final String PASSWORD = "s3cret";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private RedisStandIn redis;
     private FaktoryServer server;
 
@@ -66,13 +68,17 @@
     void whatIsNotInOrderGetsAPlainError() throws Exception {
         assertThrows(IOException.class, () -> new FaktoryPeer(server.port, "", "wrong"));
         FaktoryPeer producer = producer();
-        assertTrue(producer.push("job-00001", "no-such", 4, "").startsWith("-MALFORMED custom.class"));
+        assertTrue(
+                producer.push("job-00001", "no-such", 4, "").startsWith("-MALFORMED custom.class"));
         assertTrue(producer.push("short", "apply-submit", 4, "").startsWith("-MALFORMED jid"));
         assertTrue(producer.call("PUSH {").startsWith("-ERR not JSON"));
         assertTrue(producer.call("JUMP").startsWith("-ERR unknown command JUMP"));
         assertTrue(producer.call("FETCH default").startsWith("-ERR"));
         assertTrue(producer.call("PUSHB [{\"jid\":\"job-00002\"}]").contains("jobtype is missing"));
-        assertEquals("+OK", producer.push("job-00003", "status-read", 1, ""), "and the connection goes on");
+        assertEquals(
+                "+OK",
+                producer.push("job-00003", "status-read", 1, ""),
+                "and the connection goes on");
     }
 
     /** Each is refused and its connection ended; a plain client does not notice. */
@@ -82,23 +88,30 @@
         for (int i = 0; i < 300; i++) {
             int tried = i;
             IOException refused =
-                assertThrows(IOException.class, () -> new FaktoryPeer(server.port, "", "wrong" + tried).close());
+                    assertThrows(
+                            IOException.class,
+                            () -> new FaktoryPeer(server.port, "", "wrong" + tried).close());
             assertEquals("-ERR invalid password", refused.getMessage());
         }
         long from = System.nanoTime();
         assertEquals("+OK", producer.push("job-00001", "status-read", 4, ""));
         assertTrue(System.nanoTime() - from < 500_000_000L);
         assertEquals(300, producer.info().path("counters").path("passwords_wrong").asInt());
-        Program.await("their connections are gone", () -> {
-            try {
-                return producer.info().path("server").path("connections").asInt() <= 2;
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                "their connections are gone",
+                () -> {
+                    try {
+                        return producer.info().path("server").path("connections").asInt() <= 2;
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
     }
 
-    /** A worker is chosen among those that fetch a job's queue, though the module's pools know nothing of queues. */
+    /**
+     * A worker is chosen among those that fetch a job's queue, though the module's pools know
+     * nothing of queues.
+     */
     @Test
     void aJobGoesOnlyWhereItsQueueIsFetched() throws Exception {
         FaktoryPeer producer = producer();
@@ -109,19 +122,27 @@
         }
         FaktoryPeer fits = peer("fits");
         for (int i = 0; i < 5; i++) {
-            assertEquals("+OK", producer.push("job-0000" + i, "status-read", 4, ",\"queue\":\"here\""));
+            assertEquals(
+                    "+OK", producer.push("job-0000" + i, "status-read", 4, ",\"queue\":\"here\""));
             assertEquals("job-0000" + i, fits.fetch("here", 0), "at the first FETCH");
             fits.ack("job-0000" + i);
         }
-        assertEquals(5, producer.info().path("counters").path("executions_sent").asInt(), "nobody else was tried");
+        assertEquals(
+                5,
+                producer.info().path("counters").path("executions_sent").asInt(),
+                "nobody else was tried");
     }
 
-    /** The worker may be at it still: whatever the retry count says, nobody else may get the job. */
+    /**
+     * The worker may be at it still: whatever the retry count says, nobody else may get the job.
+     */
     @Test
     void anApplySubmitWhoseWorkerGoesSilentEndsFailedAndNeverRunsAgain() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer silent = peer("w1");
-        assertEquals("+OK", producer.push("job-00001", "apply-submit", 1.5, ",\"retry\":25,\"reserve_for\":1"));
+        assertEquals(
+                "+OK",
+                producer.push("job-00001", "apply-submit", 1.5, ",\"retry\":25,\"reserve_for\":1"));
         assertEquals("job-00001", silent.fetch());
         FaktoryPeer other = peer("w2");
         assertNull(other.fetch());
@@ -163,20 +184,25 @@
         assertNull(worker.fetch());
     }
 
-    /** A quiet worker finishes what it has; a fetch that already waits must not bring it anything new. */
+    /**
+     * A quiet worker finishes what it has; a fetch that already waits must not bring it anything
+     * new.
+     */
     @Test
     void aQuietWorkerGetsNothingNew() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer waiting = peer("w1");
         FaktoryPeer beating = peer("w1");
         List<String> fetched = new ArrayList<>();
-        Thread fetch = new Thread(() -> {
-            try {
-                fetched.add(waiting.fetch());
-            } catch (IOException e) {
-                fetched.add(e.toString());
-            }
-        });
+        Thread fetch =
+                new Thread(
+                        () -> {
+                            try {
+                                fetched.add(waiting.fetch());
+                            } catch (IOException e) {
+                                fetched.add(e.toString());
+                            }
+                        });
         fetch.start();
         Thread.sleep(300);
         assertEquals("+OK", beating.call("BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}"));
@@ -187,7 +213,10 @@
         assertEquals("job-00001", peer("w2").fetch());
     }
 
-    /** Between a fetch and its word: what the store calls reserved may have run, what it calls queued did not. */
+    /**
+     * Between a fetch and its word: what the store calls reserved may have run, what it calls
+     * queued did not.
+     */
     @Test
     void aRestartHalfwayThroughAFetchRunsNothingTwice() throws Exception {
         FaktoryPeer producer = producer();
@@ -195,7 +224,9 @@
         producer.push("job-told1", "apply-submit", 8, "");
         assertEquals("job-told1", worker.fetch());
         producer.push("job-lost1", "apply-submit", 5, "");
-        assertEquals("job-lost1", peer("w3").fetch()); // the first one is cold, and full with what it has
+        assertEquals(
+                "job-lost1",
+                peer("w3").fetch()); // the first one is cold, and full with what it has
         producer.push("job-held1", "apply-submit", 8, "");
         server.killAndStart();
         FaktoryPeer after = producer();
@@ -216,22 +247,32 @@
         FaktoryPeer producer = producer();
         assertEquals("+OK", producer.push("job-00001", "apply-submit", 1.5, ""));
         redis.down();
-        assertTrue(producer.push("job-00002", "apply-submit", 5, "").startsWith("-ERR the store is down"));
+        assertTrue(
+                producer.push("job-00002", "apply-submit", 5, "")
+                        .startsWith("-ERR the store is down"));
         FaktoryPeer worker = peer("w1");
         assertNull(worker.fetch());
         redis.up();
-        Program.await("pushes are taken again", () -> {
-            try {
-                return "+OK".equals(producer.push("job-00003", "apply-submit", 5, ""));
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
-        FaktoryServer.awaitState(producer, "job-00001", "failed"); // asked of the store, which is known to be up by now
+        Program.await(
+                "pushes are taken again",
+                () -> {
+                    try {
+                        return "+OK".equals(producer.push("job-00003", "apply-submit", 5, ""));
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
+        FaktoryServer.awaitState(
+                producer,
+                "job-00001",
+                "failed"); // asked of the store, which is known to be up by now
         assertEquals("job-00003", worker.fetch());
     }
 
-    /** A worker without any connection is gone: what may be repeated runs elsewhere, long before its deadline. */
+    /**
+     * A worker without any connection is gone: what may be repeated runs elsewhere, long before its
+     * deadline.
+     */
     @Test
     void aVanishedWorkersJobIsRepeatedWhereItsClassAllows() throws Exception {
         FaktoryPeer producer = producer();
--- a/src/test/java/damsonslip/faktory/HardCasesTest.java
+++ b/src/test/java/damsonslip/faktory/HardCasesTest.java
@@ -25,13 +25,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Failures and loads that the Faktory front is made for, caused on purpose: by peers, by the store, by kill. */
+/**
+ * Failures and loads that the Faktory front is made for, caused on purpose: by peers, by the store,
+ * by kill.
+ */
 class HardCasesTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String ONCE = ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private RedisStandIn redis;
     private FaktoryServer server;
 
@@ -54,7 +56,9 @@
 
     // ---- what must not run twice
 
-    /** However its worker ends with it, and whoever asks for it again, an apply-submit runs once. */
+    /**
+     * However its worker ends with it, and whoever asks for it again, an apply-submit runs once.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"fails", "lapses", "goes"})
     void anApplySubmitThatMayHaveRunNeverRunsAgain(String how) throws Exception {
@@ -89,7 +93,10 @@
         return words.get(0).equalsIgnoreCase("SET") && words.get(2).contains("RESERVED");
     }
 
-    /** Killed before the store knows of the hand-out: the job provably never left, and runs after the start. */
+    /**
+     * Killed before the store knows of the hand-out: the job provably never left, and runs after
+     * the start.
+     */
     @Test
     void killedBetweenChoosingAndRecordingTheJobRunsAfterwards() throws Exception {
         FaktoryPeer producer = peer("");
@@ -104,7 +111,10 @@
         FaktoryServer.awaitState(peer(""), "job-once1", "success");
     }
 
-    /** Killed after that: it may have left, so that nobody else gets it; its own worker's word still counts. */
+    /**
+     * Killed after that: it may have left, so that nobody else gets it; its own worker's word still
+     * counts.
+     */
     @Test
     void killedBetweenRecordingAndHandingOutTheJobIsNotRunAgain() throws Exception {
         FaktoryPeer producer = peer("");
@@ -120,7 +130,9 @@
         FaktoryServer.awaitState(after, "job-once1", "success");
     }
 
-    /** Killed halfway through the reply to FETCH; the worker had read enough of it to do the job. */
+    /**
+     * Killed halfway through the reply to FETCH; the worker had read enough of it to do the job.
+     */
     @Test
     void killedInTheMiddleOfAReplyTheAckOfTheSameWorkerEndsTheJob() throws Exception {
         FaktoryPeer producer = peer("");
@@ -136,7 +148,8 @@
         FaktoryPeer back = peer("w1");
         assertEquals("+OK", back.ack("job-once1"));
         FaktoryServer.awaitState(after, "job-once1", "success");
-        assertEquals("job-safe1", back.fetch("q", 3_000), "what had not been handed out is not lost");
+        assertEquals(
+                "job-safe1", back.fetch("q", 3_000), "what had not been handed out is not lost");
         assertNull(back.fetch("q", 0));
     }
 
@@ -147,7 +160,10 @@
         FaktoryPeer one = peer("");
         FaktoryPeer two = peer("");
         for (int i = 10; i < 30; i++) {
-            String push = "PUSH {\"jid\":\"job-000" + i + "\",\"jobtype\":\"t\",\"args\":[],\"queue\":\"q\"}\r\n";
+            String push =
+                    "PUSH {\"jid\":\"job-000"
+                            + i
+                            + "\",\"jobtype\":\"t\",\"args\":[],\"queue\":\"q\"}\r\n";
             one.peer().send(push);
             two.peer().send(push);
             assertEquals("+OK", one.peer().line());
@@ -166,8 +182,10 @@
         assertEquals("job-00001", worker.fetch("q", 2_000));
         assertEquals("+OK", other.ack("job-00001"), "not its own");
         assertEquals("working", producer.state("job-00001"));
-        worker.peer().send("ACK {\"jid\":\"job-00001\"}\r\nFAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}"
-            + "\r\nACK {\"jid\":\"job-00001\"}\r\n");
+        worker.peer()
+                .send(
+                        "ACK {\"jid\":\"job-00001\"}\r\nFAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}"
+                                + "\r\nACK {\"jid\":\"job-00001\"}\r\n");
         for (int i = 0; i < 3; i++) {
             assertEquals("+OK", worker.peer().line());
         }
@@ -176,20 +194,25 @@
         assertEquals(3, producer.info().path("counters").path("words_late").asInt());
     }
 
-    /** After its reservation a FAIL says nothing new, but an ACK proves that the job need not run again. */
+    /**
+     * After its reservation a FAIL says nothing new, but an ACK proves that the job need not run
+     * again.
+     */
     @Test
     void lateWordsOfAReservationThatRanOut() throws Exception {
         FaktoryPeer producer = peer("");
         FaktoryPeer worker = peer("w1");
         producer.plain("job-00001", ",\"queue\":\"q\",\"reserve_for\":1");
         assertEquals("job-00001", worker.fetch("q", 2_000));
-        Program.await("it waits for a retry", () -> {
-            try {
-                return producer.size("Retries") == 1;
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                "it waits for a retry",
+                () -> {
+                    try {
+                        return producer.size("Retries") == 1;
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         assertEquals("+OK", worker.fail("job-00001"));
         assertEquals(1, producer.size("Retries"));
         assertEquals("+OK", worker.ack("job-00001"));
@@ -197,7 +220,10 @@
         assertEquals("success", producer.state("job-00001"));
     }
 
-    /** Pushed to two schedulers on one store, a job belongs to the first; the other does not take it up at a start. */
+    /**
+     * Pushed to two schedulers on one store, a job belongs to the first; the other does not take it
+     * up at a start.
+     */
     @Test
     void theSameJobPushedToTwoSchedulersOnOneStoreRunsAtTheFirst() throws Exception {
         int otherPort = Program.freePort();
@@ -215,12 +241,17 @@
         assertEquals("job-once1", peer("w1").fetch("q", 2_000));
     }
 
-    /** What an earlier version, or a hand, left in the store is told of and left there; the rest is taken up. */
+    /**
+     * What an earlier version, or a hand, left in the store is told of and left there; the rest is
+     * taken up.
+     */
     @Test
     void aRecordThatCannotBeReadKeepsNoOtherFromBeingTakenUp() throws Exception {
         assertEquals("+OK", peer("").plain("job-00001", ",\"queue\":\"q\""));
         assertEquals("+OK", peer("").plain("job-00002", ",\"queue\":\"q\""));
-        redis.put("damsonslip:job:job-00001", "school-desk\n{\"id\":\"job-00001\",\"state\":\"QUEUED\",\"job\":\"{}\"}");
+        redis.put(
+                "damsonslip:job:job-00001",
+                "school-desk\n{\"id\":\"job-00001\",\"state\":\"QUEUED\",\"job\":\"{}\"}");
         server.killAndStart();
         assertTrue(server.program().said().contains("1 jobs taken up"), server.program().said());
         assertTrue(server.program().said().contains("left in the store"), server.program().said());
@@ -229,7 +260,10 @@
 
     // ---- load
 
-    /** Ten thousand jobs fall due in one second; status-read, which somebody waits for, keeps its wanted time. */
+    /**
+     * Ten thousand jobs fall due in one second; status-read, which somebody waits for, keeps its
+     * wanted time.
+     */
     @Test
     void aBurstOfDueJobsLeavesTheAwaitedOnesTheirTime() throws Exception {
         FaktoryPeer producer = peer("");
@@ -237,8 +271,12 @@
         for (int part = 0; part < 20; part++) {
             StringBuilder jobs = new StringBuilder("PUSHB [");
             for (int i = 0; i < 500; i++) {
-                jobs.append(i == 0 ? "" : ",").append("{\"jid\":\"later-").append(part * 500 + i + 10_000)
-                    .append("\",\"jobtype\":\"t\",\"args\":[],\"queue\":\"bulk\",\"at\":\"").append(at).append("\"}");
+                jobs.append(i == 0 ? "" : ",")
+                        .append("{\"jid\":\"later-")
+                        .append(part * 500 + i + 10_000)
+                        .append("\",\"jobtype\":\"t\",\"args\":[],\"queue\":\"bulk\",\"at\":\"")
+                        .append(at)
+                        .append("\"}");
             }
             assertEquals("{}", producer.call(jobs + "]"));
         }
@@ -246,23 +284,28 @@
         long[] done = new long[1];
         for (int slot = 0; slot < 6; slot++) {
             FaktoryPeer worker = peer("w" + slot % 2);
-            daemon(() -> {
-                while (true) {
-                    String job = worker.call("FETCH bulk status");
-                    if (job != null) {
-                        worker.ack(JSON.readTree(job).path("jid").asText());
-                        synchronized (done) {
-                            done[0]++;
+            daemon(
+                    () -> {
+                        while (true) {
+                            String job = worker.call("FETCH bulk status");
+                            if (job != null) {
+                                worker.ack(JSON.readTree(job).path("jid").asText());
+                                synchronized (done) {
+                                    done[0]++;
+                                }
+                            }
                         }
-                    }
-                }
-            });
+                    });
         }
         List<Long> took = new ArrayList<>();
-        Thread.sleep(Math.max(0, Instant.parse(at).toEpochMilli() - System.currentTimeMillis() - 500));
+        Thread.sleep(
+                Math.max(0, Instant.parse(at).toEpochMilli() - System.currentTimeMillis() - 500));
         for (int i = 0; i < 60; i++) {
             long from = System.nanoTime();
-            assertEquals("+OK", producer.push("status-" + (100 + i), "status-read", 5, ",\"queue\":\"status\""));
+            assertEquals(
+                    "+OK",
+                    producer.push(
+                            "status-" + (100 + i), "status-read", 5, ",\"queue\":\"status\""));
             FaktoryServer.awaitState(producer, "status-" + (100 + i), "success");
             took.add((System.nanoTime() - from) / 1_000_000);
             Thread.sleep(25);
@@ -272,8 +315,9 @@
         synchronized (done) {
             bulk = done[0];
         }
-        System.out.printf("10,000 due at once: status-read p50 %d ms, worst %d ms; %d of them done meanwhile%n",
-            took.get(30), took.get(59), bulk);
+        System.out.printf(
+                "10,000 due at once: status-read p50 %d ms, worst %d ms; %d of them done meanwhile%n",
+                took.get(30), took.get(59), bulk);
         assertTrue(took.get(30) <= 60 && took.get(56) <= 250, "status-read took " + took);
         assertTrue(bulk > 200, "and the others went on: " + bulk);
         assertEquals(0, producer.size("Scheduled"));
@@ -284,13 +328,15 @@
     }
 
     private static void daemon(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException e) {
-                return; // the test is over
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException e) {
+                                return; // the test is over
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -298,15 +344,19 @@
     // ---- batches
 
     private static String batch(FaktoryPeer producer) throws IOException {
-        return producer.call("BATCH NEW {\"success\":{\"jobtype\":\"S\",\"args\":[],\"queue\":\"cb\"},\"complete\":"
-            + "{\"jobtype\":\"C\",\"args\":[],\"queue\":\"cb\"}}");
+        return producer.call(
+                "BATCH NEW {\"success\":{\"jobtype\":\"S\",\"args\":[],\"queue\":\"cb\"},\"complete\":"
+                        + "{\"jobtype\":\"C\",\"args\":[],\"queue\":\"cb\"}}");
     }
 
     private static String inside(String bid, int retry) {
         return ",\"queue\":\"q\",\"retry\":" + retry + ",\"custom\":{\"bid\":\"" + bid + "\"}";
     }
 
-    /** Its only job dies, the scheduler is killed before the callback reaches anybody, and it comes all the same, once. */
+    /**
+     * Its only job dies, the scheduler is killed before the callback reaches anybody, and it comes
+     * all the same, once.
+     */
     @Test
     void aBatchWhoseJobsDieAsItsCallbackIsDue() throws Exception {
         FaktoryPeer producer = peer("");
@@ -315,8 +365,12 @@
         assertEquals("+OK", producer.plain("job-00001", inside(bid, -1)));
         assertEquals("+OK", producer.call("BATCH COMMIT " + bid));
         assertEquals("job-00001", worker.fetch("q", 2_000));
-        CountDownLatch held = redis.trap(words -> words.get(0).equalsIgnoreCase("SET")
-            && words.get(1).contains(bid + "-complete"), Then.HOLD_UNDONE);
+        CountDownLatch held =
+                redis.trap(
+                        words ->
+                                words.get(0).equalsIgnoreCase("SET")
+                                        && words.get(1).contains(bid + "-complete"),
+                        Then.HOLD_UNDONE);
         worker.peer().send("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}\r\n");
         assertTrue(held.await(5, TimeUnit.SECONDS));
         server.killAndStart();
@@ -331,7 +385,8 @@
         assertEquals("+OK", other.ack("job-00001"));
         assertEquals(bid + "-success", other.fetch("cb", 2_000));
         assertEquals("+OK", other.ack(bid + "-success"));
-        assertEquals("2", JSON.readTree(after.call("BATCH STATUS " + bid)).path("success_st").asText());
+        assertEquals(
+                "2", JSON.readTree(after.call("BATCH STATUS " + bid)).path("success_st").asText());
     }
 
     @Test
@@ -357,7 +412,10 @@
 
     // ---- the store
 
-    /** For five seconds the store says nothing: pushes are refused plainly, and what was acknowledged is all there. */
+    /**
+     * For five seconds the store says nothing: pushes are refused plainly, and what was
+     * acknowledged is all there.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"stalls", "errs"})
     void whileTheStoreFailsNothingAcknowledgedIsLost(String how) throws Exception {
@@ -379,7 +437,8 @@
             if (said.equals("+OK")) {
                 acknowledged.add(jid);
             } else {
-                assertTrue(said.startsWith("-ERR the store is down and the job was not taken"), said);
+                assertTrue(
+                        said.startsWith("-ERR the store is down and the job was not taken"), said);
                 refused++;
             }
             Thread.sleep(50);
@@ -387,13 +446,15 @@
         String said = worker.ack("job-held1");
         redis.errors(false);
         assertTrue(refused > 5, refused + " were refused");
-        Program.await("pushes are taken again", () -> {
-            try {
-                return "+OK".equals(producer.plain("job-after1", ",\"queue\":\"q\""));
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                "pushes are taken again",
+                () -> {
+                    try {
+                        return "+OK".equals(producer.plain("job-after1", ",\"queue\":\"q\""));
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         acknowledged.add("job-after1");
         FaktoryServer.awaitState(producer, "job-held1", "success");
         assertTrue(said.equals("+OK") || said.startsWith("-ERR the store is down"), said);
@@ -412,23 +473,32 @@
         assertEquals("success", after.state("job-held1"));
     }
 
-    /** The store takes a job and the answer is lost: pushed again it runs once; not pushed again, not at all. */
+    /**
+     * The store takes a job and the answer is lost: pushed again it runs once; not pushed again,
+     * not at all.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aLostAnswerOfTheStore(boolean again) throws Exception {
         FaktoryPeer producer = peer("");
-        CountDownLatch cut = redis.trap(words -> words.get(0).equalsIgnoreCase("GET")
-            && words.get(1).endsWith("job:job-00001"), Then.DO_AND_HANG_UP);
+        CountDownLatch cut =
+                redis.trap(
+                        words ->
+                                words.get(0).equalsIgnoreCase("GET")
+                                        && words.get(1).endsWith("job:job-00001"),
+                        Then.DO_AND_HANG_UP);
         assertTrue(producer.plain("job-00001", ONCE).startsWith("-ERR the store is down"));
         assertTrue(cut.await(1, TimeUnit.SECONDS));
         if (again) {
-            Program.await("it is taken", () -> {
-                try {
-                    return "+OK".equals(producer.plain("job-00001", ONCE));
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            });
+            Program.await(
+                    "it is taken",
+                    () -> {
+                        try {
+                            return "+OK".equals(producer.plain("job-00001", ONCE));
+                        } catch (IOException e) {
+                            throw new AssertionError(e);
+                        }
+                    });
         } else {
             Thread.sleep(1_500);
         }
@@ -457,7 +527,8 @@
         assertEquals("job-00003", worker.fetch("other", 2_000));
         assertEquals("+OK", worker.fail("job-00003"));
         waits.peer().send("FETCH q other\r\n");
-        assertEquals("+OK", worker.call("BEAT {\"wid\":\"w1\",\"current_state\":\"" + state + "\"}"));
+        assertEquals(
+                "+OK", worker.call("BEAT {\"wid\":\"w1\",\"current_state\":\"" + state + "\"}"));
         assertEquals("+OK", producer.call("QUEUE RESUME *"));
         assertEquals("+OK", producer.mutate("requeue", "retries", "job-00003"));
         assertEquals("$-1", waits.peer().line(), "what waited ends empty");
@@ -478,12 +549,18 @@
     @Test
     void badInputGetsAClearErrorAndCostsNobodyElse() throws Exception {
         FaktoryPeer producer = peer("");
-        assertTrue(producer.call("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)).startsWith("-ERR not JSON"));
+        assertTrue(
+                producer.call("PUSH " + "[".repeat(10_000) + "]".repeat(10_000))
+                        .startsWith("-ERR not JSON"));
         assertTrue(producer.plain("job-00001", ",\"retry\":1e400").startsWith("-MALFORMED retry"));
-        assertTrue(producer.plain("job-00001", ",\"reserve_for\":99999999999999999999").startsWith("-MALFORMED"));
+        assertTrue(
+                producer.plain("job-00001", ",\"reserve_for\":99999999999999999999")
+                        .startsWith("-MALFORMED"));
         StringBuilder many = new StringBuilder("PUSHB [{}");
         many.append(",{}".repeat(99_999)).append(']');
-        assertTrue(producer.call(many.toString()).startsWith("-ERR more than 5000 jobs"), "one error for all of them");
+        assertTrue(
+                producer.call(many.toString()).startsWith("-ERR more than 5000 jobs"),
+                "one error for all of them");
         FaktoryPeer endless = peer("");
         String told = null;
         try {
@@ -494,11 +571,16 @@
         } catch (IOException e) {
             told = "closed";
         }
-        assertTrue(told == null || told.equals("closed") || told.startsWith("-ERR a line too long"), told);
+        assertTrue(
+                told == null || told.equals("closed") || told.startsWith("-ERR a line too long"),
+                told);
         assertEquals("+OK", producer.plain("job-00001", ""), "and the others go on");
     }
 
-    /** Lines that never end, on many connections: what they may hold together is bounded, and no plain client notices. */
+    /**
+     * Lines that never end, on many connections: what they may hold together is bounded, and no
+     * plain client notices.
+     */
     @Test
     void unfinishedLinesTogetherDoNotFillTheMemory() throws Exception {
         int let = 0;
@@ -513,7 +595,12 @@
         FaktoryPeer plain = peer("");
         assertEquals("+OK", plain.plain("job-00001", ""));
         int mb = plain.info().path("server").path("used_memory_mb").asInt();
-        System.out.println("60 unfinished lines of 950 KB: " + mb + " MB used, " + let + " refused while sending");
+        System.out.println(
+                "60 unfinished lines of 950 KB: "
+                        + mb
+                        + " MB used, "
+                        + let
+                        + " refused while sending");
         assertTrue(mb < 700, mb + " MB");
     }
 }
--- a/src/test/java/damsonslip/faktory/RoutesTest.java
+++ b/src/test/java/damsonslip/faktory/RoutesTest.java
@@ -14,13 +14,13 @@
 
 /** The operator's file: its routes, and what is wrong with it told in one line. */
 class RoutesTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private FaktoryConfig read(String find, String put) throws Exception {
         String text = Files.readString(Path.of("deploy/faktory.toml"));
         assertTrue(text.contains(find), find);
-        return FaktoryConfig.read(Files.writeString(dir.resolve("f.toml"), text.replace(find, put)).toString());
+        return FaktoryConfig.read(
+                Files.writeString(dir.resolve("f.toml"), text.replace(find, put)).toString());
     }
 
     @Test
@@ -32,19 +32,26 @@
         assertEquals(4, config.routes().classOf("", "default", "Other"), "the default");
         assertEquals(3, config.routes().classOf("offer-reply", "status", "any"));
         assertEquals(-1, config.routes().classOf("no-such", "status", "any"));
-        assertEquals(-1, read("default_class = \"background\"", "").routes().classOf("", "default", "Other"));
+        assertEquals(
+                -1,
+                read("default_class = \"background\"", "")
+                        .routes()
+                        .classOf("", "default", "Other"));
     }
 
     @ParameterizedTest
-    @CsvSource({"class = \"status-read\",class = \"nothing\",route: class: no class of this name: nothing",
+    @CsvSource({
+        "class = \"status-read\",class = \"nothing\",route: class: no class of this name: nothing",
         "default_class = \"background\",default_class = \"none\",jobs: default_class: no class of this name: none",
         "waiting = 200000,waiting = -1,waiting: not a whole number of 1 or more: -1",
         "longest_line = 1048576,longest_line = \"x\",longest_line: not a whole number",
         "queue_order = \"strict\",queue_order = \"any\",queue_order: neither strict nor fair: any",
-        "links = 800,links = 0,links: not a whole number"})
+        "links = 800,links = 0,links: not a whole number"
+    })
     void whatIsWrongIsToldInOneLine(String find, String put, String told) {
         BadInput refused = assertThrows(BadInput.class, () -> read(find, put));
-        assertTrue(refused.getMessage().contains(told) && refused.getMessage().lines().count() == 1,
-            refused.getMessage());
+        assertTrue(
+                refused.getMessage().contains(told) && refused.getMessage().lines().count() == 1,
+                refused.getMessage());
     }
 }
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -12,23 +12,36 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Peers that send or read slowly, and peers that send far ahead: they go, or wait, and nobody else notices. */
+/**
+ * Peers that send or read slowly, and peers that send far ahead: they go, or wait, and nobody else
+ * notices.
+ */
 class SlowPeersTest {
     /** Longer than the grace and the longest pause of a link that is held to its rate. */
     private static final long LONG_MS = 6_000;
+
     /** A kilobyte a second is asked for; so often one and a half come at once. */
     private static final long BURST_MS = 1_500;
+
     /** Within the longest pause that is allowed. */
     private static final long PAUSE_MS = 3_500;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private FaktoryServer server;
 
     @BeforeEach
     void start() throws IOException {
-        server = new FaktoryServer(dir, "memory", "", "grace_s = 10", "grace_s = 2", "longest_pause_s = 20",
-            "longest_pause_s = 5", "_per_s = 500 ", "_per_s = 1000 ");
+        server =
+                new FaktoryServer(
+                        dir,
+                        "memory",
+                        "",
+                        "grace_s = 10",
+                        "grace_s = 2",
+                        "longest_pause_s = 20",
+                        "longest_pause_s = 5",
+                        "_per_s = 500 ",
+                        "_per_s = 1000 ");
         server.start();
     }
 
@@ -48,7 +61,10 @@
         FaktoryPeer pauses = peer();
         String filler = "x".repeat(1_500);
         bursts.peer().send("PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[\"");
-        pauses.peer().send("PUSH {\"jid\":\"job-00002\",\"jobtype\":\"t\",\"args\":[\"" + filler.repeat(10));
+        pauses.peer()
+                .send(
+                        "PUSH {\"jid\":\"job-00002\",\"jobtype\":\"t\",\"args\":[\""
+                                + filler.repeat(10));
         trickles.peer().send("PUSH {");
         long from = System.nanoTime();
         int sent = 0;
@@ -56,7 +72,9 @@
         for (long ms = 0; ms < LONG_MS; ms = (System.nanoTime() - from) / 1_000_000) {
             Thread.sleep(100);
             trickle(trickles);
-            for (; sent < ms / BURST_MS; sent++) { // by the clock: on a busy machine a turn takes longer than it sleeps
+            for (;
+                    sent < ms / BURST_MS;
+                    sent++) { // by the clock: on a busy machine a turn takes longer than it sleeps
                 bursts.peer().send(filler);
             }
             if (paused && ms > PAUSE_MS) {
@@ -68,7 +86,9 @@
         assertEquals("+OK", bursts.peer().line());
         assertEquals("+OK", pauses.peer().line());
         assertEquals(1, peer().info().path("counters").path("slow_senders_let_go").asInt());
-        assertTrue(server.program().said().contains("is let go: it sends a command at"), server.program().said());
+        assertTrue(
+                server.program().said().contains("is let go: it sends a command at"),
+                server.program().said());
     }
 
     private static void trickle(FaktoryPeer peer) {
@@ -79,20 +99,25 @@
         }
     }
 
-    /** Who sends commands and never reads what comes back is closed once nothing moves for its grace. */
+    /**
+     * Who sends commands and never reads what comes back is closed once nothing moves for its
+     * grace.
+     */
     @Test
     void whoNeverReadsIsLetGo() throws Exception {
         FaktoryPeer mute = peer();
         String many = "INFO\r\n".repeat(1_000);
-        Thread sends = new Thread(() -> {
-            try {
-                for (int i = 0; i < 200; i++) {
-                    mute.peer().send(many);
-                }
-            } catch (IOException e) {
-                return; // it has been closed, as it should be
-            }
-        });
+        Thread sends =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; i < 200; i++) {
+                                    mute.peer().send(many);
+                                }
+                            } catch (IOException e) {
+                                return; // it has been closed, as it should be
+                            }
+                        });
         sends.setDaemon(true);
         sends.start();
         FaktoryPeer plain = peer();
@@ -103,7 +128,10 @@
         }
     }
 
-    /** Far more commands than a buffer holds, sent ahead by one that reads: each is answered, in order. */
+    /**
+     * Far more commands than a buffer holds, sent ahead by one that reads: each is answered, in
+     * order.
+     */
     @Test
     void whoSendsFarAheadAndReadsIsAnsweredToTheEnd() throws Exception {
         FaktoryPeer ahead = peer();
@@ -115,34 +143,41 @@
         }
     }
 
-    /** A hundred links send thousands of commands ahead, half of them reading; a plain client works beside them. */
+    /**
+     * A hundred links send thousands of commands ahead, half of them reading; a plain client works
+     * beside them.
+     */
     @Test
     void aFloodOfCommandsAheadLeavesAPlainClientItsTurn() throws Exception {
         String many = "INFO\r\n".repeat(1_400);
         for (int i = 0; i < 100; i++) {
             FaktoryPeer floods = peer();
-            Thread sends = new Thread(() -> {
-                try {
-                    for (int n = 0; n < 20; n++) {
-                        floods.peer().send(many);
-                    }
-                } catch (IOException e) {
-                    return; // the test is over
-                }
-            });
+            Thread sends =
+                    new Thread(
+                            () -> {
+                                try {
+                                    for (int n = 0; n < 20; n++) {
+                                        floods.peer().send(many);
+                                    }
+                                } catch (IOException e) {
+                                    return; // the test is over
+                                }
+                            });
             sends.setDaemon(true);
             sends.start();
             if (i % 2 == 0) {
-                Thread reads = new Thread(() -> {
-                    try {
-                        String part = floods.peer().bytes(8_192);
-                        while (part != null) { // as fast as it comes
-                            part = floods.peer().bytes(8_192);
-                        }
-                    } catch (IOException e) {
-                        return; // the test is over
-                    }
-                });
+                Thread reads =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        String part = floods.peer().bytes(8_192);
+                                        while (part != null) { // as fast as it comes
+                                            part = floods.peer().bytes(8_192);
+                                        }
+                                    } catch (IOException e) {
+                                        return; // the test is over
+                                    }
+                                });
                 reads.setDaemon(true);
                 reads.start();
             }
@@ -158,7 +193,10 @@
             }
             worst = Math.max(worst, (System.nanoTime() - from) / 1_000_000);
         }
-        System.out.println("beside 100 links that flood: HELLO, PUSH, FETCH and ACK in " + worst + " ms at the worst");
+        System.out.println(
+                "beside 100 links that flood: HELLO, PUSH, FETCH and ACK in "
+                        + worst
+                        + " ms at the worst");
         assertTrue(worst < 2_000, worst + " ms");
     }
 }
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -36,20 +36,39 @@
     @Test
     void timesHaveAnyOffsetAndFraction() throws Malformed {
         assertEquals(1_767_225_600_000L, job(",\"at\":\"2026-01-01T00:00:00Z\"").atMs());
-        assertEquals(1_767_225_600_000L, job(",\"at\":\"2026-01-01T05:45:00.000000000+05:45\"").atMs());
+        assertEquals(
+                1_767_225_600_000L, job(",\"at\":\"2026-01-01T05:45:00.000000000+05:45\"").atMs());
         assertEquals(1_767_225_600_123L, job(",\"at\":\"2025-12-31T23:00:00.1239-01:00\"").atMs());
         assertEquals(0, job(",\"at\":\"1970-01-01T00:00:01Z\"").atMs(), "what is past is at once");
         assertEquals(1_005_000, job(",\"custom\":{\"deadline\":5}").custom().deadlineMs());
-        assertEquals(1_767_225_605_000L,
-            job(",\"at\":\"2026-01-01T00:00:00Z\",\"custom\":{\"deadline\":5}").custom().deadlineMs(), "from its time on");
+        assertEquals(
+                1_767_225_605_000L,
+                job(",\"at\":\"2026-01-01T00:00:00Z\",\"custom\":{\"deadline\":5}")
+                        .custom()
+                        .deadlineMs(),
+                "from its time on");
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {",\"retry\":\"x\"", ",\"retry\":1e99", ",\"retry\":99999999999999999999", ",\"at\":5",
-        ",\"at\":\"now\"", ",\"at\":\"+999999999999-01-01T00:00:00Z\"", ",\"queue\":\"a b\"", ",\"queue\":\"*\"",
-        ",\"queue\":7", ",\"reserve_for\":-1", ",\"custom\":{\"slots\":0}", ",\"custom\":{\"slots\":1000}",
-        ",\"custom\":{\"deadline\":\"soon\"}", ",\"custom\":{\"unique_until\":\"never\"}",
-        ",\"custom\":{\"expires_at\":true}", ",\"created_at\":5"})
+    @ValueSource(
+            strings = {
+                ",\"retry\":\"x\"",
+                ",\"retry\":1e99",
+                ",\"retry\":99999999999999999999",
+                ",\"at\":5",
+                ",\"at\":\"now\"",
+                ",\"at\":\"+999999999999-01-01T00:00:00Z\"",
+                ",\"queue\":\"a b\"",
+                ",\"queue\":\"*\"",
+                ",\"queue\":7",
+                ",\"reserve_for\":-1",
+                ",\"custom\":{\"slots\":0}",
+                ",\"custom\":{\"slots\":1000}",
+                ",\"custom\":{\"deadline\":\"soon\"}",
+                ",\"custom\":{\"unique_until\":\"never\"}",
+                ",\"custom\":{\"expires_at\":true}",
+                ",\"created_at\":5"
+            })
     void aJobThatIsNotInOrderIsRefused(String more) {
         assertThrows(Malformed.class, () -> job(more));
     }
@@ -58,10 +77,16 @@
     @Test
     void whatIsNotTheServersStaysAsItWas() throws Malformed {
         String args = "\"args\":[1.10,12345678901234567890123456789,1E+400,0.1,\"\\u0000é\"]";
-        JsonNode given = Json.read(JOB.replace("\"args\":[1]", args) + ",\"x\":{\"y\":null},\"failure\":{\"n\":1}}");
+        JsonNode given =
+                Json.read(
+                        JOB.replace("\"args\":[1]", args)
+                                + ",\"x\":{\"y\":null},\"failure\":{\"n\":1}}");
         JsonNode kept = Json.read(Pushed.read(given, 0, 60).body());
         assertEquals(given.path("args").toString(), kept.path("args").toString());
-        assertTrue(kept.path("args").toString().startsWith("[1.10,12345678901234567890123456789,1E+400"));
+        assertTrue(
+                kept.path("args")
+                        .toString()
+                        .startsWith("[1.10,12345678901234567890123456789,1E+400"));
         assertEquals(given.path("x"), kept.path("x"));
         assertTrue(kept.path("failure").isMissingNode(), "a producer cannot say how it failed");
     }
@@ -69,14 +94,26 @@
     @Test
     void aWorkerIsToldHowItFailed() throws Malformed {
         Pushed pushed = job("");
-        JobRecord.Facts facts = new JobRecord.Facts("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
+        JobRecord.Facts facts =
+                new JobRecord.Facts("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
         JobRecord record = JobRecord.pushed("job-00001", facts, 0, 0);
         JsonNode plain = Json.read(JobText.whole(pushed.body(), record, 1_000));
         assertEquals("1970-01-01T00:00:01Z", plain.path("enqueued_at").asText());
         assertTrue(plain.path("failure").isMissingNode());
-        JsonNode failed = Json.read(JobText.whole(pushed.body(),
-            record.failed(new JobRecord.Failure(3, 2_000, 7_000, "E\"", "m", java.util.List.of("x"))), 1_000))
-            .path("failure");
+        JsonNode failed =
+                Json.read(
+                                JobText.whole(
+                                        pushed.body(),
+                                        record.failed(
+                                                new JobRecord.Failure(
+                                                        3,
+                                                        2_000,
+                                                        7_000,
+                                                        "E\"",
+                                                        "m",
+                                                        java.util.List.of("x"))),
+                                        1_000))
+                        .path("failure");
         assertEquals(3, failed.path("retry_count").asInt());
         assertEquals(22, failed.path("remaining").asInt());
         assertEquals("1970-01-01T00:00:07Z", failed.path("next_at").asText());
@@ -86,35 +123,71 @@
 
     @Test
     void commandsAreDecoded() throws Malformed {
-        assertEquals(java.util.List.of("default"), ((Command.Fetch) Command.decode("FETCH")).queues());
-        assertEquals(java.util.List.of("a", "b"), ((Command.Fetch) Command.decode("FETCH a  b")).queues());
-        Command.Mutate mutate = (Command.Mutate) Command.decode(
-            "MUTATE {\"cmd\":\"kill\",\"target\":\"retries\",\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
+        assertEquals(
+                java.util.List.of("default"), ((Command.Fetch) Command.decode("FETCH")).queues());
+        assertEquals(
+                java.util.List.of("a", "b"),
+                ((Command.Fetch) Command.decode("FETCH a  b")).queues());
+        Command.Mutate mutate =
+                (Command.Mutate)
+                        Command.decode(
+                                "MUTATE {\"cmd\":\"kill\",\"target\":\"retries\",\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
         assertEquals(Command.Mutate.Verb.KILL, mutate.verb());
         assertEquals(Command.Mutate.Target.RETRIES, mutate.target());
         assertEquals("*y*", mutate.wanted().glob());
-        assertEquals(7, ((Command.Beat) Command.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}")).rssKb());
-        assertEquals(3_600_000, ((Command.TrackSet) Command.decode(
-            "TRACK SET {\"jid\":\"j\",\"reserve_until\":\"1970-01-01T01:00:00Z\"}")).reserveUntilMs());
+        assertEquals(
+                7, ((Command.Beat) Command.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}")).rssKb());
+        assertEquals(
+                3_600_000,
+                ((Command.TrackSet)
+                                Command.decode(
+                                        "TRACK SET {\"jid\":\"j\",\"reserve_until\":\"1970-01-01T01:00:00Z\"}"))
+                        .reserveUntilMs());
         assertInstanceOf(Command.BatchCommit.class, Command.decode("BATCH COMMIT b-1"));
         assertInstanceOf(Command.Flush.class, Command.decode("flush"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "JUMP", "PUSH", "PUSH []", "PUSH {", "PUSHB {}", "ACK {}", "FAIL {\"jid\":5}", "BEAT {}",
-        "TRACK", "TRACK PUT x", "TRACK SET {\"jid\":\"j\",\"percent\":101}", "MUTATE {}", "QUEUE", "QUEUE PAUSE",
-        "QUEUE JUMP x", "BATCH", "BATCH NEW", "BATCH JUMP x", "BATCH NEW {\"success\":1}", "PUSH {} {}"})
+    @ValueSource(
+            strings = {
+                "",
+                "JUMP",
+                "PUSH",
+                "PUSH []",
+                "PUSH {",
+                "PUSHB {}",
+                "ACK {}",
+                "FAIL {\"jid\":5}",
+                "BEAT {}",
+                "TRACK",
+                "TRACK PUT x",
+                "TRACK SET {\"jid\":\"j\",\"percent\":101}",
+                "MUTATE {}",
+                "QUEUE",
+                "QUEUE PAUSE",
+                "QUEUE JUMP x",
+                "BATCH",
+                "BATCH NEW",
+                "BATCH JUMP x",
+                "BATCH NEW {\"success\":1}",
+                "PUSH {} {}"
+            })
     void aLineThatIsNotInOrderIsRefusedInOneLine(String line) {
         Malformed refused = assertThrows(Malformed.class, () -> Command.decode(line));
-        assertTrue(refused.getMessage().lines().count() == 1 && refused.getMessage().length() < 200);
+        assertTrue(
+                refused.getMessage().lines().count() == 1 && refused.getMessage().length() < 200);
     }
 
     @Test
     void depthNumbersAndBulkAreBounded() {
-        assertThrows(Malformed.class, () -> Command.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
-        assertThrows(Malformed.class, () -> Command.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
+        assertThrows(
+                Malformed.class,
+                () -> Command.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
+        assertThrows(
+                Malformed.class, () -> Command.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
         String many = "{},".repeat(100_000);
-        Malformed refused = assertThrows(Malformed.class, () -> Command.decode("PUSHB [" + many + "{}]"));
+        Malformed refused =
+                assertThrows(Malformed.class, () -> Command.decode("PUSHB [" + many + "{}]"));
         assertTrue(refused.getMessage().contains("in parts"), refused.getMessage());
     }
 
@@ -122,12 +195,28 @@
     @Test
     void noLineBreaksTheDecoder() {
         SplittableRandom random = new SplittableRandom(3);
-        String[] verbs = {"HELLO ", "PUSH ", "PUSHB ", "FETCH ", "ACK ", "FAIL ", "BEAT ", "TRACK SET ", "TRACK GET ",
-            "MUTATE ", "QUEUE ", "BATCH NEW ", "BATCH "};
-        String seed = JOB + ",\"cmd\":\"kill\",\"target\":\"dead\",\"filter\":{\"jids\":[\"a\"]},\"wid\":\"w\"}";
+        String[] verbs = {
+            "HELLO ",
+            "PUSH ",
+            "PUSHB ",
+            "FETCH ",
+            "ACK ",
+            "FAIL ",
+            "BEAT ",
+            "TRACK SET ",
+            "TRACK GET ",
+            "MUTATE ",
+            "QUEUE ",
+            "BATCH NEW ",
+            "BATCH "
+        };
+        String seed =
+                JOB
+                        + ",\"cmd\":\"kill\",\"target\":\"dead\",\"filter\":{\"jids\":[\"a\"]},\"wid\":\"w\"}";
         int decoded = 0;
         for (int i = 0; i < 30_000; i++) {
-            StringBuilder line = new StringBuilder(verbs[random.nextInt(verbs.length)]).append(seed);
+            StringBuilder line =
+                    new StringBuilder(verbs[random.nextInt(verbs.length)]).append(seed);
             for (int change = random.nextInt(4); change > 0; change--) {
                 int at = random.nextInt(line.length());
                 switch (random.nextInt(3)) {
--- a/src/test/java/damsonslip/faktory/sets/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/sets/BatchesTest.java
@@ -20,7 +20,18 @@
     private final Batches batches = new Batches(jobTable);
 
     private void batch(String bid, String parent) {
-        batches.add(new Batch(bid, parent, "", "{s}", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+        batches.add(
+                new Batch(
+                        bid,
+                        parent,
+                        "",
+                        "{s}",
+                        "{c}",
+                        false,
+                        0,
+                        Callback.NOT_YET,
+                        Callback.NOT_YET,
+                        0));
     }
 
     private Entry job(String id, String bid) {
@@ -30,11 +41,15 @@
     }
 
     private String due(String bid) {
-        return batches.settle(bid).stream().map(d -> d.batch().callbackId(d.success())).toList().toString();
+        return batches.settle(bid).stream()
+                .map(d -> d.batch().callbackId(d.success()))
+                .toList()
+                .toString();
     }
 
     private void fail(Entry entry, State state) {
-        JobRecord failed = entry.record().failed(new JobRecord.Failure(0, 1, 0, "E", "m", List.of()));
+        JobRecord failed =
+                entry.record().failed(new JobRecord.Failure(0, 1, 0, "E", "m", List.of()));
         jobTable.move(entry, failed.to(state, 9, "", 9));
     }
 
@@ -124,20 +139,28 @@
         due("b");
         Batches after = new Batches(new JobTable(1, new JobTable.Limits(1, 1, 1, 1)));
         batches.all().forEach(after::add);
-        assertEquals(List.of("b-complete", "b-success"),
-            after.unfinished().stream().map(d -> d.batch().callbackId(d.success())).toList());
+        assertEquals(
+                List.of("b-complete", "b-success"),
+                after.unfinished().stream().map(d -> d.batch().callbackId(d.success())).toList());
     }
 
     @Test
     void aBatchWithoutACallbackIsOverWithoutOneAndParentsInACircleEnd() {
-        batches.add(new Batch("b", "c", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
-        batches.add(new Batch("c", "b", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+        batches.add(
+                new Batch(
+                        "b", "c", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+        batches.add(
+                new Batch(
+                        "c", "b", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
         batches.commit("b");
-        assertEquals("[]", due("b"), "each waits for the other, and the search for what is due ends");
-        batches.add(new Batch("d", "", "", "", "{c}", true, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+        assertEquals(
+                "[]", due("b"), "each waits for the other, and the search for what is due ends");
+        batches.add(
+                new Batch("d", "", "", "", "{c}", true, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
         assertEquals(2, batches.settle("d").size());
         assertEquals(Callback.DONE, batches.get("d").onSuccess(), "there is nothing to run");
         assertEquals(Callback.DUE, batches.get("d").onComplete());
-        assertEquals(List.of("d"), batches.forget(4_000_000), "what is over is forgotten after a while");
+        assertEquals(
+                List.of("d"), batches.forget(4_000_000), "what is over is forgotten after a while");
     }
 }
--- a/src/test/java/damsonslip/faktory/sets/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/sets/JobTableTest.java
@@ -23,7 +23,8 @@
     private final JobTable jobTable = new JobTable(2, new JobTable.Limits(50, 20, 3, 1_000));
 
     private Entry add(String id, String queue, int jobClass) {
-        return jobTable.add(RetryPolicyTest.record(id, queue, 5, 0).numbered(jobTable.nextSeq()), jobClass);
+        return jobTable.add(
+                RetryPolicyTest.record(id, queue, 5, 0).numbered(jobTable.nextSeq()), jobClass);
     }
 
     private String next(boolean fair, String... queues) {
@@ -67,9 +68,13 @@
         Entry first = jobTable.get("a1");
         jobTable.dispatch(first);
         jobTable.undispatch(first, 500);
-        assertNull(jobTable.next(List.of("a"), false, 499, c -> true), "the order holds while the first may not go");
+        assertNull(
+                jobTable.next(List.of("a"), false, 499, c -> true),
+                "the order holds while the first may not go");
         assertEquals("a1", jobTable.next(List.of("a"), false, 500, c -> true).id());
-        assertNull(jobTable.next(List.of("a"), false, 500, c -> false), "nothing of a class that is not open");
+        assertNull(
+                jobTable.next(List.of("a"), false, 500, c -> false),
+                "nothing of a class that is not open");
         jobTable.pause("a");
         assertNull(jobTable.next(List.of("a"), false, 500, c -> true));
     }
@@ -107,7 +112,10 @@
             Entry entry = add("d" + i, "a", 0);
             jobTable.move(entry, entry.record().to(State.DEAD, 100 + i, "", 0));
         }
-        assertEquals(List.of("d0", "d1"), jobTable.expiredDead(200).stream().map(Entry::id).toList(), "three are kept");
+        assertEquals(
+                List.of("d0", "d1"),
+                jobTable.expiredDead(200).stream().map(Entry::id).toList(),
+                "three are kept");
         assertEquals(4, jobTable.expiredDead(1_103).size(), "for a second");
         assertEquals(5, jobTable.size(State.DEAD));
     }
@@ -119,7 +127,8 @@
             jobTable.move(entry, entry.record().to(State.SCHEDULED, 1_000 - i, "", 0));
         }
         assertEquals(0, jobTable.due(990, 5).size());
-        assertEquals(List.of("s9", "s8", "s7"), jobTable.due(1_000, 3).stream().map(Entry::id).toList());
+        assertEquals(
+                List.of("s9", "s8", "s7"), jobTable.due(1_000, 3).stream().map(Entry::id).toList());
     }
 
     @Test
@@ -132,7 +141,9 @@
         jobTable.move(one, one.record().reserved("w", 5));
         assertTrue(jobTable.lockUnique("two", facts, 999), "it holds only until the start");
         jobTable.remove(one);
-        assertFalse(jobTable.lockUnique("three", facts, 999), "the end of the first does not free what the second has");
+        assertFalse(
+                jobTable.lockUnique("three", facts, 999),
+                "the end of the first does not free what the second has");
         assertTrue(jobTable.lockUnique("three", facts, 1_000), "its time is over");
     }
 
@@ -142,20 +153,32 @@
         assertThrows(IllegalArgumentException.class, () -> add("a1", "a", 0));
     }
 
-    /** A walk of many random moves against plain counting: sizes, lanes and tallies never come apart. */
+    /**
+     * A walk of many random moves against plain counting: sizes, lanes and tallies never come
+     * apart.
+     */
     @Test
     void itsCountsStayTrueThroughManyRandomMoves() {
         SplittableRandom random = new SplittableRandom(7);
-        JobTable large = new JobTable(3, new JobTable.Limits(1_000_000, 1_000_000, 1_000_000, Long.MAX_VALUE / 2));
+        JobTable large =
+                new JobTable(
+                        3,
+                        new JobTable.Limits(1_000_000, 1_000_000, 1_000_000, Long.MAX_VALUE / 2));
         Map<String, Entry> here = new HashMap<>();
         int ids = 0;
         for (int step = 0; step < 20_000; step++) {
             if (here.size() < 40 || random.nextInt(3) == 0) {
                 String id = "j" + ids++;
-                JobRecord fresh = RetryPolicyTest.record(id, "q" + random.nextInt(4), 5, 0).numbered(large.nextSeq());
+                JobRecord fresh =
+                        RetryPolicyTest.record(id, "q" + random.nextInt(4), 5, 0)
+                                .numbered(large.nextSeq());
                 here.put(id, large.add(fresh, random.nextInt(3)));
             } else {
-                change(large, here, new ArrayList<>(here.values()).get(random.nextInt(here.size())), random);
+                change(
+                        large,
+                        here,
+                        new ArrayList<>(here.values()).get(random.nextInt(here.size())),
+                        random);
             }
             if (step % 500 == 0) {
                 agree(large, here);
@@ -164,15 +187,18 @@
         agree(large, here);
     }
 
-    private static void change(JobTable large, Map<String, Entry> here, Entry entry, SplittableRandom random) {
+    private static void change(
+            JobTable large, Map<String, Entry> here, Entry entry, SplittableRandom random) {
         boolean queued = entry.record().state() == State.QUEUED;
         switch (random.nextInt(6)) {
             case 0 -> {
                 large.remove(entry);
                 here.remove(entry.id());
             }
-            case 1 -> large.move(entry, entry.record().to(State.RETRY, random.nextInt(1_000), "", 0));
-            case 2 -> large.move(entry, entry.record().to(State.DEAD, random.nextInt(1_000), "", 0));
+            case 1 ->
+                    large.move(entry, entry.record().to(State.RETRY, random.nextInt(1_000), "", 0));
+            case 2 ->
+                    large.move(entry, entry.record().to(State.DEAD, random.nextInt(1_000), "", 0));
             case 3 -> {
                 if (queued && !entry.isDispatched()) {
                     large.dispatch(entry);
@@ -187,28 +213,46 @@
 
     private static void agree(JobTable large, Map<String, Entry> here) {
         assertEquals(here.size(), large.size());
-        for (State state : List.of(State.QUEUED, State.RESERVED, State.RETRY, State.DEAD, State.SCHEDULED)) {
-            assertEquals(here.values().stream().filter(e -> e.record().state() == state).count(), large.size(state));
+        for (State state :
+                List.of(State.QUEUED, State.RESERVED, State.RETRY, State.DEAD, State.SCHEDULED)) {
+            assertEquals(
+                    here.values().stream().filter(e -> e.record().state() == state).count(),
+                    large.size(state));
         }
-        assertEquals(here.values().stream().filter(Entry::isDispatched).count(), large.dispatchedCount());
+        assertEquals(
+                here.values().stream().filter(Entry::isDispatched).count(),
+                large.dispatchedCount());
         for (int queue = 0; queue < 4; queue++) {
             String name = "q" + queue;
-            List<Entry> waiting = here.values().stream().filter(e -> e.record().state() == State.QUEUED && !e.isDispatched()
-                && e.record().facts().queue().equals(name)).toList();
+            List<Entry> waiting =
+                    here.values().stream()
+                            .filter(
+                                    e ->
+                                            e.record().state() == State.QUEUED
+                                                    && !e.isDispatched()
+                                                    && e.record().facts().queue().equals(name))
+                            .toList();
             assertEquals(waiting.size(), large.inQueue(name).size());
             Entry next = large.next(List.of(name), false, 0, c -> true);
-            assertEquals(waiting.stream().mapToLong(e -> e.record().seq()).min().orElse(-1),
-                next == null ? -1 : next.record().seq());
+            assertEquals(
+                    waiting.stream().mapToLong(e -> e.record().seq()).min().orElse(-1),
+                    next == null ? -1 : next.record().seq());
         }
     }
 
     @Test
     void aRecordComesBackFromItsTextAsItWas() throws Exception {
-        JobRecord record = RetryPolicyTest.record("j", "q", -1, 99).numbered(7).reserved("w", 3)
-            .failed(new JobRecord.Failure(2, 5, 6, "E", "m\n", List.of("x"))).to(State.RETRY, 8, "why", 9);
+        JobRecord record =
+                RetryPolicyTest.record("j", "q", -1, 99)
+                        .numbered(7)
+                        .reserved("w", 3)
+                        .failed(new JobRecord.Failure(2, 5, 6, "E", "m\n", List.of("x")))
+                        .to(State.RETRY, 8, "why", 9);
         assertEquals(record, JobRecord.decode(record.encode()));
         JobRecord fresh = RetryPolicyTest.record("j", "q", 0, 0);
         assertEquals(fresh, JobRecord.decode(fresh.encode()));
-        assertNotNull(assertThrows(damsonslip.store.StoreException.class, () -> JobRecord.decode("{}")).getMessage());
+        assertNotNull(
+                assertThrows(damsonslip.store.StoreException.class, () -> JobRecord.decode("{}"))
+                        .getMessage());
     }
 }
--- a/src/test/java/damsonslip/faktory/sets/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/sets/RetryPolicyTest.java
@@ -27,7 +27,23 @@
     private final SplittableRandom random = new SplittableRandom(1);
 
     static JobRecord record(String id, String queue, int retry, long deadlineMs) {
-        Facts facts = new Facts(queue, "t", "any", 5, retry, 60_000, 1, deadlineMs, 0, "", "", "", 0, false, 2);
+        Facts facts =
+                new Facts(
+                        queue,
+                        "t",
+                        "any",
+                        5,
+                        retry,
+                        60_000,
+                        1,
+                        deadlineMs,
+                        0,
+                        "",
+                        "",
+                        "",
+                        0,
+                        false,
+                        2);
         return JobRecord.pushed(id, facts, 0, 1_000);
     }
 
@@ -51,7 +67,10 @@
         assertTrue(RetryPolicy.backoffMs(1_000_000, random) > 0, "and no count makes it negative");
     }
 
-    /** The wall clock was put back between two starts: how long ago the first run was cannot be told any more. */
+    /**
+     * The wall clock was put back between two starts: how long ago the first run was cannot be told
+     * any more.
+     */
     @Test
     void whatRanFirstInTheFutureIsNotRepeatedWithinAWindow() {
         JobRecord ran = ran(5, 0); // first run at 10,000 ms
@@ -97,8 +116,11 @@
     @Test
     void aReplyKeyHoldsOnlyWithinItsWindowAndWhereItIsKnownEverywhere() {
         assertTrue(RetryPolicy.mayRun(ran(1, 0), KEYED, 49_999));
-        assertFalse(RetryPolicy.mayRun(ran(1, 0), KEYED, 50_000), "40 s after the first run at 10 s");
-        assertFalse(RetryPolicy.mayRun(ran(1, 0), BY_ZONE, 10_001), "a new hand-over may lead to another zone");
+        assertFalse(
+                RetryPolicy.mayRun(ran(1, 0), KEYED, 50_000), "40 s after the first run at 10 s");
+        assertFalse(
+                RetryPolicy.mayRun(ran(1, 0), BY_ZONE, 10_001),
+                "a new hand-over may lead to another zone");
         assertEquals(State.DEAD, fail(ran(5, 0), BY_ZONE).state());
         JobRecord late = ran(5, 0);
         assertEquals(State.DEAD, RetryPolicy.failed(late, KEYED, BROKEN, 45_000, random).state());
@@ -108,22 +130,39 @@
     void aStartTellsApartWhatRanAndWhatDidNot() {
         JobRecord waits = record("j", "q", 25, 0);
         assertEquals(RecoveryAction.RESTORE, RetryPolicy.recovered(waits, ONCE, 5_000));
-        assertEquals(RecoveryAction.AWAIT_REPORT, RetryPolicy.recovered(ran(25, 0), SAFE, 5_000),
-            "its worker may be at it");
-        assertEquals(RecoveryAction.AWAIT_REPORT, RetryPolicy.recovered(ran(25, 90_000), ONCE, 5_000));
-        assertEquals(RecoveryAction.DISPATCH, RetryPolicy.recovered(ran(25, 90_000), SAFE, 5_000),
-            "somebody waits for it");
-        assertEquals(RecoveryAction.DISPATCH, RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 5_000));
-        assertEquals(RecoveryAction.EXPIRE, RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 90_000));
+        assertEquals(
+                RecoveryAction.AWAIT_REPORT,
+                RetryPolicy.recovered(ran(25, 0), SAFE, 5_000),
+                "its worker may be at it");
+        assertEquals(
+                RecoveryAction.AWAIT_REPORT, RetryPolicy.recovered(ran(25, 90_000), ONCE, 5_000));
+        assertEquals(
+                RecoveryAction.DISPATCH,
+                RetryPolicy.recovered(ran(25, 90_000), SAFE, 5_000),
+                "somebody waits for it");
+        assertEquals(
+                RecoveryAction.DISPATCH,
+                RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 5_000));
+        assertEquals(
+                RecoveryAction.EXPIRE,
+                RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 90_000));
         JobRecord back = ran(25, 90_000).handedBack(true, 11_000);
-        assertEquals(RecoveryAction.AWAIT_REPORT, RetryPolicy.recovered(back, ONCE, 20_000),
-            "queued again, but it had run");
-        assertEquals(RecoveryAction.DISPATCH,
-            RetryPolicy.recovered(ran(25, 90_000).handedBack(false, 11_000), ONCE, 20_000));
+        assertEquals(
+                RecoveryAction.AWAIT_REPORT,
+                RetryPolicy.recovered(back, ONCE, 20_000),
+                "queued again, but it had run");
+        assertEquals(
+                RecoveryAction.DISPATCH,
+                RetryPolicy.recovered(ran(25, 90_000).handedBack(false, 11_000), ONCE, 20_000));
         for (State state : List.of(State.DEAD, State.RETRY, State.SCHEDULED)) {
-            assertEquals(RecoveryAction.RESTORE, RetryPolicy.recovered(ran(1, 0).to(state, 9, "", 9), ONCE, 5_000));
+            assertEquals(
+                    RecoveryAction.RESTORE,
+                    RetryPolicy.recovered(ran(1, 0).to(state, 9, "", 9), ONCE, 5_000));
         }
         assertEquals(70_000, RetryPolicy.reportDeadlineMs(ran(25, 0)), "its reservation's end");
-        assertEquals(15_000, RetryPolicy.reportDeadlineMs(ran(25, 15_000)), "or its deadline, if that is earlier");
+        assertEquals(
+                15_000,
+                RetryPolicy.reportDeadlineMs(ran(25, 15_000)),
+                "or its deadline, if that is earlier");
     }
 }
--- a/src/test/java/damsonslip/invariants/GuardsTest.java
+++ b/src/test/java/damsonslip/invariants/GuardsTest.java
@@ -24,9 +24,19 @@
     private static final Place SAME_ZONE = new Place("b", 0, 1);
     private static final Place OTHER_ZONE = new Place("c", 1, 2);
 
-    private static Optional<Violation> send(long drainingSinceUs, boolean waits, long leftUs, long toldUs, ColdLoad cold) {
+    private static Optional<Violation> send(
+            long drainingSinceUs, boolean waits, long leftUs, long toldUs, ColdLoad cold) {
         return SendGuard.check(
-            new SendGuard.Facts("q", "a", NOW, drainingSinceUs, 500 * MS, waits, NOW + leftUs, toldUs, cold));
+                new SendGuard.Facts(
+                        "q",
+                        "a",
+                        NOW,
+                        drainingSinceUs,
+                        500 * MS,
+                        waits,
+                        NOW + leftUs,
+                        toldUs,
+                        cold));
     }
 
     private static void assertBreaks(Invariant expected, Optional<Violation> found) {
@@ -36,24 +46,32 @@
     @Test
     void sendsWithinTheGraceAndNotPastIt() {
         assertTrue(send(NOW - 500 * MS, true, 900 * MS, 900 * MS, null).isEmpty());
-        assertBreaks(Invariant.NO_SEND_PAST_DRAIN_GRACE, send(NOW - 501 * MS, true, 900 * MS, 900 * MS, null));
+        assertBreaks(
+                Invariant.NO_SEND_PAST_DRAIN_GRACE,
+                send(NOW - 501 * MS, true, 900 * MS, 900 * MS, null));
     }
 
     @Test
     void sendsOnlyForAClientThatWaits() {
-        assertBreaks(Invariant.NO_SEND_AFTER_DEPARTURE, send(Long.MAX_VALUE, false, 900 * MS, 900 * MS, null));
+        assertBreaks(
+                Invariant.NO_SEND_AFTER_DEPARTURE,
+                send(Long.MAX_VALUE, false, 900 * MS, 900 * MS, null));
     }
 
     @Test
     void tellsWhatIsLeftAndItsSlack() {
         assertTrue(send(Long.MAX_VALUE, true, 900 * MS, 1_050 * MS, null).isEmpty());
-        assertBreaks(Invariant.NO_MORE_TIME_TOLD_THAN_LEFT, send(Long.MAX_VALUE, true, 900 * MS, 1_051 * MS, null));
+        assertBreaks(
+                Invariant.NO_MORE_TIME_TOLD_THAN_LEFT,
+                send(Long.MAX_VALUE, true, 900 * MS, 1_051 * MS, null));
     }
 
     @Test
     void aColdWorkerBearsItsBudgetAndWhatChanceAdds() {
         assertTrue(send(Long.MAX_VALUE, true, 900 * MS, 0, new ColdLoad(122, 100)).isEmpty());
-        assertBreaks(Invariant.NO_COLD_WORKER_OVERLOADED, send(Long.MAX_VALUE, true, 900 * MS, 0, new ColdLoad(123, 100)));
+        assertBreaks(
+                Invariant.NO_COLD_WORKER_OVERLOADED,
+                send(Long.MAX_VALUE, true, 900 * MS, 0, new ColdLoad(123, 100)));
     }
 
     private static JobClass of(Effect effect, Group group) {
@@ -70,15 +88,20 @@
 
     @Test
     void neverHasTwoOut() {
-        assertBreaks(Invariant.NO_SECOND_COPY, repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, true, false)));
+        assertBreaks(
+                Invariant.NO_SECOND_COPY,
+                repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, true, false)));
     }
 
     @Test
     void repeatsWhatMustRunOnceOnlyWhereItNeverRan() {
         JobClass once = of(Effect.UNSAFE, Group.ALL);
         assertTrue(repeat(once, SAME_ZONE, earlier(MS, false, true)).isEmpty());
-        assertBreaks(Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, repeat(once, SAME_ZONE, earlier(MS, false, false)));
-        assertTrue(repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, false, false)).isEmpty());
+        assertBreaks(
+                Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                repeat(once, SAME_ZONE, earlier(MS, false, false)));
+        assertTrue(
+                repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, false, false)).isEmpty());
     }
 
     @Test
@@ -88,42 +111,55 @@
         Invariant broken = Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW;
         assertBreaks(broken, repeat(keyed, OTHER_ZONE, earlier(MS, false, false)));
         assertBreaks(broken, repeat(keyed, SAME_ZONE, earlier(1_051 * MS, false, false)));
-        assertBreaks(broken, repeat(of(Effect.KEYED, Group.CELL), SAME_ZONE, earlier(MS, false, false)));
+        assertBreaks(
+                broken, repeat(of(Effect.KEYED, Group.CELL), SAME_ZONE, earlier(MS, false, false)));
     }
 
     @Test
     void refusesOnlyWhatMayBeTriedAgain() {
         List<Earlier> run = List.of(earlier(MS, false, false));
-        assertBreaks(Invariant.NO_REFUSAL_AFTER_A_RUN, RepeatGuard.checkRefusal("q", of(Effect.UNSAFE, Group.ALL), run));
-        assertBreaks(Invariant.NO_REFUSAL_AFTER_A_RUN, RepeatGuard.checkRefusal("q", of(Effect.KEYED, Group.ZONE), run));
+        assertBreaks(
+                Invariant.NO_REFUSAL_AFTER_A_RUN,
+                RepeatGuard.checkRefusal("q", of(Effect.UNSAFE, Group.ALL), run));
+        assertBreaks(
+                Invariant.NO_REFUSAL_AFTER_A_RUN,
+                RepeatGuard.checkRefusal("q", of(Effect.KEYED, Group.ZONE), run));
         assertTrue(RepeatGuard.checkRefusal("q", of(Effect.KEYED, Group.ALL), run).isEmpty());
         assertTrue(RepeatGuard.checkRefusal("q", of(Effect.SAFE, Group.ALL), run).isEmpty());
     }
 
     @Test
     void closesNoConnectionThatIsOwedAnAnswer() {
-        assertBreaks(Invariant.NO_CLOSE_WITHOUT_ANSWER, CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle")));
+        assertBreaks(
+                Invariant.NO_CLOSE_WITHOUT_ANSWER,
+                CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle")));
         assertTrue(CloseGuard.check(new CloseGuard.Facts("q", true, true, "left")).isEmpty());
         assertTrue(CloseGuard.checkAnswer("q", NOW, NOW - 500 * MS).isEmpty());
-        assertBreaks(Invariant.NO_ANSWER_TOO_LATE, CloseGuard.checkAnswer("q", NOW, NOW - 501 * MS));
+        assertBreaks(
+                Invariant.NO_ANSWER_TOO_LATE, CloseGuard.checkAnswer("q", NOW, NOW - 501 * MS));
     }
 
     @Test
     void endsNoWorkerConnectionOverAnOpenAttempt() {
-        assertBreaks(Invariant.NO_CLOSE_OVER_AN_OPEN_ATTEMPT, CloseGuard.checkWorkerConnection("q", "w", true));
+        assertBreaks(
+                Invariant.NO_CLOSE_OVER_AN_OPEN_ATTEMPT,
+                CloseGuard.checkWorkerConnection("q", "w", true));
         assertTrue(CloseGuard.checkWorkerConnection("q", "w", false).isEmpty());
     }
 
     @Test
     void servesOnceTheListIsThere() {
         assertTrue(StartGuard.check(new StartGuard.Facts(true, true)).isEmpty());
-        assertBreaks(Invariant.NO_SERVICE_BEFORE_THE_LIST, StartGuard.check(new StartGuard.Facts(false, true)));
+        assertBreaks(
+                Invariant.NO_SERVICE_BEFORE_THE_LIST,
+                StartGuard.check(new StartGuard.Facts(false, true)));
     }
 
     @Test
     void countsAndReportsAndRefusesInTestsAlone() {
         List<Violation> reported = new ArrayList<>();
-        Optional<Violation> found = CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle"));
+        Optional<Violation> found =
+                CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle"));
         InvariantMonitor production = new InvariantMonitor(Mode.REPORT, reported::add);
         assertTrue(production.permits(found));
         assertTrue(production.permits(Optional.empty()));
--- a/src/test/java/damsonslip/kit/BusyDiscovery.java
+++ b/src/test/java/damsonslip/kit/BusyDiscovery.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Discovery that serves calls one after another at a bounded rate and answers those that would wait too long with 503 after
- * that wait, having spent as much on them; while it is down each call ends so, and its watches are reset.
+ * Discovery that serves calls one after another at a bounded rate and answers those that would wait
+ * too long with 503 after that wait, having spent as much on them; while it is down each call ends
+ * so, and its watches are reset.
  */
 public final class BusyDiscovery implements Closeable {
     private final Peer.Server server;
--- a/src/test/java/damsonslip/kit/FaktoryPeer.java
+++ b/src/test/java/damsonslip/kit/FaktoryPeer.java
@@ -18,8 +18,15 @@
     public FaktoryPeer(int port, String wid, String password) throws IOException {
         peer = Peer.connect(port);
         JsonNode hi = JSON.readTree(peer.line().substring("+HI ".length()));
-        String proof = hi.has("s") ? hash(password + hi.path("s").asText(), hi.path("i").asInt()) : "";
-        String hello = call("HELLO {\"v\":2,\"wid\":\"" + wid + "\",\"pwdhash\":\"" + proof + "\",\"labels\":[]}");
+        String proof =
+                hi.has("s") ? hash(password + hi.path("s").asText(), hi.path("i").asInt()) : "";
+        String hello =
+                call(
+                        "HELLO {\"v\":2,\"wid\":\""
+                                + wid
+                                + "\",\"pwdhash\":\""
+                                + proof
+                                + "\",\"labels\":[]}");
         if (!"+OK".equals(hello)) {
             throw new IOException(hello);
         }
@@ -37,7 +44,10 @@
         }
     }
 
-    /** Says a line and gives the reply: with its mark where simple, its content where bulk, null where nothing. */
+    /**
+     * Says a line and gives the reply: with its mark where simple, its content where bulk, null
+     * where nothing.
+     */
     public String call(String line) throws IOException {
         peer.send(line + "\r\n");
         String first = peer.line();
@@ -53,9 +63,18 @@
         return text;
     }
 
-    public String push(String jid, String jobClass, double deadlineS, String more) throws IOException {
-        return call("PUSH {\"jid\":\"" + jid + "\",\"jobtype\":\"t\",\"args\":[1],\"custom\":{\"class\":\"" + jobClass
-            + "\",\"deadline\":" + deadlineS + "}" + more + "}");
+    public String push(String jid, String jobClass, double deadlineS, String more)
+            throws IOException {
+        return call(
+                "PUSH {\"jid\":\""
+                        + jid
+                        + "\",\"jobtype\":\"t\",\"args\":[1],\"custom\":{\"class\":\""
+                        + jobClass
+                        + "\",\"deadline\":"
+                        + deadlineS
+                        + "}"
+                        + more
+                        + "}");
     }
 
     /** Waits for a job up to the protocol's two seconds; gives its id, or null. */
@@ -90,8 +109,14 @@
     }
 
     public String mutate(String verb, String target, String... jids) throws IOException {
-        return call("MUTATE {\"cmd\":\"" + verb + "\",\"target\":\"" + target + "\",\"filter\":{\"jids\":[\""
-            + String.join("\",\"", jids) + "\"]}}");
+        return call(
+                "MUTATE {\"cmd\":\""
+                        + verb
+                        + "\",\"target\":\""
+                        + target
+                        + "\",\"filter\":{\"jids\":[\""
+                        + String.join("\",\"", jids)
+                        + "\"]}}");
     }
 
     /** The connection itself, for what is not in order. */
--- a/src/test/java/damsonslip/kit/FaktoryServer.java
+++ b/src/test/java/damsonslip/kit/FaktoryServer.java
@@ -7,14 +7,16 @@
 import java.util.List;
 
 /**
- * The real program as a Faktory server: started with the operators' own file, in which a test's addresses and settings
- * stand, together with the peers that the test connects. Closing it ends all of them.
+ * The real program as a Faktory server: started with the operators' own file, in which a test's
+ * addresses and settings stand, together with the peers that the test connects. Closing it ends all
+ * of them.
  */
 public final class FaktoryServer implements AutoCloseable {
     private static final Path OPERATORS_FILE = Path.of("deploy/faktory.toml");
 
     /** The port where producers and workers connect. */
     public final int port = Program.freePort();
+
     private final Path dir;
     private final String store;
     private final String password;
@@ -25,9 +27,9 @@
     /**
      * A server that is not started yet.
      *
-     * @param dir          where its settings are written
-     * @param store        {@code memory}, or the address of a Redis stand-in
-     * @param password     what peers have to know; empty for none
+     * @param dir where its settings are written
+     * @param store {@code memory}, or the address of a Redis stand-in
+     * @param password what peers have to know; empty for none
      * @param replacements texts of the operators' file, each followed by what stands there instead
      */
     public FaktoryServer(Path dir, String store, String password, String... replacements) {
@@ -47,9 +49,14 @@
         return "redis://127.0.0.1:" + redis.port;
     }
 
-    /** The operators' file with these addresses and settings; a text to be replaced that it lacks fails the test. */
-    public static String settings(int port, String store, String... replacements) throws IOException {
-        String text = replace(Files.readString(OPERATORS_FILE), "127.0.0.1:7419", "127.0.0.1:" + port);
+    /**
+     * The operators' file with these addresses and settings; a text to be replaced that it lacks
+     * fails the test.
+     */
+    public static String settings(int port, String store, String... replacements)
+            throws IOException {
+        String text =
+                replace(Files.readString(OPERATORS_FILE), "127.0.0.1:7419", "127.0.0.1:" + port);
         text = replace(text, "redis://127.0.0.1:6379", store);
         for (int i = 0; i < replacements.length; i += 2) {
             text = replace(text, replacements[i], replacements[i + 1]);
@@ -73,10 +80,14 @@
     /** Starts one more scheduler, of another name, on another port, with the same store. */
     public Program start(int at, String name) throws IOException {
         String text = replace(settings(at, store, replacements), "127.0.0.1:7420", "");
-        text = replace(replace(text, "password = \"\"  ", "password = \"" + password + "\"  "),
-            "\"school-desk\"", "\"" + name + "\"");
-        Program started = new Program(null, "serve", Program.file(dir, text).toString())
-            .awaitWord("taken up from the store");
+        text =
+                replace(
+                        replace(text, "password = \"\"  ", "password = \"" + password + "\"  "),
+                        "\"school-desk\"",
+                        "\"" + name + "\"");
+        Program started =
+                new Program(null, "serve", Program.file(dir, text).toString())
+                        .awaitWord("taken up from the store");
         return closing(started);
     }
 
@@ -105,13 +116,15 @@
 
     /** Waits until a job is in this state, in the words of TRACK GET. */
     public static void awaitState(FaktoryPeer producer, String jid, String state) {
-        Program.await(jid + " is " + state, () -> {
-            try {
-                return producer.state(jid).equals(state);
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                jid + " is " + state,
+                () -> {
+                    try {
+                        return producer.state(jid).equals(state);
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
     }
 
     @Override
--- a/src/test/java/damsonslip/kit/LateServer.java
+++ b/src/test/java/damsonslip/kit/LateServer.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A server to which connections come up late: as long as its queue is full the system answers no dial, and who dials asks
- * again a second later, and two more seconds after that.
+ * A server to which connections come up late: as long as its queue is full the system answers no
+ * dial, and who dials asks again a second later, and two more seconds after that.
  */
 public final class LateServer implements Closeable {
     private static final int PROBE_MS = 150;
@@ -64,32 +64,36 @@
             filler.close();
         }
         fillers.clear();
-        Thread thread = new Thread(() -> {
-            try {
-                for (int i = 0; i < most; i++) {
-                    Peer peer = new Peer(socket.accept());
-                    synchronized (peers) {
-                        peers.add(peer);
-                    }
-                    connections.incrementAndGet();
-                    handle(handler, peer);
-                }
-            } catch (IOException e) {
-                // the test is over
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                for (int i = 0; i < most; i++) {
+                                    Peer peer = new Peer(socket.accept());
+                                    synchronized (peers) {
+                                        peers.add(peer);
+                                    }
+                                    connections.incrementAndGet();
+                                    handle(handler, peer);
+                                }
+                            } catch (IOException e) {
+                                // the test is over
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
 
     private static void handle(Peer.Handler handler, Peer peer) {
-        Thread thread = new Thread(() -> {
-            try (peer) {
-                handler.handle(peer);
-            } catch (IOException | InterruptedException e) {
-                // the other side has gone
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try (peer) {
+                                handler.handle(peer);
+                            } catch (IOException | InterruptedException e) {
+                                // the other side has gone
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/test/java/damsonslip/kit/Peer.java
+++ b/src/test/java/damsonslip/kit/Peer.java
@@ -17,7 +17,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** One side of a connection, on blocking sockets, with just enough HTTP to be a client or a server. */
+/**
+ * One side of a connection, on blocking sockets, with just enough HTTP to be a client or a server.
+ */
 public final class Peer implements Closeable {
     /** A message as it came. */
     public record Message(String first, Map<String, String> fields, String body) {
@@ -47,17 +49,19 @@
         /** A server on a socket with options of its own. */
         public Server(ServerSocket listening, Handler handler) {
             socket = listening;
-            daemon(() -> {
-                while (!socket.isClosed()) {
-                    Peer peer = new Peer(socket.accept());
-                    peers.add(peer);
-                    daemon(() -> {
-                        try (peer) {
-                            handler.handle(peer);
+            daemon(
+                    () -> {
+                        while (!socket.isClosed()) {
+                            Peer peer = new Peer(socket.accept());
+                            peers.add(peer);
+                            daemon(
+                                    () -> {
+                                        try (peer) {
+                                            handler.handle(peer);
+                                        }
+                                    });
                         }
                     });
-                }
-            });
         }
 
         public int port() {
@@ -89,13 +93,15 @@
     }
 
     private static void daemon(Task task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException | InterruptedException e) {
-                // the other side has gone, or the test is over
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException | InterruptedException e) {
+                                // the other side has gone, or the test is over
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -141,13 +147,19 @@
         Map<String, String> fields = new TreeMap<>();
         for (String line = line(); line != null && !line.isEmpty(); line = line()) {
             int colon = line.indexOf(':');
-            fields.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).strip());
+            fields.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(fields.getOrDefault("content-length", "0"));
-        return new Message(first, fields, new String(in.readNBytes(length), StandardCharsets.UTF_8));
+        return new Message(
+                first, fields, new String(in.readNBytes(length), StandardCharsets.UTF_8));
     }
 
-    /** What is there to read, so many bytes at the most, once there is any; empty at the end of the stream. */
+    /**
+     * What is there to read, so many bytes at the most, once there is any; empty at the end of the
+     * stream.
+     */
     public String some(int most) throws IOException {
         byte[] part = new byte[most];
         int count = socket.getInputStream().read(part);
--- a/src/test/java/damsonslip/kit/Program.java
+++ b/src/test/java/damsonslip/kit/Program.java
@@ -19,8 +19,10 @@
 public final class Program implements AutoCloseable {
     /** The system tells sizes in KB. */
     private static final int KB = 1_024;
+
     private static final long AWAIT_NS = TimeUnit.SECONDS.toNanos(10);
     private static final long LOOK_MS = 5;
+
     /** Within this time a JVM has written what its threads do. */
     private static final long THREADS_MS = 500;
 
@@ -41,22 +43,32 @@
     }
 
     /** The same with more in its environment. */
-    public Program(Path config, Map<String, String> environment, List<String> more, String... args) throws IOException {
+    public Program(Path config, Map<String, String> environment, List<String> more, String... args)
+            throws IOException {
         this(config, environment, more, 0, args);
     }
 
-    /** The same where the system gives it so many KB of memory of its own at the most; 0: no limit. */
-    public Program(Path config, Map<String, String> environment, List<String> more, int mostKb, String... args)
-        throws IOException {
+    /**
+     * The same where the system gives it so many KB of memory of its own at the most; 0: no limit.
+     */
+    public Program(
+            Path config,
+            Map<String, String> environment,
+            List<String> more,
+            int mostKb,
+            String... args)
+            throws IOException {
         this(config, environment, command(more, mostKb > 0 ? "-d " + mostKb : "", args));
     }
 
     /** The program where the system lets it hold so many file descriptors at the most. */
-    public static Program withDescriptors(Path config, int most, String... args) throws IOException {
+    public static Program withDescriptors(Path config, int most, String... args)
+            throws IOException {
         return new Program(config, Map.of(), command(List.of(), "-n " + most, args));
     }
 
-    private Program(Path config, Map<String, String> environment, List<String> command) throws IOException {
+    private Program(Path config, Map<String, String> environment, List<String> command)
+            throws IOException {
         this.config = config;
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
         if (config != null) {
@@ -69,19 +81,33 @@
         reader.start();
     }
 
-    /** What {@code run} of the deploy file starts: the jar, which has to be built, with the archive of its classes. */
-    public static Program deployed(Path config, Map<String, String> environment) throws IOException {
+    /**
+     * What {@code run} of the deploy file starts: the jar, which has to be built, with the archive
+     * of its classes.
+     */
+    public static Program deployed(Path config, Map<String, String> environment)
+            throws IOException {
         return new Program(config, environment, List.of("/bin/sh", "-c", DeployFile.run()));
     }
 
-    /** The program's command line under a limit of the shell's {@code ulimit}, or none if that is empty. */
+    /**
+     * The program's command line under a limit of the shell's {@code ulimit}, or none if that is
+     * empty.
+     */
     private static List<String> command(List<String> more, String limit, String... args) {
-        List<String> command = new ArrayList<>(List.of(
-            Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1",
-            "-XX:+UseSerialGC", "-Ddamsonslip.invariants=refuse",
-            "--add-opens=java.base/jdk.internal.misc=ALL-UNNAMED", "-cp", // what the jar's manifest asks for
-            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-            "damsonslip.program.Main"));
+        List<String> command =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-XX:TieredStopAtLevel=1",
+                                "-XX:+UseSerialGC",
+                                "-Ddamsonslip.invariants=refuse",
+                                "--add-opens=java.base/jdk.internal.misc=ALL-UNNAMED",
+                                "-cp", // what the jar's manifest asks for
+                                System.getProperty(
+                                        "surefire.test.class.path",
+                                        System.getProperty("java.class.path")),
+                                "damsonslip.program.Main"));
         command.addAll(1, more);
         command.addAll(List.of(args));
         if (!limit.isEmpty()) {
@@ -92,7 +118,8 @@
 
     private void read() {
         try (BufferedReader in =
-                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
+                new BufferedReader(
+                        new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 synchronized (said) {
                     said.append(line).append('\n');
@@ -110,8 +137,8 @@
     }
 
     /**
-     * Reads what it says up to this word, until {@link #readOn}: its thread that goes on to say more than a pipe holds
-     * stands still, in the middle of whatever it does.
+     * Reads what it says up to this word, until {@link #readOn}: its thread that goes on to say
+     * more than a pipe holds stands still, in the middle of whatever it does.
      */
     public void readUntil(String word) {
         synchronized (said) {
@@ -140,7 +167,10 @@
         }
     }
 
-    /** Waits until it has said this; one that ends without it, or says it too late, fails with all that it has said. */
+    /**
+     * Waits until it has said this; one that ends without it, or says it too late, fails with all
+     * that it has said.
+     */
     public Program awaitWord(String word) {
         return await("it says '" + word + "'", () -> said().contains(word), this);
     }
@@ -150,10 +180,15 @@
         long end = System.nanoTime() + AWAIT_NS;
         while (!holds.getAsBoolean()) {
             if (program.hasEnded() && !holds.getAsBoolean()) {
-                throw new AssertionError("the program ended before " + what + ": " + program.said());
+                throw new AssertionError(
+                        "the program ended before " + what + ": " + program.said());
             }
             if (System.nanoTime() > end) {
-                throw new AssertionError("did not come about: " + what + "; the program: " + program.saidWithThreads());
+                throw new AssertionError(
+                        "did not come about: "
+                                + what
+                                + "; the program: "
+                                + program.saidWithThreads());
             }
             pause();
         }
@@ -224,8 +259,10 @@
 
     private long status(String field) throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
-            .filter(line -> line.startsWith(field)).mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
-            .findFirst().orElse(0);
+                .filter(line -> line.startsWith(field))
+                .mapToLong(line -> Long.parseLong(line.replaceAll("\\D", "")))
+                .findFirst()
+                .orElse(0);
     }
 
     /** Processor time that it has used. */
@@ -262,7 +299,8 @@
     public void close() {
         readOn();
         process.destroyForcibly();
-        for (String fault : List.of("event=invariant_violated", "event=action_failed", "event=task_failed")) {
+        for (String fault :
+                List.of("event=invariant_violated", "event=action_failed", "event=task_failed")) {
             if (said().contains(fault)) {
                 throw new AssertionError("a fault of the program: " + said());
             }
--- a/src/test/java/damsonslip/kit/ProgramTest.java
+++ b/src/test/java/damsonslip/kit/ProgramTest.java
@@ -11,12 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the tests rest on: ports that nobody else is given, and a start that fails and is told of as it was. */
+/**
+ * What the tests rest on: ports that nobody else is given, and a start that fails and is told of as
+ * it was.
+ */
 class ProgramTest {
     private static final int MANY = 200;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     /** Else another test's connection may take it before the program listens there. */
     @Test
@@ -32,7 +34,9 @@
     /** Else those that run side by side would take the same ports. */
     @Test
     void eachTestProcessKnowsItsNumber() {
-        assertTrue(Ports.FORK > 0 || System.getProperty("surefire.test.class.path") == null, "fork " + Ports.FORK);
+        assertTrue(
+                Ports.FORK > 0 || System.getProperty("surefire.test.class.path") == null,
+                "fork " + Ports.FORK);
     }
 
     /** It used to be told as a start that said nothing for ten seconds. */
@@ -42,8 +46,11 @@
             Path config = Program.file(dir, FaktoryServer.settings(taken.getLocalPort(), "memory"));
             long from = System.nanoTime();
             try (Program program = new Program(null, "serve", config.toString())) {
-                AssertionError failed = assertThrows(AssertionError.class, () -> program.awaitWord("listens on"));
-                assertTrue(failed.getMessage().contains("Address already in use"), failed.getMessage());
+                AssertionError failed =
+                        assertThrows(AssertionError.class, () -> program.awaitWord("listens on"));
+                assertTrue(
+                        failed.getMessage().contains("Address already in use"),
+                        failed.getMessage());
                 assertTrue(System.nanoTime() - from < 8_000_000_000L, "it need not be waited for");
             }
         }
--- a/src/test/java/damsonslip/kit/RedisStandIn.java
+++ b/src/test/java/damsonslip/kit/RedisStandIn.java
@@ -12,8 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * As much of a Redis server as the store uses, from the public protocol. It can be taken down and brought back, stall,
- * answer errors, and be set a trap: what happens to the next command that fits.
+ * As much of a Redis server as the store uses, from the public protocol. It can be taken down and
+ * brought back, stall, answer errors, and be set a trap: what happens to the next command that
+ * fits.
  */
 public final class RedisStandIn implements AutoCloseable {
     public final int port;
@@ -25,10 +26,17 @@
     private volatile boolean errors;
     private volatile long stalledUntil;
 
-    /** What a trap does with the command that it catches; the first two leave the peer without an answer. */
-    public enum Then { HOLD_UNDONE, DO_AND_HOLD, DO_AND_HANG_UP }
+    /**
+     * What a trap does with the command that it catches; the first two leave the peer without an
+     * answer.
+     */
+    public enum Then {
+        HOLD_UNDONE,
+        DO_AND_HOLD,
+        DO_AND_HANG_UP
+    }
 
-    private record Trap(Predicate<List<String>> fits, Then then, CountDownLatch sprung) { }
+    private record Trap(Predicate<List<String>> fits, Then then, CountDownLatch sprung) {}
 
     /** Sets a trap; the latch tells when it was sprung. */
     public CountDownLatch trap(Predicate<List<String>> fits, Then then) {
@@ -81,23 +89,30 @@
     }
 
     public void up() throws IOException {
-        server = new Peer.Server(port, peer -> {
-            while (true) {
-                List<String> words = new ArrayList<>();
-                String head = peer.line();
-                if (head == null) {
-                    return;
-                }
-                for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
-                    words.add(peer.bytes(Integer.parseInt(peer.line().substring(1))));
-                    peer.line();
-                }
-                if (caught(words)) {
-                    return;
-                }
-                peer.send(errors ? "-ERR this stand-in was told to fail\r\n" : answer(words));
-            }
-        });
+        server =
+                new Peer.Server(
+                        port,
+                        peer -> {
+                            while (true) {
+                                List<String> words = new ArrayList<>();
+                                String head = peer.line();
+                                if (head == null) {
+                                    return;
+                                }
+                                for (int i = Integer.parseInt(head.substring(1)); i > 0; i--) {
+                                    words.add(
+                                            peer.bytes(Integer.parseInt(peer.line().substring(1))));
+                                    peer.line();
+                                }
+                                if (caught(words)) {
+                                    return;
+                                }
+                                peer.send(
+                                        errors
+                                                ? "-ERR this stand-in was told to fail\r\n"
+                                                : answer(words));
+                            }
+                        });
     }
 
     public void down() throws IOException {
@@ -118,16 +133,46 @@
             }
             case "GET" -> orNothing(texts.get(key));
             case "MGET" -> array(words.subList(1, words.size()).stream().map(texts::get).toList());
-            case "DEL" -> number(words.subList(1, words.size()).stream().filter(k -> texts.remove(k) != null).count());
-            case "SADD" -> number(rest.stream().filter(sets.computeIfAbsent(key, k -> new TreeSet<>())::add).count());
-            case "SREM" -> number(rest.stream().filter(sets.getOrDefault(key, new TreeSet<>())::remove).count());
+            case "DEL" ->
+                    number(
+                            words.subList(1, words.size()).stream()
+                                    .filter(k -> texts.remove(k) != null)
+                                    .count());
+            case "SADD" ->
+                    number(
+                            rest.stream()
+                                    .filter(sets.computeIfAbsent(key, k -> new TreeSet<>())::add)
+                                    .count());
+            case "SREM" ->
+                    number(
+                            rest.stream()
+                                    .filter(sets.getOrDefault(key, new TreeSet<>())::remove)
+                                    .count());
             case "SMEMBERS" -> array(List.copyOf(sets.getOrDefault(key, Set.of())));
-            case "HSET" -> number(hashes.computeIfAbsent(key, k -> new TreeMap<>()).put(words.get(2), words.get(3))
-                == null ? 1 : 0);
-            case "HDEL" -> number(rest.stream().filter(f -> hashes.getOrDefault(key, new TreeMap<>()).remove(f) != null)
-                .count());
-            case "HGETALL" -> array(hashes.getOrDefault(key, Map.of()).entrySet().stream()
-                .flatMap(each -> java.util.stream.Stream.of(each.getKey(), each.getValue())).toList());
+            case "HSET" ->
+                    number(
+                            hashes.computeIfAbsent(key, k -> new TreeMap<>())
+                                                    .put(words.get(2), words.get(3))
+                                            == null
+                                    ? 1
+                                    : 0);
+            case "HDEL" ->
+                    number(
+                            rest.stream()
+                                    .filter(
+                                            f ->
+                                                    hashes.getOrDefault(key, new TreeMap<>())
+                                                                    .remove(f)
+                                                            != null)
+                                    .count());
+            case "HGETALL" ->
+                    array(
+                            hashes.getOrDefault(key, Map.of()).entrySet().stream()
+                                    .flatMap(
+                                            each ->
+                                                    java.util.stream.Stream.of(
+                                                            each.getKey(), each.getValue()))
+                                    .toList());
             case "EXPIRE" -> ":1\r\n";
             case "PING" -> "+PONG\r\n";
             case "CLIENT", "AUTH", "SELECT" -> "+OK\r\n";
--- a/src/test/java/damsonslip/lab/soak/SoakTest.java
+++ b/src/test/java/damsonslip/lab/soak/SoakTest.java
@@ -16,18 +16,24 @@
     private static final long LENGTH_US = 8 * Clock.SECOND;
     private static final long SEED = 20;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     private Verdict play(SoakPlan plan) throws Exception {
-        Optional<Path> library = FaultLibrary.build(FaultLibrary.SOURCE, Path.of("target", "faults"));
+        Optional<Path> library =
+                FaultLibrary.build(FaultLibrary.SOURCE, Path.of("target", "faults"));
         if (library.isEmpty()) {
             System.out.println("no C compiler: failing system calls are NOT RUN");
         }
-        List<String> program = List.of("-Ddamsonslip.invariants=refuse", "-cp",
-            System.getProperty("surefire.test.class.path", System.getProperty("java.class.path")),
-            "damsonslip.program.Main");
-        return new SoakRun(plan, LENGTH_US, dir, library, new SchedulerProcess.Setup(dir, program, "")).play();
+        List<String> program =
+                List.of(
+                        "-Ddamsonslip.invariants=refuse",
+                        "-cp",
+                        System.getProperty(
+                                "surefire.test.class.path", System.getProperty("java.class.path")),
+                        "damsonslip.program.Main");
+        return new SoakRun(
+                        plan, LENGTH_US, dir, library, new SchedulerProcess.Setup(dir, program, ""))
+                .play();
     }
 
     @Test
@@ -42,7 +48,8 @@
         SoakPlan one = new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(), Set.of());
         SoakPlan again = new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(), Set.of());
         assertEquals(one.troubles(), again.troubles());
-        assertEquals(one.troubles().subList(1, one.troubles().size()),
-            new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(0), Set.of()).troubles());
+        assertEquals(
+                one.troubles().subList(1, one.troubles().size()),
+                new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(0), Set.of()).troubles());
     }
 }
--- a/src/test/java/damsonslip/management/ManagementRequestTest.java
+++ b/src/test/java/damsonslip/management/ManagementRequestTest.java
@@ -12,12 +12,25 @@
     @Test
     void aLineIsOneCall() throws ManagementRequest.MalformedException {
         assertEquals(new ManagementRequest(Verb.READY, null), ManagementRequest.decode("READY\r"));
-        assertEquals(new ManagementRequest(Verb.DISABLE, "s-1"), ManagementRequest.decode("DISABLE  s-1"));
+        assertEquals(
+                new ManagementRequest(Verb.DISABLE, "s-1"),
+                ManagementRequest.decode("DISABLE  s-1"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", " ", "ready", "STATS all", "DISABLE", "ENABLE a b", "DRAINED", "READY\u0000"})
+    @ValueSource(
+            strings = {
+                "",
+                " ",
+                "ready",
+                "STATS all",
+                "DISABLE",
+                "ENABLE a b",
+                "DRAINED",
+                "READY\u0000"
+            })
     void whatIsNoCallIsTold(String line) {
-        assertThrows(ManagementRequest.MalformedException.class, () -> ManagementRequest.decode(line));
+        assertThrows(
+                ManagementRequest.MalformedException.class, () -> ManagementRequest.decode(line));
     }
 }
--- a/src/test/java/damsonslip/membership/DiscoveryModel.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModel.java
@@ -7,43 +7,67 @@
 import java.util.Random;
 
 /**
- * A fleet of schedulers, each with a real {@link DiscoveryWatch}, before one discovery that serves calls one after another,
- * may be down for a while, and tells changes of the list; with a judge of the rule on drains.
+ * A fleet of schedulers, each with a real {@link DiscoveryWatch}, before one discovery that serves
+ * calls one after another, may be down for a while, and tells changes of the list; with a judge of
+ * the rule on drains.
  *
- * <p>A call that would wait too long fails after that wait, costs as much as one that is served, and looks like one that
- * is made while discovery is down. All times are microseconds from the beginning.
+ * <p>A call that would wait too long fails after that wait, costs as much as one that is served,
+ * and looks like one that is made while discovery is down. All times are microseconds from the
+ * beginning.
  */
 final class DiscoveryModel {
     static final long SECOND = 1_000_000;
     private static final long ASK_EVERY = 10 * SECOND;
     private static final long GRACE = SECOND / 2;
+
     /** A change counts as told this long after discovery had it and could be reached (STANDING). */
     private static final long COUNTS_AFTER = 6 * SECOND;
+
     /** A watch that says nothing for so long is given up. */
     private static final long SILENT_FOR = 3_500_000;
+
     private static final long LOOK_EVERY = SECOND / 20;
+
     /** The platform launches a process that has ended again within this time. */
     private static final long LATEST_LAUNCH = 3 * SECOND / 2;
-    /** From the launch until the list is begun with; a machine that is busy or short of sockets takes long. */
+
+    /**
+     * From the launch until the list is begun with; a machine that is busy or short of sockets
+     * takes long.
+     */
     private static final long LEAST_START = SECOND / 5;
+
     private static final long LONGEST_START = 4 * SECOND;
 
-    private enum Phase { KILLED, WAITING, CALLING, OPEN, SILENT }
+    private enum Phase {
+        KILLED,
+        WAITING,
+        CALLING,
+        OPEN,
+        SILENT
+    }
 
     /** What is due at a time; of equal times the one that was set first comes first. */
-    private record Due(long at, long order, Runnable action) { }
+    private record Due(long at, long order, Runnable action) {}
 
     /** One scheduler and what it knows. */
     private final class Scheduler {
         final int number;
         DiscoveryWatch watch;
         Phase phase = Phase.KILLED;
+
         /** Changes that discovery could tell by then are known. */
         long knownUntil;
+
         /** When the watch fell silent, by which what it misses counts. */
         long silentSince = Long.MAX_VALUE;
-        /** The end of the process before; the list that this one begins with counts as one of that moment. */
+
+        /**
+         * The end of the process before; the list that this one begins with counts as one of that
+         * moment.
+         */
         long killedAt;
+
         /** What was set for an earlier phase does not happen any more. */
         int phases;
 
@@ -62,11 +86,13 @@
         /** Does this then, if the phase is still the same. */
         void later(long at, Runnable action) {
             int set = phases;
-            at(at, () -> {
-                if (set == phases) {
-                    action.run();
-                }
-            });
+            at(
+                    at,
+                    () -> {
+                        if (set == phases) {
+                            action.run();
+                        }
+                    });
         }
 
         void start(long launchedAt) {
@@ -130,13 +156,23 @@
                 long available = Math.max(killedAt, isDown(change) ? downUntil : change);
                 long counts = counts(available);
                 if ((isDown(change) ? downUntil : change) > knownUntil && now > counts + GRACE) {
-                    broken.add(number + " at " + now + " by a change of " + change + " that counts at " + counts);
+                    broken.add(
+                            number
+                                    + " at "
+                                    + now
+                                    + " by a change of "
+                                    + change
+                                    + " that counts at "
+                                    + counts);
                     return;
                 }
             }
         }
 
-        /** What a silent watch misses counts 6 s after it fell silent, all else 6 s after discovery could tell it. */
+        /**
+         * What a silent watch misses counts 6 s after it fell silent, all else 6 s after discovery
+         * could tell it.
+         */
         private long counts(long available) {
             boolean missed = available >= silentSince && available < silentSince + COUNTS_AFTER;
             return (missed ? silentSince : available) + COUNTS_AFTER;
@@ -144,8 +180,12 @@
     }
 
     private final List<Scheduler> schedulers = new ArrayList<>();
-    private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> a.at() == b.at()
-        ? Long.compare(a.order(), b.order()) : Long.compare(a.at(), b.at()));
+    private final PriorityQueue<Due> due =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() == b.at()
+                                    ? Long.compare(a.order(), b.order())
+                                    : Long.compare(a.at(), b.at()));
     private final Random random;
     private final long callCost;
     private final long mostWait;
@@ -188,13 +228,17 @@
         at(until, () -> busyUntil = now);
     }
 
-    /** This part of the fleet is killed at once; each is launched again soon, and takes a while to start. */
+    /**
+     * This part of the fleet is killed at once; each is launched again soon, and takes a while to
+     * start.
+     */
     void kill(long time, double part) {
         for (Scheduler scheduler : schedulers) {
             if (random.nextDouble() < part) {
                 long launched = time + (long) (LATEST_LAUNCH * random.nextDouble());
                 at(time, scheduler::kill);
-                long takes = LEAST_START + (long) ((LONGEST_START - LEAST_START) * random.nextDouble());
+                long takes =
+                        LEAST_START + (long) ((LONGEST_START - LEAST_START) * random.nextDouble());
                 at(launched + takes, () -> scheduler.start(launched));
             }
         }
--- a/src/test/java/damsonslip/membership/DiscoveryModelTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModelTest.java
@@ -7,14 +7,19 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Drawn troubles of a fleet and its discovery: no list is used once a change that it lacks has counted for the grace. */
+/**
+ * Drawn troubles of a fleet and its discovery: no list is used once a change that it lacks has
+ * counted for the grace.
+ */
 class DiscoveryModelTest {
     private static final int SEEDS = 400;
     private static final long END = 90 * SECOND;
     private static final int LARGEST = 120;
     private static final int DRAINS = 12;
+
     /** What a call costs in a small fleet, and all calls of a large one together; measured. */
     private static final long MOST_CALL_COST = 300_000;
+
     private static final double LEAST_FLEET_COST_S = 4.5;
     private static final double MOST_FLEET_COST_S = 7;
 
@@ -29,7 +34,10 @@
 
     private static List<String> play(Random random) {
         int size = 1 + random.nextInt(LARGEST);
-        long cost = Math.min(MOST_CALL_COST, between(random, LEAST_FLEET_COST_S, MOST_FLEET_COST_S) / size);
+        long cost =
+                Math.min(
+                        MOST_CALL_COST,
+                        between(random, LEAST_FLEET_COST_S, MOST_FLEET_COST_S) / size);
         long mostWait = random.nextBoolean() ? 2 * SECOND : 3 * SECOND;
         DiscoveryModel model = new DiscoveryModel(size, cost, mostWait, random);
         long down = between(random, 0, 15);
--- a/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
@@ -16,12 +16,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One scheduler's watch on discovery, and a fleet of them before one that serves calls one after another. */
+/**
+ * One scheduler's watch on discovery, and a fleet of them before one that serves calls one after
+ * another.
+ */
 class DiscoveryWatchTest {
     private static final long SECOND = 1_000_000;
     private static final long ASK_EVERY = 10 * SECOND;
     private static final long GRACE = SECOND / 2;
-    /** From a change until nothing is sent any more that its news would forbid: 6 s, and the grace less its margin. */
+
+    /**
+     * From a change until nothing is sent any more that its news would forbid: 6 s, and the grace
+     * less its margin.
+     */
     private static final long TOLD = 6 * SECOND + GRACE - 150_000;
 
     private static DiscoveryWatch watch(int schedulers, int number) {
@@ -47,7 +54,9 @@
         DiscoveryWatch watch = watch(100, 7);
         watch.start(50 * SECOND, 0.5);
         assertTrue(watch.isValid(50 * SECOND + TOLD - 2 * SECOND - 1));
-        assertFalse(watch.isValid(50 * SECOND + TOLD - 2 * SECOND), "its news may be missed since the end of that one");
+        assertFalse(
+                watch.isValid(50 * SECOND + TOLD - 2 * SECOND),
+                "its news may be missed since the end of that one");
     }
 
     @Test
@@ -65,10 +74,19 @@
         assertFalse(watch.isValid(20 * SECOND + TOLD));
     }
 
-    /** Discovery that cannot be reached has told nobody anything; one that refuses may have told all others. */
+    /**
+     * Discovery that cannot be reached has told nobody anything; one that refuses may have told all
+     * others.
+     */
     @ParameterizedTest
-    @CsvSource({"FAILED,FAILED,false", "SILENT,FAILED,false", "FAILED,UNREACHABLE,true", "SILENT,UNREACHABLE,true"})
-    void aFailedCallProlongsOnlyWhereDiscoveryCannotBeReached(Loss end, Loss ofCall, boolean prolongs) {
+    @CsvSource({
+        "FAILED,FAILED,false",
+        "SILENT,FAILED,false",
+        "FAILED,UNREACHABLE,true",
+        "SILENT,UNREACHABLE,true"
+    })
+    void aFailedCallProlongsOnlyWhereDiscoveryCannotBeReached(
+            Loss end, Loss ofCall, boolean prolongs) {
         DiscoveryWatch watch = openWatch();
         watch.lost(end, 20 * SECOND, 20 * SECOND, 0.5);
         watch.called(21 * SECOND);
@@ -108,7 +126,9 @@
         watch.called(22 * SECOND);
         watch.lost(Loss.UNREACHABLE, 22 * SECOND, 22 * SECOND, 0.5);
         assertTrue(watch.isValid(20 * SECOND + TOLD - 2 * SECOND - 1));
-        assertFalse(watch.isValid(20 * SECOND + TOLD - 2 * SECOND), "4 s and the grace after the first signal");
+        assertFalse(
+                watch.isValid(20 * SECOND + TOLD - 2 * SECOND),
+                "4 s and the grace after the first signal");
         watch.configurationRead();
         assertTrue(watch.isValid(20 * SECOND + TOLD));
     }
@@ -120,7 +140,8 @@
         DiscoveryWatch watch = watch(100, 7);
         watch.called(watch.start(0, 0.5));
         watch.received();
-        assertTrue(watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.99) < 23 * SECOND + SECOND / 4);
+        assertTrue(
+                watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.99) < 23 * SECOND + SECOND / 4);
     }
 
     @ParameterizedTest
@@ -155,25 +176,45 @@
     // ---- a fleet
 
     /** One call or loss that is due. */
-    private record Due(long at, int number, Loss loss) { }
+    private record Due(long at, int number, Loss loss) {}
 
-    /** Discovery that serves calls one after another, and spends as much on those that waited too long. */
+    /**
+     * Discovery that serves calls one after another, and spends as much on those that waited too
+     * long.
+     */
     private static final class Fleet {
         private static final long MOST_WAIT = 2 * SECOND;
-        /** What all calls of a fleet cost it together, as measured with 98 schedulers: 61 ms each soon after its return, */
+
+        /**
+         * What all calls of a fleet cost it together, as measured with 98 schedulers: 61 ms each
+         * soon after its return,
+         */
         static final long COST_AT_RETURN = 6_000_000;
-        /** and up to 71 ms each in the midst of a release, when 54 workers had changed; a tenth more than that. */
+
+        /**
+         * and up to 71 ms each in the midst of a release, when 54 workers had changed; a tenth more
+         * than that.
+         */
         static final long COST_IN_RELEASE = 7_600_000;
+
         final long[] toldAt;
         int most;
+
         /** Those who call, if they are to know of it. */
         DiscoveryWatch[] watches;
-        private final PriorityQueue<Due> due = new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
+
+        private final PriorityQueue<Due> due =
+                new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
         private final long cost;
-        /** Changes of the list come this often during a release, and one goes to each open watch. */
+
+        /**
+         * Changes of the list come this often during a release, and one goes to each open watch.
+         */
         private static final long CHANGE_EVERY = 1_100_000;
+
         /** A change costs this part of a call. */
         private static final int PUSH_PART = 60;
+
         private final long downUntil;
         private final List<Long> calls = new ArrayList<>();
         private long busyUntil;
@@ -189,7 +230,10 @@
             due.add(new Due(at, number, null));
         }
 
-        /** Plays until nothing is due any more, or the end; {@code again} tells from number and time when to call again. */
+        /**
+         * Plays until nothing is due any more, or the end; {@code again} tells from number and time
+         * when to call again.
+         */
         Fleet play(long end, LongBinaryOperator again) {
             while (!due.isEmpty() && due.peek().at() < end) {
                 Due next = due.poll();
@@ -207,7 +251,10 @@
             if (watches != null) {
                 watches[number].called(at);
             }
-            most = Math.max(most, (int) calls.stream().filter(other -> other > at - SECOND).count());
+            most =
+                    Math.max(
+                            most,
+                            (int) calls.stream().filter(other -> other > at - SECOND).count());
             boolean down = at < downUntil;
             push(at);
             long wait = Math.max(0, busyUntil - at);
@@ -222,7 +269,9 @@
         }
 
         private void push(long until) {
-            for (nextChange = Math.max(nextChange, downUntil); nextChange < until; nextChange += CHANGE_EVERY) {
+            for (nextChange = Math.max(nextChange, downUntil);
+                    nextChange < until;
+                    nextChange += CHANGE_EVERY) {
                 long open = Arrays.stream(toldAt).filter(at -> at > 0).count();
                 busyUntil = Math.max(busyUntil, nextChange) + open * cost / PUSH_PART;
             }
@@ -239,7 +288,8 @@
 
     private static LongBinaryOperator bySlots(DiscoveryWatch[] watches) {
         Random random = new Random(3);
-        return (number, now) -> watches[(int) number].lost(Loss.FAILED, now, now, random.nextDouble());
+        return (number, now) ->
+                watches[(int) number].lost(Loss.FAILED, now, now, random.nextDouble());
     }
 
     private static DiscoveryWatch[] watches(int schedulers) {
@@ -260,7 +310,10 @@
         }
     }
 
-    /** All watches are reset at once and discovery is down for 8 s: all are told before a change at its return counts. */
+    /**
+     * All watches are reset at once and discovery is down for 8 s: all are told before a change at
+     * its return counts.
+     */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 120})
     void aWholeFleetIsToldInTimeOfTheReturn(int schedulers) {
@@ -274,13 +327,18 @@
         assertTrue(fleet.most <= schedulers / 4 + 3, "calls in a second: " + fleet.most);
     }
 
-    /** The list of a process that starts may be of long ago: only a call at once tells it in time. */
+    /**
+     * The list of a process that starts may be of long ago: only a call at once tells it in time.
+     */
     @Test
     void whoStartsCallsAtOnce() {
         assertTrue(watch(100, 42).start(7 * SECOND, 0.99) <= 7 * SECOND + SECOND * 2 / 5);
     }
 
-    /** Seven in ten start again at once, more than can be served: none goes on with its old list for that, all are told. */
+    /**
+     * Seven in ten start again at once, more than can be served: none goes on with its old list for
+     * that, all are told.
+     */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 120})
     void aHerdThatStartsAgainIsToldAndDoesNotTrustItsOldList(int schedulers) {
@@ -298,16 +356,23 @@
         }
         long counts = last + TOLD;
         Random random = new Random(3);
-        fleet.play(60 * SECOND, (number, now) -> {
-            DiscoveryWatch watch = watches[(int) number];
-            long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
-            assertFalse(watch.isValid(counts), number + " trusts its list after a failure at " + now);
-            return next;
-        });
+        fleet.play(
+                60 * SECOND,
+                (number, now) -> {
+                    DiscoveryWatch watch = watches[(int) number];
+                    long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                    assertFalse(
+                            watch.isValid(counts),
+                            number + " trusts its list after a failure at " + now);
+                    return next;
+                });
         assertEquals(0, fleet.late(20 * SECOND + 15 * SECOND));
     }
 
-    /** What has happened while nobody ran comes with the first call; until then the old list is held back, for a while. */
+    /**
+     * What has happened while nobody ran comes with the first call; until then the old list is held
+     * back, for a while.
+     */
     @Test
     void whoStartsWaitsForItsFirstCall() {
         DiscoveryWatch told = watch(1, 0);
@@ -331,7 +396,10 @@
         assertTrue(unanswered.isUsable(2 * SECOND), "a job cannot wait for ever");
     }
 
-    /** A start while discovery is down for long: a small fleet uses the list that was kept again, a large one does not. */
+    /**
+     * A start while discovery is down for long: a small fleet uses the list that was kept again, a
+     * large one does not.
+     */
     @ParameterizedTest
     @CsvSource({"1,15", "6,20", "14,27", "20,120", "100,120"})
     void aStartBesideADiscoveryThatIsDownUsesItsListAgain(int schedulers, int notBeforeS) {
@@ -340,7 +408,9 @@
         while (next < notBeforeS * SECOND) {
             watch.called(next);
             next = watch.lost(Loss.FAILED, next, next + 2 * SECOND, 0.5);
-            assertFalse(watch.isValid(Math.max(next, TOLD)), "as a herd behind a short outage may have it");
+            assertFalse(
+                    watch.isValid(Math.max(next, TOLD)),
+                    "as a herd behind a short outage may have it");
         }
         for (int i = 0; i < 3; i++) {
             watch.called(next);
@@ -349,10 +419,21 @@
         assertEquals(schedulers <= 14, watch.isValid(next));
     }
 
-    /** An outage that was taken for one that lasts ends: behind its return a whole fleet calls, and not all are served. */
+    /**
+     * An outage that was taken for one that lasts ends: behind its return a whole fleet calls, and
+     * not all are served.
+     */
     @ParameterizedTest
-    @CsvSource({"3,900000", "6,1800000", "14,4200000", "20,6000000",
-        "40,6900000", "60,6900000", "100,6900000", "120,6900000"})
+    @CsvSource({
+        "3,900000",
+        "6,1800000",
+        "14,4200000",
+        "20,6000000",
+        "40,6900000",
+        "60,6900000",
+        "100,6900000",
+        "120,6900000"
+    })
     void theReturnOfALongOutageIsNotTakenForMoreOfIt(int schedulers, long costOfAll) {
         for (long outage = 8 * SECOND; outage <= 60 * SECOND; outage += SECOND / 2) {
             long returns = 10 * SECOND + outage;
@@ -361,13 +442,21 @@
             fleet.watches = watches;
             Random random = new Random(5);
             loseAll(fleet, 10 * SECOND, random);
-            fleet.play(returns + 60 * SECOND, (number, now) -> {
-                DiscoveryWatch watch = watches[(int) number];
-                long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
-                boolean valid = watch.isValid(Math.max(now, returns + TOLD));
-                assertFalse(valid, number + " uses its list behind a failure at " + now + ", return at " + returns);
-                return next;
-            });
+            fleet.play(
+                    returns + 60 * SECOND,
+                    (number, now) -> {
+                        DiscoveryWatch watch = watches[(int) number];
+                        long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                        boolean valid = watch.isValid(Math.max(now, returns + TOLD));
+                        assertFalse(
+                                valid,
+                                number
+                                        + " uses its list behind a failure at "
+                                        + now
+                                        + ", return at "
+                                        + returns);
+                        return next;
+                    });
         }
     }
 
@@ -376,22 +465,38 @@
     }
 
     /**
-     * An outage of 8 s that begins in the fleet's first calls, or under its open watches, and seven in ten that start again
-     * behind it: who stayed takes the calls that fail for want of time for none of the outage, whose changes count by then.
+     * An outage of 8 s that begins in the fleet's first calls, or under its open watches, and seven
+     * in ten that start again behind it: who stayed takes the calls that fail for want of time for
+     * none of the outage, whose changes count by then.
      */
     @ParameterizedTest
-    @CsvSource({"6,true", "14,true", "20,true", "60,true", "100,true", "120,true",
-        "6,false", "14,false", "20,false", "60,false", "100,false", "120,false"})
+    @CsvSource({
+        "6,true",
+        "14,true",
+        "20,true",
+        "60,true",
+        "100,true",
+        "120,true",
+        "6,false",
+        "14,false",
+        "20,false",
+        "60,false",
+        "100,false",
+        "120,false"
+    })
     void aHerdBehindAnOutageIsNotTakenForTheOutage(int schedulers, boolean inFirstCalls) {
         long down = 2_800_000;
         long returns = down + 8 * SECOND;
         DiscoveryWatch[] watches = watches(schedulers);
-        Fleet fleet = new Fleet(schedulers, Math.min(Fleet.COST_IN_RELEASE, 300_000 * schedulers), returns);
+        Fleet fleet =
+                new Fleet(
+                        schedulers, Math.min(Fleet.COST_IN_RELEASE, 300_000 * schedulers), returns);
         fleet.watches = watches;
         Random random = new Random(5);
         for (int number = 0; number < schedulers; number++) {
             boolean stays = stays(number);
-            long first = watches[number].start(stays ? 0 : returns + 3_400_000, random.nextDouble());
+            long first =
+                    watches[number].start(stays ? 0 : returns + 3_400_000, random.nextDouble());
             if (stays && !inFirstCalls) {
                 watches[number].called(first);
                 watches[number].received();
@@ -399,13 +504,15 @@
             }
             fleet.callAt(number, first);
         }
-        fleet.play(60 * SECOND, (number, now) -> {
-            DiscoveryWatch watch = watches[(int) number];
-            long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
-            boolean valid = stays(number) && watch.isValid(Math.max(now, returns + TOLD));
-            assertFalse(valid, number + " uses its list behind a failure at " + now);
-            return next;
-        });
+        fleet.play(
+                60 * SECOND,
+                (number, now) -> {
+                    DiscoveryWatch watch = watches[(int) number];
+                    long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                    boolean valid = stays(number) && watch.isValid(Math.max(now, returns + TOLD));
+                    assertFalse(valid, number + " uses its list behind a failure at " + now);
+                    return next;
+                });
         assertEquals(0, fleet.late(60 * SECOND));
     }
 
@@ -418,7 +525,10 @@
         assertFalse(watch.isValid(20 * SECOND + TOLD));
     }
 
-    /** What happened before there were slots: those that failed together call again together, and starve. */
+    /**
+     * What happened before there were slots: those that failed together call again together, and
+     * starve.
+     */
     @Test
     void callersThatBackOffByThemselvesStarve() {
         int schedulers = 100;
@@ -430,6 +540,8 @@
             fleet.callAt(number, 20 * SECOND + random.nextInt(400_000));
         }
         fleet.play(32 * SECOND, (number, now) -> now + 200_000 + random.nextInt(400_000));
-        assertTrue(fleet.late(32 * SECOND) > 20, "of seventy are not told after 12 s: " + fleet.late(32 * SECOND));
+        assertTrue(
+                fleet.late(32 * SECOND) > 20,
+                "of seventy are not told after 12 s: " + fleet.late(32 * SECOND));
     }
 }
--- a/src/test/java/damsonslip/membership/StartTimesTest.java
+++ b/src/test/java/damsonslip/membership/StartTimesTest.java
@@ -38,7 +38,10 @@
     void correctsTheOwnClockOnlyOnceTwoStartsAgree() {
         times.listed(true, NOW);
         times.seen(NOW - HOUR, NOW + SECOND);
-        assertEquals(NOW - 2 * HOUR, times.told(NOW - 2 * HOUR, NOW + SECOND), "one may be that worker's own clock");
+        assertEquals(
+                NOW - 2 * HOUR,
+                times.told(NOW - 2 * HOUR, NOW + SECOND),
+                "one may be that worker's own clock");
         times.seen(NOW + SECOND - HOUR, NOW + 2 * SECOND);
         long listed = times.told(NOW - 5 * SECOND - HOUR, NOW + 2 * SECOND);
         assertTrue(Math.abs(listed - (NOW - 4 * SECOND)) <= SECOND, "a cold one on the list");
--- a/src/test/java/damsonslip/net/MakeWayTest.java
+++ b/src/test/java/damsonslip/net/MakeWayTest.java
@@ -41,13 +41,15 @@
         }
 
         @Override
-        protected void lost() { }
+        protected void lost() {}
     }
 
-    private static Answering connect(Links links, Loop loop, ServerSocket server) throws InterruptedException {
+    private static Answering connect(Links links, Loop loop, ServerSocket server)
+            throws InterruptedException {
         Answering[] made = new Answering[1];
-        links.connect((InetSocketAddress) server.getLocalSocketAddress(),
-            endPoint -> made[0] = new Answering(endPoint, loop));
+        links.connect(
+                (InetSocketAddress) server.getLocalSocketAddress(),
+                endPoint -> made[0] = new Answering(endPoint, loop));
         Program.await("it is made", () -> made[0] != null);
         assertTrue(made[0].up.await(5, TimeUnit.SECONDS));
         return made[0];
@@ -59,26 +61,30 @@
         Loop loop = new Loop();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             Links links = Links.start(loop, 1_000);
-            Room<Answering> room = new Room<>(1, 8, link -> !link.asked, Comparator.comparingInt(link -> 0));
+            Room<Answering> room =
+                    new Room<>(1, 8, link -> !link.asked, Comparator.comparingInt(link -> 0));
             Answering first = connect(links, loop, server);
             Socket peer = server.accept();
             Answering second = connect(links, loop, server);
             CountDownLatch done = new CountDownLatch(1);
-            loop.execute(() -> {
-                room.opened(first);
-                try {
-                    peer.getOutputStream().write('Q');
-                    Thread.sleep(QUIET_MS);
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-                room.opened(second);
-                done.countDown();
-            });
+            loop.execute(
+                    () -> {
+                        room.opened(first);
+                        try {
+                            peer.getOutputStream().write('Q');
+                            Thread.sleep(QUIET_MS);
+                        } catch (Exception e) {
+                            throw new IllegalStateException(e);
+                        }
+                        room.opened(second);
+                        done.countDown();
+                    });
             assertTrue(done.await(5, TimeUnit.SECONDS));
             Program.await("what was asked is read", () -> first.asked);
             assertFalse(first.isLingering() || first.isClosed(), "it has asked and is not ended");
-            assertTrue(second.isLingering() || second.isClosed(), "the newcomer goes, since the other is needed");
+            assertTrue(
+                    second.isLingering() || second.isClosed(),
+                    "the newcomer goes, since the other is needed");
             peer.close();
         } finally {
             loop.stop();
--- a/src/test/java/damsonslip/net/MarksTest.java
+++ b/src/test/java/damsonslip/net/MarksTest.java
@@ -19,6 +19,7 @@
 class MarksTest {
     /** Each byte that comes is answered with so many. */
     private static final int TIMES = 100;
+
     private static final int ASKED = 200_000;
     private final AtomicLong most = new AtomicLong();
 
@@ -28,50 +29,57 @@
         }
 
         @Override
-        protected void opened() { }
+        protected void opened() {}
 
         @Override
         protected void received(ByteBuffer bytes) {
-            write(() -> { }, ByteBuffer.allocate(bytes.remaining() * TIMES));
+            write(() -> {}, ByteBuffer.allocate(bytes.remaining() * TIMES));
             bytes.position(bytes.limit());
             most.accumulateAndGet(backlog(), Math::max);
         }
 
         @Override
-        protected void lost() { }
+        protected void lost() {}
     }
 
     @Test
     void aPeerThatReadsNothingIsNotReadFromAndLosesNothing() throws Exception {
         Loop loop = new Loop();
         int port = Program.freePort();
-        Links.Accepting taker = new Links.Accepting() {
-            @Override
-            public boolean admit() {
-                return true;
-            }
+        Links.Accepting taker =
+                new Links.Accepting() {
+                    @Override
+                    public boolean admit() {
+                        return true;
+                    }
 
-            @Override
-            public void turnedBack() { }
+                    @Override
+                    public void turnedBack() {}
 
-            @Override
-            public Link open(EndPoint endPoint) {
-                return new Echo(endPoint, loop);
-            }
-        };
-        try (Closeable door = Links.start(loop, 1_000).listen(new InetSocketAddress("127.0.0.1", port), taker);
-             Socket peer = new Socket("127.0.0.1", port)) {
-            Thread asker = new Thread(() -> {
-                try {
-                    peer.getOutputStream().write(new byte[ASKED]);
-                } catch (IOException e) {
-                    throw new UncheckedIOException(e);
-                }
-            });
+                    @Override
+                    public Link open(EndPoint endPoint) {
+                        return new Echo(endPoint, loop);
+                    }
+                };
+        try (Closeable door =
+                        Links.start(loop, 1_000)
+                                .listen(new InetSocketAddress("127.0.0.1", port), taker);
+                Socket peer = new Socket("127.0.0.1", port)) {
+            Thread asker =
+                    new Thread(
+                            () -> {
+                                try {
+                                    peer.getOutputStream().write(new byte[ASKED]);
+                                } catch (IOException e) {
+                                    throw new UncheckedIOException(e);
+                                }
+                            });
             asker.start();
             Program.await("answers wait", () -> most.get() > 0);
             Thread.sleep(300);
-            assertTrue(most.get() <= 256 * 1024 + 8 * 1024 * TIMES, most.get() + " bytes wait for one peer");
+            assertTrue(
+                    most.get() <= 256 * 1024 + 8 * 1024 * TIMES,
+                    most.get() + " bytes wait for one peer");
             byte[] part = new byte[64 * 1024];
             long got = 0;
             while (got < (long) ASKED * TIMES) {
