--- a/src/test/java/damsonslip/net/RoomTest.java
+++ b/src/test/java/damsonslip/net/RoomTest.java
@@ -11,7 +11,8 @@
 
 /** How many connections are held. */
 class RoomTest {
-    private final Room<Link> room = new Room<>(30, 10, link -> true, Comparator.comparingInt(link -> 0));
+    private final Room<Link> room =
+            new Room<>(30, 10, link -> true, Comparator.comparingInt(link -> 0));
 
     /** A crowd is accepted at one go, long before the first of it is set up. */
     @Test
@@ -20,16 +21,18 @@
         CountDownLatch begin = new CountDownLatch(1);
         Thread[] doors = new Thread[4];
         for (int i = 0; i < doors.length; i++) {
-            doors[i] = new Thread(() -> {
-                try {
-                    begin.await();
-                } catch (InterruptedException e) {
-                    return;
-                }
-                for (int k = 0; k < 50; k++) {
-                    admitted.addAndGet(room.admit() ? 1 : 0);
-                }
-            });
+            doors[i] =
+                    new Thread(
+                            () -> {
+                                try {
+                                    begin.await();
+                                } catch (InterruptedException e) {
+                                    return;
+                                }
+                                for (int k = 0; k < 50; k++) {
+                                    admitted.addAndGet(room.admit() ? 1 : 0);
+                                }
+                            });
             doors[i].start();
         }
         begin.countDown();
--- a/src/test/java/damsonslip/net/WrittenOrderTest.java
+++ b/src/test/java/damsonslip/net/WrittenOrderTest.java
@@ -19,10 +19,17 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-/** Whether the last byte of a message has left is known before anything else that happens on its connection. */
+/**
+ * Whether the last byte of a message has left is known before anything else that happens on its
+ * connection.
+ */
 class WrittenOrderTest {
-    /** More than the system takes at once, and below the mark above which nothing is read from a peer. */
+    /**
+     * More than the system takes at once, and below the mark above which nothing is read from a
+     * peer.
+     */
     private static final int LARGE = 200_000;
+
     private static final int QUIET_MS = 400;
 
     private final AtomicBoolean written = new AtomicBoolean();
@@ -52,9 +59,10 @@
     }
 
     /**
-     * The peer says something while the message is under way, takes as much of it as comes, and resets; all of that while
-     * the loop is held up, so that whatever is told to it is found in one heap. With writes finished elsewhere, the peer
-     * has every byte by then, and the reset is read before the loop hears of that.
+     * The peer says something while the message is under way, takes as much of it as comes, and
+     * resets; all of that while the loop is held up, so that whatever is told to it is found in one
+     * heap. With writes finished elsewhere, the peer has every byte by then, and the reset is read
+     * before the loop hears of that.
      */
     @Test
     void aResetBehindTheLastByteIsNotTakenForOneBeforeIt() throws Exception {
@@ -62,21 +70,24 @@
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4 * 1024);
             server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            Links.start(loop, 1_000).connect((InetSocketAddress) server.getLocalSocketAddress(),
-                endPoint -> new Upload(endPoint, loop));
+            Links.start(loop, 1_000)
+                    .connect(
+                            (InetSocketAddress) server.getLocalSocketAddress(),
+                            endPoint -> new Upload(endPoint, loop));
             CountDownLatch held = new CountDownLatch(1);
             CountDownLatch release = new CountDownLatch(1);
             int got = 0;
             try (Socket peer = server.accept()) {
                 assertTrue(up.await(5, TimeUnit.SECONDS));
-                loop.execute(() -> {
-                    held.countDown();
-                    try {
-                        release.await();
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
+                loop.execute(
+                        () -> {
+                            held.countDown();
+                            try {
+                                release.await();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
                 assertTrue(held.await(5, TimeUnit.SECONDS));
                 peer.getOutputStream().write('H');
                 Thread.sleep(QUIET_MS);
@@ -86,7 +97,10 @@
             Thread.sleep(QUIET_MS);
             release.countDown();
             Program.await("the reset is told", () -> knownAtLoss.get() != null);
-            assertEquals(got == LARGE, knownAtLoss.get(), "the peer has " + got + " of " + LARGE + " bytes");
+            assertEquals(
+                    got == LARGE,
+                    knownAtLoss.get(),
+                    "the peer has " + got + " of " + LARGE + " bytes");
         } finally {
             loop.stop();
         }
--- a/src/test/java/damsonslip/overrides/WorkerOverridesTest.java
+++ b/src/test/java/damsonslip/overrides/WorkerOverridesTest.java
@@ -38,11 +38,17 @@
         listed(ListMode.KEPT, running("a"), running("b"));
         assertEquals(List.of(worker("a", Status.DRAINING, 5)), overrides.disable("a"));
         assertEquals(List.of(), overrides.disable("a"), "a second time changes nothing");
-        assertEquals(List.of(worker("a", Status.DRAINING, 9), running("b")),
-            listed(ListMode.COMPLETE, worker("a", Status.RUNNING, 9), running("b")), "a new start does not lift it");
-        assertEquals(List.of(worker("a", Status.GONE, 9)), listed(ListMode.CHANGES, worker("a", Status.GONE, 9)));
+        assertEquals(
+                List.of(worker("a", Status.DRAINING, 9), running("b")),
+                listed(ListMode.COMPLETE, worker("a", Status.RUNNING, 9), running("b")),
+                "a new start does not lift it");
+        assertEquals(
+                List.of(worker("a", Status.GONE, 9)),
+                listed(ListMode.CHANGES, worker("a", Status.GONE, 9)));
         assertEquals(Set.of("b"), overrides.listedWorkers());
-        assertEquals(List.of(worker("a", Status.DRAINING, 20)), listed(ListMode.CHANGES, worker("a", Status.RUNNING, 20)));
+        assertEquals(
+                List.of(worker("a", Status.DRAINING, 20)),
+                listed(ListMode.CHANGES, worker("a", Status.RUNNING, 20)));
         assertTrue(overrides.isDisabled("a"));
         assertEquals(Set.of("a", "b"), overrides.listedWorkers());
     }
@@ -53,11 +59,17 @@
         overrides.disable("a");
         overrides.disable("a");
         assertEquals(List.of(worker("a", Status.RUNNING, 100)), overrides.enable("a", 100));
-        assertEquals(List.of(), overrides.enable("a", 200), "it is in use already, and no colder for it");
-        assertEquals(List.of(worker("a", Status.RUNNING, 100)), listed(ListMode.CHANGES, running("a")),
-            "a late list does not warm it");
-        assertEquals(List.of(worker("a", Status.RUNNING, 300)),
-            listed(ListMode.CHANGES, worker("a", Status.RUNNING, 300)));
+        assertEquals(
+                List.of(),
+                overrides.enable("a", 200),
+                "it is in use already, and no colder for it");
+        assertEquals(
+                List.of(worker("a", Status.RUNNING, 100)),
+                listed(ListMode.CHANGES, running("a")),
+                "a late list does not warm it");
+        assertEquals(
+                List.of(worker("a", Status.RUNNING, 300)),
+                listed(ListMode.CHANGES, worker("a", Status.RUNNING, 300)));
     }
 
     @Test
@@ -70,7 +82,9 @@
         assertEquals(List.of(worker("a", Status.GONE, 5)), overrides.disable("a"));
     }
 
-    /** A fleet whose workers are replaced every day would fill the memory with those of long ago. */
+    /**
+     * A fleet whose workers are replaced every day would fill the memory with those of long ago.
+     */
     @Test
     void aWorkerThatIsLongGoneIsForgottenUnlessItIsDisabled() {
         listed(ListMode.COMPLETE, running("a"), running("b"), running("c"));
@@ -84,7 +98,8 @@
         assertFalse(overrides.isKnown("a"));
         assertTrue(overrides.isKnown("b"), "its operator has yet to enable it");
         assertTrue(overrides.isKnown("c"));
-        assertEquals(List.of(worker("b", Status.DRAINING, 5)), listed(ListMode.CHANGES, running("b")));
+        assertEquals(
+                List.of(worker("b", Status.DRAINING, 5)), listed(ListMode.CHANGES, running("b")));
     }
 
     @Test
@@ -94,20 +109,38 @@
         overrides.disable("b");
         overrides.enable("b", 100);
         WorkerOverrides next = new WorkerOverrides();
-        assertEquals(List.of(), next.restore(overrides.serialize(200)), "before any list there is nothing to tell");
-        assertEquals(List.of(worker("a", Status.DRAINING, 5), worker("b", Status.RUNNING, 100), running("c")),
-            next.apply(ListMode.KEPT, List.of(running("a"), running("b"), running("c")), now));
+        assertEquals(
+                List.of(),
+                next.restore(overrides.serialize(200)),
+                "before any list there is nothing to tell");
+        assertEquals(
+                List.of(
+                        worker("a", Status.DRAINING, 5),
+                        worker("b", Status.RUNNING, 100),
+                        running("c")),
+                next.apply(ListMode.KEPT, List.of(running("a"), running("b"), running("c")), now));
         overrides.enable("a", 150);
         overrides.disable("c");
-        assertEquals(List.of(worker("a", Status.RUNNING, 150), worker("c", Status.DRAINING, 5)),
-            next.restore(overrides.serialize(200)));
-        assertEquals(List.of(), next.restore(overrides.serialize(200)), "the same again is no news");
-        assertFalse(overrides.serialize(1_000_000_000).contains("back"), "what is warm long since is dropped");
+        assertEquals(
+                List.of(worker("a", Status.RUNNING, 150), worker("c", Status.DRAINING, 5)),
+                next.restore(overrides.serialize(200)));
+        assertEquals(
+                List.of(), next.restore(overrides.serialize(200)), "the same again is no news");
+        assertFalse(
+                overrides.serialize(1_000_000_000).contains("back"),
+                "what is warm long since is dropped");
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "damsonslip bans 0\nend\n", "damsonslip bans 1\nout a\n", "damsonslip bans 1\nout\nend\n",
-        "damsonslip bans 1\nback a soon\nend\n", "damsonslip bans 1\nout a b\nend\n"})
+    @ValueSource(
+            strings = {
+                "",
+                "damsonslip bans 0\nend\n",
+                "damsonslip bans 1\nout a\n",
+                "damsonslip bans 1\nout\nend\n",
+                "damsonslip bans 1\nback a soon\nend\n",
+                "damsonslip bans 1\nout a b\nend\n"
+            })
     void aSpoiltTextChangesNothing(String text) {
         listed(ListMode.KEPT, running("a"), running("b"));
         overrides.disable("b");
--- a/src/test/java/damsonslip/peers/PeerProcessesTest.java
+++ b/src/test/java/damsonslip/peers/PeerProcessesTest.java
@@ -10,23 +10,35 @@
     @Test
     void oneThatHasJustComeDividesFromItsFirstMoment() {
         assertEquals(PeerProcesses.ALONE, PeerProcesses.of(7, List.of()));
-        assertEquals(new PeerProcesses(false, 2, 1), PeerProcesses.of(2, List.of(new Peer(1, true))));
-        assertEquals(new PeerProcesses(false, 2, 1), PeerProcesses.of(2, List.of(new Peer(1, false))),
-            "whatever the older one says");
+        assertEquals(
+                new PeerProcesses(false, 2, 1), PeerProcesses.of(2, List.of(new Peer(1, true))));
+        assertEquals(
+                new PeerProcesses(false, 2, 1),
+                PeerProcesses.of(2, List.of(new Peer(1, false))),
+                "whatever the older one says");
     }
 
     @Test
     void theOlderOneDividesOnceTheNewcomerIsAboutToServe() {
-        assertEquals(PeerProcesses.ALONE, PeerProcesses.of(1, List.of(new Peer(2, false))),
-            "a start that may fail changes nothing");
-        assertEquals(new PeerProcesses(true, 2, 0), PeerProcesses.of(1, List.of(new Peer(2, true))));
+        assertEquals(
+                PeerProcesses.ALONE,
+                PeerProcesses.of(1, List.of(new Peer(2, false))),
+                "a start that may fail changes nothing");
+        assertEquals(
+                new PeerProcesses(true, 2, 0), PeerProcesses.of(1, List.of(new Peer(2, true))));
     }
 
     @Test
     void twoUpgradesInARowMakeThree() {
         List<Peer> all = List.of(new Peer(1, true), new Peer(2, true), new Peer(3, true));
-        assertEquals(new PeerProcesses(true, 3, 0), PeerProcesses.of(1, List.of(all.get(1), all.get(2))));
-        assertEquals(new PeerProcesses(true, 3, 1), PeerProcesses.of(2, List.of(all.get(0), all.get(2))));
-        assertEquals(new PeerProcesses(false, 3, 2), PeerProcesses.of(3, List.of(all.get(0), all.get(1))));
+        assertEquals(
+                new PeerProcesses(true, 3, 0),
+                PeerProcesses.of(1, List.of(all.get(1), all.get(2))));
+        assertEquals(
+                new PeerProcesses(true, 3, 1),
+                PeerProcesses.of(2, List.of(all.get(0), all.get(2))));
+        assertEquals(
+                new PeerProcesses(false, 3, 2),
+                PeerProcesses.of(3, List.of(all.get(0), all.get(1))));
     }
 }
--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -18,43 +18,68 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Discovery has hardly time for all its callers, or says nothing: the drain rule holds, and the news come in time. */
+/**
+ * Discovery has hardly time for all its callers, or says nothing: the drain rule holds, and the
+ * news come in time.
+ */
 class BusyDiscoveryTest extends PlatformStage {
     private static final int FLEET = 101;
+
     /** The program's own number: its slots are neither first nor last. */
     private static final int OWN = 57;
+
     /** All calls of the fleet take this long together, as on the operators' days. */
     private static final long ALL_CALLS_MS = 6_000;
+
     private static final long MOST_WAIT_MS = 2_000;
     private static final long TOLD_MS = 6_000;
 
     private final AtomicInteger stopped = new AtomicInteger();
 
-    private void startAsOneOf(int fleet, int number, int discoveryPort, String... entries) throws IOException {
+    private void startAsOneOf(int fleet, int number, int discoveryPort, String... entries)
+            throws IOException {
         Path file = config(list(7, true, entries));
-        Files.writeString(file, Files.readString(file).replace("\"instances\":1", "\"instances\":" + fleet
-            + ",\"slot_no\":" + number).replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + discoveryPort));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace(
+                                "\"instances\":1",
+                                "\"instances\":" + fleet + ",\"slot_no\":" + number)
+                        .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + discoveryPort));
         program = new Program(file, "serve").awaitWord("listens on");
     }
 
     /** A scheduler that does nothing but watch the list, by the same rule as the real ones. */
     private void hollow(BusyDiscovery busy, int number) {
-        Thread thread = new Thread(() -> {
-            DiscoveryWatch watch = new DiscoveryWatch(FLEET, number, 10_000_000, 500_000);
-            long next = watch.start(micros(), 0) + number * ALL_CALLS_MS * 1_000 / FLEET; // so that all watch soon
-            while (stopped.get() == 0) {
-                try {
-                    TimeUnit.MICROSECONDS.sleep(Math.max(0, next - micros()));
-                    watch.called(micros());
-                    call(busy, watch);
-                } catch (IOException e) {
-                    // refused, or its watch was reset
-                } catch (InterruptedException e) {
-                    return;
-                }
-                next = watch.lost(Loss.FAILED, micros(), micros(), ThreadLocalRandom.current().nextDouble());
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            DiscoveryWatch watch =
+                                    new DiscoveryWatch(FLEET, number, 10_000_000, 500_000);
+                            long next =
+                                    watch.start(micros(), 0)
+                                            + number
+                                                    * ALL_CALLS_MS
+                                                    * 1_000
+                                                    / FLEET; // so that all watch soon
+                            while (stopped.get() == 0) {
+                                try {
+                                    TimeUnit.MICROSECONDS.sleep(Math.max(0, next - micros()));
+                                    watch.called(micros());
+                                    call(busy, watch);
+                                } catch (IOException e) {
+                                    // refused, or its watch was reset
+                                } catch (InterruptedException e) {
+                                    return;
+                                }
+                                next =
+                                        watch.lost(
+                                                Loss.FAILED,
+                                                micros(),
+                                                micros(),
+                                                ThreadLocalRandom.current().nextDouble());
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -79,12 +104,16 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sinceNanos);
     }
 
-    /** It goes down under a hundred and one watches and returns with a drain: that counts, and is kept, within 6 s. */
+    /**
+     * It goes down under a hundred and one watches and returns with a drain: that counts, and is
+     * kept, within 6 s.
+     */
     @Test
     void theNewsOfAReturnComeInTimeBesideAHundredOtherCallers() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
-        try (BusyDiscovery busy = new BusyDiscovery(list(8, true, a, b), ALL_CALLS_MS / FLEET, MOST_WAIT_MS)) {
+        try (BusyDiscovery busy =
+                new BusyDiscovery(list(8, true, a, b), ALL_CALLS_MS / FLEET, MOST_WAIT_MS)) {
             startAsOneOf(FLEET, OWN, busy.port(), a, b);
             for (int number = 0; number < FLEET; number++) {
                 if (number != OWN) {
@@ -111,24 +140,34 @@
         }
     }
 
-    /** An open watch falls silent and no call is answered: from the moment when a drain may count nothing is sent. */
+    /**
+     * An open watch falls silent and no call is answered: from the moment when a drain may count
+     * nothing is sent.
+     */
     @Test
     void nothingIsSentOnceAMissedDrainWouldCount() throws Exception {
         String a = worker("a", SERVE);
         AtomicInteger calls = new AtomicInteger();
-        discovery = new Peer.Server(0, peer -> {
-            peer.message();
-            if (calls.incrementAndGet() == 1) {
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(list(8, true, a));
-            }
-            Thread.sleep(30_000);
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.message();
+                            if (calls.incrementAndGet() == 1) {
+                                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                        .chunk(list(8, true, a));
+                            }
+                            Thread.sleep(30_000);
+                        });
         servers.add(discovery);
         start(a);
         Program.await("a call", () -> calls.get() == 1);
         long silent = System.nanoTime();
         while (millis(silent) < TOLD_MS - 500) {
-            assertEquals(200, ask(query("q" + System.nanoTime(), "submit", "2000m")).status(), "the list still holds");
+            assertEquals(
+                    200,
+                    ask(query("q" + System.nanoTime(), "submit", "2000m")).status(),
+                    "the list still holds");
             Thread.sleep(100);
         }
         Thread.sleep(TOLD_MS + 600 - millis(silent));
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -27,14 +27,17 @@
 /** What operators do with a running scheduler, over its second address. */
 class DailyRunningTest extends PlatformStage {
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final Work SLOW = (peer, job) -> {
-        Thread.sleep(900);
-        SERVE.on(peer, job);
-    };
+    private static final Work SLOW =
+            (peer, job) -> {
+                Thread.sleep(900);
+                SERVE.on(peer, job);
+            };
     private final int mgmt = Program.freePort();
 
     private void startWithMgmt(String... entries) throws IOException {
-        program = new Program(config(list(7, true, entries), mgmt(mgmt)), "serve").awaitWord("listens on");
+        program =
+                new Program(config(list(7, true, entries), mgmt(mgmt)), "serve")
+                        .awaitWord("listens on");
         Program.await("it is ready", () -> call("READY").startsWith("YES"));
     }
 
@@ -51,10 +54,15 @@
         String text = call("STATS");
         assertTrue(text.endsWith("\nEND\n"), text);
         Map<String, String> figures = new TreeMap<>();
-        text.lines().filter(line -> !line.equals("END")).forEach(line -> {
-            assertTrue(line.matches("router\\.[a-z._-]+:[0-9]+\\|[cg]"), line);
-            figures.put(line.substring("router.".length(), line.indexOf(':')), line.substring(line.indexOf(':') + 1));
-        });
+        text.lines()
+                .filter(line -> !line.equals("END"))
+                .forEach(
+                        line -> {
+                            assertTrue(line.matches("router\\.[a-z._-]+:[0-9]+\\|[cg]"), line);
+                            figures.put(
+                                    line.substring("router.".length(), line.indexOf(':')),
+                                    line.substring(line.indexOf(':') + 1));
+                        });
         return figures;
     }
 
@@ -74,19 +82,33 @@
         try (Peer client = Peer.connect(port).send(query("r1", "read", "4000m"))) {
             Program.await("it is sent", () -> jobs("b") == 1);
             Map<String, String> figures = figures();
-            assertEquals(Map.ofEntries(Map.entry("success.read", "3|c"), Map.entry("overload.read", "0|c"),
-                Map.entry("error.read", "0|c"), Map.entry("success.submit", "0|c"), Map.entry("overload.submit", "0|c"),
-                Map.entry("error.submit", "1|c"), Map.entry("dispatches", "5|c"), Map.entry("concurrent", "1|g"),
-                Map.entry("targets", "3|g"), Map.entry("targets_disabled", "2|g"), Map.entry("reload_success", "0|c"),
-                Map.entry("reload_failure", "0|c")), figures);
+            assertEquals(
+                    Map.ofEntries(
+                            Map.entry("success.read", "3|c"),
+                            Map.entry("overload.read", "0|c"),
+                            Map.entry("error.read", "0|c"),
+                            Map.entry("success.submit", "0|c"),
+                            Map.entry("overload.submit", "0|c"),
+                            Map.entry("error.submit", "1|c"),
+                            Map.entry("dispatches", "5|c"),
+                            Map.entry("concurrent", "1|g"),
+                            Map.entry("targets", "3|g"),
+                            Map.entry("targets_disabled", "2|g"),
+                            Map.entry("reload_success", "0|c"),
+                            Map.entry("reload_failure", "0|c")),
+                    figures);
             assertEquals(200, client.message().status());
         }
         assertEquals("4|c", figures().get("success.read"));
         program.reload("{").awaitWord("reload: config");
-        Program.await("a failed reload is counted", () -> figures().get("reload_failure").equals("1|c"));
+        Program.await(
+                "a failed reload is counted", () -> figures().get("reload_failure").equals("1|c"));
     }
 
-    /** Refusals count as overload, and a query whose client has gone under nothing but not as open for ever. */
+    /**
+     * Refusals count as overload, and a query whose client has gone under nothing but not as open
+     * for ever.
+     */
     @Test
     void refusalsAndClientsThatHaveGoneAreToldApart() throws Exception {
         startWithMgmt(worker("a", SAY_NOTHING));
@@ -109,7 +131,14 @@
     @Test
     void whatIsNoCallGetsANoAndHoldersKeepNobodyWaiting() throws Exception {
         startWithMgmt(worker("a", SERVE));
-        for (String line : List.of("HELLO", "DISABLE", "DISABLE nobody", "ENABLE nobody", "READY now", "x".repeat(2_000))) {
+        for (String line :
+                List.of(
+                        "HELLO",
+                        "DISABLE",
+                        "DISABLE nobody",
+                        "ENABLE nobody",
+                        "READY now",
+                        "x".repeat(2_000))) {
             assertTrue(call(line).matches("NO [A-Za-z ]+.*\n"), line + ": " + call(line));
         }
         List<Peer> holders = new ArrayList<>();
@@ -133,7 +162,10 @@
         }
     }
 
-    /** A crowd comes while the process is held up, and the operator behind it: accepted at one go, they pass all room. */
+    /**
+     * A crowd comes while the process is held up, and the operator behind it: accepted at one go,
+     * they pass all room.
+     */
     @Test
     void aCrowdThatCameDuringAHoldUpDoesNotTurnTheOperatorAway() throws Exception {
         startWithMgmt(worker("a", SERVE));
@@ -151,7 +183,10 @@
         }
     }
 
-    /** Two bans, one call back; a list that says 'ready' does not lift it, and neither does a new start. */
+    /**
+     * Two bans, one call back; a list that says 'ready' does not lift it, and neither does a new
+     * start.
+     */
     @Test
     void aWorkerTakenOutGetsNothingUntilItIsPutBack() throws Exception {
         String a = worker("a", SERVE);
@@ -164,7 +199,13 @@
         assertTrue(call("DISABLE a").startsWith("YES"));
         int before = jobs("a");
         assertTrue(call("DISABLE a").startsWith("YES"));
-        news.add(list(8, true, a.replace("\"startedAtMs\":0", "\"startedAtMs\":" + System.currentTimeMillis())));
+        news.add(
+                list(
+                        8,
+                        true,
+                        a.replace(
+                                "\"startedAtMs\":0",
+                                "\"startedAtMs\":" + System.currentTimeMillis())));
         Thread.sleep(100);
         news.add(list(9, false, worker("b", SERVE)));
         for (int i = 0; i < 12; i++) {
@@ -182,10 +223,14 @@
     /** What a worker that is out hands back goes to another one, and is not repeated there. */
     @Test
     void aJobThatAWorkerHandsBackIsNotRepeatedThereOnceItIsOut() throws Exception {
-        startWithMgmt(worker("a", (peer, job) -> {
-            Thread.sleep(300);
-            TURN_AWAY.on(peer, job);
-        }), worker("b", SERVE));
+        startWithMgmt(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(300);
+                            TURN_AWAY.on(peer, job);
+                        }),
+                worker("b", SERVE));
         call("DISABLE b");
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
@@ -197,7 +242,10 @@
         assertEquals(1, jobs("b"));
     }
 
-    /** A new configuration moves discovery, whose whole list names the worker as ready: it stays out. */
+    /**
+     * A new configuration moves discovery, whose whole list names the worker as ready: it stays
+     * out.
+     */
     @Test
     void aBanOutlivesAReload() throws Exception {
         String a = worker("a", SERVE);
@@ -216,11 +264,15 @@
         assertEquals("1|g", figures().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
         call("DISABLE b");
-        assertEquals(200, ask(query("last", "read", "2000m")).status(), "and the new list holds it");
+        assertEquals(
+                200, ask(query("last", "read", "2000m")).status(), "and the new list holds it");
         assertEquals(1, jobs("a"));
     }
 
-    /** The link to a worker comes up only after it was taken out: what it was opened for goes elsewhere, unsent. */
+    /**
+     * The link to a worker comes up only after it was taken out: what it was opened for goes
+     * elsewhere, unsent.
+     */
     @Test
     void aBanThatMeetsALinkBeingOpenedHoldsForIt() throws Exception {
         List<Socket> fill = new ArrayList<>();
@@ -228,9 +280,13 @@
             while (connects(busy, fill)) {
                 assertTrue(fill.size() < 20, "its queue of connections is soon full");
             }
-            String known = list(7, true, entry("a", busy.getLocalPort(), "ready"), worker("b", SERVE));
+            String known =
+                    list(7, true, entry("a", busy.getLocalPort(), "ready"), worker("b", SERVE));
             Path file = config(known, mgmt(mgmt));
-            Files.writeString(file, Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
+            Files.writeString(
+                    file,
+                    Files.readString(file)
+                            .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
             program = new Program(file, "serve").awaitWord("listens on");
             Program.await("it is ready", () -> call("READY").startsWith("YES"));
             call("DISABLE b");
@@ -247,7 +303,8 @@
                         // nothing is written to it
                     }
                 }
-                assertEquals(0, bytes, "a worker that is out got a job on a link that came up late");
+                assertEquals(
+                        0, bytes, "a worker that is out got a job on a link that came up late");
                 assertEquals("r-q1", client.message().body());
             }
         } finally {
@@ -275,18 +332,25 @@
     void aBanThatMeetsAProbeStands() throws Exception {
         CountDownLatch out = new CountDownLatch(1);
         AtomicInteger probes = new AtomicInteger();
-        Work probed = (peer, job) -> {
-            if (!job.first().startsWith("GET /load")) {
-                SERVE.on(peer, job);
-                return;
-            }
-            probes.incrementAndGet();
-            out.await(200, TimeUnit.MILLISECONDS); // its answer comes after the ban, and in time
-            peer.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":9}");
-        };
+        Work probed =
+                (peer, job) -> {
+                    if (!job.first().startsWith("GET /load")) {
+                        SERVE.on(peer, job);
+                        return;
+                    }
+                    probes.incrementAndGet();
+                    out.await(
+                            200,
+                            TimeUnit.MILLISECONDS); // its answer comes after the ban, and in time
+                    peer.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":9}");
+                };
         Path file = config(list(7, true, worker("a", probed), worker("b", SERVE)), mgmt(mgmt));
-        Files.writeString(file, Files.readString(file).replace("\"limits\":{\"send_cap\"",
-            "\"reporting\":{\"how\":\"pull\"},\"limits\":{\"may_probe\":true,\"send_cap\""));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace(
+                                "\"limits\":{\"send_cap\"",
+                                "\"reporting\":{\"how\":\"pull\"},\"limits\":{\"may_probe\":true,\"send_cap\""));
         program = new Program(file, "serve").awaitWord("listens on");
         Program.await("a probe is under way", () -> probes.get() > 0);
         assertTrue(call("DISABLE a").startsWith("YES"));
@@ -302,7 +366,10 @@
         Program.await("it is probed again", () -> jobs("a") > before);
     }
 
-    /** The front hears no at once; who comes meanwhile is served; and nothing is held 4 s after the call. */
+    /**
+     * The front hears no at once; who comes meanwhile is served; and nothing is held 4 s after the
+     * call.
+     */
     @Test
     void aDrainSendsClientsAwayAndCanBeTakenBack() throws Exception {
         startWithMgmt(worker("a", SLOW));
@@ -331,11 +398,17 @@
         try (Peer client = Peer.connect(port).send(HEALTH)) {
             assertEquals(200, client.message().status());
             Thread.sleep(700);
-            assertEquals(200, client.send(query("q4", "read", "4000m")).message().status(), "connections are kept again");
+            assertEquals(
+                    200,
+                    client.send(query("q4", "read", "4000m")).message().status(),
+                    "connections are kept again");
         }
     }
 
-    /** The ones that are left stay from then on, with what they asked for; and a further drain counts from its own call. */
+    /**
+     * The ones that are left stay from then on, with what they asked for; and a further drain
+     * counts from its own call.
+     */
     @Test
     void anUndrainWhileConnectionsAreBeingClosedKeepsTheRest() throws Exception {
         startWithMgmt(worker("a", SLOW));
@@ -347,20 +420,25 @@
         }
         assertTrue(call("DRAIN").startsWith("YES"));
         assertTrue(idle.get(0).closed(), "closing has begun");
-        try (Peer late = Peer.connect(port); Peer busy = Peer.connect(port).send(query("q1", "read", "4000m"))) {
+        try (Peer late = Peer.connect(port);
+                Peer busy = Peer.connect(port).send(query("q1", "read", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             assertTrue(call("UNDRAIN").startsWith("YES"));
             assertTrue(call("READY").startsWith("YES"));
             Message answer = busy.message();
             assertEquals(200, answer.status());
             assertNull(answer.field("Connection"), "it may stay");
-            Thread.sleep(800); // an idle one would have been closed after 0.3 s, and all of them 1.6 s after the first call
+            Thread.sleep(
+                    800); // an idle one would have been closed after 0.3 s, and all of them 1.6 s
+            // after the first call
             assertEquals(200, late.send(query("q2", "read", "4000m")).message().status());
             assertEquals(200, busy.send(HEALTH).message().status());
             long again = System.nanoTime();
             assertTrue(call("DRAIN").startsWith("YES"));
             assertTrue(busy.closed() && late.closed());
-            assertTrue(System.nanoTime() - again > TimeUnit.MILLISECONDS.toNanos(450), "it settles anew");
+            assertTrue(
+                    System.nanoTime() - again > TimeUnit.MILLISECONDS.toNanos(450),
+                    "it settles anew");
         }
     }
 
@@ -379,11 +457,16 @@
     @Test
     void aBadOrTakenSecondAddressEndsTheProgramWithOnePlainLine() throws Exception {
         try (ServerSocket taken = new ServerSocket(0)) {
-            for (String address : List.of("nowhere", "127.0.0.1:" + taken.getLocalPort(), "127.0.0.1:99999")) {
-                try (Program failing = new Program(config(list(7, true), "\"mgmt\":\"" + address + "\","), "serve")) {
+            for (String address :
+                    List.of("nowhere", "127.0.0.1:" + taken.getLocalPort(), "127.0.0.1:99999")) {
+                try (Program failing =
+                        new Program(
+                                config(list(7, true), "\"mgmt\":\"" + address + "\","), "serve")) {
                     assertEquals(1, failing.exit(), address);
                     assertEquals(1, failing.said().lines().count(), failing.said());
-                    assertTrue(failing.said().startsWith("damsonslip: config: mgmt: "), failing.said());
+                    assertTrue(
+                            failing.said().startsWith("damsonslip: config: mgmt: "),
+                            failing.said());
                 }
             }
         }
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -17,25 +17,36 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave before an attempt begins for them, or while it is being written: it does not begin, or end. */
+/**
+ * Clients that leave before an attempt begins for them, or while it is being written: it does not
+ * begin, or end.
+ */
 class DeparturesBeforeAnAttemptTest extends PlatformStage {
     /** The bytes of a request of which much stays here while its worker reads nothing. */
     private static final int LARGE = 60_000;
 
-    /** The first attempt is turned away, and no worker is left for a second one until after the client has gone. */
+    /**
+     * The first attempt is turned away, and no worker is left for a second one until after the
+     * client has gone.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void whoLeavesBetweenTwoAttemptsGetsNoSecondOne(boolean halfClose) throws Exception {
         CountDownLatch drains = new CountDownLatch(1);
-        String first = worker("a", (peer, job) -> {
-            drains.await();
-            TURN_AWAY.on(peer, job);
-        });
+        String first =
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            drains.await();
+                            TURN_AWAY.on(peer, job);
+                        });
         startCounting(first);
         Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         news.add(list(8, false, first.replace("ready", "draining")));
-        Program.await("the list is in", () -> counts("list_updates", 2)); // the watch's first object, and this
+        Program.await(
+                "the list is in",
+                () -> counts("list_updates", 2)); // the watch's first object, and this
         drains.countDown();
         Program.await("it is turned away", () -> counts("executions_full", 1));
         if (halfClose) {
@@ -50,17 +61,26 @@
     }
 
     private void assertServedBy(String worker) {
-        Program.await(worker + " serves", () -> {
-            try {
-                return ask(query("n" + System.nanoTime(), "submit", "2000m")).status() == 200;
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
-        assertTrue(got.get(worker).stream().allMatch(job -> job.field("X-Correlation-Id").startsWith("n")), "only that");
+        Program.await(
+                worker + " serves",
+                () -> {
+                    try {
+                        return ask(query("n" + System.nanoTime(), "submit", "2000m")).status()
+                                == 200;
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
+        assertTrue(
+                got.get(worker).stream()
+                        .allMatch(job -> job.field("X-Correlation-Id").startsWith("n")),
+                "only that");
     }
 
-    /** It does not start where it is, and would move to a worker that comes after its client has gone. */
+    /**
+     * It does not start where it is, and would move to a worker that comes after its client has
+     * gone.
+     */
     @Test
     void whoLeavesBeforeAMoveIsNotMoved() throws Exception {
         startCounting(worker("a", SAY_NOTHING));
@@ -85,7 +105,10 @@
         assertNoneIsSentOn();
     }
 
-    /** Who fills its buffer could not be seen leaving, and is refused while it waits for its first attempt. */
+    /**
+     * Who fills its buffer could not be seen leaving, and is refused while it waits for its first
+     * attempt.
+     */
     @Test
     void whoFillsItsBufferWhileItWaitsIsRefusedAndNotSentOn() throws Exception {
         for (Peer client : startHolding("")) {
@@ -103,8 +126,9 @@
     }
 
     /**
-     * A worker starts on a request once its last byte has arrived: what has not left whole is no attempt, and does not
-     * become one after its client has gone, whether or not attempts may be called off.
+     * A worker starts on a request once its last byte has arrived: what has not left whole is no
+     * attempt, and does not become one after its client has gone, whether or not attempts may be
+     * called off.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -112,15 +136,17 @@
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            startCounting(file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
-                entry("a", slow.getLocalPort(), "ready"));
+            startCounting(
+                    file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
+                    entry("a", slow.getLocalPort(), "ready"));
             Peer client = Peer.connect(port).send(large("q1", LARGE));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "it has begun");
                 client.close();
                 Program.await("it has gone", () -> counts("queries_gone", 1));
                 worker.setSoTimeout(5_000);
-                int came = worker.getInputStream().readAllBytes().length; // ends with the connection
+                int came =
+                        worker.getInputStream().readAllBytes().length; // ends with the connection
                 assertTrue(came < LARGE, "it did not come whole: " + came);
             }
         }
--- a/src/test/java/damsonslip/platform/DeparturesTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesTest.java
@@ -20,11 +20,14 @@
     @ValueSource(ints = {0, 40, 200})
     void aClientThatLeavesBehindWhatItSentAheadTakesItsExecutionAlong(int ahead) throws Exception {
         List<Long> ended = new CopyOnWriteArrayList<>();
-        start(worker("a", (peer, job) -> {
-            if (peer.closed()) {
-                ended.add(System.nanoTime());
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            if (peer.closed()) {
+                                ended.add(System.nanoTime());
+                            }
+                        }));
         Peer client = Peer.connect(port).send(ahead("q1", ahead));
         Program.await("the job is sent", () -> jobs("a") == 1);
         Thread.sleep(100);
@@ -41,10 +44,13 @@
     @ValueSource(ints = {0, 40})
     void whoLeavesWhileItWaitsIsNotSentOn(int ahead) throws Exception {
         CountDownLatch free = new CountDownLatch(1);
-        start(worker("a", (peer, job) -> {
-            free.await();
-            SERVE.on(peer, job);
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            free.await();
+                            SERVE.on(peer, job);
+                        }));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             clients.add(Peer.connect(port).send(ahead("q" + i, ahead)));
@@ -74,8 +80,8 @@
     }
 
     /**
-     * A kept connection is ended by a stop, and a query crosses that: a close would have reset it, and what was written
-     * before could go with it. It is not sent on either.
+     * A kept connection is ended by a stop, and a query crosses that: a close would have reset it,
+     * and what was written before could go with it. It is not sent on either.
      */
     @Test
     void whatCrossesTheEndOfAConnectionNeitherResetsItNorIsServed() throws Exception {
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -47,14 +47,20 @@
             void on(Peer peer, String list) throws IOException {
                 peer.message();
                 peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                peer.send(String.format("%x\r\n%s\r\n", list.length() / 2, list.substring(0, list.length() / 2)));
+                peer.send(
+                        String.format(
+                                "%x\r\n%s\r\n",
+                                list.length() / 2, list.substring(0, list.length() / 2)));
             }
         };
 
         abstract void on(Peer peer, String list) throws IOException, InterruptedException;
     }
 
-    /** An answer due at 1.5 s may take this long on a busy machine; one that waits for discovery never comes. */
+    /**
+     * An answer due at 1.5 s may take this long on a busy machine; one that waits for discovery
+     * never comes.
+     */
     private static final long DEADLINE_AND_MORE_NS = 3_500_000_000L;
 
     private final AtomicInteger calls = new AtomicInteger();
@@ -62,19 +68,25 @@
     private final AtomicInteger mostOpen = new AtomicInteger();
 
     private void troubled(Trouble trouble, String list) throws IOException {
-        discovery = new Peer.Server(0, peer -> {
-            calls.incrementAndGet();
-            mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
-            try {
-                trouble.on(peer, list);
-            } finally {
-                open.decrementAndGet();
-            }
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            calls.incrementAndGet();
+                            mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
+                            try {
+                                trouble.on(peer, list);
+                            } finally {
+                                open.decrementAndGet();
+                            }
+                        });
         servers.add(discovery);
     }
 
-    /** Calls are spaced out and one at a time, a reload moves them elsewhere, and then the news count at once. */
+    /**
+     * Calls are spaced out and one at a time, a reload moves them elsewhere, and then the news
+     * count at once.
+     */
     @ParameterizedTest
     @EnumSource(Trouble.class)
     void queriesAreServedFromWhatIsKnownUntilTheNewsCome(Trouble trouble) throws Exception {
@@ -90,7 +102,8 @@
         assertEquals(2, jobs("a"));
         List<String> told = new ArrayList<>();
         discovery = discovery(List.of(list(9, true, b)), told);
-        program.reload(Files.readString(config(list(7, true, a)))).awaitWord("reload: discovery is at");
+        program.reload(Files.readString(config(list(7, true, a))))
+                .awaitWord("reload: discovery is at");
         Program.await("the news count", () -> served("b"));
         int before = calls.get();
         Thread.sleep(1_000);
@@ -108,12 +121,17 @@
 
     /** Nothing waits for discovery at the end either. */
     @ParameterizedTest
-    @EnumSource(value = Trouble.class, names = {"HANGS", "BUSY"})
+    @EnumSource(
+            value = Trouble.class,
+            names = {"HANGS", "BUSY"})
     void aStopMeanwhileAnswersEverything(Trouble trouble) throws Exception {
-        String a = worker("a", (peer, job) -> {
-            Thread.sleep(700);
-            SERVE.on(peer, job);
-        });
+        String a =
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(700);
+                            SERVE.on(peer, job);
+                        });
         troubled(trouble, "");
         start(a);
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "3000m"))) {
@@ -124,7 +142,9 @@
         assertEquals(143, program.exit());
     }
 
-    /** With nobody known a query is not kept waiting for discovery; the first list opens the doors. */
+    /**
+     * With nobody known a query is not kept waiting for discovery; the first list opens the doors.
+     */
     @Test
     void anEmptyListTurnsQueriesAwayAtOnceUntilSomebodyIsKnown() throws Exception {
         start();
@@ -185,24 +205,32 @@
         assertEquals(before, jobs("goes"), "none of them has gone to who is told as gone");
     }
 
-    /** Guards against a watch that a byte now and then keeps from being silent, while its list never comes. */
+    /**
+     * Guards against a watch that a byte now and then keeps from being silent, while its list never
+     * comes.
+     */
     @Test
     void aListThatTricklesIsGivenUpAndAskedForAnew() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String news = list(9, true, b);
-        discovery = new Peer.Server(0, peer -> {
-            peer.message();
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            if (calls.incrementAndGet() > 1) {
-                peer.chunk(news);
-                Thread.sleep(30_000);
-            }
-            for (int i = 0; i < news.length(); i++) { // as one who would need minutes
-                peer.send("1\r\n" + news.charAt(i) + "\r\n");
-                Thread.sleep(300);
-            }
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.message();
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            if (calls.incrementAndGet() > 1) {
+                                peer.chunk(news);
+                                Thread.sleep(30_000);
+                            }
+                            for (int i = 0;
+                                    i < news.length();
+                                    i++) { // as one who would need minutes
+                                peer.send("1\r\n" + news.charAt(i) + "\r\n");
+                                Thread.sleep(300);
+                            }
+                        });
         servers.add(discovery);
         start(a);
         assertEquals(200, ask(query("q1", "submit", "2000m")).status(), "nobody waits for it");
@@ -214,21 +242,30 @@
     @Test
     void aListOverManyLinesAndReadsCountsAsOne() throws Exception {
         String b = worker("b", SERVE);
-        String laidOut = list(9, true, b).replace(",", ",\n    ").replace("{", "{\n  ").replace("}", "\n}");
-        discovery = new Peer.Server(0, peer -> {
-            calls.incrementAndGet();
-            peer.message();
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            for (int at = 0; at < laidOut.length(); at += 9) {
-                String part = laidOut.substring(at, Math.min(at + 9, laidOut.length()));
-                peer.send(Integer.toHexString(part.length()) + "\r\n" + part + "\r\n");
-                Thread.sleep(1);
-            }
-            for (int i = 0; i < 30; i++) {
-                peer.chunk("");
-                Thread.sleep(1_000);
-            }
-        });
+        String laidOut =
+                list(9, true, b).replace(",", ",\n    ").replace("{", "{\n  ").replace("}", "\n}");
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            calls.incrementAndGet();
+                            peer.message();
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            for (int at = 0; at < laidOut.length(); at += 9) {
+                                String part =
+                                        laidOut.substring(at, Math.min(at + 9, laidOut.length()));
+                                peer.send(
+                                        Integer.toHexString(part.length())
+                                                + "\r\n"
+                                                + part
+                                                + "\r\n");
+                                Thread.sleep(1);
+                            }
+                            for (int i = 0; i < 30; i++) {
+                                peer.chunk("");
+                                Thread.sleep(1_000);
+                            }
+                        });
         servers.add(discovery);
         start(worker("a", SERVE));
         Program.await("the list counts", () -> served("b"));
@@ -236,7 +273,10 @@
         assertTrue(!program.said().contains("is over"), program.said());
     }
 
-    /** The machine stands still for longer than a watch may be silent; what came meanwhile is read before it is judged. */
+    /**
+     * The machine stands still for longer than a watch may be silent; what came meanwhile is read
+     * before it is judged.
+     */
     @Test
     void aWatchIsNotSilentWhoseWordsWaitToBeRead() throws Exception {
         start(worker("a", SERVE));
@@ -247,29 +287,41 @@
             Thread.sleep(4_000);
             program.signal("CONT");
         }
-        ask(query("q0", "submit", "2000m")); // may have waited for all of the 4 s, for all that is known
+        ask(
+                query(
+                        "q0", "submit",
+                        "2000m")); // may have waited for all of the 4 s, for all that is known
         assertEquals(200, ask(query("q1", "submit", "2000m")).status());
         Thread.sleep(1_000);
         assertEquals(1, watches.size(), "it is the same one");
         assertTrue(!program.said().contains("it is silent"), program.said());
     }
 
-    /** A head and nothing behind it, or one list and nothing more: it is opened anew, in time for what it has missed. */
+    /**
+     * A head and nothing behind it, or one list and nothing more: it is opened anew, in time for
+     * what it has missed.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void aWatchThatFallsSilentIsOpenedAnewInTime(boolean afterAList) throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         List<Long> asked = new CopyOnWriteArrayList<>();
-        discovery = new Peer.Server(0, peer -> {
-            peer.message();
-            asked.add(System.nanoTime());
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            if (afterAList || asked.size() > 1) {
-                peer.chunk(asked.size() > 1 ? list(9, true, a.replace("ready", "draining"), b) : list(8, true, a));
-            }
-            Thread.sleep(30_000);
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.message();
+                            asked.add(System.nanoTime());
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            if (afterAList || asked.size() > 1) {
+                                peer.chunk(
+                                        asked.size() > 1
+                                                ? list(9, true, a.replace("ready", "draining"), b)
+                                                : list(8, true, a));
+                            }
+                            Thread.sleep(30_000);
+                        });
         servers.add(discovery);
         start(a);
         Program.await("a second watch", () -> asked.size() == 2);
@@ -277,21 +329,27 @@
         Program.await("its list counts", () -> served("b"));
     }
 
-    /** What the agent has counts as told from the first moment: no query may meet the list from before the start. */
+    /**
+     * What the agent has counts as told from the first moment: no query may meet the list from
+     * before the start.
+     */
     @Test
     void whereListsArePushedTheFirstOneCountsBeforeTheDoorOpens() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String c = worker("c", SERVE);
-        discovery = new Peer.Server(0, peer -> {
-            calls.incrementAndGet();
-            peer.message();
-            Thread.sleep(150);
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            peer.chunk(list(9, true, a.replace("ready", "draining"), b));
-            Thread.sleep(200);
-            peer.chunk(list(10, false, c, b.replace("ready", "draining")));
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            calls.incrementAndGet();
+                            peer.message();
+                            Thread.sleep(150);
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            peer.chunk(list(9, true, a.replace("ready", "draining"), b));
+                            Thread.sleep(200);
+                            peer.chunk(list(10, false, c, b.replace("ready", "draining")));
+                        });
         servers.add(discovery);
         Path file = config(list(7, true, a));
         Files.writeString(file, Files.readString(file).replace("on_request", "pushed"));
@@ -302,6 +360,7 @@
         Program.await("changes are pushed as well", () -> served("c"));
         assertEquals(0, jobs("a"));
         int before = calls.get();
-        Program.await("a watch that has ended is opened anew at once", () -> calls.get() > before + 2);
+        Program.await(
+                "a watch that has ended is opened anew at once", () -> calls.get() > before + 2);
     }
 }
--- a/src/test/java/damsonslip/platform/EarlyAnswersTest.java
+++ b/src/test/java/damsonslip/platform/EarlyAnswersTest.java
@@ -25,8 +25,9 @@
     private static final int BODY = 60 * 1024;
 
     /**
-     * The worker says no before it has read, and reads all that comes later: what is sent elsewhere must not arrive here
-     * as well, and the link must not carry another request behind the rest of this one.
+     * The worker says no before it has read, and reads all that comes later: what is sent elsewhere
+     * must not arrive here as well, and the link must not carry another request behind the rest of
+     * this one.
      */
     @ParameterizedTest
     @ValueSource(strings = {"503 No\r\nX-Unprocessed: 1", "500 No"})
@@ -37,23 +38,35 @@
             CompletableFuture<Integer> taken = new CompletableFuture<>();
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch otherListed = new CountDownLatch(1);
-            Thread early = new Thread(() -> {
-                try (Socket peer = socket.accept()) {
-                    dialled.countDown();
-                    otherListed.await();
-                    peer.getOutputStream().write(("HTTP/1.1 " + head + "\r\nContent-Length: 0\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
-                    Thread.sleep(500); // longer than any other request waits for this link
-                    taken.complete(all(peer.getInputStream()));
-                } catch (IOException | InterruptedException e) {
-                    taken.completeExceptionally(e);
-                }
-            });
+            Thread early =
+                    new Thread(
+                            () -> {
+                                try (Socket peer = socket.accept()) {
+                                    dialled.countDown();
+                                    otherListed.await();
+                                    peer.getOutputStream()
+                                            .write(
+                                                    ("HTTP/1.1 "
+                                                                    + head
+                                                                    + "\r\nContent-Length: 0\r\n\r\n")
+                                                            .getBytes(StandardCharsets.US_ASCII));
+                                    Thread.sleep(
+                                            500); // longer than any other request waits for this
+                                    // link
+                                    taken.complete(all(peer.getInputStream()));
+                                } catch (IOException | InterruptedException e) {
+                                    taken.completeExceptionally(e);
+                                }
+                            });
             early.start();
             startCounting(entry("a", socket.getLocalPort(), "ready"));
-            Program.await("it hears that nothing has changed", () -> counts("list_updates", 1), program);
-            String text = query("q1", "submit", "3000m").replace("Content-Length: 4\r\n\r\nbody",
-                "Content-Length: " + BODY + "\r\n\r\n" + "b".repeat(BODY));
+            Program.await(
+                    "it hears that nothing has changed", () -> counts("list_updates", 1), program);
+            String text =
+                    query("q1", "submit", "3000m")
+                            .replace(
+                                    "Content-Length: 4\r\n\r\nbody",
+                                    "Content-Length: " + BODY + "\r\n\r\n" + "b".repeat(BODY));
             try (Peer client = Peer.connect(port).send(text)) {
                 assertTrue(dialled.await(10, TimeUnit.SECONDS), "it goes to the only worker");
                 news.add(list(8, false, worker("b", SERVE)));
--- a/src/test/java/damsonslip/platform/FailingAcceptsTest.java
+++ b/src/test/java/damsonslip/platform/FailingAcceptsTest.java
@@ -19,7 +19,9 @@
 
     /** Each failed accept used to end the connection that was accepted before it. */
     @ParameterizedTest
-    @EnumSource(value = Errno.class, names = {"ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "EPROTO", "EINTR", "ECONNABORTED"})
+    @EnumSource(
+            value = Errno.class,
+            names = {"ENOBUFS", "ENFILE", "EMFILE", "ENOMEM", "EPROTO", "EINTR", "ECONNABORTED"})
     void answersAllNewConnectionsWhileEverySecondAcceptFails(Errno error) throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.ACCEPT, error, 2);
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -19,7 +19,10 @@
 import java.util.concurrent.Future;
 import org.junit.jupiter.api.BeforeEach;
 
-/** The real program with the fault library, by which the system refuses, interrupts or holds up its calls. */
+/**
+ * The real program with the fault library, by which the system refuses, interrupts or holds up its
+ * calls.
+ */
 abstract class FaultStage extends PlatformStage {
     static final int CLIENTS = 60;
 
@@ -28,7 +31,8 @@
 
     @BeforeEach
     void preload() throws IOException, InterruptedException {
-        Optional<Path> library = FaultLibrary.build(FaultLibrary.SOURCE, Path.of("target", "faults"));
+        Optional<Path> library =
+                FaultLibrary.build(FaultLibrary.SOURCE, Path.of("target", "faults"));
         assumeTrue(library.isPresent(), "this machine has no C compiler");
         faults = new FaultControl(library.get(), dir);
     }
@@ -37,7 +41,8 @@
         Map<String, String> environment = new HashMap<>(faults.environment());
         environment.put("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console);
         configuration = config(list(7, true, entries));
-        program = new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
+        program =
+                new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
         Program.await("the console tells of a list", () -> countsAny("list_updates"), program);
     }
 
@@ -50,7 +55,8 @@
         }
     }
 
-    List<String> outcomesOfNewConnections(int count) throws InterruptedException, ExecutionException {
+    List<String> outcomesOfNewConnections(int count)
+            throws InterruptedException, ExecutionException {
         ExecutorService clients = Executors.newFixedThreadPool(10);
         try {
             List<Future<String>> asked = new ArrayList<>();
@@ -70,6 +76,10 @@
 
     static void assertAllAnswered(List<String> outcomes) {
         outcomes.removeIf(status -> status.equals("200") || status.equals("503"));
-        assertTrue(outcomes.isEmpty(), outcomes.size() + " without an answer, the first: " + outcomes.stream().findFirst());
+        assertTrue(
+                outcomes.isEmpty(),
+                outcomes.size()
+                        + " without an answer, the first: "
+                        + outcomes.stream().findFirst());
     }
 }
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -23,27 +23,38 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * How a hundred and more processes of {@code run} start and serve on the cores given: not a test (its name keeps it out of
- * CI), but {@code make bench-fleet}, two minutes and up to 8 GB of memory. Needs the jar and the archive of its classes.
+ * How a hundred and more processes of {@code run} start and serve on the cores given: not a test
+ * (its name keeps it out of CI), but {@code make bench-fleet}, two minutes and up to 8 GB of
+ * memory. Needs the jar and the archive of its classes.
  */
 class FleetMeasurement extends PlatformStage {
     private static final int STARTS = 100;
     private static final int PROCESSES = 120;
     private static final int WORKERS = 400;
+
     /** One worker in so many drains half way; these have ports of their own. */
     private static final int DRAINED_PART = 10;
+
     private static final int PORTS = 20;
     private static final long LOAD_MS = 20_000;
+
     /** Each process gets three requests a second. */
     private static final long PAUSE_MS = 333;
+
     private static final long WORK_MS = 30;
+
     /** The drain grace of the settings, and the slack of the rules on sockets. */
     private static final long DRAINED_MS = 550;
+
     private static final long GIVEN_UP_NS = TimeUnit.SECONDS.toNanos(60);
-    /** Below the ports that the system gives to who dials, one of which could be taken before its scheduler listens. */
+
+    /**
+     * Below the ports that the system gives to who dials, one of which could be taken before its
+     * scheduler listens.
+     */
     private static final int FIRST_PORT = 20_000;
 
-    private record Ending(int status, double ms) { }
+    private record Ending(int status, double ms) {}
 
     private final List<Program> programs = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
@@ -51,8 +62,10 @@
     private final Map<Integer, List<Ending>> endings = new ConcurrentHashMap<>();
     private final AtomicInteger atDrained = new AtomicInteger();
     private final AtomicInteger atDrainedLate = new AtomicInteger();
+
     /** When each process was told of the drains. */
     private final AtomicLongArray toldNs = new AtomicLongArray(PROCESSES);
+
     private volatile boolean over;
 
     @AfterEach
@@ -63,21 +76,26 @@
     private void hollowWorkers() throws IOException {
         for (int i = 0; i < PORTS; i++) {
             boolean drains = i % DRAINED_PART == 0;
-            Peer.Server server = new Peer.Server(0, peer -> {
-                while (true) {
-                    Peer.Message job = peer.message();
-                    if (drains) {
-                        cameToOneThatDrains(job.field("X-Correlation-Id"));
-                    }
-                    Thread.sleep(WORK_MS);
-                    SERVE.on(peer, job);
-                }
-            });
+            Peer.Server server =
+                    new Peer.Server(
+                            0,
+                            peer -> {
+                                while (true) {
+                                    Peer.Message job = peer.message();
+                                    if (drains) {
+                                        cameToOneThatDrains(job.field("X-Correlation-Id"));
+                                    }
+                                    Thread.sleep(WORK_MS);
+                                    SERVE.on(peer, job);
+                                }
+                            });
             servers.add(server);
         }
         int first = servers.size() - PORTS;
         for (int i = 0; i < WORKERS; i++) {
-            entries.add(FleetConfig.entry("worker-" + i, i / PORTS, servers.get(first + i % PORTS).port(), "k"));
+            entries.add(
+                    FleetConfig.entry(
+                            "worker-" + i, i / PORTS, servers.get(first + i % PORTS).port(), "k"));
         }
     }
 
@@ -88,27 +106,34 @@
         long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told);
         if (told != 0 && afterMs > DRAINED_MS) {
             atDrainedLate.incrementAndGet();
-            System.out.println(id + " came to a worker that drains " + afterMs + " ms after its scheduler was told");
+            System.out.println(
+                    id
+                            + " came to a worker that drains "
+                            + afterMs
+                            + " ms after its scheduler was told");
         }
     }
 
     /** Discovery as one process sees it. */
     private int discoveryOf(int number) throws IOException {
-        Peer.Server server = new Peer.Server(0, peer -> {
-            watches.add(peer.message().first());
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            int told = 0;
-            for (int i = 0; true; i++) {
-                if (news.size() > told) {
-                    peer.chunk(news.get(told++));
-                    toldNs.compareAndSet(number, 0, System.nanoTime());
-                }
-                if (i % 25 == 0) {
-                    peer.chunk("");
-                }
-                Thread.sleep(20);
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            watches.add(peer.message().first());
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            int told = 0;
+                            for (int i = 0; true; i++) {
+                                if (news.size() > told) {
+                                    peer.chunk(news.get(told++));
+                                    toldNs.compareAndSet(number, 0, System.nanoTime());
+                                }
+                                if (i % 25 == 0) {
+                                    peer.chunk("");
+                                }
+                                Thread.sleep(20);
+                            }
+                        });
         servers.add(server);
         return server.port();
     }
@@ -139,14 +164,21 @@
     }
 
     /** Starts so many at once; gives the seconds after which each was ready, in order. */
-    private double[] start(int count, String registryMode, List<Integer> discoveries) throws Exception {
+    private double[] start(int count, String registryMode, List<Integer> discoveries)
+            throws Exception {
         String known = list(7, true, entries.toArray(String[]::new));
         List<Path> files = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             int port = nextFreePort();
             ports.add(port);
-            files.add(new FleetConfig(count, i, registryMode, "piggyback", 1_024, 4)
-                .write(Files.createDirectory(dir.resolve("n" + i)), port, discoveries.get(i), known, ""));
+            files.add(
+                    new FleetConfig(count, i, registryMode, "piggyback", 1_024, 4)
+                            .write(
+                                    Files.createDirectory(dir.resolve("n" + i)),
+                                    port,
+                                    discoveries.get(i),
+                                    known,
+                                    ""));
         }
         long before = System.nanoTime();
         for (Path file : files) {
@@ -186,13 +218,17 @@
             sockets = Math.max(sockets, each.sockets());
             cpu = cpu.plus(each.cpuTime());
         }
-        return String.format("memory: largest ever %d MB, %d MB in all; most threads %d, most sockets %d; CPU %.1f s", most,
-            sum, threads, sockets, cpu.toMillis() / 1e3);
+        return String.format(
+                "memory: largest ever %d MB, %d MB in all; most threads %d, most sockets %d; CPU %.1f s",
+                most, sum, threads, sockets, cpu.toMillis() / 1e3);
     }
 
     private static String spread(double[] sorted) {
-        return String.format("median %.2f, nine in ten %.2f, last %.2f", sorted[sorted.length / 2],
-            sorted[sorted.length * 9 / 10 - 1], sorted[sorted.length - 1]);
+        return String.format(
+                "median %.2f, nine in ten %.2f, last %.2f",
+                sorted[sorted.length / 2],
+                sorted[sorted.length * 9 / 10 - 1],
+                sorted[sorted.length - 1]);
     }
 
     @ParameterizedTest
@@ -200,7 +236,14 @@
     void aHundredStartAtOnceWhileDiscoveryIsAway(String registryMode) throws Exception {
         hollowWorkers();
         double[] ready = start(STARTS, registryMode, Collections.nCopies(STARTS, deadPort()));
-        System.out.println(STARTS + " starts, " + registryMode + ": ready after s: " + spread(ready) + "; " + resources());
+        System.out.println(
+                STARTS
+                        + " starts, "
+                        + registryMode
+                        + ": ready after s: "
+                        + spread(ready)
+                        + "; "
+                        + resources());
     }
 
     private void client(int number) {
@@ -232,7 +275,8 @@
             discoveries.add(discoveryOf(i));
         }
         double[] ready = start(PROCESSES, "on_request", discoveries);
-        System.out.println(PROCESSES + " starts: ready after s: " + spread(ready) + "; " + resources());
+        System.out.println(
+                PROCESSES + " starts: ready after s: " + spread(ready) + "; " + resources());
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
             int number = i;
@@ -247,13 +291,30 @@
             each.join();
         }
         List<Ending> all = endings.values().stream().flatMap(List::stream).toList();
-        double[] times = all.stream().filter(e -> e.status() == 200).mapToDouble(Ending::ms).sorted().toArray();
-        System.out.println(all.size() + " queries: served " + times.length + ", turned away "
-            + all.stream().filter(e -> e.status() == 503 || e.status() == 429).count() + ", failed "
-            + all.stream().filter(e -> e.status() == 502 || e.status() == 504).count() + ", no answer "
-            + all.stream().filter(e -> e.status() == 0).count() + "; served after ms: " + spread(times)
-            + "; watches " + watches.size() + "; at workers that drain " + atDrained + ", of these later than the grace "
-            + atDrainedLate);
+        double[] times =
+                all.stream()
+                        .filter(e -> e.status() == 200)
+                        .mapToDouble(Ending::ms)
+                        .sorted()
+                        .toArray();
+        System.out.println(
+                all.size()
+                        + " queries: served "
+                        + times.length
+                        + ", turned away "
+                        + all.stream().filter(e -> e.status() == 503 || e.status() == 429).count()
+                        + ", failed "
+                        + all.stream().filter(e -> e.status() == 502 || e.status() == 504).count()
+                        + ", no answer "
+                        + all.stream().filter(e -> e.status() == 0).count()
+                        + "; served after ms: "
+                        + spread(times)
+                        + "; watches "
+                        + watches.size()
+                        + "; at workers that drain "
+                        + atDrained
+                        + ", of these later than the grace "
+                        + atDrainedLate);
         System.out.println(resources());
     }
 }
--- a/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
+++ b/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
@@ -49,10 +49,15 @@
     }
 
     private void startWithFewDescriptors() throws IOException {
-        startCounting(file -> file.replace("\"sockets\":1024", "\"sockets\":" + SOCKETS), worker("a", SERVE));
+        startCounting(
+                file -> file.replace("\"sockets\":1024", "\"sockets\":" + SOCKETS),
+                worker("a", SERVE));
     }
 
-    /** One by one: of many that come in the same moment, those that there is no room for are shut unread. */
+    /**
+     * One by one: of many that come in the same moment, those that there is no room for are shut
+     * unread.
+     */
     private void awaitOpened(int count) {
         Program.await(count + " are taken in", () -> counts("client_links_opened", count), program);
     }
--- a/src/test/java/damsonslip/platform/HeldUpCallsTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpCallsTest.java
@@ -21,26 +21,40 @@
 
 /** The real program while the system interrupts its calls or holds them up. */
 class HeldUpCallsTest extends FaultStage {
-    /** Of the 0.15 s that are allowed, most is for a hold-up between the look at the clock and the write. */
+    /**
+     * Of the 0.15 s that are allowed, most is for a hold-up between the look at the clock and the
+     * write.
+     */
     private static final long SLACK_MS = 50;
+
     private static final long TIME_LEFT_MS = 4_000;
 
-    /** By how much a worker was told more than its client had left when the request came there, in milliseconds. */
+    /**
+     * By how much a worker was told more than its client had left when the request came there, in
+     * milliseconds.
+     */
     private long toldTooMuch(SystemCall held, int holdMs) throws Exception {
         Map<String, Long> sentNs = new ConcurrentHashMap<>();
         List<Long> tooMuch = new CopyOnWriteArrayList<>();
-        startWithFaults(worker("a", (peer, job) -> {
-            Long sent = sentNs.get(String.valueOf(job.field("X-Correlation-Id")));
-            if (sent != null) {
-                tooMuch.add(millis(job) - (TIME_LEFT_MS - (System.nanoTime() - sent) / 1_000_000));
-            }
-            SERVE.on(peer, job);
-        }));
+        startWithFaults(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Long sent = sentNs.get(String.valueOf(job.field("X-Correlation-Id")));
+                            if (sent != null) {
+                                tooMuch.add(
+                                        millis(job)
+                                                - (TIME_LEFT_MS
+                                                        - (System.nanoTime() - sent) / 1_000_000));
+                            }
+                            SERVE.on(peer, job);
+                        }));
         warm();
         Peer kept = Peer.connect(port).send(query("kept", "read", TIME_LEFT_MS + "m"));
         assertEquals(200, kept.message().status());
         faults.hold(held, holdMs);
-        Thread.sleep(held == SystemCall.EPOLL_WAIT ? 2L * holdMs : 0); // until a wait is being held up
+        Thread.sleep(
+                held == SystemCall.EPOLL_WAIT ? 2L * holdMs : 0); // until a wait is being held up
         sentNs.put("new", System.nanoTime());
         Peer.connect(port).send(query("new", "read", TIME_LEFT_MS + "m"));
         sentNs.put("again", System.nanoTime());
@@ -65,13 +79,18 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = SystemCall.class, names = {"ACCEPT", "SOCKET_READ", "EPOLL_WAIT"})
+    @EnumSource(
+            value = SystemCall.class,
+            names = {"ACCEPT", "SOCKET_READ", "EPOLL_WAIT"})
     void tellsNoMoreTimeThanIsLeftWhereACallIsHeldUp(SystemCall held) throws Exception {
         long tooMuch = toldTooMuch(held, 600);
         assertTrue(tooMuch <= SLACK_MS, tooMuch + " ms too much");
     }
 
-    /** Where nothing is held up hardly anything is taken: a first connection after a rest, and a kept one. */
+    /**
+     * Where nothing is held up hardly anything is taken: a first connection after a rest, and a
+     * kept one.
+     */
     @Test
     void tellsNearlyAllThatIsLeftInQuietTimes() throws Exception {
         startWithFaults(worker("a", SERVE));
@@ -80,7 +99,9 @@
         Thread.sleep(1_500);
         try (Peer client = Peer.connect(port)) {
             for (int i = 0; i < 3; i++) {
-                assertEquals(200, client.send(query("q" + i, "read", TIME_LEFT_MS + "m")).message().status());
+                assertEquals(
+                        200,
+                        client.send(query("q" + i, "read", TIME_LEFT_MS + "m")).message().status());
                 Thread.sleep(300);
             }
         }
@@ -105,10 +126,19 @@
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
     }
 
-    /** Where the kernel is out of memory a transfer fails and the connection stands (recv(2), send(2)). */
+    /**
+     * Where the kernel is out of memory a transfer fails and the connection stands (recv(2),
+     * send(2)).
+     */
     @ParameterizedTest
-    @CsvSource({"SOCKET_READ,ENOMEM", "SOCKET_READ,ENOBUFS", "SOCKET_WRITE,ENOMEM", "SOCKET_WRITE,ENOBUFS"})
-    void losesNothingWhereTransfersFailForLackOfMemory(SystemCall call, Errno error) throws Exception {
+    @CsvSource({
+        "SOCKET_READ,ENOMEM",
+        "SOCKET_READ,ENOBUFS",
+        "SOCKET_WRITE,ENOMEM",
+        "SOCKET_WRITE,ENOBUFS"
+    })
+    void losesNothingWhereTransfersFailForLackOfMemory(SystemCall call, Errno error)
+            throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(call, error, 4);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
@@ -117,9 +147,14 @@
         assertFalse(countsAny("queries_gone"), "no client was taken to have left");
     }
 
-    /** Where the kernel has no memory to watch a socket, the socket is well and says nothing (epoll_ctl(2)). */
+    /**
+     * Where the kernel has no memory to watch a socket, the socket is well and says nothing
+     * (epoll_ctl(2)).
+     */
     @ParameterizedTest
-    @EnumSource(value = Errno.class, names = {"ENOMEM", "ENOSPC"})
+    @EnumSource(
+            value = Errno.class,
+            names = {"ENOMEM", "ENOSPC"})
     void losesNothingWhereSocketsCannotBeWatched(Errno error) throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.EPOLL_CTL, error, 2);
@@ -127,7 +162,10 @@
         for (int i = 0; i < 10; i++) {
             try (Peer kept = Peer.connect(port)) {
                 for (int k = 0; k < 5; k++) {
-                    int status = kept.send(query("k" + i + "-" + k, "read", TIME_LEFT_MS + "m")).message().status();
+                    int status =
+                            kept.send(query("k" + i + "-" + k, "read", TIME_LEFT_MS + "m"))
+                                    .message()
+                                    .status();
                     assertTrue(status == 200 || status == 503, "status " + status);
                     Thread.sleep(20);
                 }
--- a/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
@@ -29,19 +29,27 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that leave while a turn of the loop takes long: their closes are there to be read when it is over, behind what
- * would begin an attempt for them. The turn is held open by a list with thousands of entries that are left out with a
- * message each, while nobody reads the messages: the order in which the loop finds everything else is then the test's own.
+ * Clients that leave while a turn of the loop takes long: their closes are there to be read when it
+ * is over, behind what would begin an attempt for them. The turn is held open by a list with
+ * thousands of entries that are left out with a message each, while nobody reads the messages: the
+ * order in which the loop finds everything else is then the test's own.
  */
 class HeldUpDeparturesTest extends PlatformStage {
     /** Far more messages than fit into a pipe. */
     private static final int BAD_ENTRIES = 2_000;
+
     /** More than the 0.1 s in which an attempt may still begin. */
     private static final long GONE_MS = 150;
+
     /** What the program has sent to a worker has arrived by then. */
     private static final long SENT_MS = 200;
-    /** The bytes of a request of which a part stays here that could leave in one go once the worker takes some. */
+
+    /**
+     * The bytes of a request of which a part stays here that could leave in one go once the worker
+     * takes some.
+     */
     private static final int LARGE = 50_000;
+
     /** What is sent while the loop stands still has reached it in its order by then. */
     private static final long ARRIVES_MS = 60;
 
@@ -65,7 +73,10 @@
         Thread.sleep(SENT_MS);
     }
 
-    /** Links are kept for as long as any of these tests takes: on those an attempt begins in the moment it is decided. */
+    /**
+     * Links are kept for as long as any of these tests takes: on those an attempt begins in the
+     * moment it is decided.
+     */
     private void startKeeping(String... entries) throws IOException {
         startCounting(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
     }
@@ -118,18 +129,20 @@
     void aDialThatCameUpDuringATurnIsNotUsedForWhoHasLeft() throws Exception {
         List<Message> late = new CopyOnWriteArrayList<>();
         try (LateServer worker = new LateServer()) {
-            startCounting(file -> file.replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
-                entry("a", worker.port(), "ready"));
+            startCounting(
+                    file -> file.replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
+                    entry("a", worker.port(), "ready"));
             List<Peer> clients = send(1);
             Program.await("it is dialled for", () -> counts("executions_sent", 1));
             holdUp();
-            worker.open(peer -> {
-                while (true) {
-                    Message job = peer.message();
-                    late.add(job);
-                    SERVE.on(peer, job);
-                }
-            });
+            worker.open(
+                    peer -> {
+                        while (true) {
+                            Message job = peer.message();
+                            late.add(job);
+                            SERVE.on(peer, job);
+                        }
+                    });
             Program.await("the dial comes up", () -> worker.connections() == 1);
             Thread.sleep(ARRIVES_MS);
             clients.get(0).close();
@@ -142,34 +155,44 @@
     /** Two workers with a kept link each; the first one asked for q0 does this with it. */
     private void startTwo(Work work) throws IOException {
         AtomicBoolean asked = new AtomicBoolean();
-        Work either = (peer, job) -> {
-            boolean first = job.field("X-Correlation-Id").equals("q0") && asked.compareAndSet(false, true);
-            (first ? work : SERVE).on(peer, job);
-        };
+        Work either =
+                (peer, job) -> {
+                    boolean first =
+                            job.field("X-Correlation-Id").equals("q0")
+                                    && asked.compareAndSet(false, true);
+                    (first ? work : SERVE).on(peer, job);
+                };
         startKeeping(worker("a", either), worker("b", either));
-        Program.await("both have a link", () -> {
-            try {
-                ask(query("r" + System.nanoTime(), "read", "2000m"));
-                ask(query("s" + System.nanoTime(), "submit", "2000m"));
-                return jobs("a") > 0 && jobs("b") > 0;
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                "both have a link",
+                () -> {
+                    try {
+                        ask(query("r" + System.nanoTime(), "read", "2000m"));
+                        ask(query("s" + System.nanoTime(), "submit", "2000m"));
+                        return jobs("a") > 0 && jobs("b") > 0;
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
     }
 
     private int sentOn() {
-        return (int) Stream.of("a", "b").flatMap(worker -> ids(worker).stream()).filter("q0"::equals).count();
+        return (int)
+                Stream.of("a", "b")
+                        .flatMap(worker -> ids(worker).stream())
+                        .filter("q0"::equals)
+                        .count();
     }
 
     /** The first attempt is turned away before the close, and there is another worker with room. */
     @Test
     void whoLeftBetweenTwoAttemptsDuringATurnGetsNoSecondOne() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
-        startTwo((peer, job) -> {
-            held.await();
-            TURN_AWAY.on(peer, job);
-        });
+        startTwo(
+                (peer, job) -> {
+                    held.await();
+                    TURN_AWAY.on(peer, job);
+                });
         Peer client = Peer.connect(port).send(query("q0", "submit", "4500m"));
         Program.await("it is sent", () -> sentOn() == 1);
         holdUp();
@@ -181,7 +204,10 @@
         assertServedAsEver();
     }
 
-    /** What has not started in its time moves to where there is room; its time is up before the close. */
+    /**
+     * What has not started in its time moves to where there is room; its time is up before the
+     * close.
+     */
     @Test
     void whoLeftDuringATurnIsNotMoved() throws Exception {
         startTwo(SAY_NOTHING);
@@ -195,24 +221,42 @@
         assertServedAsEver();
     }
 
-    /** It needs memory that the worker had none of until then; the answer of a probe tells of some before the close. */
+    /**
+     * It needs memory that the worker had none of until then; the answer of a probe tells of some
+     * before the close.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aProbeThatTellsOfRoomBeginsNothingForWhoHasLeft(boolean duringTurn) throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         AtomicInteger probes = new AtomicInteger();
         AtomicBoolean waits = new AtomicBoolean();
-        Work probed = (peer, message) -> {
-            if (waits.get()) {
-                asked.countDown();
-                room.await();
-            }
-            peer.send("HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=8, x1=" + freeMemory() + "\r\nContent-Length: 0\r\n\r\n");
-            probes.incrementAndGet();
-        };
-        startCounting(file -> holding(file).replace("\"may_cancel\":true", "\"may_cancel\":true,\"may_probe\":true")
-            .replace("\"lanes\"", "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\",\"x1\"]},\"lanes\""),
-            worker("a", (peer, message) -> (message.first().startsWith("GET") ? probed : shortOfMemory).on(peer, message)));
+        Work probed =
+                (peer, message) -> {
+                    if (waits.get()) {
+                        asked.countDown();
+                        room.await();
+                    }
+                    peer.send(
+                            "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=8, x1="
+                                    + freeMemory()
+                                    + "\r\nContent-Length: 0\r\n\r\n");
+                    probes.incrementAndGet();
+                };
+        startCounting(
+                file ->
+                        holding(file)
+                                .replace(
+                                        "\"may_cancel\":true",
+                                        "\"may_cancel\":true,\"may_probe\":true")
+                                .replace(
+                                        "\"lanes\"",
+                                        "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\",\"x1\"]},\"lanes\""),
+                worker(
+                        "a",
+                        (peer, message) ->
+                                (message.first().startsWith("GET") ? probed : shortOfMemory)
+                                        .on(peer, message)));
         Program.await("it has told that it has no memory", () -> probes.get() > 1);
         awaitDiscovery();
         keepLinks();
@@ -235,17 +279,20 @@
     }
 
     /**
-     * The worker takes what had stood still before the close, and there is room for the rest of the request. Behind a long
-     * turn the look at connections that the system may not watch comes first.
+     * The worker takes what had stood still before the close, and there is room for the rest of the
+     * request. Behind a long turn the look at connections that the system may not watch comes
+     * first.
      */
     @ParameterizedTest
     @CsvSource({"true,0", "false,0", "false,300"})
-    void theRestOfARequestIsNotWrittenBehindATurnInWhichItsClientLeft(boolean mayCancel, long longerMs) throws Exception {
+    void theRestOfARequestIsNotWrittenBehindATurnInWhichItsClientLeft(
+            boolean mayCancel, long longerMs) throws Exception {
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            startCounting(file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
-                entry("a", slow.getLocalPort(), "ready"));
+            startCounting(
+                    file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
+                    entry("a", slow.getLocalPort(), "ready"));
             Peer client = Peer.connect(port).send(large("q0", LARGE));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "it has begun");
--- a/src/test/java/damsonslip/platform/LastingFolderTest.java
+++ b/src/test/java/damsonslip/platform/LastingFolderTest.java
@@ -23,12 +23,18 @@
     private final int mgmt = Program.freePort();
 
     private void startManaged(String... entries) throws IOException {
-        program = new Program(config(list(7, true, entries), mgmt(mgmt)), faults.environment(), List.of(), "serve");
+        program =
+                new Program(
+                        config(list(7, true, entries), mgmt(mgmt)),
+                        faults.environment(),
+                        List.of(),
+                        "serve");
     }
 
     @ParameterizedTest
     @CsvSource({"FILE_OPEN,ENOSPC", "FILE_OPEN,EIO", "FILE_WRITE,ENOSPC", "RENAME,EIO"})
-    void servesThoughTheFolderCannotBeWrittenAtTheStart(SystemCall call, Errno error) throws Exception {
+    void servesThoughTheFolderCannotBeWrittenAtTheStart(SystemCall call, Errno error)
+            throws Exception {
         faults.fail(call, error, 1);
         startManaged(worker("a", SERVE));
         program.awaitWord("listens on");
@@ -36,13 +42,16 @@
         assertTrue(call(mgmt, "READY").startsWith("YES"), "the operators' tools get on");
         assertTrue(call(mgmt, "DISABLE a").startsWith("NO"), "nothing is kept yet");
         faults.restore(call);
-        Program.await("the folder is used once it can be", () -> call(mgmt, "DISABLE a").startsWith("YES"));
+        Program.await(
+                "the folder is used once it can be",
+                () -> call(mgmt, "DISABLE a").startsWith("YES"));
     }
 
     /** What an operator is told has been done is kept; what could not be kept is told. */
     @ParameterizedTest
     @CsvSource({"FILE_OPEN,ENOSPC", "FILE_WRITE,ENOSPC", "FILE_SYNC,EIO", "RENAME,EIO"})
-    void tellsTheOperatorOfAChangeThatCouldNotBeKept(SystemCall call, Errno error) throws Exception {
+    void tellsTheOperatorOfAChangeThatCouldNotBeKept(SystemCall call, Errno error)
+            throws Exception {
         startManaged(worker("a", SERVE), worker("b", SERVE));
         program.awaitWord("listens on");
         Program.await("it takes commands", () -> call(mgmt, "READY").startsWith("YES"));
@@ -59,7 +68,10 @@
         program.awaitWord("took over the operators' bans");
     }
 
-    /** Another process has disabled a worker; that its file could not be read at once does not leave this one without. */
+    /**
+     * Another process has disabled a worker; that its file could not be read at once does not leave
+     * this one without.
+     */
     @Test
     void takesOverWhatAnotherProcessHasKeptThoughItCannotBeReadAtOnce() throws Exception {
         startManaged(worker("a", SERVE), worker("b", SERVE));
@@ -72,10 +84,14 @@
         assertTrue(call(mgmt, "STATS").contains("router.targets_disabled:0|g"));
         faults.fail(SystemCall.FILE_READ_OPEN, Errno.EIO, 1);
         Path written = Files.writeString(dir.resolve("of-another-process"), disabled);
-        Files.move(written, kept, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                written, kept, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         program.awaitWord("cannot be read");
         faults.restore(SystemCall.FILE_READ_OPEN);
-        Program.await("it has heard", () -> call(mgmt, "STATS").contains("router.targets_disabled:1|g"), program);
+        Program.await(
+                "it has heard",
+                () -> call(mgmt, "STATS").contains("router.targets_disabled:1|g"),
+                program);
     }
 
     /** A disk that takes its time holds up the command that waits for it, and nobody else. */
@@ -88,7 +104,10 @@
         faults.hold(SystemCall.FILE_SYNC, SLOW_SYNC_MS);
         long syncs = faults.calls(SystemCall.FILE_SYNC);
         try (Peer operator = Peer.connect(mgmt).send("DISABLE a\n")) {
-            Program.await("the disk is waited for", () -> faults.calls(SystemCall.FILE_SYNC) > syncs, program);
+            Program.await(
+                    "the disk is waited for",
+                    () -> faults.calls(SystemCall.FILE_SYNC) > syncs,
+                    program);
             long askedNs = System.nanoTime();
             assertEquals(200, ask(query("q1", "read", "4000m")).status());
             long tookMs = (System.nanoTime() - askedNs) / 1_000_000;
--- a/src/test/java/damsonslip/platform/LateDialsTest.java
+++ b/src/test/java/damsonslip/platform/LateDialsTest.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Connections that come up a second after they were dialled: what was decided then may hold no longer. */
+/**
+ * Connections that come up a second after they were dialled: what was decided then may hold no
+ * longer.
+ */
 class LateDialsTest extends PlatformStage {
     private static final long WELL_AFTER_MS = 1_800;
 
@@ -24,7 +27,9 @@
 
     private Path patient(String known) throws IOException {
         Path file = config(known);
-        return Files.writeString(file, Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
+        return Files.writeString(
+                file,
+                Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
     }
 
     private static void replace(Path file, String one, String other) throws IOException {
@@ -32,21 +37,25 @@
     }
 
     private void serve(LateServer server) throws IOException {
-        server.open(peer -> {
-            while (true) {
-                Message job = peer.message();
-                late.add(job);
-                SERVE.on(peer, job);
-            }
-        });
+        server.open(
+                peer -> {
+                    while (true) {
+                        Message job = peer.message();
+                        late.add(job);
+                        SERVE.on(peer, job);
+                    }
+                });
     }
 
     /** Without cancelling nothing else keeps it back. */
     @Test
     void aQueryWhoseClientLeavesDuringTheDialIsNotSent() throws Exception {
         try (LateServer worker = new LateServer()) {
-            startCounting(file -> file.replace("\"may_cancel\":true", "\"may_cancel\":false")
-                .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"), entry("a", worker.port(), "ready"));
+            startCounting(
+                    file ->
+                            file.replace("\"may_cancel\":true", "\"may_cancel\":false")
+                                    .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
+                    entry("a", worker.port(), "ready"));
             Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
             Program.await("it is dialled for", () -> counts("executions_sent", 1));
             client.close();
@@ -55,23 +64,32 @@
             Program.await("the dial comes up", () -> worker.connections() == 1);
             Thread.sleep(200);
             assertEquals(List.of(), late);
-            assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body(), "what came up is of use");
+            assertEquals(
+                    "r-q2", ask(query("q2", "submit", "2000m")).body(), "what came up is of use");
         }
     }
 
-    /** The first one may have run; a second one that comes after the window would not be known for a repeat. */
+    /**
+     * The first one may have run; a second one that comes after the window would not be known for a
+     * repeat.
+     */
     @Test
     void aRepeatWhoseWindowHasPassedDuringTheDialIsNotSent() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         try (LateServer worker = new LateServer()) {
-            worker.open(1, peer -> {
-                late.add(peer.message());
-                worker.hold();
-                held.countDown();
-                peer.close();
-            });
+            worker.open(
+                    1,
+                    peer -> {
+                        late.add(peer.message());
+                        worker.hold();
+                        held.countDown();
+                        peer.close();
+                    });
             Path file = patient(list(7, true, entry("a", worker.port(), "ready")));
-            replace(file, "\"semantics\":\"once\"", "\"semantics\":\"by_key\",\"dedup_scope\":\"all\",\"window_s\":1.0");
+            replace(
+                    file,
+                    "\"semantics\":\"once\"",
+                    "\"semantics\":\"by_key\",\"dedup_scope\":\"all\",\"window_s\":1.0");
             program = new Program(file, "serve").awaitWord("listens on");
             try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
                 assertTrue(held.await(5, TimeUnit.SECONDS));
@@ -85,23 +103,30 @@
         }
     }
 
-    /** The old watch ends, discovery moves, and the module asks for a watch while the new one is being dialled. */
+    /**
+     * The old watch ends, discovery moves, and the module asks for a watch while the new one is
+     * being dialled.
+     */
     @Test
     void aWatchThatIsBeingDialledIsNotDialledAgain() throws Exception {
         List<String> asked = new CopyOnWriteArrayList<>();
         try (LateServer next = new LateServer()) {
-            program = new Program(patient(list(7, true, worker("a", SERVE))), "serve").awaitWord("listens on");
+            program =
+                    new Program(patient(list(7, true, worker("a", SERVE))), "serve")
+                            .awaitWord("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             discovery.close();
             program.awaitWord("the watch on discovery is over");
             program.reload(moved(next.port()));
             program.awaitWord("reload: discovery is at");
             Thread.sleep(800); // the module asks within 0.6 s
-            next.open(peer -> {
-                asked.add(peer.message().first());
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(list(3, true, worker("b", SERVE)));
-                Thread.sleep(30_000);
-            });
+            next.open(
+                    peer -> {
+                        asked.add(peer.message().first());
+                        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                .chunk(list(3, true, worker("b", SERVE)));
+                        Thread.sleep(30_000);
+                    });
             Program.await("the new watch", () -> asked.size() == 1);
             Thread.sleep(WELL_AFTER_MS);
             assertEquals(1, next.connections(), "one call to discovery: " + asked);
@@ -109,26 +134,35 @@
     }
 
     private String moved(int to) throws IOException {
-        return Files.readString(patient(list(7, true))).replace(
-            "\"discovery\":\"127.0.0.1:" + discovery.port() + "\"", "\"discovery\":\"127.0.0.1:" + to + "\"");
+        return Files.readString(patient(list(7, true)))
+                .replace(
+                        "\"discovery\":\"127.0.0.1:" + discovery.port() + "\"",
+                        "\"discovery\":\"127.0.0.1:" + to + "\"");
     }
 
-    /** The old one's count says nothing of the new one's, also where it goes on while the new one is being dialled. */
+    /**
+     * The old one's count says nothing of the new one's, also where it goes on while the new one is
+     * being dialled.
+     */
     @Test
     void aListFromTheOldAddressDoesNotCountForWhatTheNewOneIsAsked() throws Exception {
         List<String> asked = new CopyOnWriteArrayList<>();
         try (LateServer next = new LateServer()) {
-            program = new Program(patient(list(7, true, worker("a", SERVE))), "serve").awaitWord("listens on");
+            program =
+                    new Program(patient(list(7, true, worker("a", SERVE))), "serve")
+                            .awaitWord("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             program.reload(moved(next.port()));
             program.awaitWord("reload: discovery is at");
             news.add(list(50, false, worker("c", SERVE)));
             Program.await("the old one still counts", () -> served("c"));
-            next.open(peer -> {
-                asked.add(peer.message().first());
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(list(3, true, worker("b", SERVE)));
-                Thread.sleep(30_000);
-            });
+            next.open(
+                    peer -> {
+                        asked.add(peer.message().first());
+                        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                .chunk(list(3, true, worker("b", SERVE)));
+                        Thread.sleep(30_000);
+                    });
             Program.await("the new watch", () -> asked.size() == 1);
             assertTrue(asked.get(0).contains("after=0 "), asked.get(0));
             Program.await("its list counts", () -> served("b"));
--- a/src/test/java/damsonslip/platform/LateSilenceTest.java
+++ b/src/test/java/damsonslip/platform/LateSilenceTest.java
@@ -15,9 +15,11 @@
 class LateSilenceTest extends LoadedStage {
     /** After a watch has fallen silent, a change counts as told so much later at the latest. */
     private static final long SILENT_NS = TimeUnit.SECONDS.toNanos(6);
+
     private static final int LATE_SILENCE_MS = 13_000;
 
     private final AtomicInteger calls = new AtomicInteger();
+
     /** When the list of the next watch was written. */
     private final CompletableFuture<Long> told = new CompletableFuture<>();
 
@@ -36,22 +38,25 @@
             }
         }
         List<Long> silentSince = new ArrayList<>();
-        discovery = new Peer.Server(0, peer -> {
-            boolean first = calls.incrementAndGet() == 1;
-            peer.message();
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            List<String> entries = first ? all : halfDrains;
-            peer.chunk(list(first ? 8 : 9, true, entries.toArray(String[]::new)));
-            if (!first) {
-                told.complete(System.nanoTime());
-            }
-            for (int ms = 0; ms < LATE_SILENCE_MS; ms += 2_000) {
-                Thread.sleep(2_000);
-                peer.chunk("");
-            }
-            silentSince.add(System.nanoTime());
-            Thread.sleep(30_000);
-        });
+        discovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            boolean first = calls.incrementAndGet() == 1;
+                            peer.message();
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            List<String> entries = first ? all : halfDrains;
+                            peer.chunk(list(first ? 8 : 9, true, entries.toArray(String[]::new)));
+                            if (!first) {
+                                told.complete(System.nanoTime());
+                            }
+                            for (int ms = 0; ms < LATE_SILENCE_MS; ms += 2_000) {
+                                Thread.sleep(2_000);
+                                peer.chunk("");
+                            }
+                            silentSince.add(System.nanoTime());
+                            Thread.sleep(30_000);
+                        });
         servers.add(discovery);
         start(all.toArray(String[]::new));
         load();
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -17,11 +17,13 @@
 abstract class LoadedStage extends PlatformStage {
     /** Sends end so long after the news: the settings' grace, and what the rules on sockets add. */
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(550);
+
     private static final int LOOK_ON_MS = 500;
 
     final AtomicBoolean over = new AtomicBoolean();
     final AtomicInteger ids = new AtomicInteger();
     final AtomicInteger calls = new AtomicInteger();
+
     /** When each worker got its last job. */
     final Map<String, Long> last = new ConcurrentHashMap<>();
 
@@ -31,10 +33,12 @@
     }
 
     String noting(String id) throws IOException {
-        return worker(id, (peer, job) -> {
-            last.put(id, System.nanoTime());
-            SERVE.on(peer, job);
-        });
+        return worker(
+                id,
+                (peer, job) -> {
+                    last.put(id, System.nanoTime());
+                    SERVE.on(peer, job);
+                });
     }
 
     static String draining(String entry) {
@@ -44,17 +48,23 @@
     /** Four clients that ask all the time. */
     void load() {
         for (int i = 0; i < 4; i++) {
-            Thread thread = new Thread(() -> {
-                while (!over.get()) {
-                    try {
-                        int id = ids.incrementAndGet();
-                        ask(query("q" + id, id % 2 == 0 ? "read" : "submit", "2000m"));
-                        Thread.sleep(10);
-                    } catch (IOException | InterruptedException e) {
-                        return; // the test is over
-                    }
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                while (!over.get()) {
+                                    try {
+                                        int id = ids.incrementAndGet();
+                                        ask(
+                                                query(
+                                                        "q" + id,
+                                                        id % 2 == 0 ? "read" : "submit",
+                                                        "2000m"));
+                                        Thread.sleep(10);
+                                    } catch (IOException | InterruptedException e) {
+                                        return; // the test is over
+                                    }
+                                }
+                            });
             thread.setDaemon(true);
             thread.start();
         }
@@ -63,7 +73,9 @@
     /** A configuration whose dials may come up late. */
     Path patient(String known) throws IOException {
         Path file = config(known);
-        return Files.writeString(file, Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
+        return Files.writeString(
+                file,
+                Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
     }
 
     void loaded(String... entries) throws Exception {
@@ -73,13 +85,18 @@
         Program.await("all are used", () -> last.size() == entries.length);
     }
 
-    /** None of them gets anything once the grace has passed since the news, though the load goes on for a while. */
+    /**
+     * None of them gets anything once the grace has passed since the news, though the load goes on
+     * for a while.
+     */
     void assertLeftAlone(long toldNs, String... workers) throws InterruptedException {
         long until = toldNs + GRACE_NS;
-        Thread.sleep(Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + LOOK_ON_MS);
+        Thread.sleep(
+                Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + LOOK_ON_MS);
         for (String worker : workers) {
             long ms = TimeUnit.NANOSECONDS.toMillis(last.get(worker) - toldNs);
-            assertTrue(last.get(worker) < until, worker + " got a job " + ms + " ms after the news");
+            assertTrue(
+                    last.get(worker) < until, worker + " got a job " + ms + " ms after the news");
         }
     }
 
--- a/src/test/java/damsonslip/platform/LocalFailuresTest.java
+++ b/src/test/java/damsonslip/platform/LocalFailuresTest.java
@@ -18,9 +18,14 @@
 
 /** The real program where its own machine has no descriptors or sockets left for a while. */
 class LocalFailuresTest extends FaultStage {
-    /** A change counts as told 6 s after discovery had it and could be reached (STANDING); the grace and slack on top. */
+    /**
+     * A change counts as told 6 s after discovery had it and could be reached (STANDING); the grace
+     * and slack on top.
+     */
     private static final long TOLD_AND_GRACE_MS = 7_000;
+
     private static final long UNWATCHED_MS = 4_000;
+
     /** What a moved discovery has to tell counts 4 s after SIGHUP; the grace and slack on top. */
     private static final long MOVED_AND_GRACE_MS = 4_600;
 
@@ -31,25 +36,34 @@
         Peer.Server moved = discovery(new CopyOnWriteArrayList<>(), newWatches);
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.FILE_READ_OPEN, Errno.EMFILE, 1);
-        String text = Files.readString(configuration).replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + moved.port());
+        String text =
+                Files.readString(configuration)
+                        .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + moved.port());
         program.reload(text);
         Thread.sleep(500);
         faults.restore(SystemCall.FILE_READ_OPEN);
         Program.await("it watches discovery where that is now", () -> !newWatches.isEmpty());
     }
 
-    /** That no socket can be had here says nothing of discovery, which may have told of a drain meanwhile. */
+    /**
+     * That no socket can be had here says nothing of discovery, which may have told of a drain
+     * meanwhile.
+     */
     @Test
     void sendsNothingOnAnOldListWhereItsOwnSocketsFail() throws Exception {
         startWithFaults(worker("a", SERVE));
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
         faults.fail(SystemCall.SOCKET, Errno.ENFILE, 1);
-        discovery.endConnections(); // the watch ends, and a new one cannot be opened here, though discovery is well
+        discovery.endConnections(); // the watch ends, and a new one cannot be opened here, though
+        // discovery is well
         askFor(System.nanoTime(), TOLD_AND_GRACE_MS);
         assertNothingIsSent();
     }
 
-    /** A dial that comes up, and of which nothing is heard because the system does not watch it, says the same. */
+    /**
+     * A dial that comes up, and of which nothing is heard because the system does not watch it,
+     * says the same.
+     */
     @Test
     void sendsNothingOnAnOldListWhereItsDialsAreNotWatched() throws Exception {
         AtomicBoolean busy = new AtomicBoolean();
@@ -66,13 +80,18 @@
         assertNothingIsSent();
     }
 
-    /** What the new discovery has to tell counts from the signal, however late the file that names it could be read. */
+    /**
+     * What the new discovery has to tell counts from the signal, however late the file that names
+     * it could be read.
+     */
     @Test
     void countsAMoveFromTheSignalThoughTheConfigurationIsReadLate() throws Exception {
         Peer.Server busy = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(busy);
         startWithFaults(worker("a", SERVE));
-        String text = Files.readString(configuration).replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + busy.port());
+        String text =
+                Files.readString(configuration)
+                        .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + busy.port());
         faults.fail(SystemCall.FILE_READ_OPEN, Errno.EIO, 1);
         long signalNs = System.nanoTime();
         program.reload(text);
@@ -83,7 +102,10 @@
         assertNothingIsSent();
     }
 
-    /** Where the file cannot be read at all, discovery may have moved; once it can, and has not, service goes on. */
+    /**
+     * Where the file cannot be read at all, discovery may have moved; once it can, and has not,
+     * service goes on.
+     */
     @Test
     void sendsNothingWhileItCannotReadWhereDiscoveryIs() throws Exception {
         startWithFaults(worker("a", SERVE));
--- a/src/test/java/damsonslip/platform/OtherSettingsTest.java
+++ b/src/test/java/damsonslip/platform/OtherSettingsTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What another customer's settings may say: tenants, another grace, effects by other names of classes. */
+/**
+ * What another customer's settings may say: tenants, another grace, effects by other names of
+ * classes.
+ */
 class OtherSettingsTest extends PlatformStage {
     private void startWith(String one, String other, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
@@ -24,23 +27,32 @@
     }
 
     private static String of(String tenant, String id) {
-        return query(id, "read", "4000m").replace("X-Time-Left", "X-Account: " + tenant + "\r\nX-Time-Left");
+        return query(id, "read", "4000m")
+                .replace("X-Time-Left", "X-Account: " + tenant + "\r\nX-Time-Left");
     }
 
     /** Each is judged by its own share, and a name that the settings do not have is refused. */
     @Test
     void aTenantBeyondItsShareIsTurnedAwayBesideOneWithinItsOwn() throws Exception {
-        startWith("\"lanes\"", "\"realms\":[{\"name\":\"large\",\"quota_per_s\":50},"
-            + "{\"name\":\"small\",\"quota_per_s\":1}],\"lanes\"",
-            worker("a", (peer, job) -> {
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(state(job, "started", ""));
-                Thread.sleep(30_000); // a worker that did not say so would count as full
-            }));
+        startWith(
+                "\"lanes\"",
+                "\"realms\":[{\"name\":\"large\",\"quota_per_s\":50},"
+                        + "{\"name\":\"small\",\"quota_per_s\":1}],\"lanes\"",
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                    .chunk(state(job, "started", ""));
+                            Thread.sleep(
+                                    30_000); // a worker that did not say so would count as full
+                        }));
         assertEquals(400, ask(query("q1", "read", "4000m")).status());
         assertEquals(400, ask(of("nobody", "q2")).status());
         Thread.sleep(1_100); // shares fill up
-        String whole = of("large", "l0").replace("X-Time-Left", "X-Facts: cores_needed=4\r\nX-Time-Left");
-        try (Peer first = Peer.connect(port).send(whole); Peer within = Peer.connect(port)) {
+        String whole =
+                of("large", "l0").replace("X-Time-Left", "X-Facts: cores_needed=4\r\nX-Time-Left");
+        try (Peer first = Peer.connect(port).send(whole);
+                Peer within = Peer.connect(port)) {
             Program.await("the worker is full", () -> jobs("a") == 1);
             within.send(of("small", "s0"));
             assertTrue(within.silent(100), "one within its share waits");
@@ -53,7 +65,9 @@
         }
     }
 
-    /** The grace is the settings' own, shorter or longer than usual: well after it nothing is begun. */
+    /**
+     * The grace is the settings' own, shorter or longer than usual: well after it nothing is begun.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {0.25, 0.9})
     void theDrainGraceIsTheSettings(double grace) throws Exception {
@@ -64,7 +78,8 @@
         Thread.sleep((long) (grace * 1000));
         int before = jobs("a");
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
+            assertEquals(
+                    200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
         }
         assertEquals(before, jobs("a"));
     }
@@ -72,8 +87,11 @@
     /** Names of classes say nothing: 'submit' may be repeated here, and 'read' must run once. */
     @Test
     void anEffectIsReadFromTheSettingsAndNotFromTheName() throws Exception {
-        startWith("\"hard_limit_s\":5,\"semantics\":\"repeatable\"", "\"hard_limit_s\":5,\"semantics\":\"once\"",
-            worker("a", BREAK), worker("b", BREAK));
+        startWith(
+                "\"hard_limit_s\":5,\"semantics\":\"repeatable\"",
+                "\"hard_limit_s\":5,\"semantics\":\"once\"",
+                worker("a", BREAK),
+                worker("b", BREAK));
         assertEquals(502, ask(query("q1", "read", "1000m")).status());
         assertEquals(1, jobs("a", "b"));
     }
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -8,13 +8,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a client sent reaches its worker as it was, or the client is told that it cannot be sent. */
+/**
+ * What a client sent reaches its worker as it was, or the client is told that it cannot be sent.
+ */
 class PassedUnchangedTest extends PlatformStage {
     private void unchangedOrRefused(String text, String field, String value) throws Exception {
         start(worker("a", SERVE), worker("b", SERVE));
         Message answer = ask(text);
         if (answer.status() == 200) {
-            Message job = got.values().stream().filter(jobs -> !jobs.isEmpty()).findFirst().orElseThrow().get(0);
+            Message job =
+                    got.values().stream()
+                            .filter(jobs -> !jobs.isEmpty())
+                            .findFirst()
+                            .orElseThrow()
+                            .get(0);
             assertEquals(value, field == null ? job.first().split(" ")[1] : job.field(field));
         } else {
             assertTrue(answer.status() >= 400 && answer.status() < 500, "refused: " + answer);
@@ -25,25 +32,54 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"/api", "/api?", "/api?x=%C3%A9", "/api?x=%zz", "/api?x=%", "/api?x=1#part",
-        "/api#part", "/api?x=é",
-        "/api?x=a|b^c{d}`e\"f<g>\\h", "/api?x=a//b/../c", "/api?x=a?b", "/api?\u0001"})
+    @ValueSource(
+            strings = {
+                "/api",
+                "/api?",
+                "/api?x=%C3%A9",
+                "/api?x=%zz",
+                "/api?x=%",
+                "/api?x=1#part",
+                "/api#part",
+                "/api?x=é",
+                "/api?x=a|b^c{d}`e\"f<g>\\h",
+                "/api?x=a//b/../c",
+                "/api?x=a?b",
+                "/api?\u0001"
+            })
     void aTarget(String target) throws Exception {
         unchangedOrRefused(query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"plain-1", "a b", "a\tb", "é", "a\u0001b", "a\u007fb", "\u00a0x", "a,b;c=d", "x:y"})
+    @ValueSource(
+            strings = {
+                "plain-1",
+                "a b",
+                "a\tb",
+                "é",
+                "a\u0001b",
+                "a\u007fb",
+                "\u00a0x",
+                "a,b;c=d",
+                "x:y"
+            })
     void anId(String id) throws Exception {
-        unchangedOrRefused(query(id, "read", "2000m").replace("Idempotency-Key: k-" + id, "Idempotency-Key: k"),
-            "X-Correlation-Id", id);
+        unchangedOrRefused(
+                query(id, "read", "2000m")
+                        .replace("Idempotency-Key: k-" + id, "Idempotency-Key: k"),
+                "X-Correlation-Id",
+                id);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"plain-1", "a b", "a\tb", "é", "a\u0001b", "a\u007fb"})
     void aKey(String key) throws Exception {
-        unchangedOrRefused(query("q1", "read", "2000m").replace("Idempotency-Key: k-q1", "Idempotency-Key: " + key),
-            "Idempotency-Key", key);
+        unchangedOrRefused(
+                query("q1", "read", "2000m")
+                        .replace("Idempotency-Key: k-q1", "Idempotency-Key: " + key),
+                "Idempotency-Key",
+                key);
     }
 
     @Test
--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -33,18 +33,31 @@
         void on(Peer peer, Message job) throws IOException, InterruptedException;
     }
 
-    static final Work SERVE = (peer, job) -> peer.answerLines(state(job, "started", ""),
-        state(job, "done", ",\"result\":\"r-" + job.field("X-Correlation-Id") + "\",\"load\":{\"x0\":3}"));
+    static final Work SERVE =
+            (peer, job) ->
+                    peer.answerLines(
+                            state(job, "started", ""),
+                            state(
+                                    job,
+                                    "done",
+                                    ",\"result\":\"r-"
+                                            + job.field("X-Correlation-Id")
+                                            + "\",\"load\":{\"x0\":3}"));
     static final Work TURN_AWAY =
-        (peer, job) -> peer.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
+            (peer, job) ->
+                    peer.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
     static final Work BREAK = (peer, job) -> peer.close();
     static final Work SAY_NOTHING = (peer, job) -> Thread.sleep(30_000);
 
     /** The bytes of a {@link #large} body. */
     static final int LARGE = 44_000;
 
-    /** Links that {@link #keepLinks} keeps: fewer than a worker is sent at once of which nothing is known. */
+    /**
+     * Links that {@link #keepLinks} keeps: fewer than a worker is sent at once of which nothing is
+     * known.
+     */
     static final int KEPT = 3;
+
     static final int HELD = 4;
 
     /** The ways in which a client leaves. */
@@ -71,8 +84,7 @@
         abstract void by(Peer client) throws IOException;
     }
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     final Map<String, List<Message>> got = new ConcurrentHashMap<>();
     final List<Peer.Server> servers = new ArrayList<>();
     final List<String> news = new CopyOnWriteArrayList<>();
@@ -80,28 +92,47 @@
     final int port = Program.freePort();
     final int console = Program.freePort();
     private final List<Socket> dead = new ArrayList<>();
+
     /** From then on a worker that is {@link #shortOfMemory} has some. */
     final CountDownLatch room = new CountDownLatch(1);
+
     private final CountDownLatch together = new CountDownLatch(KEPT);
+
     /** Tells with its answers how much memory is free. */
-    final Work shortOfMemory = (peer, job) -> {
-        String id = job.field("X-Correlation-Id");
-        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(state(job, "started", ""));
-        if (id.startsWith("w")) { // each on a link of its own
-            together.countDown();
-            together.await();
-        } else if (id.equals("gate")) {
-            room.await();
-        }
-        peer.chunk(state(job, "done", ",\"result\":\"r-" + id + "\",\"load\":{\"x0\":8,\"x1\":" + freeMemory() + "}"))
-            .send("0\r\n\r\n");
-    };
+    final Work shortOfMemory =
+            (peer, job) -> {
+                String id = job.field("X-Correlation-Id");
+                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                        .chunk(state(job, "started", ""));
+                if (id.startsWith("w")) { // each on a link of its own
+                    together.countDown();
+                    together.await();
+                } else if (id.equals("gate")) {
+                    room.await();
+                }
+                peer.chunk(
+                                state(
+                                        job,
+                                        "done",
+                                        ",\"result\":\"r-"
+                                                + id
+                                                + "\",\"load\":{\"x0\":8,\"x1\":"
+                                                + freeMemory()
+                                                + "}"))
+                        .send("0\r\n\r\n");
+            };
+
     Peer.Server discovery;
     Program program;
 
     static String state(Message job, String state, String more) {
-        return "{\"id\":\"" + job.field("X-Correlation-Id") + "\",\"from\":\"w\",\"state\":\"" + state + "\""
-            + more + "}";
+        return "{\"id\":\""
+                + job.field("X-Correlation-Id")
+                + "\",\"from\":\"w\",\"state\":\""
+                + state
+                + "\""
+                + more
+                + "}";
     }
 
     @BeforeEach
@@ -110,42 +141,51 @@
     }
 
     Peer.Server discovery(List<String> news, List<String> watches) throws IOException {
-        Peer.Server server = new Peer.Server(0, peer -> {
-            Message asked = peer.message();
-            int told = watches.isEmpty() ? 0 : news.size();
-            watches.add(asked.first());
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            if (told == news.size()) {
-                peer.chunk(list(7, false)); // the first object holds what has changed, be it nothing
-            }
-            for (int i = 1; true; i++) {
-                while (news.size() > told) {
-                    peer.chunk(news.get(told++));
-                }
-                if (i % 50 == 0) {
-                    peer.chunk("");
-                }
-                Thread.sleep(20);
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            Message asked = peer.message();
+                            int told = watches.isEmpty() ? 0 : news.size();
+                            watches.add(asked.first());
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            if (told == news.size()) {
+                                peer.chunk(
+                                        list(7, false)); // the first object holds what has changed,
+                                // be it nothing
+                            }
+                            for (int i = 1; true; i++) {
+                                while (news.size() > told) {
+                                    peer.chunk(news.get(told++));
+                                }
+                                if (i % 50 == 0) {
+                                    peer.chunk("");
+                                }
+                                Thread.sleep(20);
+                            }
+                        });
         servers.add(server);
         return server;
     }
 
     /** Discovery that has no news, and fails all calls while this holds. */
     Peer.Server discoveryFailingWhile(BooleanSupplier failing) throws IOException {
-        Peer.Server server = new Peer.Server(0, peer -> {
-            peer.message();
-            if (failing.getAsBoolean()) {
-                failCall(peer);
-                return;
-            }
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(list(7, false));
-            for (int i = 0; i < 30; i++) {
-                Thread.sleep(1_000);
-                peer.chunk("");
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.message();
+                            if (failing.getAsBoolean()) {
+                                failCall(peer);
+                                return;
+                            }
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                    .chunk(list(7, false));
+                            for (int i = 0; i < 30; i++) {
+                                Thread.sleep(1_000);
+                                peer.chunk("");
+                            }
+                        });
         servers.add(server);
         return server;
     }
@@ -174,7 +214,10 @@
         }
     }
 
-    /** A port where nobody listens, nor will while the test runs: one that was free a moment ago may be taken. */
+    /**
+     * A port where nobody listens, nor will while the test runs: one that was free a moment ago may
+     * be taken.
+     */
     int deadPort() throws IOException {
         Socket socket = new Socket();
         dead.add(socket);
@@ -185,26 +228,39 @@
     /** A worker; gives its entry in discovery's list. */
     String worker(String id, Work work) throws IOException {
         List<Message> jobs = got.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
-        Peer.Server server = new Peer.Server(0, peer -> {
-            while (true) {
-                Message job = peer.message();
-                jobs.add(job);
-                work.on(peer, job);
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            while (true) {
+                                Message job = peer.message();
+                                jobs.add(job);
+                                work.on(peer, job);
+                            }
+                        });
         servers.add(server);
         return entry(id, server.port(), "ready");
     }
 
     static String entry(String id, int port, String lifecycle) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port
-            + "\",\"zone\":\"z\",\"machineType\":\"k\","
-            + "\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":0}";
+        return "{\"instanceId\":\""
+                + id
+                + "\",\"hostPort\":\"127.0.0.1:"
+                + port
+                + "\",\"zone\":\"z\",\"machineType\":\"k\","
+                + "\"cell\":0,\"lifecycle\":\""
+                + lifecycle
+                + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
     static String list(int generation, boolean whole, String... entries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":["
-            + String.join(",", entries) + "]}";
+        return "{\"generation\":"
+                + generation
+                + ",\"reset\":"
+                + whole
+                + ",\"instances\":["
+                + String.join(",", entries)
+                + "]}";
     }
 
     void start(String... entries) throws IOException {
@@ -220,8 +276,13 @@
     void startCounting(UnaryOperator<String> settings, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
         Files.writeString(file, settings.apply(Files.readString(file)));
-        program = new Program(file, Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console), List.of(), "serve")
-            .awaitWord("listens on");
+        program =
+                new Program(
+                                file,
+                                Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
+                                List.of(),
+                                "serve")
+                        .awaitWord("listens on");
     }
 
     /** Whether a counter stands at this figure; only after {@link #startCounting}. */
@@ -236,7 +297,9 @@
 
     private boolean countsAs(String pattern) {
         try (Peer asker = Peer.connect(console).send("counters\n")) {
-            for (String line = asker.line(); line != null && !line.equals("."); line = asker.line()) {
+            for (String line = asker.line();
+                    line != null && !line.equals(".");
+                    line = asker.line()) {
                 if (line.matches(pattern)) {
                     return true;
                 }
@@ -253,43 +316,72 @@
 
     /** A configuration with more keys in front. */
     Path config(String known, String more) throws IOException {
-        return Program.file(dir, "{" + more
-            + "\"name\":\"n1\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:"
-            + discovery.port() + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":" + known
-            + ",\"settings\":{\"instances\":1,\"azs\":[\"z\"],\"shapes\":[\"k\"],"
-            + "\"registry_mode\":\"on_request\",\"lanes\":["
-            + lane("read", "repeatable") + "," + lane("submit", "once") + "],\"limits\":{\"send_cap\":5,"
-            + "\"may_cancel\":true,\"conn_idle_s\":2,\"dial_timeout_s\":0.25},\"guarantees\":{\"drain_grace_s\":0.5},"
-            + "\"specifics\":{\"tells_start\":true}}}");
+        return Program.file(
+                dir,
+                "{"
+                        + more
+                        + "\"name\":\"n1\",\"listen\":\"127.0.0.1:"
+                        + port
+                        + "\",\"discovery\":\"127.0.0.1:"
+                        + discovery.port()
+                        + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"known\":"
+                        + known
+                        + ",\"settings\":{\"instances\":1,\"azs\":[\"z\"],\"shapes\":[\"k\"],"
+                        + "\"registry_mode\":\"on_request\",\"lanes\":["
+                        + lane("read", "repeatable")
+                        + ","
+                        + lane("submit", "once")
+                        + "],\"limits\":{\"send_cap\":5,"
+                        + "\"may_cancel\":true,\"conn_idle_s\":2,\"dial_timeout_s\":0.25},\"guarantees\":{\"drain_grace_s\":0.5},"
+                        + "\"specifics\":{\"tells_start\":true}}}");
     }
 
     private static String lane(String name, String semantics) {
-        return "{\"name\":\"" + name + "\",\"aim_s\":0.5,\"hard_limit_s\":5,\"semantics\":\"" + semantics
-            + "\",\"value\":1}";
+        return "{\"name\":\""
+                + name
+                + "\",\"aim_s\":0.5,\"hard_limit_s\":5,\"semantics\":\""
+                + semantics
+                + "\",\"value\":1}";
     }
 
     static String query(String id, String lane, String timeLeft) {
-        return "POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id + "\r\nX-Service-Class: " + lane
-            + "\r\nX-Time-Left: " + timeLeft + "\r\nIdempotency-Key: k-" + id + "\r\nContent-Length: 4\r\n\r\nbody";
+        return "POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
+                + id
+                + "\r\nX-Service-Class: "
+                + lane
+                + "\r\nX-Time-Left: "
+                + timeLeft
+                + "\r\nIdempotency-Key: k-"
+                + id
+                + "\r\nContent-Length: 4\r\n\r\nbody";
     }
 
     /** A query that must run once, with so many bytes of a body. */
     static String large(String id, int bytes) {
-        return query(id, "submit", "4000m").replace("Content-Length: 4\r\n\r\nbody",
-            "Content-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
+        return query(id, "submit", "4000m")
+                .replace(
+                        "Content-Length: 4\r\n\r\nbody",
+                        "Content-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
     }
 
-    /** Settings by which nobody is turned away from the hold for being late, and links are kept throughout a test. */
+    /**
+     * Settings by which nobody is turned away from the hold for being late, and links are kept
+     * throughout a test.
+     */
     static String holding(String file) {
-        return file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20").replace("\"aim_s\":0.5", "\"aim_s\":5")
-            .replace("\"once\"", "\"repeatable\"");
+        return file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20")
+                .replace("\"aim_s\":0.5", "\"aim_s\":5")
+                .replace("\"once\"", "\"repeatable\"");
     }
 
     int freeMemory() {
         return room.getCount() == 0 ? 99 : 0;
     }
 
-    /** A start turns away what is beyond its share until it has heard discovery; only after {@link #startCounting}. */
+    /**
+     * A start turns away what is beyond its share until it has heard discovery; only after {@link
+     * #startCounting}.
+     */
     void awaitDiscovery() {
         Program.await("it has heard discovery", () -> countsAny("list_updates"), program);
     }
@@ -309,7 +401,9 @@
     List<Peer> hold(int count, String ahead) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String needy = query("q" + i, "submit", "4500m").replace("Host:", "X-Facts: memory=5\r\nHost:");
+            String needy =
+                    query("q" + i, "submit", "4500m")
+                            .replace("Host:", "X-Facts: memory=5\r\nHost:");
             clients.add(Peer.connect(port).send(needy + ahead));
         }
         int before = (int) ids("a").stream().filter(Objects::nonNull).count(); // probes have none
@@ -318,7 +412,10 @@
         return clients;
     }
 
-    /** The same, and the answer to a query that is out tells of memory as soon as there is {@link #room}. */
+    /**
+     * The same, and the answer to a query that is out tells of memory as soon as there is {@link
+     * #room}.
+     */
     List<Peer> startHolding(String ahead) throws IOException {
         startCounting(PlatformStage::holding, worker("a", shortOfMemory));
         awaitDiscovery();
@@ -368,7 +465,9 @@
             for (String next = caller.line(); next != null; next = caller.line()) {
                 told.append(next).append('\n');
             }
-            assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(1), line + " took a second");
+            assertTrue(
+                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(1),
+                    line + " took a second");
             return told.toString();
         } catch (IOException e) {
             return e.toString();
--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -59,10 +59,22 @@
     @Test
     void largeBodiesPassWholeAndQueriesWrittenAheadAreAnsweredInTurn() throws Exception {
         String large = "x".repeat(60_000);
-        start(worker("a", (peer, job) -> peer.answerLines(
-            state(job, "done", ",\"result\":\"" + job.body() + "\",\"load\":{\"x0\":3}"))));
-        String first = query("q1", "read", "4000m").replace("Content-Length: 4\r\n\r\nbody",
-            "Content-Length: 60000\r\n\r\n" + large);
+        start(
+                worker(
+                        "a",
+                        (peer, job) ->
+                                peer.answerLines(
+                                        state(
+                                                job,
+                                                "done",
+                                                ",\"result\":\""
+                                                        + job.body()
+                                                        + "\",\"load\":{\"x0\":3}"))));
+        String first =
+                query("q1", "read", "4000m")
+                        .replace(
+                                "Content-Length: 4\r\n\r\nbody",
+                                "Content-Length: 60000\r\n\r\n" + large);
         try (Peer client = Peer.connect(port).send(first + query("q2", "read", "4000m"))) {
             assertEquals(large, client.message().body());
             assertEquals("body", client.message().body());
@@ -72,7 +84,10 @@
     /** Without load reports nothing but the ends of jobs tells that their slots are free again. */
     @Test
     void aWorkerThatNeverReportsItsLoadIsUsedOnAndOn() throws Exception {
-        start(worker("a", (peer, job) -> peer.answerLines(state(job, "done", ",\"result\":\"r\""))));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> peer.answerLines(state(job, "done", ",\"result\":\"r\""))));
         for (int i = 0; i < 12; i++) {
             assertEquals(200, ask(query("q" + i, "submit", "1000m")).status());
         }
@@ -80,7 +95,7 @@
 
     @Test
     void whatProvablyNeverRanIsSentElsewhere() throws Exception {
-        Peer.Server closed = new Peer.Server(0, peer -> { });
+        Peer.Server closed = new Peer.Server(0, peer -> {});
         closed.close();
         start(worker("a", TURN_AWAY), entry("b", closed.port(), "ready"), worker("c", SERVE));
         for (int i = 0; i < 6; i++) {
@@ -90,15 +105,24 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}", "nonsense",
-        "{\"id\":\"q1\",\"state\":\"jumping\"}", "{\"id\":\"q1\",\"state\":\"done\"}"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "{\"id\":\"other\",\"state\":\"done\",\"result\":\"x\"}",
+                "nonsense",
+                "{\"id\":\"q1\",\"state\":\"jumping\"}",
+                "{\"id\":\"q1\",\"state\":\"done\"}"
+            })
     void aWorkersMalformedLineEndsItsExecutionAsAReset(String line) throws Exception {
         start(worker("a", (peer, job) -> peer.answerLines(line)));
         assertEquals(502, ask(query("q1", "submit", "1000m")).status());
         assertEquals(1, jobs("a"));
     }
 
-    /** The module has given up: the answer must not wait for the deadline, and says when to come back. */
+    /**
+     * The module has given up: the answer must not wait for the deadline, and says when to come
+     * back.
+     */
     @Test
     void aThrottleComesAtOnceAndTellsWhenToComeBack() throws Exception {
         start(worker("a", SAY_NOTHING));
@@ -153,13 +177,19 @@
         assertEquals(8, jobs("b"));
     }
 
-    /** The JVM would exit on SIGHUP, and a scheduler that kept to the old address would go on without news. */
+    /**
+     * The JVM would exit on SIGHUP, and a scheduler that kept to the old address would go on
+     * without news.
+     */
     @Test
     void aHangUpMovesTheWatchAndLeavesOpenExecutionsAlone() throws Exception {
-        String a = worker("a", (peer, job) -> {
-            Thread.sleep(1_500);
-            SERVE.on(peer, job);
-        });
+        String a =
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(1_500);
+                            SERVE.on(peer, job);
+                        });
         start(a);
         Program.await("a watch", () -> watches.size() == 1);
         Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
@@ -167,10 +197,15 @@
         program.reload("{\"listen\":").awaitWord("reload: config");
         List<String> novelWatches = new CopyOnWriteArrayList<>();
         int before = discovery.port();
-        discovery = discovery(List.of(list(3, true, a.replace("ready", "draining"), worker("b", SERVE))), novelWatches);
+        discovery =
+                discovery(
+                        List.of(list(3, true, a.replace("ready", "draining"), worker("b", SERVE))),
+                        novelWatches);
         program.reload(Files.readString(config(list(7, true))));
         Program.await("a watch at the new address", () -> novelWatches.size() == 1);
-        assertTrue(novelWatches.get(0).contains("after=0"), "the new list is asked for whole: " + novelWatches);
+        assertTrue(
+                novelWatches.get(0).contains("after=0"),
+                "the new list is asked for whole: " + novelWatches);
         assertEquals(1, watches.size(), "nothing more is asked of the old one, on port " + before);
         assertEquals(200, ask(query("q2", "submit", "2000m")).status());
         assertEquals(1, jobs("b"));
@@ -190,7 +225,9 @@
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
-    /** A worker closes a link at its idle limit; a job written to it then would count as a reset. */
+    /**
+     * A worker closes a link at its idle limit; a job written to it then would count as a reset.
+     */
     @Test
     void aServerLinkNearItsIdleLimitIsNotUsedAgain() throws Exception {
         start(worker("a", SERVE));
@@ -200,14 +237,20 @@
         assertEquals(2, servers.get(1).connections());
     }
 
-    /** Kept links may be dropped long before the limit and look open: a job written to one counts as having run. */
+    /**
+     * Kept links may be dropped long before the limit and look open: a job written to one counts as
+     * having run.
+     */
     @Test
     void aKindOfLinkThatBreaksUnderItsNextJobIsNotUsedForWhatMustRunOnce() throws Exception {
-        start(worker("a", (peer, job) -> {
-            SERVE.on(peer, job);
-            peer.message();
-            peer.close();
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            SERVE.on(peer, job);
+                            peer.message();
+                            peer.close();
+                        }));
         for (int i = 0; i < 4; i++) {
             assertEquals(200, ask(query("q" + i, "read", "4000m")).status());
             Thread.sleep(60);
@@ -219,45 +262,67 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "GET /nowhere HTTP/1.1~Host: a~~|404", "GET /healthz HTTP/1.1~Host: a~~|200", "GET /api HTTP/1.1~Host: a~~|405",
-        "POST /api HTTP/1.1~Host: a~X-Correlation-Id: q~X-Service-Class: other~Content-Length: 0~~|400",
-        "POST /api HTTP/1.1~Host: a~X-Service-Class: read~Content-Length: 0~~|400",
-        "POST /api HTTP/1.1~Host: a~X-Correlation-Id: q~X-Service-Class: read~X-Time-Left: 5~Content-Length: 0~~|400",
-        "POST /api HTTP/1.1~Host: a~Content-Length: 70000~~|413", "nonsense~~|400",
-        "POST /api HTTP/1.1~Host: a~Content-Length: x~~|400"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "GET /nowhere HTTP/1.1~Host: a~~|404",
+                "GET /healthz HTTP/1.1~Host: a~~|200",
+                "GET /api HTTP/1.1~Host: a~~|405",
+                "POST /api HTTP/1.1~Host: a~X-Correlation-Id: q~X-Service-Class: other~Content-Length: 0~~|400",
+                "POST /api HTTP/1.1~Host: a~X-Service-Class: read~Content-Length: 0~~|400",
+                "POST /api HTTP/1.1~Host: a~X-Correlation-Id: q~X-Service-Class: read~X-Time-Left: 5~Content-Length: 0~~|400",
+                "POST /api HTTP/1.1~Host: a~Content-Length: 70000~~|413",
+                "nonsense~~|400",
+                "POST /api HTTP/1.1~Host: a~Content-Length: x~~|400"
+            })
     void badInputGetsAPlainRefusal(String text, int status) throws Exception {
         start(worker("a", SERVE));
         assertEquals(status, ask(text.replace("~", "\r\n")).status());
-        assertEquals(431, ask("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n").status());
-        assertEquals(200, ask(query("q1", "read", "2000m")).status(), "others are served as before");
+        assertEquals(
+                431,
+                ask("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n").status());
+        assertEquals(
+                200, ask(query("q1", "read", "2000m")).status(), "others are served as before");
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
     static String head(String id, String more) {
-        return "POST /api HTTP/1.1~Host: a~X-Correlation-Id: " + id + "~X-Service-Class: read~" + more + "~";
+        return "POST /api HTTP/1.1~Host: a~X-Correlation-Id: "
+                + id
+                + "~X-Service-Class: read~"
+                + more
+                + "~";
     }
 
     static Stream<Arguments> messagesThatCannotBeTrusted() {
         return Stream.of(
-            // the second one would pass a front that goes by the length, and the first a front that goes by the chunks
-            arguments(head("q", "Content-Length: 4~Transfer-Encoding: chunked~") + "0~~" + head("r", "~"), 400),
-            arguments(head("q", "Content-Length: -4~") + "body", 400),
-            arguments(head("q", "Content-Length: 99999999999999999999~") + "body", 400),
-            arguments(head("q", "Content-Length: 60000000~") + "body", 413),
-            arguments(head("q", "Content-Length: 4~") + "body, and more than it says", 400),
-            arguments(head("q", "X-Correlation-Id: r~Content-Length: 4~") + "body", 400),
-            arguments(head("q", "X-Time-Left: 5dm~Content-Length: 4~") + "body", 400),
-            arguments(head("q", "X-Time-Left: -5m~Content-Length: 4~") + "body", 400),
-            arguments(head("q", "X-Facts: slots=1e9~Content-Length: 4~") + "body", 400),
-            arguments(head("q", "Content-Length: 9~") + "body", 408),
-            arguments("POST /api HTTP/1.1~Host", 408));
+                // the second one would pass a front that goes by the length, and the first a front
+                // that goes by the chunks
+                arguments(
+                        head("q", "Content-Length: 4~Transfer-Encoding: chunked~")
+                                + "0~~"
+                                + head("r", "~"),
+                        400),
+                arguments(head("q", "Content-Length: -4~") + "body", 400),
+                arguments(head("q", "Content-Length: 99999999999999999999~") + "body", 400),
+                arguments(head("q", "Content-Length: 60000000~") + "body", 413),
+                arguments(head("q", "Content-Length: 4~") + "body, and more than it says", 400),
+                arguments(head("q", "X-Correlation-Id: r~Content-Length: 4~") + "body", 400),
+                arguments(head("q", "X-Time-Left: 5dm~Content-Length: 4~") + "body", 400),
+                arguments(head("q", "X-Time-Left: -5m~Content-Length: 4~") + "body", 400),
+                arguments(head("q", "X-Facts: slots=1e9~Content-Length: 4~") + "body", 400),
+                arguments(head("q", "Content-Length: 9~") + "body", 408),
+                arguments("POST /api HTTP/1.1~Host", 408));
     }
 
-    /** Each gets its error within three seconds, then the end of the connection, and no worker hears of it. */
+    /**
+     * Each gets its error within three seconds, then the end of the connection, and no worker hears
+     * of it.
+     */
     @ParameterizedTest
     @MethodSource("messagesThatCannotBeTrusted")
-    void whatCannotBeTrustedIsRefusedAndTheConnectionEnds(String text, int status) throws Exception {
+    void whatCannotBeTrustedIsRefusedAndTheConnectionEnds(String text, int status)
+            throws Exception {
         start(worker("a", SERVE));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.replace("~", "\r\n"))) {
@@ -269,7 +334,10 @@
         assertEquals(0, jobs("a"));
     }
 
-    /** What is behind a length that is too small may come only when the query is with a worker already. */
+    /**
+     * What is behind a length that is too small may come only when the query is with a worker
+     * already.
+     */
     @Test
     void aQueryThatTurnsOutLongerThanItSaysIsNotServed() throws Exception {
         start(worker("a", SAY_NOTHING));
@@ -279,13 +347,19 @@
         }
     }
 
-    /** Ids belong to one query each: a stranger's repeat must neither run nor disturb the query whose id it is. */
+    /**
+     * Ids belong to one query each: a stranger's repeat must neither run nor disturb the query
+     * whose id it is.
+     */
     @Test
     void anIdThatWasUsedIsRefusedWhetherItsQueryIsOpenOrNot() throws Exception {
-        start(worker("a", (peer, job) -> {
-            Thread.sleep(500);
-            SERVE.on(peer, job);
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(500);
+                            SERVE.on(peer, job);
+                        }));
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             assertEquals(409, ask(query("q1", "submit", "4000m")).status());
@@ -295,7 +369,10 @@
         assertEquals(1, jobs("a"));
     }
 
-    /** Connections that say nothing fill the room there is; usual clients still get in, and the silent ones go. */
+    /**
+     * Connections that say nothing fill the room there is; usual clients still get in, and the
+     * silent ones go.
+     */
     @Test
     void silentConnectionsMakeWayForUsualClientsAndAreClosed() throws Exception {
         start(worker("a", SERVE));
@@ -303,17 +380,22 @@
         for (int i = 0; i < 700; i++) {
             silent.add(Peer.connect(port));
             if (i % 100 == 99) {
-                Thread.sleep(30); // what is only accepted, and not yet taken in or let go, fills room of its own
+                Thread.sleep(
+                        30); // what is only accepted, and not yet taken in or let go, fills room of
+                // its own
             }
         }
         long before = System.nanoTime();
-        Program.await("a usual client gets in, at the latest once the newest have been sorted", () -> {
-            try {
-                return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
-            } catch (IOException e) {
-                return false; // so many are accepted and not yet sorted that there is no room
-            }
-        });
+        Program.await(
+                "a usual client gets in, at the latest once the newest have been sorted",
+                () -> {
+                    try {
+                        return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
+                    } catch (IOException e) {
+                        return false; // so many are accepted and not yet sorted that there is no
+                        // room
+                    }
+                });
         for (Peer peer : silent) {
             assertTrue(peer.closed());
         }
@@ -326,16 +408,22 @@
         start(worker("a", SERVE));
         ask(query("q0", "read", "2000m")); // the first one loads classes
         AtomicInteger sent = new AtomicInteger();
-        Thread flood = new Thread(() -> {
-            String part = "x".repeat(1 << 20);
-            try (Peer client = Peer.connect(port).send(head("q", "Content-Length: 900000000~~").replace("~", "\r\n"))) {
-                while (sent.incrementAndGet() < 800) {
-                    client.send(part);
-                }
-            } catch (IOException e) {
-                // its end
-            }
-        });
+        Thread flood =
+                new Thread(
+                        () -> {
+                            String part = "x".repeat(1 << 20);
+                            try (Peer client =
+                                    Peer.connect(port)
+                                            .send(
+                                                    head("q", "Content-Length: 900000000~~")
+                                                            .replace("~", "\r\n"))) {
+                                while (sent.incrementAndGet() < 800) {
+                                    client.send(part);
+                                }
+                            } catch (IOException e) {
+                                // its end
+                            }
+                        });
         flood.start();
         long before = System.nanoTime();
         for (int i = 1; i <= 20; i++) {
@@ -346,13 +434,19 @@
         assertTrue(sent.get() < 100, "it was cut off after " + sent.get() + " MB");
     }
 
-    /** After SIGTERM clients still come for a while; all get an answer, and only then the process ends. */
+    /**
+     * After SIGTERM clients still come for a while; all get an answer, and only then the process
+     * ends.
+     */
     @Test
     void aStopAnswersEverythingAndAsksClientsToGo() throws Exception {
-        start(worker("a", (peer, job) -> {
-            Thread.sleep(900);
-            SERVE.on(peer, job);
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(900);
+                            SERVE.on(peer, job);
+                        }));
         Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         Peer kept = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -362,7 +456,9 @@
         Message late = ask(query("q2", "submit", "4000m"));
         assertEquals(200, late.status());
         assertEquals("close", late.field("Connection"));
-        Thread.sleep(100); // a connection that was kept serves once more, as long as the process may not be killed
+        Thread.sleep(
+                100); // a connection that was kept serves once more, as long as the process may not
+        // be killed
         Message last = kept.send(query("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
@@ -371,10 +467,15 @@
         assertEquals("close", answer.field("Connection"));
         program.reload(null);
         assertEquals(143, program.exit());
-        assertTrue(program.said().contains("queries_taken=3 answers_served=3 executions_sent=3"), program.said());
+        assertTrue(
+                program.said().contains("queries_taken=3 answers_served=3 executions_sent=3"),
+                program.said());
     }
 
-    /** The process may be killed 3.7 s after SIGTERM: a query that runs for longer is told so before. */
+    /**
+     * The process may be killed 3.7 s after SIGTERM: a query that runs for longer is told so
+     * before.
+     */
     @Test
     void aStopAnswersWhatCannotBeWaitedFor() throws Exception {
         start(worker("a", SAY_NOTHING));
@@ -389,15 +490,21 @@
 
     @Test
     void badConfigurationEndsTheProgramWithOnePlainLine() throws Exception {
-        for (String text : List.of("{", "{}",
-            "{\"listen\":\"nowhere\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"instances\":1}}",
-            "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"instances\":0}}",
-            "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"lanes\":[]}}")) {
+        for (String text :
+                List.of(
+                        "{",
+                        "{}",
+                        "{\"listen\":\"nowhere\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"instances\":1}}",
+                        "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"instances\":0}}",
+                        "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"lanes\":[]}}")) {
             try (Program failing = new Program(Program.file(dir, text), "serve")) {
                 assertEquals(1, failing.exit(), text);
                 assertEquals(1, failing.said().lines().count(), failing.said());
                 assertTrue(failing.said().startsWith("damsonslip: "), failing.said());
-                assertEquals(text.contains("lanes"), failing.said().contains("instances, the number"), failing.said());
+                assertEquals(
+                        text.contains("lanes"),
+                        failing.said().contains("instances, the number"),
+                        failing.said());
             }
         }
         assertNull(program);
--- a/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
+++ b/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
@@ -10,10 +10,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The real program while discovery fails all calls and its last list holds no more: its workers are asked themselves. */
+/**
+ * The real program while discovery fails all calls and its last list holds no more: its workers are
+ * asked themselves.
+ */
 class ProbedWorkersServeTest extends PlatformStage {
     /** A list holds so long after discovery was last heard at the most. */
     private static final long LIST_ENDS_MS = 6_500;
+
     private static final long HEARD_MS = 1_200;
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
     private static final long ASKED_FOR_NS = TimeUnit.SECONDS.toNanos(2);
@@ -22,27 +26,34 @@
     private final AtomicInteger ids = new AtomicInteger();
     private volatile long lastSentNs;
 
-    private final Work servesAndTakesWork = (peer, job) -> {
-        if (job.first().startsWith("GET /load ")) {
-            peer.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-        } else {
-            lastSentNs = System.nanoTime();
-            SERVE.on(peer, job);
-        }
-    };
+    private final Work servesAndTakesWork =
+            (peer, job) -> {
+                if (job.first().startsWith("GET /load ")) {
+                    peer.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+                } else {
+                    lastSentNs = System.nanoTime();
+                    SERVE.on(peer, job);
+                }
+            };
     private final AtomicBoolean draining = new AtomicBoolean();
-    private final Work drains = (peer, job) -> {
-        if (draining.get() && job.first().startsWith("GET /load ")) {
-            peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-        } else {
-            servesAndTakesWork.on(peer, job);
-        }
-    };
+    private final Work drains =
+            (peer, job) -> {
+                if (draining.get() && job.first().startsWith("GET /load ")) {
+                    peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                } else {
+                    servesAndTakesWork.on(peer, job);
+                }
+            };
 
     private void startAndLoseTheList(String worker) throws Exception {
         discovery = discoveryFailingWhile(failing::get);
-        startCounting(file -> file.replace("\"may_cancel\":true", "\"may_cancel\":true,\"may_probe\":true")
-            .replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), worker);
+        startCounting(
+                file ->
+                        file.replace(
+                                        "\"may_cancel\":true",
+                                        "\"may_cancel\":true,\"may_probe\":true")
+                                .replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"),
+                worker);
         awaitDiscovery();
         assertEquals(200, ask()); // its connection is kept
         Thread.sleep(HEARD_MS); // and discovery is heard after it came up
@@ -74,7 +85,9 @@
         while (System.nanoTime() - drainingNs < ASKED_FOR_NS) {
             ask();
         }
-        assertTrue(lastSentNs - drainingNs < GRACE_NS, (lastSentNs - drainingNs) / 1_000_000 + " ms after it drains");
+        assertTrue(
+                lastSentNs - drainingNs < GRACE_NS,
+                (lastSentNs - drainingNs) / 1_000_000 + " ms after it drains");
         Program.await("it is turned away", () -> counts503());
     }
 
--- a/src/test/java/damsonslip/platform/ProbesTest.java
+++ b/src/test/java/damsonslip/platform/ProbesTest.java
@@ -15,24 +15,34 @@
     private final AtomicInteger probes = new AtomicInteger();
 
     private Peer.Server start(long answersAfterMs) throws IOException {
-        Peer.Server server = new Peer.Server(0, peer -> {
-            while (true) {
-                peer.message();
-                probes.incrementAndGet();
-                Thread.sleep(answersAfterMs);
-                peer.send("HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3\r\nContent-Length: 0\r\n\r\n");
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            while (true) {
+                                peer.message();
+                                probes.incrementAndGet();
+                                Thread.sleep(answersAfterMs);
+                                peer.send(
+                                        "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3\r\nContent-Length: 0\r\n\r\n");
+                            }
+                        });
         servers.add(server);
         Path file = config(list(7, true, entry("a", server.port(), "ready")));
-        Files.writeString(file, Files.readString(file)
-            .replace("\"may_cancel\":true", "\"may_cancel\":true,\"may_probe\":true")
-            .replace("\"lanes\"", "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace("\"may_cancel\":true", "\"may_cancel\":true,\"may_probe\":true")
+                        .replace(
+                                "\"lanes\"",
+                                "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
         program = new Program(file, "serve").awaitWord("listens on");
         return server;
     }
 
-    /** A worker is probed every 0.4 s, and each probe has 0.5 s: one's rest is not the next one's. */
+    /**
+     * A worker is probed every 0.4 s, and each probe has 0.5 s: one's rest is not the next one's.
+     */
     @Test
     void theTimeOfAnAnsweredProbeDoesNotEndTheNextOne() throws Exception {
         Peer.Server worker = start(250);
@@ -40,7 +50,10 @@
         assertEquals(1, worker.connections(), "all on the one link");
     }
 
-    /** One that is not answered in its time ends its link, since its answer would count for the next one. */
+    /**
+     * One that is not answered in its time ends its link, since its answer would count for the next
+     * one.
+     */
     @Test
     void aProbeThatIsNotAnsweredEndsItsLink() throws Exception {
         Peer.Server worker = start(3_000);
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -22,7 +22,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Workers that die behind an accept, and requests in a crowd or written ahead: each has its end in time. */
+/**
+ * Workers that die behind an accept, and requests in a crowd or written ahead: each has its end in
+ * time.
+ */
 class RareMomentsTest extends PlatformStage {
     /** When a worker's process dies: its connections are reset. */
     enum Dies {
@@ -66,16 +69,20 @@
     }
 
     private void ran(Message job) {
-        runs.computeIfAbsent(job.field("X-Correlation-Id"), id -> new AtomicInteger()).incrementAndGet();
+        runs.computeIfAbsent(job.field("X-Correlation-Id"), id -> new AtomicInteger())
+                .incrementAndGet();
     }
 
     private String dying(String id, Dies when) throws IOException {
-        Peer.Server server = new Peer.Server(0, peer -> {
-            Message job = when.on(peer);
-            if (job != null) {
-                ran(job);
-            }
-        });
+        Peer.Server server =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            Message job = when.on(peer);
+                            if (job != null) {
+                                ran(job);
+                            }
+                        });
         servers.add(server);
         return entry(id, server.port(), "ready");
     }
@@ -84,23 +91,37 @@
     @ParameterizedTest
     @EnumSource(Dies.class)
     void aWorkerThatDiesBehindAnAcceptCostsNoSecondRunAndNoAnswer(Dies when) throws Exception {
-        Work serve = (peer, job) -> {
-            ran(job);
-            SERVE.on(peer, job);
-        };
-        start(dying("a", when), worker("b", serve), worker("c", serve), dying("d", when), worker("e", serve),
-            worker("f", serve));
+        Work serve =
+                (peer, job) -> {
+                    ran(job);
+                    SERVE.on(peer, job);
+                };
+        start(
+                dying("a", when),
+                worker("b", serve),
+                worker("c", serve),
+                dying("d", when),
+                worker("e", serve),
+                worker("f", serve));
         int served = 0;
         for (int i = 0; i < 12; i++) {
             long before = System.nanoTime();
             int status = ask(query("once" + i, "submit", "1000m")).status();
             assertTrue(status == 200 || status == 502 || status == 503, "answered with " + status);
             served += status == 200 ? 1 : 0;
-            assertEquals(200, ask(query("safe" + i, "read", "2000m")).status(), "it goes elsewhere");
-            assertTrue(System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATEST_NS, "in time");
+            assertEquals(
+                    200, ask(query("safe" + i, "read", "2000m")).status(), "it goes elsewhere");
+            assertTrue(
+                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATEST_NS,
+                    "in time");
         }
-        assertTrue(served >= 8, served + " of 12 that run once: each dying worker is found out by its first ones");
-        runs.forEach((id, count) -> assertTrue(id.startsWith("safe") || count.get() == 1, id + " ran " + count));
+        assertTrue(
+                served >= 8,
+                served + " of 12 that run once: each dying worker is found out by its first ones");
+        runs.forEach(
+                (id, count) ->
+                        assertTrue(
+                                id.startsWith("safe") || count.get() == 1, id + " ran " + count));
     }
 
     /** Their time counts from when they came, not from when the one before them was answered. */
@@ -121,7 +142,10 @@
         assertTrue(took < TimeUnit.MILLISECONDS.toNanos(800) + LATEST_NS, took / 1_000_000 + " ms");
     }
 
-    /** Sends a text and waits for so many answers; what ends the connection counts as the end of the rest. */
+    /**
+     * Sends a text and waits for so many answers; what ends the connection counts as the end of the
+     * rest.
+     */
     private static long endNs(int port, String text, int answers) throws IOException {
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text)) {
@@ -136,36 +160,52 @@
         return System.nanoTime() - before;
     }
 
-    /** Usual clients, some that reset, some with half a request, some that write ahead; workers of all kinds. */
+    /**
+     * Usual clients, some that reset, some with half a request, some that write ahead; workers of
+     * all kinds.
+     */
     @Test
     void inACrowdEveryRequestHasItsEndInTime() throws Exception {
         AtomicInteger turn = new AtomicInteger();
-        Work mixed = (peer, job) -> {
-            switch (turn.incrementAndGet() % 4) {
-                case 0 -> Thread.sleep(5_000);
-                case 1 -> peer.reset();
-                default -> SERVE.on(peer, job);
-            }
-        };
+        Work mixed =
+                (peer, job) -> {
+                    switch (turn.incrementAndGet() % 4) {
+                        case 0 -> Thread.sleep(5_000);
+                        case 1 -> peer.reset();
+                        default -> SERVE.on(peer, job);
+                    }
+                };
         start(worker("a", mixed), worker("b", SERVE), worker("c", mixed));
         List<Future<Long>> all = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             String id = "q" + i;
             String lane = i % 2 == 0 ? "read" : "submit";
             String one = query(id, lane, "1500m");
-            all.add(clients.submit(() -> switch (id.charAt(id.length() - 1)) {
-                case '3' -> {
-                    Peer.connect(port).send(one).reset();
-                    yield 0L;
-                }
-                case '5', '6' -> endNs(port, one.substring(0, one.length() / 2), 1);
-                case '7', '8' -> endNs(port, one + query(id + "a", lane, "1500m") + query(id + "b", lane, "1500m"), 3);
-                default -> endNs(port, one, 1);
-            }));
+            all.add(
+                    clients.submit(
+                            () ->
+                                    switch (id.charAt(id.length() - 1)) {
+                                        case '3' -> {
+                                            Peer.connect(port).send(one).reset();
+                                            yield 0L;
+                                        }
+                                        case '5', '6' ->
+                                                endNs(port, one.substring(0, one.length() / 2), 1);
+                                        case '7', '8' ->
+                                                endNs(
+                                                        port,
+                                                        one
+                                                                + query(id + "a", lane, "1500m")
+                                                                + query(id + "b", lane, "1500m"),
+                                                        3);
+                                        default -> endNs(port, one, 1);
+                                    }));
         }
         for (Future<Long> one : all) { // half a request has two seconds
             long took = one.get(20, TimeUnit.SECONDS);
-            assertTrue(took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATEST_NS, took / 1_000_000 + " ms");
+            assertTrue(
+                    took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATEST_NS,
+                    took / 1_000_000 + " ms");
         }
         program.terminate();
         assertEquals(143, program.exit());
--- a/src/test/java/damsonslip/platform/ReadyInTimeTest.java
+++ b/src/test/java/damsonslip/platform/ReadyInTimeTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A restarted scheduler is ready in time, whatever discovery does, and serves from the list that it had. */
+/**
+ * A restarted scheduler is ready in time, whatever discovery does, and serves from the list that it
+ * had.
+ */
 class ReadyInTimeTest extends PlatformStage {
     /** How discovery is away. */
     enum Away {
@@ -31,8 +34,12 @@
         FAILS_LATE
     }
 
-    /** The pages want 6 s on the shorter days; a start's wait for discovery is far below that, on a busy machine too. */
+    /**
+     * The pages want 6 s on the shorter days; a start's wait for discovery is far below that, on a
+     * busy machine too.
+     */
     private static final long READY_NS = TimeUnit.SECONDS.toNanos(4);
+
     private static final long FAILS_AFTER_MS = 1_500;
     private static final int WORKERS = 60;
 
@@ -54,10 +61,11 @@
                 return server(SAY_NOTHING);
             }
             case FAILS_LATE -> {
-                return server((peer, asked) -> {
-                    Thread.sleep(FAILS_AFTER_MS);
-                    peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-                });
+                return server(
+                        (peer, asked) -> {
+                            Thread.sleep(FAILS_AFTER_MS);
+                            peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                        });
             }
             default -> {
                 late = new LateServer();
@@ -87,16 +95,28 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"REFUSES,on_request", "REFUSES,pushed", "NEVER_COMES_UP,on_request", "NEVER_COMES_UP,pushed",
-        "SAYS_NOTHING,on_request", "SAYS_NOTHING,pushed", "FAILS_LATE,on_request", "FAILS_LATE,pushed"})
-    void aSchedulerIsReadyInTimeWhileDiscoveryIsAway(Away away, String registryMode) throws Exception {
+    @CsvSource({
+        "REFUSES,on_request",
+        "REFUSES,pushed",
+        "NEVER_COMES_UP,on_request",
+        "NEVER_COMES_UP,pushed",
+        "SAYS_NOTHING,on_request",
+        "SAYS_NOTHING,pushed",
+        "FAILS_LATE,on_request",
+        "FAILS_LATE,pushed"
+    })
+    void aSchedulerIsReadyInTimeWhileDiscoveryIsAway(Away away, String registryMode)
+            throws Exception {
         Path config = fleet(registryMode).write(dir, port, discoveryPort(away), known(), "");
         long before = System.nanoTime();
-        program = new Program(config, Map.of(), DeployFile.jvmFlags(), "serve").awaitWord("listens on");
+        program =
+                new Program(config, Map.of(), DeployFile.jvmFlags(), "serve")
+                        .awaitWord("listens on");
         long took = System.nanoTime() - before;
         assertTrue(took < READY_NS, "ready after " + took / 1_000_000 + " ms");
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
+            assertEquals(
+                    200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
         }
     }
 }
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -18,6 +18,7 @@
 /** Messages that come in pieces, as the network or a slow writer cuts them. */
 class RequestsInPiecesTest extends PlatformStage {
     private static final int CLIENTS = 8;
+
     /** Each piece is a write of its own, which is read before the next one comes. */
     private static final int PAUSE_MS = 3;
 
@@ -28,36 +29,50 @@
         clients.shutdownNow();
     }
 
-    private void bothAnswered(String text, int at, String first, String second) throws IOException, InterruptedException {
+    private void bothAnswered(String text, int at, String first, String second)
+            throws IOException, InterruptedException {
         try (Peer client = Peer.connect(port)) {
             client.send(text.substring(0, at));
             Thread.sleep(PAUSE_MS);
             client.send(text.substring(at));
             for (String id : List.of(first, second)) {
                 Message answer = client.message();
-                assertEquals("200 r-" + id, answer.status() + " " + answer.body(), "split at " + at);
+                assertEquals(
+                        "200 r-" + id, answer.status() + " " + answer.body(), "split at " + at);
             }
         }
     }
 
-    /** Two requests written in two parts: the seam lies at each byte of the heads, the bodies and between them. */
+    /**
+     * Two requests written in two parts: the seam lies at each byte of the heads, the bodies and
+     * between them.
+     */
     @Test
     void requestsInTwoPiecesAreServedWhereverTheSeamLies() throws Exception {
         startCounting(worker("a", SERVE), worker("b", SERVE), worker("c", SERVE));
         awaitDiscovery();
-        int length = (query("x100", "read", "4000m") + "\r\n" + query("y100", "submit", "4000m")).length();
+        int length =
+                (query("x100", "read", "4000m") + "\r\n" + query("y100", "submit", "4000m"))
+                        .length();
         List<Future<?>> all = new ArrayList<>();
         AtomicInteger next = new AtomicInteger(1);
         for (int i = 0; i < CLIENTS; i++) {
-            all.add(clients.submit(() -> {
-                for (int at = next.getAndIncrement(); at < length; at = next.getAndIncrement()) {
-                    String first = "x" + (100 + at);
-                    String second = "y" + (100 + at);
-                    String text = query(first, "read", "4000m") + "\r\n" + query(second, "submit", "4000m");
-                    bothAnswered(text, at, first, second);
-                }
-                return null;
-            }));
+            all.add(
+                    clients.submit(
+                            () -> {
+                                for (int at = next.getAndIncrement();
+                                        at < length;
+                                        at = next.getAndIncrement()) {
+                                    String first = "x" + (100 + at);
+                                    String second = "y" + (100 + at);
+                                    String text =
+                                            query(first, "read", "4000m")
+                                                    + "\r\n"
+                                                    + query(second, "submit", "4000m");
+                                    bothAnswered(text, at, first, second);
+                                }
+                                return null;
+                            }));
         }
         for (Future<?> one : all) {
             one.get(15, TimeUnit.SECONDS);
@@ -67,15 +82,29 @@
     /** Byte by byte in both directions, and the body of a request that is written slowly. */
     @Test
     void whatComesByteByByteIsReadLikeAnyOther() throws Exception {
-        start(worker("a", (peer, job) -> {
-            String line = state(job, "done", ",\"result\":\"r-" + job.field("X-Correlation-Id") + "\",\"load\":{\"x0\":3}")
-                + "\n";
-            for (char one : ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(line.length()) + ";more=1\r\n" + line + "\r\n0\r\n\r\n").toCharArray()) {
-                peer.send(String.valueOf(one));
-                Thread.sleep(1);
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            String line =
+                                    state(
+                                                    job,
+                                                    "done",
+                                                    ",\"result\":\"r-"
+                                                            + job.field("X-Correlation-Id")
+                                                            + "\",\"load\":{\"x0\":3}")
+                                            + "\n";
+                            for (char one :
+                                    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                                                    + Integer.toHexString(line.length())
+                                                    + ";more=1\r\n"
+                                                    + line
+                                                    + "\r\n0\r\n\r\n")
+                                            .toCharArray()) {
+                                peer.send(String.valueOf(one));
+                                Thread.sleep(1);
+                            }
+                        }));
         try (Peer client = Peer.connect(port)) {
             for (String id : List.of("q1", "q2")) {
                 for (char one : query(id, "submit", "4000m").toCharArray()) {
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -17,17 +17,27 @@
     private static final long SHORTAGE_MS = 1_500;
 
     @ParameterizedTest
-    @EnumSource(value = Errno.class, names = {"ENOMEM", "ENOBUFS", "ENFILE", "EMFILE"})
+    @EnumSource(
+            value = Errno.class,
+            names = {"ENOMEM", "ENOBUFS", "ENFILE", "EMFILE"})
     void startsOnceThereAreSocketsAgain(Errno error) throws Exception {
         Map<String, String> environment = new HashMap<>(faults.environment());
         int second = Program.freePort();
         faults.fail(SystemCall.SOCKET, error, 1);
-        program = new Program(config(list(7, true, worker("a", SERVE)), mgmt(second)), environment, List.of(), "serve");
+        program =
+                new Program(
+                        config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                        environment,
+                        List.of(),
+                        "serve");
         Thread.sleep(SHORTAGE_MS);
         assertTrue(program.isAlive(), program.said());
         faults.restore(SystemCall.SOCKET);
         program.awaitWord("listens on");
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
-        Program.await("its second address listens", () -> call(second, "READY").startsWith("YES"), program);
+        Program.await(
+                "its second address listens",
+                () -> call(second, "READY").startsWith("YES"),
+                program);
     }
 }
