--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -18,8 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What 300 slow clients of every kind cost usual ones: not a test (its name keeps it out of CI), but {@code make
- * bench-slow-peers}, two minutes on a machine that is otherwise idle. Rounds without and with them alternate.
+ * What 300 slow clients of every kind cost usual ones: not a test (its name keeps it out of CI),
+ * but {@code make bench-slow-peers}, two minutes on a machine that is otherwise idle. Rounds
+ * without and with them alternate.
  */
 class SlowPeersMeasurement extends PlatformStage {
     private static final int SLOW = 300;
@@ -28,33 +29,43 @@
     private static final long ROUND_MS = 12_000;
     private static final double AIM_MS = 500;
     private static final String BIG = "x".repeat(250_000);
-    private static final Work WORK = (peer, job) -> {
-        Thread.sleep(15);
-        String id = job.field("X-Correlation-Id");
-        peer.answerLines(state(job, "started", ""), state(job, "done",
-            ",\"result\":\"" + (id.startsWith("big") ? BIG : "r-" + id) + "\",\"load\":{\"x0\":3}"));
-    };
+    private static final Work WORK =
+            (peer, job) -> {
+                Thread.sleep(15);
+                String id = job.field("X-Correlation-Id");
+                peer.answerLines(
+                        state(job, "started", ""),
+                        state(
+                                job,
+                                "done",
+                                ",\"result\":\""
+                                        + (id.startsWith("big") ? BIG : "r-" + id)
+                                        + "\",\"load\":{\"x0\":3}"));
+            };
 
     /** What a slow client does on a connection until that ends. */
     private interface Habit {
         void on(Socket socket, String id) throws IOException, InterruptedException;
     }
 
-    private static final List<Habit> HABITS = List.of(
-        (socket, id) -> socket.getInputStream().read(), // says nothing
-        (socket, id) -> trickle(socket, query(id, "read", "4000m"), 0), // its head by the byte
-        (socket, id) -> trickle(socket, query(id, "read", "4000m"), 4), // its body by the byte
-        (socket, id) -> { // reads nothing of a large answer
-            send(socket, query(id, "read", "4000m"));
-            Thread.sleep(60_000);
-        },
-        (socket, id) -> { // reads 1 KB a second of it
-            send(socket, query(id, "read", "4000m"));
-            InputStream in = socket.getInputStream();
-            while (in.read(new byte[100]) >= 0) {
-                Thread.sleep(100);
-            }
-        });
+    private static final List<Habit> HABITS =
+            List.of(
+                    (socket, id) -> socket.getInputStream().read(), // says nothing
+                    (socket, id) ->
+                            trickle(socket, query(id, "read", "4000m"), 0), // its head by the byte
+                    (socket, id) ->
+                            trickle(socket, query(id, "read", "4000m"), 4), // its body by the byte
+                    (socket, id) -> { // reads nothing of a large answer
+                        send(socket, query(id, "read", "4000m"));
+                        Thread.sleep(60_000);
+                    },
+                    (socket, id) -> { // reads 1 KB a second of it
+                        send(socket, query(id, "read", "4000m"));
+                        InputStream in = socket.getInputStream();
+                        while (in.read(new byte[100]) >= 0) {
+                            Thread.sleep(100);
+                        }
+                    });
 
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger ids = new AtomicInteger();
@@ -64,7 +75,8 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void trickle(Socket socket, String text, int last) throws IOException, InterruptedException {
+    private static void trickle(Socket socket, String text, int last)
+            throws IOException, InterruptedException {
         int from = last == 0 ? 0 : text.length() - last;
         send(socket, text.substring(0, from));
         for (int i = from; i < text.length(); i++) {
@@ -98,7 +110,9 @@
             boolean served;
             try {
                 String id = "u" + ids.incrementAndGet();
-                served = ask(query(id, ids.get() % 2 == 0 ? "read" : "submit", "2000m")).status() == 200;
+                served =
+                        ask(query(id, ids.get() % 2 == 0 ? "read" : "submit", "2000m")).status()
+                                == 200;
             } catch (IOException e) {
                 served = false;
             }
@@ -135,17 +149,37 @@
             each.interrupt();
             each.join();
         }
-        double[] served = times.stream().filter(time -> time >= 0).mapToDouble(time -> time).sorted().toArray();
+        double[] served =
+                times.stream()
+                        .filter(time -> time >= 0)
+                        .mapToDouble(time -> time)
+                        .sorted()
+                        .toArray();
         long inTime = Arrays.stream(served).filter(time -> time <= AIM_MS).count();
-        return String.format("%3d slow: %5d queries, %.4f in time, median %.1f ms, 99%% %.1f ms; %s", slowPeers,
-            times.size(),
-            (double) inTime / times.size(), served[served.length / 2], served[served.length * 99 / 100], held);
+        return String.format(
+                "%3d slow: %5d queries, %.4f in time, median %.1f ms, 99%% %.1f ms; %s",
+                slowPeers,
+                times.size(),
+                (double) inTime / times.size(),
+                served[served.length / 2],
+                served[served.length * 99 / 100],
+                held);
     }
 
     @Test
     void whatTheyCostUsualClients() throws Exception {
-        Path file = config(list(7, true, worker("a", WORK), worker("b", WORK), worker("c", WORK), worker("d", WORK)));
-        program = new Program(file, Map.of(), List.of("-Xmx64m", "-Xss256k"), "serve").awaitWord("listens on");
+        Path file =
+                config(
+                        list(
+                                7,
+                                true,
+                                worker("a", WORK),
+                                worker("b", WORK),
+                                worker("c", WORK),
+                                worker("d", WORK)));
+        program =
+                new Program(file, Map.of(), List.of("-Xmx64m", "-Xss256k"), "serve")
+                        .awaitWord("listens on");
         round(0); // for the compiler
         for (int i = 0; i < ROUNDS; i++) {
             System.out.println(round(0));
@@ -153,6 +187,9 @@
         }
         program.terminate();
         program.exit();
-        program.said().lines().filter(line -> line.startsWith("counters")).forEach(System.out::println);
+        program.said()
+                .lines()
+                .filter(line -> line.startsWith("counters"))
+                .forEach(System.out::println);
     }
 }
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -22,12 +22,21 @@
 class SlowPeersTest extends PlatformStage {
     /** So little that a large message stays with its sender. */
     private static final int SMALL = 4 * 1024;
+
     /** Clients that read nothing, at the most. */
     private static final int MOST_SILENT = 1_000;
+
     private static final int LARGE_REQUEST = 60_000;
     private static final int LARGE_ANSWER = 250_000;
-    private static final Work LARGE = (peer, job) -> peer.answerLines(
-        state(job, "done", ",\"result\":\"" + "x".repeat(LARGE_ANSWER) + "\",\"load\":{\"x0\":3}"));
+    private static final Work LARGE =
+            (peer, job) ->
+                    peer.answerLines(
+                            state(
+                                    job,
+                                    "done",
+                                    ",\"result\":\""
+                                            + "x".repeat(LARGE_ANSWER)
+                                            + "\",\"load\":{\"x0\":3}"));
 
     /** The last byte never left, so that what must run once may go to another worker. */
     @Test
@@ -35,12 +44,15 @@
         try (ServerSocket still = new ServerSocket()) {
             still.setReceiveBufferSize(SMALL);
             still.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            start(worker("a", SERVE), entry("b", still.getLocalPort(), "ready")); // the last one is the class's own
+            start(
+                    worker("a", SERVE),
+                    entry("b", still.getLocalPort(), "ready")); // the last one is the class's own
             int i = 0;
             while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
                 assertEquals(200, ask(large("q" + i++, LARGE_REQUEST)).status());
             }
-            assertTrue(program.said().contains("worker b takes a request too slowly"), program.said());
+            assertTrue(
+                    program.said().contains("worker b takes a request too slowly"), program.said());
             assertEquals(i, jobs("a"));
         }
         program.terminate();
@@ -58,7 +70,10 @@
     }
 
     private long letGoForWhatTheyHold() {
-        return program.said().lines().filter(line -> line.contains("answers that are not read hold more")).count();
+        return program.said()
+                .lines()
+                .filter(line -> line.contains("answers that are not read hold more"))
+                .count();
     }
 
     /** A start on a busy machine may refuse until it has heard discovery. */
@@ -74,23 +89,34 @@
         }
     }
 
-    /** A hundred answers of 250 KB would not fit into the smallest heap beside what the program needs. */
+    /**
+     * A hundred answers of 250 KB would not fit into the smallest heap beside what the program
+     * needs.
+     */
     @Test
     void clientsThatReadNothingDoNotFillTheHeap() throws Exception {
-        program = new Program(config(list(7, true, worker("a", LARGE), worker("b", LARGE))), List.of("-Xmx32m"), "serve")
-            .awaitWord("listens on");
+        program =
+                new Program(
+                                config(list(7, true, worker("a", LARGE), worker("b", LARGE))),
+                                List.of("-Xmx32m"),
+                                "serve")
+                        .awaitWord("listens on");
         List<Socket> silent = new ArrayList<>();
         try {
-            // on a busy machine many are turned away, and hold nothing: it goes on until enough have been served
+            // on a busy machine many are turned away, and hold nothing: it goes on until enough
+            // have been served
             for (int i = 0; i < MOST_SILENT && letGoForWhatTheyHold() < 50; i++) {
                 silent.add(asking("q" + i));
                 Thread.sleep(10);
                 if (i % 10 == 0) {
                     String id = "s" + i;
-                    Program.await("who reads is served as ever", () -> served(id + System.nanoTime()));
+                    Program.await(
+                            "who reads is served as ever", () -> served(id + System.nanoTime()));
                 }
             }
-            Program.await("they are let go for what they hold, not for their pace", () -> letGoForWhatTheyHold() >= 50);
+            Program.await(
+                    "they are let go for what they hold, not for their pace",
+                    () -> letGoForWhatTheyHold() >= 50);
         } finally {
             for (Socket client : silent) {
                 client.close();
@@ -106,21 +132,44 @@
         try (ServerSocket still = new ServerSocket()) {
             still.setReceiveBufferSize(SMALL);
             still.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            Path file = config(list(7, true, worker("a", LARGE), entry("b", still.getLocalPort(), "ready")));
-            program = new Program(file, Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console), List.of(), "serve")
-                .awaitWord("listens on");
+            Path file =
+                    config(
+                            list(
+                                    7,
+                                    true,
+                                    worker("a", LARGE),
+                                    entry("b", still.getLocalPort(), "ready")));
+            program =
+                    new Program(
+                                    file,
+                                    Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
+                                    List.of(),
+                                    "serve")
+                            .awaitWord("listens on");
             awaitService();
             try (Socket silent = asking("q1")) {
-                Program.await("the client is shown", () -> slow(console).matches("(?s)peer .*127.0.0.1:"
-                    + silent.getLocalPort() + " +reads an answer +[1-9][0-9]+ +[0-9]+ +[0-9.]+\n.*"));
-                Program.await("the worker is shown", () -> {
-                    try (Peer client = Peer.connect(port).send(large("u" + System.nanoTime(), LARGE_REQUEST))) {
-                        Thread.sleep(100);
-                        return slow(console).matches("(?s).*\nb +takes a request +[1-9][0-9]+ +[0-9]+ +0\\.[0-9]\n.*");
-                    } catch (IOException | InterruptedException e) {
-                        throw new AssertionError(e);
-                    }
-                });
+                Program.await(
+                        "the client is shown",
+                        () ->
+                                slow(console)
+                                        .matches(
+                                                "(?s)peer .*127.0.0.1:"
+                                                        + silent.getLocalPort()
+                                                        + " +reads an answer +[1-9][0-9]+ +[0-9]+ +[0-9.]+\n.*"));
+                Program.await(
+                        "the worker is shown",
+                        () -> {
+                            try (Peer client =
+                                    Peer.connect(port)
+                                            .send(large("u" + System.nanoTime(), LARGE_REQUEST))) {
+                                Thread.sleep(100);
+                                return slow(console)
+                                        .matches(
+                                                "(?s).*\nb +takes a request +[1-9][0-9]+ +[0-9]+ +0\\.[0-9]\n.*");
+                            } catch (IOException | InterruptedException e) {
+                                throw new AssertionError(e);
+                            }
+                        });
             }
         }
     }
@@ -140,8 +189,9 @@
     /** What a kept connection wrote last must not stay with it: that was 16 KB a link. */
     @Test
     void keptConnectionsDoNotFillTheHeap() throws Exception {
-        program = new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
-            .awaitWord("listens on");
+        program =
+                new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
+                        .awaitWord("listens on");
         List<Peer> kept = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             kept.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
@@ -159,18 +209,24 @@
     void aClientThatNeverReadsItsAnswerIsLetGo() throws Exception {
         start(worker("a", LARGE));
         awaitService();
-        try (Socket silent = asking("q1"); Socket pausing = asking("q2")) {
+        try (Socket silent = asking("q1");
+                Socket pausing = asking("q2")) {
             Thread.sleep(3_000);
             assertEquals(LARGE_ANSWER, pausing.getInputStream().readNBytes(LARGE_ANSWER).length);
             program.awaitWord("a client reads nothing of its answer");
-            assertTrue(silent.getInputStream().readNBytes(LARGE_ANSWER).length < LARGE_ANSWER, "its answer was cut off");
+            assertTrue(
+                    silent.getInputStream().readNBytes(LARGE_ANSWER).length < LARGE_ANSWER,
+                    "its answer was cut off");
         }
         program.terminate();
         assertEquals(143, program.exit());
         assertTrue(program.said().contains(" slow_readers_let_go=1"), program.said());
     }
 
-    /** Guards against a console that sends ahead and reads nothing: it holds one answer, is shown, and is let go. */
+    /**
+     * Guards against a console that sends ahead and reads nothing: it holds one answer, is shown,
+     * and is let go.
+     */
     @Test
     void aConsoleThatReadsNothingHoldsOneAnswerAndIsLetGo() throws Exception {
         int console = Program.freePort();
@@ -179,26 +235,40 @@
             known.add(entry("worker-with-a-long-name-" + i, 9, "ready"));
         }
         Path file = config(list(7, true, known.toArray(String[]::new)));
-        program = new Program(file, Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console), List.of("-Xmx32m"), "serve")
-            .awaitWord("listens on");
-        Program.await("the console listens, a moment after the clients' door", () -> {
-            try (Peer asker = Peer.connect(console)) {
-                return true;
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        program =
+                new Program(
+                                file,
+                                Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
+                                List.of("-Xmx32m"),
+                                "serve")
+                        .awaitWord("listens on");
+        Program.await(
+                "the console listens, a moment after the clients' door",
+                () -> {
+                    try (Peer asker = Peer.connect(console)) {
+                        return true;
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
         try (Socket silent = new Socket()) {
             silent.setReceiveBufferSize(SMALL);
             silent.connect(new InetSocketAddress("127.0.0.1", console));
-            silent.getOutputStream().write("workers\n".repeat(900).getBytes(StandardCharsets.UTF_8)); // 120 MB of answers
+            silent.getOutputStream()
+                    .write(
+                            "workers\n"
+                                    .repeat(900)
+                                    .getBytes(StandardCharsets.UTF_8)); // 120 MB of answers
             Program.await("it is shown", () -> slow(console).contains("reads the console"));
             program.awaitWord("a console reads nothing of its answer and is let go");
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
-        try (Peer asker = Peer.connect(console).send("phase\nphase\n")) { // sent ahead, and read: each is answered
-            assertEquals(List.of("serving", ".", "serving", "."), List.of(asker.line(), asker.line(), asker.line(),
-                asker.line()));
+        try (Peer asker =
+                Peer.connect(console)
+                        .send("phase\nphase\n")) { // sent ahead, and read: each is answered
+            assertEquals(
+                    List.of("serving", ".", "serving", "."),
+                    List.of(asker.line(), asker.line(), asker.line(), asker.line()));
         }
     }
 }
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -20,15 +20,21 @@
 class SlowUploadsTest extends PlatformStage {
     private static final int SMALL_BUFFER = 4 * 1024;
     private static final int BODY = 60_000;
+
     /** 100 KB/s, so that the largest request takes over half a second. */
     private static final int PART = 2 * 1024;
+
     private static final int PART_MS = 20;
     private static final long CLIENT_MS = 4_000;
+
     /** A worker may be told so much more than its client has left (STANDING). */
     private static final long SLACK_MS = 150;
 
-    /** A request that has come whole: what its worker is told it has, and when the last byte had come. */
-    private record Arrival(long toldMs, long atNs) { }
+    /**
+     * A request that has come whole: what its worker is told it has, and when the last byte had
+     * come.
+     */
+    private record Arrival(long toldMs, long atNs) {}
 
     private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
     private Peer.Server slow;
@@ -58,7 +64,12 @@
         String told = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
         arrivals.add(new Arrival(Long.parseLong(told) / 1_000, System.nanoTime()));
         String id = got.toString().replaceAll("(?s).*X-Correlation-Id: (\\S+).*", "$1");
-        peer.answerLines("{\"id\":\"" + id + "\",\"from\":\"w\",\"state\":\"done\",\"result\":\"r-" + id + "\"}");
+        peer.answerLines(
+                "{\"id\":\""
+                        + id
+                        + "\",\"from\":\"w\",\"state\":\"done\",\"result\":\"r-"
+                        + id
+                        + "\"}");
     }
 
     /** What it is told goes by the time at which its last byte leaves, however long that takes. */
@@ -73,7 +84,9 @@
         assertFalse(arrivals.isEmpty());
         for (Arrival arrival : arrivals) {
             long leftMs = CLIENT_MS - (arrival.atNs() - sentNs) / 1_000_000;
-            assertTrue(arrival.toldMs() <= leftMs + SLACK_MS, arrival.toldMs() + " ms told, " + leftMs + " ms left");
+            assertTrue(
+                    arrival.toldMs() <= leftMs + SLACK_MS,
+                    arrival.toldMs() + " ms told, " + leftMs + " ms left");
         }
         assertEquals(1, arrivals.size(), "it may run once only");
     }
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -9,16 +9,31 @@
 
 /** What a start may not spend its part of a core on. */
 class StartTest extends PlatformStage {
-    /** Code that is made at run time cannot be archived, and costs a restarting scheduler's clients time. */
+    /**
+     * Code that is made at run time cannot be archived, and costs a restarting scheduler's clients
+     * time.
+     */
     @Test
     void neitherThreadsNorOrdersNeedCodeMadeAtRunTime() throws Exception {
         int second = Program.freePort();
-        program = new Program(config(list(7, true, worker("a", SERVE)), mgmt(second)), List.of("-Xlog:class+load:stdout"),
-            "serve").awaitWord("listens on");
+        program =
+                new Program(
+                                config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                                List.of("-Xlog:class+load:stdout"),
+                                "serve")
+                        .awaitWord("listens on");
         Program.await("ready", () -> call(second, "READY").startsWith("YES"));
         List<String> loaded = program.said().lines().toList();
-        assertTrue(loaded.stream().anyMatch(line -> line.contains(" damsonslip.Rules ")), "classes are told");
-        assertEquals(List.of(), loaded.stream().filter(line -> line.contains("Comparator$$Lambda")
-            || line.contains("jetty.util.security")).toList());
+        assertTrue(
+                loaded.stream().anyMatch(line -> line.contains(" damsonslip.Rules ")),
+                "classes are told");
+        assertEquals(
+                List.of(),
+                loaded.stream()
+                        .filter(
+                                line ->
+                                        line.contains("Comparator$$Lambda")
+                                                || line.contains("jetty.util.security"))
+                        .toList());
     }
 }
--- a/src/test/java/damsonslip/platform/StopTest.java
+++ b/src/test/java/damsonslip/platform/StopTest.java
@@ -15,11 +15,15 @@
 class StopTest extends PlatformStage {
     private static final int PIPE = 64 * 1024;
 
-    /** Where all deadlines are short the process may be killed sooner: 0.7 s after the longest of them. */
+    /**
+     * Where all deadlines are short the process may be killed sooner: 0.7 s after the longest of
+     * them.
+     */
     @Test
     void aStopFollowsTheDeadlinesOfTheSettings() throws Exception {
         Path file = config(list(7, true, worker("a", SAY_NOTHING)));
-        Files.writeString(file, Files.readString(file).replace("\"hard_limit_s\":5", "\"hard_limit_s\":0.8"));
+        Files.writeString(
+                file, Files.readString(file).replace("\"hard_limit_s\":5", "\"hard_limit_s\":0.8"));
         program = new Program(file, "serve").awaitWord("listens on");
         Peer early = Peer.connect(port).send(query("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
@@ -34,8 +38,8 @@
     }
 
     /**
-     * The door is open and the start is not over: its last word waits for room in a full pipe. A stop that comes then must
-     * find everything in place that answers what was taken.
+     * The door is open and the start is not over: its last word waits for room in a full pipe. A
+     * stop that comes then must find everything in place that answers what was taken.
      */
     @Test
     void aStopBetweenTheDoorAndTheEndOfTheStartAnswersWhatWasTaken() throws Exception {
@@ -43,11 +47,19 @@
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (RandomAccessFile log = new RandomAccessFile(pipe.toFile(), "rw")) {
             log.write(new byte[PIPE]);
-            Path file = config(list(7, true, worker("a", (peer, job) -> {
-                Thread.sleep(700);
-                SERVE.on(peer, job);
-            })));
-            program = new Program(file, List.of("-Dorg.slf4j.simpleLogger.logFile=" + pipe), "serve");
+            Path file =
+                    config(
+                            list(
+                                    7,
+                                    true,
+                                    worker(
+                                            "a",
+                                            (peer, job) -> {
+                                                Thread.sleep(700);
+                                                SERVE.on(peer, job);
+                                            })));
+            program =
+                    new Program(file, List.of("-Dorg.slf4j.simpleLogger.logFile=" + pipe), "serve");
             Peer client = open();
             client.send(query("q1", "submit", "4000m"));
             Program.await("it is sent", () -> jobs("a") == 1);
@@ -60,25 +72,32 @@
 
     private Peer open() {
         Peer[] client = new Peer[1];
-        Program.await("the door is open", () -> {
-            try {
-                client[0] = Peer.connect(port);
-                return true;
-            } catch (java.io.IOException e) {
-                return false;
-            }
-        });
+        Program.await(
+                "the door is open",
+                () -> {
+                    try {
+                        client[0] = Peer.connect(port);
+                        return true;
+                    } catch (java.io.IOException e) {
+                        return false;
+                    }
+                });
         return client[0];
     }
 
     /** Before the door opens there is nothing to answer, and a stop ends the start. */
     @Test
     void aStopBeforeTheDoorOpensEndsTheStart() throws Exception {
-        Peer.Server agent = new Peer.Server(0, peer -> Thread.sleep(30_000)); // lists are pushed there, and none comes
+        Peer.Server agent =
+                new Peer.Server(
+                        0, peer -> Thread.sleep(30_000)); // lists are pushed there, and none comes
         servers.add(agent);
         Path file = config(list(7, true, worker("a", SERVE)));
-        Files.writeString(file, Files.readString(file).replace("on_request", "pushed")
-            .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + agent.port()));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace("on_request", "pushed")
+                        .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + agent.port()));
         program = new Program(file, "serve");
         Program.await("the start waits for a list", () -> agent.connections() == 1);
         program.terminate();
--- a/src/test/java/damsonslip/platform/StrayAnswersTest.java
+++ b/src/test/java/damsonslip/platform/StrayAnswersTest.java
@@ -16,7 +16,8 @@
 
 /** What workers send that nobody asked for: a second answer, half a line, an answer without end. */
 class StrayAnswersTest extends PlatformStage {
-    private static final String TURNED_AWAY = "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
+    private static final String TURNED_AWAY =
+            "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
     private static final long LATE_NS = 90_000_000;
 
@@ -24,30 +25,53 @@
 
     /** An answer of this one line, whole, in as many bytes as one write takes. */
     private static String answer(String line) {
-        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(line.length() + 1) + "\r\n"
-            + line + "\n\r\n0\r\n\r\n";
+        return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                + Integer.toHexString(line.length() + 1)
+                + "\r\n"
+                + line
+                + "\n\r\n0\r\n\r\n";
     }
 
     private static String done(Message job) {
-        return answer(state(job, "done", ",\"result\":\"r-" + job.field("X-Correlation-Id") + "\",\"load\":{\"x0\":3}"));
+        return answer(
+                state(
+                        job,
+                        "done",
+                        ",\"result\":\"r-"
+                                + job.field("X-Correlation-Id")
+                                + "\",\"load\":{\"x0\":3}"));
     }
 
-    /** With the link kept, and kept twice over, two queries would share it and one of them would never be answered. */
+    /**
+     * With the link kept, and kept twice over, two queries would share it and one of them would
+     * never be answered.
+     */
     @Test
     void aLinkOnWhichASecondAnswerCameServesNobodyAnyMore() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        start(worker("a", (peer, job) -> {
-            if (job.field("X-Correlation-Id").equals("q1")) {
-                peer.send(done(job) + answer(state(job, "done", ",\"result\":\"again\"")));
-            } else {
-                both.countDown();
-                assertTrue(both.await(3, TimeUnit.SECONDS), "each has a link of its own");
-                peer.send(done(job));
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            if (job.field("X-Correlation-Id").equals("q1")) {
+                                peer.send(
+                                        done(job)
+                                                + answer(
+                                                        state(
+                                                                job,
+                                                                "done",
+                                                                ",\"result\":\"again\"")));
+                            } else {
+                                both.countDown();
+                                assertTrue(
+                                        both.await(3, TimeUnit.SECONDS),
+                                        "each has a link of its own");
+                                peer.send(done(job));
+                            }
+                        }));
         assertEquals("r-q1", ask(query("q1", "read", "2000m")).body());
         try (Peer one = Peer.connect(port).send(query("q2", "read", "4000m"));
-             Peer other = Peer.connect(port).send(query("q3", "read", "4000m"))) {
+                Peer other = Peer.connect(port).send(query("q3", "read", "4000m"))) {
             assertEquals("r-q2", one.message().body());
             assertEquals("r-q3", other.message().body());
         }
@@ -60,7 +84,10 @@
     void aLateTurningAwayProvesNothingOfTheNextQuery() throws Exception {
         start(worker("a", withALateTurningAway()), worker("b", withALateTurningAway()));
         for (int i = 1; i < 12; i++) {
-            assertEquals("r-q" + i, ask(query("q" + i, "submit", "2000m")).body(), "it is worth a link of its own");
+            assertEquals(
+                    "r-q" + i,
+                    ask(query("q" + i, "submit", "2000m")).body(),
+                    "it is worth a link of its own");
         }
         assertEquals(11, jobs("a", "b") + ran.size(), "each ran once");
     }
@@ -75,7 +102,10 @@
         assertTrue(!ran.isEmpty(), "links were used again");
     }
 
-    /** What comes on a connection soon after an answer is met by a second one, late by some milliseconds, and runs. */
+    /**
+     * What comes on a connection soon after an answer is met by a second one, late by some
+     * milliseconds, and runs.
+     */
     private Work withALateTurningAway() {
         return (peer, job) -> {
             Message next = job;
@@ -91,11 +121,20 @@
         };
     }
 
-    /** The line and the answer's end come in one read: closed over the one, the link must not be kept by the other. */
+    /**
+     * The line and the answer's end come in one read: closed over the one, the link must not be
+     * kept by the other.
+     */
     @Test
     void aLinkThatWasClosedOverALineIsNotKeptByTheAnswersEnd() throws Exception {
-        start(worker("a", (peer, job) -> peer.send(job.field("X-Correlation-Id").startsWith("bad")
-            ? answer("nonsense") : done(job))));
+        start(
+                worker(
+                        "a",
+                        (peer, job) ->
+                                peer.send(
+                                        job.field("X-Correlation-Id").startsWith("bad")
+                                                ? answer("nonsense")
+                                                : done(job))));
         for (int i = 0; i < 3; i++) {
             assertEquals(502, ask(query("bad" + i, "submit", "1500m")).status());
             Thread.sleep(600); // until the worker's pause is over
@@ -111,48 +150,65 @@
     @Test
     void aLinkOnWhichHalfALineCameIsLeft() throws Exception {
         CountDownLatch said = new CountDownLatch(1);
-        start(worker("a", (peer, job) -> {
-            peer.send(done(job));
-            if (job.field("X-Correlation-Id").equals("q1")) {
-                Thread.sleep(150);
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Enc");
-                said.countDown();
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            peer.send(done(job));
+                            if (job.field("X-Correlation-Id").equals("q1")) {
+                                Thread.sleep(150);
+                                peer.send("HTTP/1.1 200 OK\r\nTransfer-Enc");
+                                said.countDown();
+                            }
+                        }));
         assertEquals("r-q1", ask(query("q1", "submit", "2000m")).body());
         assertTrue(said.await(5, TimeUnit.SECONDS));
         assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body());
         assertEquals(2, jobs("a"));
     }
 
-    /** The query is served by its last line; the rest would be read for ever, and fill a place for good. */
+    /**
+     * The query is served by its last line; the rest would be read for ever, and fill a place for
+     * good.
+     */
     @Test
     void anAnswerWithoutEndIsLeftOnceItsLastLineHasCome() throws Exception {
         AtomicInteger ended = new AtomicInteger();
-        start(worker("a", (peer, job) -> {
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-            String done = state(job, "done", ",\"result\":\"r\",\"load\":{\"x0\":3}");
-            try {
-                for (int i = 0; i < 10_000; i++) {
-                    peer.chunk(done);
-                    Thread.sleep(2);
-                }
-            } finally {
-                ended.incrementAndGet();
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                            String done =
+                                    state(job, "done", ",\"result\":\"r\",\"load\":{\"x0\":3}");
+                            try {
+                                for (int i = 0; i < 10_000; i++) {
+                                    peer.chunk(done);
+                                    Thread.sleep(2);
+                                }
+                            } finally {
+                                ended.incrementAndGet();
+                            }
+                        }));
         for (String id : List.of("q1", "q2")) {
             assertEquals("r", ask(query(id, "submit", "2000m")).body());
         }
         Program.await("both connections are ended", () -> ended.get() == 2);
     }
 
-    /** Interim answers are no answer: the one that counts comes behind them, and the link stands. */
+    /**
+     * Interim answers are no answer: the one that counts comes behind them, and the link stands.
+     */
     @Test
     void interimAnswersAreReadOver() throws Exception {
-        start(worker("a", (peer, job) ->
-            peer.send("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Unprocessed: 1"
-            + "\r\n\r\n" + done(job))));
+        start(
+                worker(
+                        "a",
+                        (peer, job) ->
+                                peer.send(
+                                        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nX-Unprocessed: 1"
+                                                + "\r\n\r\n"
+                                                + done(job))));
         for (int i = 0; i < 3; i++) {
             assertEquals("r-q" + i, ask(query("q" + i, "submit", "2000m")).body());
             Thread.sleep(150);
@@ -160,28 +216,38 @@
         assertEquals(1, servers.get(1).connections());
     }
 
-    /** Nor are they without end: the query is answered by its deadline, and others are served meanwhile. */
+    /**
+     * Nor are they without end: the query is answered by its deadline, and others are served
+     * meanwhile.
+     */
     @Test
     void interimAnswersWithoutEndAreGivenUpAtTheDeadline() throws Exception {
         String b = worker("b", SERVE);
-        start(worker("a", (peer, job) -> {
-            for (int i = 0; i < 10_000; i++) {
-                peer.send("HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
-            }
-        }));
+        start(
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            for (int i = 0; i < 10_000; i++) {
+                                peer.send("HTTP/1.1 100 Continue\r\n\r\n".repeat(50));
+                            }
+                        }));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "1500m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             news.add(list(8, false, b));
-            Program.await("others are served", () -> {
-                try {
-                    return ask(query("n" + System.nanoTime(), "read", "2000m")).status() == 200;
-                } catch (IOException e) {
-                    throw new AssertionError(e);
-                }
-            });
+            Program.await(
+                    "others are served",
+                    () -> {
+                        try {
+                            return ask(query("n" + System.nanoTime(), "read", "2000m")).status()
+                                    == 200;
+                        } catch (IOException e) {
+                            throw new AssertionError(e);
+                        }
+                    });
             assertEquals(504, client.message().status());
         }
-        assertTrue(System.nanoTime() - before < 3_500_000_000L, "by its deadline, on a busy machine");
+        assertTrue(
+                System.nanoTime() - before < 3_500_000_000L, "by its deadline, on a busy machine");
     }
 }
--- a/src/test/java/damsonslip/platform/ThreadShortageTest.java
+++ b/src/test/java/damsonslip/platform/ThreadShortageTest.java
@@ -32,8 +32,10 @@
         Peer.Server moved = discovery(new CopyOnWriteArrayList<>(), newWatches);
         startShortOfThreads();
         String before = "127.0.0.1:" + discovery.port();
-        program.reload(Files.readString(configuration).replace(before, "127.0.0.1:" + moved.port()));
-        Program.await("it watches discovery where that is now", () -> !newWatches.isEmpty(), program);
+        program.reload(
+                Files.readString(configuration).replace(before, "127.0.0.1:" + moved.port()));
+        Program.await(
+                "it watches discovery where that is now", () -> !newWatches.isEmpty(), program);
     }
 
     /** The JVM starts a thread for each signal, and drops the signal where it cannot. */
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -1,8 +1,8 @@
 package damsonslip.platform;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.kit.Peer;
@@ -19,7 +19,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** {@code run} started again beside the old process: to clients and workers it stays one scheduler. */
+/**
+ * {@code run} started again beside the old process: to clients and workers it stays one scheduler.
+ */
 class UpgradeTest extends PlatformStage {
     private final List<Program> programs = new ArrayList<>();
     private final int first = Program.freePort();
@@ -34,9 +36,15 @@
         return start(mgmt, List.of(), 0, entries);
     }
 
-    private Program start(int mgmt, List<String> words, int mostKb, String... entries) throws IOException {
+    private Program start(int mgmt, List<String> words, int mostKb, String... entries)
+            throws IOException {
         Program started =
-            new Program(config(list(7, true, entries), mgmt(mgmt)), Map.of(), words, mostKb, "serve");
+                new Program(
+                        config(list(7, true, entries), mgmt(mgmt)),
+                        Map.of(),
+                        words,
+                        mostKb,
+                        "serve");
         programs.add(started);
         return Program.await("it is ready", () -> call(mgmt, "READY").startsWith("YES"), started);
     }
@@ -45,29 +53,42 @@
         return Files.exists(dir.resolve("damsonslip-mark-" + number));
     }
 
-    /** Clients that come and go and one that keeps its connection, until the flag is set; gives what went wrong. */
-    private Thread load(List<String> wrong, AtomicInteger served, boolean keep, String name, boolean[] over) {
-        Thread thread = new Thread(() -> {
-            Peer client = null;
-            for (int i = 0; !over[0]; i++) {
-                try {
-                    client = client == null ? Peer.connect(port) : client;
-                    Message answer = client.send(query(name + i, "read", "4000m")).message();
-                    if (answer.status() != 200) {
-                        wrong.add(name + i + ": " + answer.first() + ", " + answer.body());
-                    }
-                    served.incrementAndGet();
-                    if (!keep || "close".equals(answer.field("Connection"))) {
-                        client.close();
-                        client = null;
-                    }
-                    Thread.sleep(5);
-                } catch (IOException | InterruptedException e) {
-                    wrong.add(name + i + ": " + e);
-                    client = null;
-                }
-            }
-        });
+    /**
+     * Clients that come and go and one that keeps its connection, until the flag is set; gives what
+     * went wrong.
+     */
+    private Thread load(
+            List<String> wrong, AtomicInteger served, boolean keep, String name, boolean[] over) {
+        Thread thread =
+                new Thread(
+                        () -> {
+                            Peer client = null;
+                            for (int i = 0; !over[0]; i++) {
+                                try {
+                                    client = client == null ? Peer.connect(port) : client;
+                                    Message answer =
+                                            client.send(query(name + i, "read", "4000m")).message();
+                                    if (answer.status() != 200) {
+                                        wrong.add(
+                                                name
+                                                        + i
+                                                        + ": "
+                                                        + answer.first()
+                                                        + ", "
+                                                        + answer.body());
+                                    }
+                                    served.incrementAndGet();
+                                    if (!keep || "close".equals(answer.field("Connection"))) {
+                                        client.close();
+                                        client = null;
+                                    }
+                                    Thread.sleep(5);
+                                } catch (IOException | InterruptedException e) {
+                                    wrong.add(name + i + ": " + e);
+                                    client = null;
+                                }
+                            }
+                        });
         thread.start();
         return thread;
     }
@@ -77,31 +98,49 @@
         upgradeUnderLoad(List.of(), 0);
     }
 
-    /** The smallest machine has 144 MB; each process gets half of it, and the limits on memory that `run` sets. */
+    /**
+     * The smallest machine has 144 MB; each process gets half of it, and the limits on memory that
+     * `run` sets.
+     */
     @Test
     void anUpgradeUnderLoadFitsOnTheSmallestMachine() throws Exception {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-            .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
-        upgradeUnderLoad(List.of(run.split("[ \"]")).stream().filter(word -> word.matches("-X(m|ss|X:Res|X:MaxM).*"))
-            .toList(), 72 * 1024);
+        String run =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(line -> line.startsWith("run = "))
+                        .findFirst()
+                        .orElseThrow();
+        upgradeUnderLoad(
+                List.of(run.split("[ \"]")).stream()
+                        .filter(word -> word.matches("-X(m|ss|X:Res|X:MaxM).*"))
+                        .toList(),
+                72 * 1024);
     }
 
     private void upgradeUnderLoad(List<String> words, int mostKb) throws Exception {
-        Work quick = (peer, job) -> {
-            Thread.sleep(20);
-            SERVE.on(peer, job);
+        Work quick =
+                (peer, job) -> {
+                    Thread.sleep(20);
+                    SERVE.on(peer, job);
+                };
+        String[] workers = {
+            worker("a", quick), worker("b", quick), worker("c", quick), worker("d", quick)
         };
-        String[] workers = {worker("a", quick), worker("b", quick), worker("c", quick), worker("d", quick)};
         Program old = start(first, words, mostKb, workers);
         assertEquals(200, ask(query("first", "read", "4000m")).status(), "it has heard discovery");
         List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
         boolean[] over = new boolean[1];
-        List<Thread> clients = List.of(load(wrong, served, false, "new-", over), load(wrong, served, false, "more-", over),
-            load(wrong, served, true, "kept-", over), load(wrong, served, true, "held-", over));
+        List<Thread> clients =
+                List.of(
+                        load(wrong, served, false, "new-", over),
+                        load(wrong, served, false, "more-", over),
+                        load(wrong, served, true, "kept-", over),
+                        load(wrong, served, true, "held-", over));
         Thread.sleep(500);
         Program next = start(second, words, mostKb, workers);
-        assertTrue(call(first, "READY").startsWith("YES"), "the old one serves until it is told to end");
+        assertTrue(
+                call(first, "READY").startsWith("YES"),
+                "the old one serves until it is told to end");
         old.terminate();
         assertEquals(143, old.exit(4));
         assertTrue(old.said().contains("a successor serves"), old.said());
@@ -113,27 +152,42 @@
         assertEquals(List.of(), wrong);
         assertTrue(served.get() > 100, served + " served");
         assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
-        Program.await("the new one is alone", () -> next.said().contains("processes of this scheduler: 1"));
+        Program.await(
+                "the new one is alone",
+                () -> next.said().contains("processes of this scheduler: 1"));
     }
 
-    /** A process that has not heard discovery yet can send nothing, and turns away what is beyond its share. */
+    /**
+     * A process that has not heard discovery yet can send nothing, and turns away what is beyond
+     * its share.
+     */
     @Test
     void newOneTakesNobodyInBeforeItKnowsTheWorkers() throws Exception {
-        String[] workers = {worker("a", SERVE), worker("b", SERVE), worker("c", SERVE), worker("d", SERVE)};
+        String[] workers = {
+            worker("a", SERVE), worker("b", SERVE), worker("c", SERVE), worker("d", SERVE)
+        };
         start(first, workers);
-        Peer.Server busyDiscovery = new Peer.Server(0, peer -> {
-            peer.message();
-            Thread.sleep(800);
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").chunk(list(7, false));
-            Thread.sleep(30_000);
-        });
+        Peer.Server busyDiscovery =
+                new Peer.Server(
+                        0,
+                        peer -> {
+                            peer.message();
+                            Thread.sleep(800);
+                            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                    .chunk(list(7, false));
+                            Thread.sleep(30_000);
+                        });
         servers.add(busyDiscovery);
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask(query("warm" + i, "read", "4000m")).status());
         }
         Path file = config(list(7, true, workers), mgmt(second));
-        Files.writeString(file, Files.readString(file).replace("\"discovery\":\"127.0.0.1:" + discovery.port(),
-            "\"discovery\":\"127.0.0.1:" + busyDiscovery.port()));
+        Files.writeString(
+                file,
+                Files.readString(file)
+                        .replace(
+                                "\"discovery\":\"127.0.0.1:" + discovery.port(),
+                                "\"discovery\":\"127.0.0.1:" + busyDiscovery.port()));
         List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
         boolean[] over = new boolean[1];
         List<Thread> clients = new ArrayList<>();
@@ -151,21 +205,27 @@
         assertEquals(List.of(), wrong);
     }
 
-    /** Two processes are one scheduler: a crowd gets no more descriptors from both than the configuration gives. */
+    /**
+     * Two processes are one scheduler: a crowd gets no more descriptors from both than the
+     * configuration gives.
+     */
     @Test
     void bothProcessesShareTheDescriptorsOfOne() throws Exception {
         String a = worker("a", SERVE);
         Path file = config(list(7, true, a), mgmt(first));
-        Files.writeString(file, Files.readString(file).replace("\"sockets\":1024", "\"sockets\":300"));
+        Files.writeString(
+                file, Files.readString(file).replace("\"sockets\":1024", "\"sockets\":300"));
         Program old = new Program(file, "serve");
         programs.add(old);
         Program.await("it is ready", () -> call(first, "READY").startsWith("YES"));
         Path other = config(list(7, true, a), mgmt(second));
-        Files.writeString(other, Files.readString(other).replace("\"sockets\":1024", "\"sockets\":300"));
+        Files.writeString(
+                other, Files.readString(other).replace("\"sockets\":1024", "\"sockets\":300"));
         Program next = new Program(other, "serve");
         programs.add(next);
         Program.await("the second one is ready", () -> call(second, "READY").startsWith("YES"));
-        Program.await("the old one knows", () -> old.said().contains("processes of this scheduler: 2"));
+        Program.await(
+                "the old one knows", () -> old.said().contains("processes of this scheduler: 2"));
         List<Peer> crowd = new ArrayList<>();
         try {
             int most = 0;
@@ -173,18 +233,25 @@
                 crowd.add(Peer.connect(port));
                 most = i % 20 == 0 ? Math.max(most, old.sockets() + next.sockets()) : most;
             }
-            // of 150 each, 64 are the program's and 18 the overflow's; clients have 34, however fast they are sorted
-            Program.await("the crowd fills the clients' part of both", () -> old.sockets() + next.sockets() >= 2 * 34);
+            // of 150 each, 64 are the program's and 18 the overflow's; clients have 34, however
+            // fast they are sorted
+            Program.await(
+                    "the crowd fills the clients' part of both",
+                    () -> old.sockets() + next.sockets() >= 2 * 34);
             most = Math.max(most, old.sockets() + next.sockets());
-            // the overflow comes and goes with the pace of sorting; undivided, the clients' part alone would be 2 x 100
+            // the overflow comes and goes with the pace of sorting; undivided, the clients' part
+            // alone would be 2 x 100
             assertTrue(most <= 2 * (34 + 18 + 24), most + " sockets in both");
-            Program.await("a usual client gets in once the crowd has been sorted", () -> {
-                try {
-                    return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
-                } catch (IOException e) {
-                    return false;
-                }
-            });
+            Program.await(
+                    "a usual client gets in once the crowd has been sorted",
+                    () -> {
+                        try {
+                            return ask(query("q" + System.nanoTime(), "read", "2000m")).status()
+                                    == 200;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
         } finally {
             for (Peer each : crowd) {
                 each.close();
@@ -192,13 +259,19 @@
         }
     }
 
-    /** While both live, an idle connection at the old one finds it healthy, and is ended soon after its end is told. */
+    /**
+     * While both live, an idle connection at the old one finds it healthy, and is ended soon after
+     * its end is told.
+     */
     @Test
     void theOldOneLeavesAtOnceAndKeepsTheFrontSatisfied() throws Exception {
-        String a = worker("a", (peer, job) -> {
-            Thread.sleep(1_000);
-            SERVE.on(peer, job);
-        });
+        String a =
+                worker(
+                        "a",
+                        (peer, job) -> {
+                            Thread.sleep(1_000);
+                            SERVE.on(peer, job);
+                        });
         Program old = start(first, a);
         Peer idle = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, idle.message().status());
@@ -212,16 +285,23 @@
         Message health = asking.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").message();
         assertEquals(200, health.status(), "the address is served, if by another process");
         assertEquals("close", health.field("Connection"));
-        Thread.sleep(200); // its door is shut with the call; without a successor it would stay open for 2.4 s
+        Thread.sleep(
+                200); // its door is shut with the call; without a successor it would stay open for
+        // 2.4 s
         for (int i = 0; i < 20; i++) {
-            assertNull(ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"), "the new one takes all");
+            assertNull(
+                    ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
+                    "the new one takes all");
         }
         assertEquals("r-q1", busy.message().body());
         assertTrue(idle.closed());
         assertEquals(143, old.exit(3));
     }
 
-    /** The bans hold in both from the yes on, whichever process was called, and in the new one alone. */
+    /**
+     * The bans hold in both from the yes on, whichever process was called, and in the new one
+     * alone.
+     */
     @Test
     void aBanOutlivesAnUpgradeAndACallAtEitherHoldsInBoth() throws Exception {
         String a = worker("a", SERVE);
@@ -231,13 +311,17 @@
         assertTrue(call(first, "DISABLE a").startsWith("YES"));
         start(second, a, b, c);
         assertTrue(call(second, "DISABLE b").startsWith("YES"));
-        Program.await("the old one has heard", () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
+        Program.await(
+                "the old one has heard",
+                () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a", "b"));
         assertTrue(call(first, "ENABLE b").startsWith("YES"));
-        Program.await("the new one has heard", () -> call(second, "STATS").contains("router.targets_disabled:1|g"));
+        Program.await(
+                "the new one has heard",
+                () -> call(second, "STATS").contains("router.targets_disabled:1|g"));
         old.terminate();
         old.exit(4);
         assertTrue(call(second, "DISABLE c").startsWith("YES"));
@@ -259,7 +343,10 @@
         assertEquals(200, ask(query("q1", "read", "2000m")).status());
         old.terminate();
         Thread.sleep(300);
-        assertEquals(200, ask(query("q2", "read", "2000m")).status(), "without a successor the door stays open");
+        assertEquals(
+                200,
+                ask(query("q2", "read", "2000m")).status(),
+                "without a successor the door stays open");
         assertEquals(143, old.exit());
         assertFalse(old.said().contains("a successor serves"), old.said());
     }
@@ -268,7 +355,8 @@
     void whenTheOldOneIsKilledTheNewOneHasEverythingToItself() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
-        Program next = start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
+        Program next =
+                start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
         old.awaitWord("processes of this scheduler: 2, this one is number 0, a successor serves");
         old.kill();
         Program.await("it knows", () -> next.said().contains("processes of this scheduler: 1"));
@@ -277,7 +365,10 @@
         }
     }
 
-    /** The younger one dies after it has served: the older one takes all of it back, and leaves later as if alone. */
+    /**
+     * The younger one dies after it has served: the older one takes all of it back, and leaves
+     * later as if alone.
+     */
     @Test
     void whenTheNewOneDiesTheOldOneServesOn() throws Exception {
         String a = worker("a", SERVE);
@@ -317,11 +408,20 @@
 
     @Test
     void spoiltBansAreToldInOneLineAndTheStartGoesOn() throws Exception {
-        for (String text : List.of("damsonslip bans 0\nout a\nend\n", "\u0000\u0001", "damsonslip bans 1\nout a")) {
+        for (String text :
+                List.of(
+                        "damsonslip bans 0\nout a\nend\n",
+                        "\u0000\u0001",
+                        "damsonslip bans 1\nout a")) {
             Files.writeString(dir.resolve("damsonslip-bans"), text);
             try (Program started = start(Program.freePort(), worker("a", SERVE))) {
-                assertEquals(1, started.said().lines().filter(line -> line.contains("bans cannot be used")).count(),
-                    started.said());
+                assertEquals(
+                        1,
+                        started.said()
+                                .lines()
+                                .filter(line -> line.contains("bans cannot be used"))
+                                .count(),
+                        started.said());
                 assertEquals(200, ask(query("q" + text.hashCode(), "read", "2000m")).status());
             }
         }
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -20,20 +20,28 @@
 class WallClockTest extends FaultStage {
     private static final long FIRST_SECONDS_MS = 2_000;
     private static final int CLIENTS_AT_ONCE = 12;
-    private static final String COLD = "\"cold_share\":0.1,\"cold_s\":20,\"fall_multiple\":3,\"fall_s\":2,";
+    private static final String COLD =
+            "\"cold_share\":0.1,\"cold_s\":20,\"fall_multiple\":3,\"fall_s\":2,";
 
     /** Long beside the delays of a busy machine, so that these hardly count as work. */
     private static final int JOB_MS = 60;
+
     /** What counts run apart by whatever the clock says. */
     private static final long SLACK_NS = TimeUnit.MILLISECONDS.toNanos(3 * JOB_MS);
 
-    /** The time that the new worker has spent on its jobs: on a busy machine each takes longer, and it gets fewer. */
+    /**
+     * The time that the new worker has spent on its jobs: on a busy machine each takes longer, and
+     * it gets fewer.
+     */
     private final AtomicLong workNs = new AtomicLong();
 
     /** Answers after a while, so that there is more to do than a cold worker may get. */
-    private static void answerSlowly(Peer peer, Message job) throws IOException, InterruptedException {
+    private static void answerSlowly(Peer peer, Message job)
+            throws IOException, InterruptedException {
         Thread.sleep(JOB_MS);
-        peer.answerLines(state(job, "started", ""), state(job, "done", ",\"result\":\"r\",\"load\":{\"x0\":12}"));
+        peer.answerLines(
+                state(job, "started", ""),
+                state(job, "done", ",\"result\":\"r\",\"load\":{\"x0\":12}"));
     }
 
     private void answerMeasured(Peer peer, Message job) throws IOException, InterruptedException {
@@ -45,11 +53,17 @@
     private void startWithColdWorkers(Duration clockOffBy, String... entries) throws IOException {
         faults.stepWallClock(clockOffBy);
         Path file = config(list(7, true, entries));
-        Files.writeString(file, Files.readString(file).replace("\"drain_grace_s\"", COLD + "\"drain_grace_s\""));
-        program = new Program(file, faults.environment(), List.of(), "serve").awaitWord("listens on");
+        Files.writeString(
+                file,
+                Files.readString(file).replace("\"drain_grace_s\"", COLD + "\"drain_grace_s\""));
+        program =
+                new Program(file, faults.environment(), List.of(), "serve").awaitWord("listens on");
     }
 
-    /** How much work a worker gets in its first seconds that discovery tells of as soon as it has started. */
+    /**
+     * How much work a worker gets in its first seconds that discovery tells of as soon as it has
+     * started.
+     */
     private long workOfANewWorkerNs(Duration clockOffBy) throws Exception {
         got.clear();
         workNs.set(0);
@@ -62,13 +76,22 @@
         }
         clients.forEach(Thread::start);
         Thread.sleep(1_500);
-        String fresh = worker("b", this::answerMeasured)
-            .replace("\"startedAtMs\":0", "\"startedAtMs\":" + System.currentTimeMillis());
+        String fresh =
+                worker("b", this::answerMeasured)
+                        .replace(
+                                "\"startedAtMs\":0",
+                                "\"startedAtMs\":" + System.currentTimeMillis());
         news.add(list(8, false, fresh));
         Thread.sleep(FIRST_SECONDS_MS);
         long work = workNs.get();
-        System.out.println("first two seconds of a cold worker, clock off by " + clockOffBy + ": " + jobs("b") + " jobs, "
-            + TimeUnit.NANOSECONDS.toMillis(work) + " ms of work");
+        System.out.println(
+                "first two seconds of a cold worker, clock off by "
+                        + clockOffBy
+                        + ": "
+                        + jobs("b")
+                        + " jobs, "
+                        + TimeUnit.NANOSECONDS.toMillis(work)
+                        + " ms of work");
         over.set(true);
         for (Thread client : clients) {
             client.join();
@@ -80,14 +103,18 @@
     private void askUntil(AtomicBoolean over, String name) {
         try (Peer client = Peer.connect(port)) {
             for (int i = 0; !over.get(); i++) {
-                client.send(query(name + "-" + i, i % 2 == 0 ? "read" : "submit", "2000m")).message();
+                client.send(query(name + "-" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
+                        .message();
             }
         } catch (IOException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** A busy machine can only take from what the budget allows, so the larger of two runs is nearer to that. */
+    /**
+     * A busy machine can only take from what the budget allows, so the larger of two runs is nearer
+     * to that.
+     */
     @Test
     void sparesAColdWorkerWhereTheClockIsAnHourOff() throws Exception {
         long before = workOfANewWorkerNs(Duration.ZERO);
@@ -101,8 +128,11 @@
     }
 
     private static void assertAlike(long off, long right) {
-        String told = TimeUnit.NANOSECONDS.toMillis(off) + " ms of work where the clock is off, "
-            + TimeUnit.NANOSECONDS.toMillis(right) + " where it is right";
+        String told =
+                TimeUnit.NANOSECONDS.toMillis(off)
+                        + " ms of work where the clock is off, "
+                        + TimeUnit.NANOSECONDS.toMillis(right)
+                        + " where it is right";
         assertTrue(off <= 1.1 * right + SLACK_NS, told);
         assertTrue(off >= 0.7 * right - SLACK_NS, told);
     }
--- a/src/test/java/damsonslip/platform/servers/HostGroupTest.java
+++ b/src/test/java/damsonslip/platform/servers/HostGroupTest.java
@@ -13,7 +13,8 @@
 /** Addresses of workers, as lists come and go. */
 class HostGroupTest {
     private static final long MINUTE = 60_000_000;
-    private static final String SETTINGS = """
+    private static final String SETTINGS =
+            """
         {"instances":1,"azs":["z"],"shapes":["k"],"registry_mode":"on_request","guarantees":{"drain_grace_s":0.5},
         "lanes":[{"name":"read","aim_s":0.5,"hard_limit_s":5,"semantics":"repeatable","value":1}]}""";
 
@@ -26,16 +27,28 @@
     }
 
     private static String entry(String id, String lifecycle) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"k\","
-            + "\"cell\":0,\"lifecycle\":\"" + lifecycle + "\",\"weight\":1.0,\"startedAtMs\":0}";
+        return "{\"instanceId\":\""
+                + id
+                + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"k\","
+                + "\"cell\":0,\"lifecycle\":\""
+                + lifecycle
+                + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
     private void list(boolean whole, String... entries) throws HostGroup.Malformed {
-        hosts.apply(hosts.decode("{\"generation\":1,\"reset\":" + whole + ",\"instances\":["
-            + String.join(",", entries) + "]}"), now);
+        hosts.apply(
+                hosts.decode(
+                        "{\"generation\":1,\"reset\":"
+                                + whole
+                                + ",\"instances\":["
+                                + String.join(",", entries)
+                                + "]}"),
+                now);
     }
 
-    /** A fleet whose workers are replaced every day would fill the memory with those of long ago. */
+    /**
+     * A fleet whose workers are replaced every day would fill the memory with those of long ago.
+     */
     @Test
     void theAddressOfAWorkerThatIsLongGoneIsForgotten() throws Exception {
         list(true, entry("a", "ready"), entry("b", "ready"));
--- a/src/test/java/damsonslip/program/FleetLogsTest.java
+++ b/src/test/java/damsonslip/program/FleetLogsTest.java
@@ -12,15 +12,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command that sums a folder of logs: two schedulers, two workers, one query for each way to end. */
+/**
+ * The command that sums a folder of logs: two schedulers, two workers, one query for each way to
+ * end.
+ */
 class FleetLogsTest {
-    private static final String START = """
+    private static final String START =
+            """
         settings dispatchers=2 number=0 zone=0 atUs=36000000000 coldUs=5000000.0 fallUs=1000000 fallMultiple=2.0
         class 0 aimUs=100000 stretch=2.0 worth=3.0
         """;
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -38,8 +41,10 @@
                 at = Integer.parseInt(line.substring(0, line.indexOf(' ')));
                 line = line.substring(line.indexOf(' ') + 1);
             }
-            text.append(String.format("%s10:00:%02d.%03d DEBUG Trace - %s%n", name.equals("n1.log") ? "0.650 " : "",
-                at / 1000, at % 1000, line));
+            text.append(
+                    String.format(
+                            "%s10:00:%02d.%03d DEBUG Trace - %s%n",
+                            name.equals("n1.log") ? "0.650 " : "", at / 1000, at % 1000, line));
         }
         Files.writeString(dir.resolve(name), text);
     }
@@ -50,13 +55,17 @@
     }
 
     private static void has(String report, String pattern) {
-        assertTrue(report.lines().anyMatch(line -> line.trim().replaceAll(" +", " ").matches(pattern)),
-            pattern + "\n" + report);
+        assertTrue(
+                report.lines().anyMatch(line -> line.trim().replaceAll(" +", " ").matches(pattern)),
+                pattern + "\n" + report);
     }
 
     @Test
     void everyQueryThatEarnsNothingHasOneReasonAndSecondsAddUp() throws Exception {
-        log("n0.log", START + """
+        log(
+                "n0.log",
+                START
+                        + """
             listed COMPLETE entries=2
             worker a zone=0 kind=0 is=RUNNING startedUs=0
             worker b zone=0 kind=0 is=RUNNING startedUs=35999000000
@@ -87,8 +96,12 @@
             pool 0 rate=10 ms=100 share=2 free=50 has=a,b
             2000 taken q5 class=0 slots=1
             sent q5 n=0 to=a
-            """ + START.replace("settings", "3000 settings"));
-        log("n1.log", START + """
+            """
+                        + START.replace("settings", "3000 settings"));
+        log(
+                "n1.log",
+                START
+                        + """
             250 cold b partUs=200000
             900 listed FAILED entries=0
             1500 counters server_links_opened=1
@@ -101,10 +114,17 @@
             """);
         String report = report();
         has(report, "2 schedulers, 2 workers, 4 seconds");
-        has(report, "0 2 0\\.0 0 2 1 0 0 0 0 0 0 0 2 0 0 0 0 0 0 1 1 1"); // taken 2, served 1, sent 2, list calls, to cold
-        // q2 late; q3 refused, q7 given up, q8 at its time; q4 failed after an error; links, one closed idle, probes
+        has(
+                report,
+                "0 2 0\\.0 0 2 1 0 0 0 0 0 0 0 2 0 0 0 0 0 0 1 1 1"); // taken 2, served 1, sent 2,
+        // list calls, to cold
+        // q2 late; q3 refused, q7 given up, q8 at its time; q4 failed after an error; links, one
+        // closed idle, probes
         has(report, "1 2 1\\.5 0 4 1 1 1 1 1 0 1 0 1 0 0 1 3 1 4 0 0 0");
-        has(report, "2 2 0\\.0 2 2 1 0 0 0 0 0 0 2 .*"); // q3 and q7 come back within a tenth of each other
+        has(
+                report,
+                "2 2 0\\.0 2 2 1 0 0 0 0 0 0 2 .*"); // q3 and q7 come back within a tenth of each
+        // other
         has(report, "1 \\[0 alike 0\\.50 rate 10-16 share 2-3\\]");
         has(report, "b jobs 1 late 1: 1=0\\.1/0\\.5 by 2");
         has(report, "worth offered 24, earned 6; lost, by reason");
--- a/src/test/java/damsonslip/program/RehearsalTest.java
+++ b/src/test/java/damsonslip/program/RehearsalTest.java
@@ -6,15 +6,22 @@
 import damsonslip.kit.Program;
 import org.junit.jupiter.api.Test;
 
-/** What the build runs to archive classes: it fails, and with it the build, unless its queries are served. */
+/**
+ * What the build runs to archive classes: it fails, and with it the build, unless its queries are
+ * served.
+ */
 class RehearsalTest {
     @Test
     void itServesItsOwnQueriesAndEnds() throws Exception {
         try (Program program = new Program(null, "rehearse")) {
             assertEquals(0, program.exit(), program.said());
             assertTrue(program.said().contains("rehearsal listens on"), program.said());
-            assertTrue(program.said().contains("reload: discovery is at"), "what a signal needs is archived as well");
-            assertTrue(program.said().contains("counters queries_taken=3 "), "and so is a stop: " + program.said());
+            assertTrue(
+                    program.said().contains("reload: discovery is at"),
+                    "what a signal needs is archived as well");
+            assertTrue(
+                    program.said().contains("counters queries_taken=3 "),
+                    "and so is a stop: " + program.said());
         }
     }
 }
--- a/src/test/java/damsonslip/settings/TreeTest.java
+++ b/src/test/java/damsonslip/settings/TreeTest.java
@@ -13,9 +13,17 @@
 /** The tree is the one that the library's own mapper gives. */
 class TreeTest {
     @ParameterizedTest
-    @ValueSource(strings = {"{\"a\":[1,-2,2147483648,99999999999999999999,1.5e3,0.1],\"b\":{\"c\":{}}}",
-        "[\"x\\u00e9\\n\",true,false,null,{},[]]", "[[[]]]",
-        "7", "null", "{\"a\":1,\"a\":2}", "  {\n  \"indented\" : [ 1 ,\n 2 ] }\n", "{} trailing"})
+    @ValueSource(
+            strings = {
+                "{\"a\":[1,-2,2147483648,99999999999999999999,1.5e3,0.1],\"b\":{\"c\":{}}}",
+                "[\"x\\u00e9\\n\",true,false,null,{},[]]",
+                "[[[]]]",
+                "7",
+                "null",
+                "{\"a\":1,\"a\":2}",
+                "  {\n  \"indented\" : [ 1 ,\n 2 ] }\n",
+                "{} trailing"
+            })
     void valuesAreAsTheMapperReadsThem(String text) throws JsonProcessingException {
         assertEquals(new ObjectMapper().readTree(text), Tree.read(text));
     }
--- a/src/test/java/embedding/EmbeddingTest.java
+++ b/src/test/java/embedding/EmbeddingTest.java
@@ -28,10 +28,21 @@
 
 /** The library as another program uses it, through its public interface alone. */
 class EmbeddingTest {
-    private static final Settings SETTINGS = new Settings(1, 0, 0, 1, 1,
-        List.of(new JobClass(200_000, 2, 1, Effect.SAFE, Group.ALL, 0, -1)), List.of(),
-        new Limits(3, true, false, 0, 0.1), new Guarantees(10_000, 500_000, 0, 0.3, 8_000_000, 3, 2_000_000),
-        Reporting.WITH_ANSWERS, false, false, 1_000);
+    private static final Settings SETTINGS =
+            new Settings(
+                    1,
+                    0,
+                    0,
+                    1,
+                    1,
+                    List.of(new JobClass(200_000, 2, 1, Effect.SAFE, Group.ALL, 0, -1)),
+                    List.of(),
+                    new Limits(3, true, false, 0, 0.1),
+                    new Guarantees(10_000, 500_000, 0, 0.3, 8_000_000, 3, 2_000_000),
+                    Reporting.WITH_ANSWERS,
+                    false,
+                    false,
+                    1_000);
 
     private static List<Send> sends(Rules rules, long now, Event event) {
         List<Action> actions = new ArrayList<>();
