--- a/Makefile
+++ b/Makefile
@@ -1,15 +1,18 @@
 # The few things that are done with this repository.
-.PHONY: build test lint run faktory console conformance bench-faktory bench-slow-peers bench-fleet clean
+.PHONY: build test format lint run faktory console conformance bench-faktory bench-slow-peers bench-fleet clean
 
 build:      ## the jar, without tests, and the archive of its classes that makes starts short
 	mvn -q -B -ntp -DskipTests package
 	java -XX:ArchiveClassesAtExit=target/damsonslip.jsa -XX:+UseSerialGC -Djava.locale.providers=COMPAT -Dslf4j.provider=org.slf4j.simple.SimpleServiceProvider -Dslf4j.internal.verbosity=WARN -jar target/damsonslip.jar rehearse
 
-test:       ## what CI runs: build, all tests, and the style check
+test:       ## what CI runs: build with Error Prone, all tests, format and style checks
 	mvn -B -ntp verify
 
-lint:       ## the style check alone
-	mvn -q -B -ntp checkstyle:check
+format:     ## formats all Java sources
+	mvn -q -B -ntp spotless:apply
+
+lint:       ## checks format and style alone
+	mvn -q -B -ntp spotless:check checkstyle:check
 
 run:        ## the real scheduler of the platform; ROUTER_CONFIG names its configuration
 	java -jar target/damsonslip.jar serve
