--- a/bench/faktory.sh
+++ b/bench/faktory.sh
@@ -12,7 +12,7 @@
 server=
 trap 'kill $stand $server 2>/dev/null || true; rm -rf "$dir"' EXIT
 
-java -cp "target/test-classes:target/damsonslip.jar" damsonslip.kit.RedisStandIn $redis 500 &
+java -cp "target/test-classes:target/damsonslip.jar" damsonslip.testkit.RedisStandIn $redis 500 &
 stand=$!
 
 serve() { # STORE: starts the scheduler by the operator's file on this store
--- a/src/main/java/damsonslip/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleClient.java
@@ -1,7 +1,7 @@
-package damsonslip.console;
+package damsonslip.admin.console;
 
-import damsonslip.net.Address;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.transport.Address;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/damsonslip/console/ConsoleCommands.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleCommands.java
@@ -1,4 +1,4 @@
-package damsonslip.console;
+package damsonslip.admin.console;
 
 import java.util.List;
 
--- a/src/main/java/damsonslip/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -1,10 +1,10 @@
-package damsonslip.console;
+package damsonslip.admin.console;
 
-import damsonslip.core.SlowPeer;
-import damsonslip.datarate.MinimumDataRate;
-import damsonslip.net.Lines;
-import damsonslip.net.Link;
-import damsonslip.net.Outflow;
+import damsonslip.engine.SlowPeer;
+import damsonslip.transport.Lines;
+import damsonslip.transport.Link;
+import damsonslip.transport.Outflow;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
--- a/src/main/java/damsonslip/console/package-info.java
+++ b/src/main/java/damsonslip/admin/console/package-info.java
@@ -3,4 +3,4 @@
  * event loop; {@code ConsoleClient} is the operator's terminal, a process of its own. The commands
  * are carried out by {@code operations}, or read from the front and the engine.
  */
-package damsonslip.console;
+package damsonslip.admin.console;
--- a/src/main/java/damsonslip/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -1,8 +1,8 @@
-package damsonslip.management;
+package damsonslip.admin.management;
 
-import damsonslip.core.Loop;
-import damsonslip.net.Lines;
-import damsonslip.net.Link;
+import damsonslip.engine.Loop;
+import damsonslip.transport.Lines;
+import damsonslip.transport.Link;
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.eclipse.jetty.io.EndPoint;
--- a/src/main/java/damsonslip/management/ManagementRequest.java
+++ b/src/main/java/damsonslip/admin/management/ManagementRequest.java
@@ -1,4 +1,4 @@
-package damsonslip.management;
+package damsonslip.admin.management;
 
 /**
  * A decoded request of the management protocol.
--- a/src/main/java/damsonslip/management/ManagementResponse.java
+++ b/src/main/java/damsonslip/admin/management/ManagementResponse.java
@@ -1,7 +1,7 @@
-package damsonslip.management;
+package damsonslip.admin.management;
 
-import damsonslip.operations.Metric;
-import damsonslip.operations.OperationResult;
+import damsonslip.admin.operations.Metric;
+import damsonslip.admin.operations.OperationResult;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/src/main/java/damsonslip/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -1,14 +1,14 @@
-package damsonslip.management;
+package damsonslip.admin.management;
 
-import damsonslip.core.Loop;
-import damsonslip.net.Address;
-import damsonslip.net.Link;
-import damsonslip.net.Links;
-import damsonslip.net.Room;
-import damsonslip.net.RoomAcceptor;
-import damsonslip.operations.OperationResult;
-import damsonslip.operations.Operations;
-import damsonslip.settings.BadInput;
+import damsonslip.admin.operations.OperationResult;
+import damsonslip.admin.operations.Operations;
+import damsonslip.config.BadInput;
+import damsonslip.engine.Loop;
+import damsonslip.transport.Address;
+import damsonslip.transport.Link;
+import damsonslip.transport.Links;
+import damsonslip.transport.Room;
+import damsonslip.transport.RoomAcceptor;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
--- a/src/main/java/damsonslip/management/package-info.java
+++ b/src/main/java/damsonslip/admin/management/package-info.java
@@ -5,4 +5,4 @@
  * budget apart from the clients'. The requests are carried out by {@code operations}. Everything
  * but accepting runs on the event loop.
  */
-package damsonslip.management;
+package damsonslip.admin.management;
--- a/src/main/java/damsonslip/operations/Metric.java
+++ b/src/main/java/damsonslip/admin/operations/Metric.java
@@ -1,4 +1,4 @@
-package damsonslip.operations;
+package damsonslip.admin.operations;
 
 /**
  * The value of a counter or gauge at one moment.
--- a/src/main/java/damsonslip/operations/OperationResult.java
+++ b/src/main/java/damsonslip/admin/operations/OperationResult.java
@@ -1,4 +1,4 @@
-package damsonslip.operations;
+package damsonslip.admin.operations;
 
 /**
  * The result of an operator's command.
--- a/src/main/java/damsonslip/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -1,13 +1,13 @@
-package damsonslip.operations;
+package damsonslip.admin.operations;
 
-import damsonslip.Dispatch.WorkerState;
-import damsonslip.core.Answer.Kind;
-import damsonslip.core.Counters;
-import damsonslip.core.Counters.Count;
-import damsonslip.core.Driver;
-import damsonslip.core.Front;
-import damsonslip.core.Phase;
-import damsonslip.core.Phase.State;
+import damsonslip.engine.Answer.Kind;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.Driver;
+import damsonslip.engine.Front;
+import damsonslip.engine.Phase;
+import damsonslip.engine.Phase.State;
+import damsonslip.policy.api.WorkerState;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonslip/operations/package-info.java
+++ b/src/main/java/damsonslip/admin/operations/package-info.java
@@ -3,4 +3,4 @@
  * their own requests and call {@code Operations}. Runs on the event loop, so that one response is a
  * consistent snapshot. Depends on {@code core}; no I/O of its own.
  */
-package damsonslip.operations;
+package damsonslip.admin.operations;
--- a/src/main/java/damsonslip/handover/SharedDirectory.java
+++ b/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
@@ -1,6 +1,6 @@
-package damsonslip.handover;
+package damsonslip.admin.upgrade;
 
-import damsonslip.peers.PeerProcesses;
+import damsonslip.membership.peers.PeerProcesses;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
--- a/src/main/java/damsonslip/handover/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -1,9 +1,9 @@
-package damsonslip.handover;
+package damsonslip.admin.upgrade;
 
-import damsonslip.core.Driver;
-import damsonslip.core.Loop;
-import damsonslip.overrides.WorkerOverrides;
-import damsonslip.peers.PeerProcesses;
+import damsonslip.engine.Driver;
+import damsonslip.engine.Loop;
+import damsonslip.membership.overrides.WorkerOverrides;
+import damsonslip.membership.peers.PeerProcesses;
 import java.io.IOException;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
--- a/src/main/java/damsonslip/handover/package-info.java
+++ b/src/main/java/damsonslip/admin/upgrade/package-info.java
@@ -5,4 +5,4 @@
  * decide what follows from them. Called by the platform's front on the event loop. Not used where
  * no second address is configured, since upgrades need one.
  */
-package damsonslip.handover;
+package damsonslip.admin.upgrade;
--- a/src/main/java/damsonslip/program/FleetLogs.java
+++ b/src/main/java/damsonslip/cli/FleetLogs.java
@@ -1,9 +1,9 @@
-package damsonslip.program;
+package damsonslip.cli;
 
-import damsonslip.fleet.Fleet;
-import damsonslip.fleet.Line;
-import damsonslip.fleet.Report;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.fleetreport.Fleet;
+import damsonslip.tools.fleetreport.Line;
+import damsonslip.tools.fleetreport.Report;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/src/main/java/damsonslip/program/Main.java
+++ b/src/main/java/damsonslip/cli/Main.java
@@ -1,11 +1,11 @@
-package damsonslip.program;
+package damsonslip.cli;
 
-import damsonslip.bench.Bench;
-import damsonslip.conformance.Conformance;
-import damsonslip.console.ConsoleClient;
-import damsonslip.lab.Lab;
-import damsonslip.settings.BadInput;
-import damsonslip.simhost.SimHost;
+import damsonslip.admin.console.ConsoleClient;
+import damsonslip.config.BadInput;
+import damsonslip.tools.conformance.Conformance;
+import damsonslip.tools.lab.Lab;
+import damsonslip.tools.load.Bench;
+import damsonslip.tools.simulator.SimHost;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
--- a/src/main/java/damsonslip/program/Rehearsal.java
+++ b/src/main/java/damsonslip/cli/Rehearsal.java
@@ -1,6 +1,6 @@
-package damsonslip.program;
+package damsonslip.cli;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/damsonslip/program/Serve.java
+++ b/src/main/java/damsonslip/cli/Serve.java
@@ -1,19 +1,19 @@
-package damsonslip.program;
+package damsonslip.cli;
 
-import damsonslip.console.ConsoleServer;
-import damsonslip.core.Counters;
-import damsonslip.core.Counters.Count;
-import damsonslip.core.Front;
-import damsonslip.core.Loop;
-import damsonslip.core.Phase;
-import damsonslip.core.Phase.State;
+import damsonslip.admin.console.ConsoleServer;
+import damsonslip.admin.management.ManagementServer;
+import damsonslip.admin.operations.Operations;
+import damsonslip.config.BadInput;
+import damsonslip.config.NodeConfig;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.Front;
+import damsonslip.engine.Loop;
+import damsonslip.engine.Phase;
+import damsonslip.engine.Phase.State;
 import damsonslip.faktory.Faktory;
 import damsonslip.faktory.FaktoryConfig;
-import damsonslip.management.ManagementServer;
-import damsonslip.operations.Operations;
 import damsonslip.platform.Platform;
-import damsonslip.settings.BadInput;
-import damsonslip.settings.NodeConfig;
 import java.io.IOException;
 import java.util.Map;
 
--- a/src/main/java/damsonslip/program/SignalTable.java
+++ b/src/main/java/damsonslip/cli/SignalTable.java
@@ -1,4 +1,4 @@
-package damsonslip.program;
+package damsonslip.cli;
 
 import java.lang.reflect.Field;
 import java.lang.reflect.InaccessibleObjectException;
--- a/src/main/java/damsonslip/program/SignalThread.java
+++ b/src/main/java/damsonslip/cli/SignalThread.java
@@ -1,4 +1,4 @@
-package damsonslip.program;
+package damsonslip.cli;
 
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
--- a/src/main/java/damsonslip/program/Termination.java
+++ b/src/main/java/damsonslip/cli/Termination.java
@@ -1,4 +1,4 @@
-package damsonslip.program;
+package damsonslip.cli;
 
 import sun.misc.Signal;
 
--- a/src/main/java/damsonslip/settings/BadInput.java
+++ b/src/main/java/damsonslip/config/BadInput.java
@@ -1,4 +1,4 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 /** Input that cannot be acted on; the message is one line that says what is wrong. */
 public class BadInput extends Exception {
--- a/src/main/java/damsonslip/settings/NodeConfig.java
+++ b/src/main/java/damsonslip/config/NodeConfig.java
@@ -1,4 +1,4 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/damsonslip/settings/SettingsReader.java
+++ b/src/main/java/damsonslip/config/SettingsReader.java
@@ -1,13 +1,13 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.Reporting;
-import damsonslip.Dispatch.Settings;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonslip/settings/Site.java
+++ b/src/main/java/damsonslip/config/Site.java
@@ -1,7 +1,7 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.Dispatch.Settings;
+import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonslip/settings/Tree.java
+++ b/src/main/java/damsonslip/config/Tree.java
@@ -1,4 +1,4 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
--- a/src/main/java/damsonslip/settings/UnreadableFile.java
+++ b/src/main/java/damsonslip/config/UnreadableFile.java
@@ -1,4 +1,4 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 /**
  * A file that could not be read just now: the system may give it later, where its content cannot be
--- a/src/main/java/damsonslip/core/Answer.java
+++ b/src/main/java/damsonslip/engine/Answer.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 /**
  * The one final answer to a query.
--- a/src/main/java/damsonslip/core/AnswerListener.java
+++ b/src/main/java/damsonslip/engine/AnswerListener.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 /** The client side of one query: a port that a front implements. */
 public interface AnswerListener {
--- a/src/main/java/damsonslip/core/EventLog.java
+++ b/src/main/java/damsonslip/engine/EventLog.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonslip/core/Execution.java
+++ b/src/main/java/damsonslip/engine/Execution.java
@@ -1,9 +1,9 @@
-package damsonslip.core;
+package damsonslip.engine;
 
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Report;
-import damsonslip.invariants.RepeatGuard.Earlier;
-import damsonslip.invariants.RepeatGuard.Place;
+import damsonslip.engine.invariants.RepeatGuard.Earlier;
+import damsonslip.engine.invariants.RepeatGuard.Place;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Report;
 
 /** One attempt to have a query done by a worker. */
 public final class Execution {
--- a/src/main/java/damsonslip/core/Front.java
+++ b/src/main/java/damsonslip/engine/Front.java
@@ -1,6 +1,6 @@
-package damsonslip.core;
+package damsonslip.engine;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.io.IOException;
 import java.util.List;
 
--- a/src/main/java/damsonslip/core/Leave.java
+++ b/src/main/java/damsonslip/engine/Leave.java
@@ -1,6 +1,6 @@
-package damsonslip.core;
+package damsonslip.engine;
 
-import damsonslip.core.Phase.State;
+import damsonslip.engine.Phase.State;
 import java.util.function.BooleanSupplier;
 
 /**
--- a/src/main/java/damsonslip/core/Loop.java
+++ b/src/main/java/damsonslip/engine/Loop.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/damsonslip/core/SlowPeer.java
+++ b/src/main/java/damsonslip/engine/SlowPeer.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 import java.util.Comparator;
 import java.util.List;
--- a/src/main/java/damsonslip/core/Trace.java
+++ b/src/main/java/damsonslip/engine/Trace.java
@@ -1,14 +1,14 @@
-package damsonslip.core;
+package damsonslip.engine;
 
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.PoolState;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
-import damsonslip.Dispatch.WorkerState;
-import damsonslip.core.EventLog.Kind;
-import damsonslip.membership.ProbeResult;
+import damsonslip.engine.EventLog.Kind;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.PoolState;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WorkerState;
 import java.util.List;
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
@@ -16,8 +16,8 @@
 
 /**
  * Notes what happens to queries in the {@link EventLog}, and writes a line for each, for reading a
- * fleet's logs together; the lines are off unless the logger named {@code damsonslip.core.Trace} is
- * set to debug.
+ * fleet's logs together; the lines are off unless the logger named {@code damsonslip.engine.Trace}
+ * is set to debug.
  */
 final class Trace {
     private static final Logger LOG = LoggerFactory.getLogger(Trace.class);
--- a/src/main/java/damsonslip/core/WorkerSide.java
+++ b/src/main/java/damsonslip/engine/WorkerSide.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 /**
  * The server side: a port that a front implements. What comes of it is told to the {@link Driver},
--- a/src/main/java/damsonslip/invariants/Invariant.java
+++ b/src/main/java/damsonslip/engine/invariants/Invariant.java
@@ -1,4 +1,4 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
 /** A rule that no action of the program may break, with the page that it follows. */
 public enum Invariant {
--- a/src/main/java/damsonslip/invariants/InvariantMonitor.java
+++ b/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
@@ -1,4 +1,4 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/damsonslip/invariants/RepeatGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RepeatGuard.java
@@ -1,8 +1,8 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobClass;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobClass;
 import java.util.List;
 import java.util.Optional;
 
--- a/src/main/java/damsonslip/invariants/SendGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/SendGuard.java
@@ -1,6 +1,6 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
-import damsonslip.Dispatch.ColdLoad;
+import damsonslip.policy.api.ColdLoad;
 import java.util.Optional;
 
 /** Checks an attempt in the moment in which its first byte is about to leave. */
--- a/src/main/java/damsonslip/invariants/Violation.java
+++ b/src/main/java/damsonslip/engine/invariants/Violation.java
@@ -1,4 +1,4 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
 /**
  * An action that would break, or has broken, a rule.
--- a/src/main/java/damsonslip/invariants/package-info.java
+++ b/src/main/java/damsonslip/engine/invariants/package-info.java
@@ -6,4 +6,4 @@
  *
  * <p>No I/O, no clock, no threads; depends on the module's types only.
  */
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
--- a/src/main/java/damsonslip/draining/ConnectionDraining.java
+++ b/src/main/java/damsonslip/engine/shutdown/ConnectionDraining.java
@@ -1,4 +1,4 @@
-package damsonslip.draining;
+package damsonslip.engine.shutdown;
 
 /**
  * Connection draining: sending clients away without losing a request. A response with {@code
--- a/src/main/java/damsonslip/draining/ShutdownTimes.java
+++ b/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
@@ -1,4 +1,4 @@
-package damsonslip.draining;
+package damsonslip.engine.shutdown;
 
 /**
  * The phases of a graceful shutdown, as times after the signal. The process may be killed 0.7 s
--- a/src/main/java/damsonslip/draining/package-info.java
+++ b/src/main/java/damsonslip/engine/shutdown/package-info.java
@@ -3,4 +3,4 @@
  * while clients are sent away, by an operator's drain or for an upgrade. Pure functions without I/O
  * or a clock; used by the platform's front.
  */
-package damsonslip.draining;
+package damsonslip.engine.shutdown;
--- a/src/main/java/damsonslip/faktory/AdminCommands.java
+++ b/src/main/java/damsonslip/faktory/AdminCommands.java
@@ -1,18 +1,18 @@
 package damsonslip.faktory;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import damsonslip.core.Counters;
-import damsonslip.core.Counters.Count;
-import damsonslip.core.Loop;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.Loop;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Command.Mutate;
 import damsonslip.faktory.codec.JobText;
 import damsonslip.faktory.codec.Json;
 import damsonslip.faktory.codec.Reply;
-import damsonslip.faktory.sets.Glob;
-import damsonslip.faktory.sets.JobTable;
-import damsonslip.faktory.sets.JobTable.Entry;
-import damsonslip.faktory.sets.RetryPolicy;
+import damsonslip.faktory.jobs.Glob;
+import damsonslip.faktory.jobs.JobTable;
+import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
 import damsonslip.store.Op;
--- a/src/main/java/damsonslip/faktory/Consumer.java
+++ b/src/main/java/damsonslip/faktory/Consumer.java
@@ -1,9 +1,9 @@
 package damsonslip.faktory;
 
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
-import damsonslip.core.Execution;
-import damsonslip.core.Loop;
+import damsonslip.engine.Execution;
+import damsonslip.engine.Loop;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -1,9 +1,9 @@
 package damsonslip.faktory;
 
-import damsonslip.core.Exchange;
-import damsonslip.core.Query;
-import damsonslip.faktory.sets.JobTable.Entry;
-import damsonslip.faktory.sets.RetryPolicy.RunFailure;
+import damsonslip.engine.Exchange;
+import damsonslip.engine.Query;
+import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.store.JobRecord;
 import java.util.function.Consumer;
 
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -1,13 +1,13 @@
 package damsonslip.faktory;
 
-import damsonslip.core.Counters.Count;
-import damsonslip.core.SlowPeer;
-import damsonslip.datarate.MinimumDataRate;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.SlowPeer;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Malformed;
 import damsonslip.faktory.codec.Reply;
-import damsonslip.net.Lines;
-import damsonslip.net.Link;
+import damsonslip.transport.Lines;
+import damsonslip.transport.Link;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.List;
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -1,13 +1,13 @@
 package damsonslip.faktory;
 
-import damsonslip.core.Counters;
-import damsonslip.core.Counters.Count;
-import damsonslip.core.Loop;
-import damsonslip.faktory.routes.Routes;
-import damsonslip.faktory.sets.JobTable;
-import damsonslip.faktory.sets.JobTable.Entry;
-import damsonslip.faktory.sets.RetryPolicy;
-import damsonslip.settings.Site;
+import damsonslip.config.Site;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.Loop;
+import damsonslip.faktory.jobs.JobTable;
+import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.RetryPolicy;
+import damsonslip.faktory.routing.Routes;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
 import damsonslip.store.Op;
--- a/src/main/java/damsonslip/faktory/sets/Batches.java
+++ b/src/main/java/damsonslip/faktory/jobs/Batches.java
@@ -1,4 +1,4 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonslip/faktory/sets/Glob.java
+++ b/src/main/java/damsonslip/faktory/jobs/Glob.java
@@ -1,4 +1,4 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 /**
  * A pattern in which a star stands for any run of characters, a question mark for one, {@code
--- a/src/main/java/damsonslip/faktory/sets/JobTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobTable.java
@@ -1,4 +1,4 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Facts;
--- a/src/main/java/damsonslip/faktory/sets/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -1,8 +1,8 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobClass;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobClass;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Failure;
 import damsonslip.store.JobRecord.State;
--- a/src/main/java/damsonslip/faktory/sets/package-info.java
+++ b/src/main/java/damsonslip/faktory/jobs/package-info.java
@@ -2,14 +2,14 @@
  * The sets of jobs and the rules for moving between them. No I/O, no clock, no threads; randomness
  * comes from the caller.
  *
- * <p>{@link damsonslip.faktory.sets.JobTable} knows the set of each open job: queued, scheduled,
- * waiting for a retry, dead, or reserved by a worker. {@link damsonslip.faktory.sets.RetryPolicy}
+ * <p>{@link damsonslip.faktory.jobs.JobTable} knows the set of each open job: queued, scheduled,
+ * waiting for a retry, dead, or reserved by a worker. {@link damsonslip.faktory.jobs.RetryPolicy}
  * decides what follows when a run failed, when its reservation expired, or when a job is found in
- * the store at a start. {@link damsonslip.faktory.sets.Batches} decides when the callbacks of a
- * batch are due. {@link damsonslip.faktory.sets.Glob} matches patterns. The front carries their
+ * the store at a start. {@link damsonslip.faktory.jobs.Batches} decides when the callbacks of a
+ * batch are due. {@link damsonslip.faktory.jobs.Glob} matches patterns. The front carries their
  * decisions out and records them in the store.
  *
  * <p>Depends on {@code store}'s records and the module's job classes. Nothing here chooses a worker
  * or rejects a job for lack of one: that is up to the decision module alone.
  */
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
--- a/src/main/java/damsonslip/faktory/routes/Routes.java
+++ b/src/main/java/damsonslip/faktory/routing/Routes.java
@@ -1,6 +1,6 @@
-package damsonslip.faktory.routes;
+package damsonslip.faktory.routing;
 
-import damsonslip.faktory.sets.Glob;
+import damsonslip.faktory.jobs.Glob;
 import java.util.List;
 
 /**
--- a/src/main/java/damsonslip/faktory/routes/package-info.java
+++ b/src/main/java/damsonslip/faktory/routing/package-info.java
@@ -1,2 +1,2 @@
 /** Which class a job belongs to, by the operator's table: no I/O, no clock. */
-package damsonslip.faktory.routes;
+package damsonslip.faktory.routing;
--- a/src/main/java/damsonslip/membership/WorkerLease.java
+++ b/src/main/java/damsonslip/membership/WorkerLease.java
@@ -1,5 +1,7 @@
 package damsonslip.membership;
 
+import damsonslip.policy.api.ProbeResult;
+
 /**
  * What a worker's own answers to probes allow while discovery, once heard, fails its calls and no
  * list of it holds.
--- a/src/main/java/damsonslip/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -1,8 +1,8 @@
-package damsonslip.overrides;
+package damsonslip.membership.overrides;
 
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
--- a/src/main/java/damsonslip/overrides/package-info.java
+++ b/src/main/java/damsonslip/membership/overrides/package-info.java
@@ -3,4 +3,4 @@
  * before the decision module sees it. Used by {@code core.Driver} on the event loop; no I/O and no
  * clock. Depends on the module's event types only.
  */
-package damsonslip.overrides;
+package damsonslip.membership.overrides;
--- a/src/main/java/damsonslip/peers/PeerProcesses.java
+++ b/src/main/java/damsonslip/membership/peers/PeerProcesses.java
@@ -1,4 +1,4 @@
-package damsonslip.peers;
+package damsonslip.membership.peers;
 
 import java.util.List;
 
--- a/src/main/java/damsonslip/peers/package-info.java
+++ b/src/main/java/damsonslip/membership/peers/package-info.java
@@ -3,4 +3,4 @@
  * side. Immutable values without I/O or a clock; {@code handover} reads the lock files that they
  * are derived from. Depends on nothing.
  */
-package damsonslip.peers;
+package damsonslip.membership.peers;
--- a/src/main/java/damsonslip/platform/clients/Arrivals.java
+++ b/src/main/java/damsonslip/platform/client/Arrivals.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.clients;
+package damsonslip.platform.client;
 
 import java.util.ArrayDeque;
 
--- a/src/main/java/damsonslip/platform/clients/ClientLink.java
+++ b/src/main/java/damsonslip/platform/client/ClientLink.java
@@ -1,18 +1,18 @@
-package damsonslip.platform.clients;
-
-import damsonslip.core.Answer;
-import damsonslip.core.AnswerListener;
-import damsonslip.core.Exchange;
-import damsonslip.core.Loop;
-import damsonslip.core.Query;
-import damsonslip.core.SlowPeer;
-import damsonslip.datarate.MinimumDataRate;
-import damsonslip.draining.ConnectionDraining;
-import damsonslip.invariants.CloseGuard;
-import damsonslip.net.Link;
-import damsonslip.net.Outflow;
-import damsonslip.platform.http.Encoder;
-import damsonslip.platform.http.Field;
+package damsonslip.platform.client;
+
+import damsonslip.engine.Answer;
+import damsonslip.engine.AnswerListener;
+import damsonslip.engine.Exchange;
+import damsonslip.engine.Loop;
+import damsonslip.engine.Query;
+import damsonslip.engine.SlowPeer;
+import damsonslip.engine.invariants.CloseGuard;
+import damsonslip.engine.shutdown.ConnectionDraining;
+import damsonslip.platform.codec.Encoder;
+import damsonslip.platform.codec.Field;
+import damsonslip.transport.Link;
+import damsonslip.transport.Outflow;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
--- a/src/main/java/damsonslip/platform/clients/QueryHead.java
+++ b/src/main/java/damsonslip/platform/client/QueryHead.java
@@ -1,9 +1,9 @@
-package damsonslip.platform.clients;
+package damsonslip.platform.client;
 
-import damsonslip.core.Query;
-import damsonslip.platform.http.Field;
-import damsonslip.platform.http.HttpForward;
-import damsonslip.settings.Site;
+import damsonslip.config.Site;
+import damsonslip.engine.Query;
+import damsonslip.platform.codec.Field;
+import damsonslip.platform.codec.HttpForward;
 import java.util.Map;
 
 /**
--- a/src/main/java/damsonslip/platform/clients/QueryReader.java
+++ b/src/main/java/damsonslip/platform/client/QueryReader.java
@@ -1,6 +1,6 @@
-package damsonslip.platform.clients;
+package damsonslip.platform.client;
 
-import damsonslip.platform.http.Field;
+import damsonslip.platform.codec.Field;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonslip/platform/servers/AnswerReader.java
+++ b/src/main/java/damsonslip/platform/codec/AnswerReader.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.codec;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -11,11 +11,11 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** Decodes what a worker or discovery answers: a head, then lines or a plain body. */
-final class AnswerReader implements HttpParser.ResponseHandler {
+public final class AnswerReader implements HttpParser.ResponseHandler {
     private static final int MOST_HEADERS = 8 * 1024;
 
     /** What is read, as it comes; after {@link #ended} nothing more of the same answer. */
-    interface Taker {
+    public interface Taker {
         void head(int status, Map<String, String> fields);
 
         void body(byte[] part);
@@ -35,7 +35,7 @@
     private boolean over;
     private boolean broken;
 
-    AnswerReader(Taker taker) {
+    public AnswerReader(Taker taker) {
         this.taker = taker;
     }
 
@@ -43,7 +43,7 @@
      * Takes bytes in. Guards against what comes behind an answer's end: nobody asked for it, and
      * the next answer could not be told from it, so that the connection must not serve again.
      */
-    void read(ByteBuffer bytes) {
+    public void read(ByteBuffer bytes) {
         while (!broken && BufferUtil.hasContent(bytes)) {
             int before = bytes.remaining();
             parser.parseNext(bytes);
--- a/src/main/java/damsonslip/platform/http/Encoder.java
+++ b/src/main/java/damsonslip/platform/codec/Encoder.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.http;
+package damsonslip.platform.codec;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/main/java/damsonslip/platform/http/Field.java
+++ b/src/main/java/damsonslip/platform/codec/Field.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.http;
+package damsonslip.platform.codec;
 
 import java.time.Duration;
 import java.util.regex.Pattern;
--- a/src/main/java/damsonslip/platform/http/HttpForward.java
+++ b/src/main/java/damsonslip/platform/codec/HttpForward.java
@@ -1,6 +1,6 @@
-package damsonslip.platform.http;
+package damsonslip.platform.codec;
 
-import damsonslip.core.Query;
+import damsonslip.engine.Query;
 
 /** What of a query goes on to a worker as it came. */
 public record HttpForward(String method, String target, String key, String contentType, byte[] body)
--- a/src/main/java/damsonslip/platform/servers/Discovery.java
+++ b/src/main/java/damsonslip/platform/discovery/Discovery.java
@@ -1,14 +1,15 @@
-package damsonslip.platform.servers;
-
-import damsonslip.Dispatch.AddressNews;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.core.Driver;
-import damsonslip.core.Loop;
-import damsonslip.datarate.MinimumDataRate;
-import damsonslip.net.DialFailure;
-import damsonslip.net.Link;
-import damsonslip.net.Links;
-import damsonslip.platform.http.Encoder;
+package damsonslip.platform.discovery;
+
+import damsonslip.engine.Driver;
+import damsonslip.engine.Loop;
+import damsonslip.platform.codec.AnswerReader;
+import damsonslip.platform.codec.Encoder;
+import damsonslip.policy.api.AddressNews;
+import damsonslip.policy.api.ListMode;
+import damsonslip.transport.DialFailure;
+import damsonslip.transport.Link;
+import damsonslip.transport.Links;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -19,7 +20,7 @@
 import org.slf4j.LoggerFactory;
 
 /** Watches discovery's list, one watch at a time; when to ask again is the module's decision. */
-final class Discovery {
+public final class Discovery {
     private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
 
     /**
@@ -65,7 +66,7 @@
     private Watch current;
     private Runnable told = () -> {};
 
-    Discovery(
+    public Discovery(
             Links links,
             InetSocketAddress address,
             HostGroup hosts,
@@ -79,7 +80,7 @@
     }
 
     /** Tells once, when the first list has come or it was waited for so long. */
-    void whenTold(long mostUs, Runnable next) {
+    public void whenTold(long mostUs, Runnable next) {
         told =
                 () -> {
                     told = () -> {};
@@ -94,7 +95,7 @@
      *
      * @param sinceUs when the operators asked for the reload
      */
-    void moveTo(InetSocketAddress next, long sinceUs) {
+    public void moveTo(InetSocketAddress next, long sinceUs) {
         driver.discoveryAddress(AddressNews.READ, sinceUs);
         if (!next.equals(address)) {
             address = next;
@@ -108,7 +109,7 @@
      * Begins a watch, unless there is one or one is on its way: another dial would make the first
      * one's watch void.
      */
-    void watch() {
+    public void watch() {
         if (!dialling && (current == null || current.number != newest)) {
             connect();
         }
--- a/src/main/java/damsonslip/platform/servers/HostGroup.java
+++ b/src/main/java/damsonslip/platform/discovery/HostGroup.java
@@ -1,13 +1,13 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.discovery;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
-import damsonslip.net.Address;
-import damsonslip.settings.Site;
-import damsonslip.settings.Tree;
+import damsonslip.config.Site;
+import damsonslip.config.Tree;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
+import damsonslip.transport.Address;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -157,11 +157,11 @@
         return update.whole() ? ListMode.COMPLETE : ListMode.CHANGES;
     }
 
-    long generation() {
+    public long generation() {
         return generation;
     }
 
-    InetSocketAddress address(String worker) {
+    public InetSocketAddress address(String worker) {
         Host host = hosts.get(worker);
         return host == null ? null : host.address();
     }
@@ -170,7 +170,7 @@
      * Since when the worker is known to drain or to have gone; {@link Long#MAX_VALUE} if it runs or
      * is unknown.
      */
-    long stoppedAtUs(String worker) {
+    public long stoppedAtUs(String worker) {
         Host host = hosts.get(worker);
         return host == null ? RUNNING : host.stoppedAtUs();
     }
@@ -179,7 +179,7 @@
      * Whether bytes may still be sent to a worker. Guards the drain rule where the decision came
      * before the news and the connection only after it.
      */
-    boolean maySend(String worker, long nowUs) {
+    public boolean maySend(String worker, long nowUs) {
         Host host = hosts.get(worker);
         return host != null
                 && (host.stoppedAtUs() == RUNNING
--- a/src/main/java/damsonslip/platform/servers/Objects.java
+++ b/src/main/java/damsonslip/platform/discovery/Objects.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.discovery;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonslip/platform/servers/JobState.java
+++ b/src/main/java/damsonslip/platform/worker/JobState.java
@@ -1,9 +1,9 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.worker;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.Dispatch.Report;
-import damsonslip.settings.Tree;
+import damsonslip.config.Tree;
+import damsonslip.policy.api.Report;
 
 /**
  * A line of a worker's answer, decoded once.
--- a/src/main/java/damsonslip/platform/servers/KeptAge.java
+++ b/src/main/java/damsonslip/platform/worker/KeptAge.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.worker;
 
 /**
  * How likely a kept server link is to break under its next execution, by the time that it has been
@@ -42,7 +42,7 @@
      * A link that had been idle for this long has carried its next execution, or has broken under
      * it.
      */
-    void seen(long idleUs, boolean broke) {
+    public void seen(long idleUs, boolean broke) {
         int age = age(idleUs);
         broken[age] += WEIGHT * ((broke ? 1 : 0) - broken[age]);
     }
@@ -51,7 +51,7 @@
      * Whether a link may be used that has been idle for this long; one that is older is at least as
      * risky.
      */
-    boolean serves(long idleUs, boolean onceOnly) {
+    public boolean serves(long idleUs, boolean onceOnly) {
         double risk = 0;
         for (int age = 0; age <= age(idleUs); age++) {
             risk = Math.max(risk, broken[age]);
@@ -60,7 +60,7 @@
     }
 
     /** Time passes; called evenly, about twice a second. */
-    void fade() {
+    public void fade() {
         for (int age = 0; age < AGES; age++) {
             broken[age] *= 1 - FADE;
         }
--- a/src/main/java/damsonslip/platform/servers/ServerLink.java
+++ b/src/main/java/damsonslip/platform/worker/ServerLink.java
@@ -1,18 +1,19 @@
-package damsonslip.platform.servers;
-
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Report;
-import damsonslip.core.Execution;
-import damsonslip.core.Loop;
-import damsonslip.core.SlowPeer;
-import damsonslip.datarate.MinimumDataRate;
-import damsonslip.membership.ProbeResult;
-import damsonslip.net.Lines;
-import damsonslip.net.Link;
-import damsonslip.net.Outflow;
-import damsonslip.platform.http.Encoder;
-import damsonslip.platform.http.Field;
-import damsonslip.platform.http.HttpForward;
+package damsonslip.platform.worker;
+
+import damsonslip.engine.Execution;
+import damsonslip.engine.Loop;
+import damsonslip.engine.SlowPeer;
+import damsonslip.platform.codec.AnswerReader;
+import damsonslip.platform.codec.Encoder;
+import damsonslip.platform.codec.Field;
+import damsonslip.platform.codec.HttpForward;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Report;
+import damsonslip.transport.Lines;
+import damsonslip.transport.Link;
+import damsonslip.transport.Outflow;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/damsonslip/ColdBudget.java
+++ b/src/main/java/damsonslip/policy/ColdBudget.java
@@ -1,10 +1,10 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.ColdLoad;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Known.FreeSeen;
-import damsonslip.Known.Worker;
+import damsonslip.policy.Known.FreeSeen;
+import damsonslip.policy.Known.Worker;
+import damsonslip.policy.api.ColdLoad;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Settings;
 
 /**
  * What a cold worker may be sent (rule 4, slow start). Its budget is cut into windows of the stated
--- a/src/main/java/damsonslip/Dealing.java
+++ b/src/main/java/damsonslip/policy/Dealing.java
@@ -1,8 +1,8 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.Settings;
-import damsonslip.Known.Pool;
-import damsonslip.Known.Worker;
+import damsonslip.policy.Known.Pool;
+import damsonslip.policy.Known.Worker;
+import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
--- a/src/main/java/damsonslip/Known.java
+++ b/src/main/java/damsonslip/policy/Known.java
@@ -1,9 +1,9 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.JobClass;
 import damsonslip.membership.StartTimes;
 import damsonslip.membership.WorkerLease;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.JobClass;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -115,7 +115,7 @@
          * Takes in what a report says of all its slots; gives that, or else its free ones. A worker
          * that offers its slots by itself is alive, however long it is at a job.
          */
-        double told(Dispatch.Report report, long now) {
+        double told(damsonslip.policy.api.Report report, long now) {
             if (report.slots() > 0) {
                 slots = report.slots();
                 answeredAt = now;
@@ -128,8 +128,8 @@
          * says of a single job that it failed, and asks for the next; only several in a row, with
          * nothing done between, are its own.
          */
-        boolean suspect(Dispatch.Outcome outcome) {
-            return !(slots > 0) || outcome != Dispatch.Outcome.ERROR || ++errors > FEW;
+        boolean suspect(damsonslip.policy.api.Outcome outcome) {
+            return !(slots > 0) || outcome != damsonslip.policy.api.Outcome.ERROR || ++errors > FEW;
         }
 
         /** This part of its slots is free: tells of those like it as well. */
--- a/src/main/java/damsonslip/Picture.java
+++ b/src/main/java/damsonslip/policy/Picture.java
@@ -1,7 +1,7 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.PoolState;
-import damsonslip.Known.Pool;
+import damsonslip.policy.Known.Pool;
+import damsonslip.policy.api.PoolState;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
--- a/src/main/java/damsonslip/Probes.java
+++ b/src/main/java/damsonslip/policy/Probes.java
@@ -1,12 +1,12 @@
-package damsonslip;
-
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.Probe;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Known.Job;
-import damsonslip.Known.Worker;
-import damsonslip.membership.ProbeResult;
+package damsonslip.policy;
+
+import damsonslip.policy.Known.Job;
+import damsonslip.policy.Known.Worker;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
--- a/src/main/java/damsonslip/Ring.java
+++ b/src/main/java/damsonslip/policy/Ring.java
@@ -1,6 +1,6 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Known.Worker;
+import damsonslip.policy.Known.Worker;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonslip/Rules.java
+++ b/src/main/java/damsonslip/policy/Rules.java
@@ -1,17 +1,17 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.*;
-import damsonslip.Known.*;
-import damsonslip.Known.Worker;
 import damsonslip.membership.DiscoveryWatch;
 import damsonslip.membership.StartTimes;
+import damsonslip.policy.Known.*;
+import damsonslip.policy.Known.Worker;
+import damsonslip.policy.api.*;
 import java.util.*;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
 
 /**
- * All decisions of one dispatcher; its interface stands in {@link Dispatch} (Dispatch.java).
+ * All decisions of one dispatcher; its interface stands in the package {@code damsonslip.policy.api}.
  *
  * <p>The design: a pool of workers for each job class, sized by offered load; a threshold on the
  * jobs present, searched by revenue and shared among the dispatchers; admitted jobs held in arrival
@@ -188,7 +188,7 @@
         this.settings = settings;
         this.rules = settings.guarantees();
         this.random = new SplittableRandom(seed);
-        this.discovery = settings.watchOfDiscovery();
+        this.discovery = DiscoveryEvents.newWatch(settings);
         this.coldBudget = new ColdBudget(rules);
         this.pools = new Pool[settings.classes().size()];
         for (int i = 0; i < pools.length; i++) {
@@ -221,7 +221,7 @@
         if (event instanceof ListUpdate e) {
             listed(e);
         } else if (event instanceof DiscoveryAddress e) {
-            e.tell(discovery);
+            DiscoveryEvents.addressChanged(e, discovery);
         } else if (event instanceof JobArrived e) {
             arrived(e);
         } else if (event instanceof AttemptStarted e) {
@@ -308,10 +308,13 @@
         if (mode.isLoss()) {
             long heard = Math.min(now, update.heardUs());
             actions.add(
-                    new SetTimer(discovery.lost(mode.loss, heard, now, random.nextDouble()), LIST));
+                    new SetTimer(
+                            discovery.lost(
+                                    DiscoveryEvents.loss(mode), heard, now, random.nextDouble()),
+                            LIST));
             return;
         }
-        update.tell(discovery);
+        DiscoveryEvents.listReceived(update, discovery);
         boolean changed = false;
         if (mode.isWhole()) {
             for (Worker w : workers.values()) {
@@ -320,7 +323,7 @@
             }
         }
         long correction = startTimes.correctionUs();
-        for (Dispatch.Worker entry : update.workers()) {
+        for (damsonslip.policy.api.Worker entry : update.workers()) {
             changed |= listed(entry, mode.isNews() && startTimes.seesStarts());
         }
         startTimes.listed(mode.isNews(), now);
@@ -346,7 +349,7 @@
         }
     }
 
-    private boolean listed(Dispatch.Worker entry, boolean seesStarts) {
+    private boolean listed(damsonslip.policy.api.Worker entry, boolean seesStarts) {
         Worker w = workers.computeIfAbsent(entry.id(), Worker::new);
         boolean before = w.running;
         w.ranAt = now;
--- a/src/main/java/damsonslip/TenantQuotas.java
+++ b/src/main/java/damsonslip/policy/TenantQuotas.java
@@ -1,6 +1,6 @@
-package damsonslip;
+package damsonslip.policy;
 
-import damsonslip.Dispatch.Settings;
+import damsonslip.policy.api.Settings;
 import java.util.Arrays;
 
 /**
--- a/src/main/java/damsonslip/Threshold.java
+++ b/src/main/java/damsonslip/policy/Threshold.java
@@ -1,4 +1,4 @@
-package damsonslip;
+package damsonslip.policy;
 
 /** How many jobs of a class may be present at once: the paper's search by revenue. */
 final class Threshold {
--- /dev/null
+++ b/src/main/java/damsonslip/policy/api/Cancel.java
@@ -0,0 +1,4 @@
+package damsonslip.policy.api;
+
+/** Call an attempt off. */
+public record Cancel(String job, int attempt) implements Action {}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/api/ColdLoad.java
@@ -0,0 +1,7 @@
+package damsonslip.policy.api;
+
+/**
+ * What a cold worker was sent from here in its window, and what it bears there from all
+ * dispatchers; both in requests of mean work.
+ */
+public record ColdLoad(double requests, double bearable) {}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/api/Fail.java
@@ -0,0 +1,4 @@
+package damsonslip.policy.api;
+
+/** Final answer: failed, with no promise. */
+public record Fail(String job) implements Action {}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/api/Log.java
@@ -0,0 +1,4 @@
+package damsonslip.policy.api;
+
+/** Leave a line in the dispatcher's log. */
+public record Log(String text) implements Action {}
--- a/src/main/java/damsonslip/membership/ProbeResult.java
+++ b/src/main/java/damsonslip/policy/api/ProbeResult.java
@@ -1,4 +1,4 @@
-package damsonslip.membership;
+package damsonslip.policy.api;
 
 /** How a probe of a worker ended. */
 public enum ProbeResult {
--- /dev/null
+++ b/src/main/java/damsonslip/policy/api/Reporting.java
@@ -0,0 +1,8 @@
+package damsonslip.policy.api;
+
+/** Where load reports come from. */
+public enum Reporting {
+    WITH_ANSWERS,
+    BY_PROBE,
+    NONE
+}
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -1,6 +1,6 @@
 package damsonslip.store;
 
-import damsonslip.core.Loop;
+import damsonslip.engine.Loop;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/damsonslip/conformance/Cases.java
+++ b/src/main/java/damsonslip/tools/conformance/Cases.java
@@ -1,13 +1,13 @@
-package damsonslip.conformance;
+package damsonslip.tools.conformance;
 
-import static damsonslip.conformance.Stage.check;
-import static damsonslip.conformance.Stage.id;
-import static damsonslip.conformance.Stage.jids;
-import static damsonslip.conformance.Stage.same;
+import static damsonslip.tools.conformance.Stage.check;
+import static damsonslip.tools.conformance.Stage.id;
+import static damsonslip.tools.conformance.Stage.jids;
+import static damsonslip.tools.conformance.Stage.same;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import damsonslip.faktoryclient.FaktoryClient;
+import damsonslip.tools.faktoryclient.FaktoryClient;
 import java.io.IOException;
 import java.time.Instant;
 import java.time.OffsetDateTime;
--- a/src/main/java/damsonslip/conformance/Conformance.java
+++ b/src/main/java/damsonslip/tools/conformance/Conformance.java
@@ -1,6 +1,6 @@
-package damsonslip.conformance;
+package damsonslip.tools.conformance;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
--- a/src/main/java/damsonslip/conformance/Stage.java
+++ b/src/main/java/damsonslip/tools/conformance/Stage.java
@@ -1,9 +1,9 @@
-package damsonslip.conformance;
+package damsonslip.tools.conformance;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import damsonslip.faktoryclient.FaktoryClient;
+import damsonslip.tools.faktoryclient.FaktoryClient;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/damsonslip/faktoryclient/FaktoryClient.java
+++ b/src/main/java/damsonslip/tools/faktoryclient/FaktoryClient.java
@@ -1,4 +1,4 @@
-package damsonslip.faktoryclient;
+package damsonslip.tools.faktoryclient;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/main/java/damsonslip/faktoryclient/package-info.java
+++ b/src/main/java/damsonslip/tools/faktoryclient/package-info.java
@@ -3,4 +3,4 @@
  * conformance}. It shares no code with the scheduler's own fronts, so that it cannot repeat their
  * mistakes, and depends on nothing of the program.
  */
-package damsonslip.faktoryclient;
+package damsonslip.tools.faktoryclient;
--- a/src/main/java/damsonslip/fleet/Loss.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Loss.java
@@ -1,4 +1,4 @@
-package damsonslip.fleet;
+package damsonslip.tools.fleetreport;
 
 /** Why a query earned nothing: one reason for each, the first that holds. */
 public enum Loss {
--- a/src/main/java/damsonslip/fleet/Report.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Report.java
@@ -1,6 +1,6 @@
-package damsonslip.fleet;
+package damsonslip.tools.fleetreport;
 
-import damsonslip.fleet.Second.Sum;
+import damsonslip.tools.fleetreport.Second.Sum;
 import java.util.Comparator;
 import java.util.Locale;
 import java.util.Map;
--- a/src/main/java/damsonslip/fleet/Second.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Second.java
@@ -1,4 +1,4 @@
-package damsonslip.fleet;
+package damsonslip.tools.fleetreport;
 
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/damsonslip/lab/CpuTimes.java
+++ b/src/main/java/damsonslip/tools/lab/CpuTimes.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
--- a/src/main/java/damsonslip/lab/Goal.java
+++ b/src/main/java/damsonslip/tools/lab/Goal.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 /** The operators' size in two years, and what one scheduler may spend on control there. */
 final class Goal {
--- a/src/main/java/damsonslip/lab/Heap.java
+++ b/src/main/java/damsonslip/tools/lab/Heap.java
@@ -1,15 +1,21 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import java.lang.ref.Reference;
 import java.util.function.Supplier;
 
-/** Retained heap by difference: what is used after collections with the object, less what was used before it was made. */
+/**
+ * Retained heap by difference: what is used after collections with the object, less what was used
+ * before it was made.
+ */
 final class Heap {
     private static final int COLLECTIONS = 2;
 
-    private Heap() { }
+    private Heap() {}
 
-    /** Kilobytes that stay reachable from what is made; it is made once before, so that libraries' own buffers exist. */
+    /**
+     * Kilobytes that stay reachable from what is made; it is made once before, so that libraries'
+     * own buffers exist.
+     */
     static double retainedKb(Supplier<?> make) {
         make.get();
         long before = used();
--- a/src/main/java/damsonslip/lab/HollowDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import damsonslip.membership.DiscoveryWatch;
 import damsonslip.membership.DiscoveryWatch.Loss;
--- a/src/main/java/damsonslip/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -1,9 +1,9 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import damsonslip.settings.BadInput;
-import damsonslip.settings.Site;
-import damsonslip.settings.Tree;
+import damsonslip.config.BadInput;
+import damsonslip.config.Site;
+import damsonslip.config.Tree;
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
--- a/src/main/java/damsonslip/lab/Lab.java
+++ b/src/main/java/damsonslip/tools/lab/Lab.java
@@ -1,7 +1,7 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.lab.soak.SoakCommand;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.lab.soak.SoakCommand;
 import java.io.PrintStream;
 import java.io.PrintWriter;
 import java.util.List;
--- a/src/main/java/damsonslip/lab/LoopbackDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/main/java/damsonslip/lab/Machine.java
+++ b/src/main/java/damsonslip/tools/lab/Machine.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
--- a/src/main/java/damsonslip/lab/Measure.java
+++ b/src/main/java/damsonslip/tools/lab/Measure.java
@@ -1,6 +1,6 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 
 /** What is measured of each role, with its unit and, where the goal names one, its budget. */
 enum Measure {
--- a/src/main/java/damsonslip/lab/RealCommand.java
+++ b/src/main/java/damsonslip/tools/lab/RealCommand.java
@@ -1,8 +1,8 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.lab.Sample.Axis;
-import damsonslip.lab.Sample.Basis;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.lab.Sample.Axis;
+import damsonslip.tools.lab.Sample.Basis;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/damsonslip/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/RealScheduler.java
@@ -1,4 +1,4 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -58,7 +58,7 @@
                 List.of(
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "damsonslip.program.Main",
+                        "damsonslip.cli.Main",
                         "serve"));
         ProcessBuilder builder =
                 new ProcessBuilder(command)
--- a/src/main/java/damsonslip/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -1,6 +1,6 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.math.BigDecimal;
 import java.math.MathContext;
 
--- a/src/main/java/damsonslip/lab/SampleFile.java
+++ b/src/main/java/damsonslip/tools/lab/SampleFile.java
@@ -1,6 +1,6 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.InvalidPathException;
--- a/src/main/java/damsonslip/lab/ScaleCommand.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleCommand.java
@@ -1,6 +1,6 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
--- a/src/main/java/damsonslip/lab/SlopeReport.java
+++ b/src/main/java/damsonslip/tools/lab/SlopeReport.java
@@ -1,6 +1,6 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
-import damsonslip.lab.Sample.Axis;
+import damsonslip.tools.lab.Sample.Axis;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
--- a/src/main/java/damsonslip/lab/package-info.java
+++ b/src/main/java/damsonslip/tools/lab/package-info.java
@@ -6,4 +6,4 @@
  * module, the settings and the registry's decoding; nothing may depend on it but {@code
  * damsonslip.program}.
  */
-package damsonslip.lab;
+package damsonslip.tools.lab;
--- a/src/main/java/damsonslip/lab/soak/Clock.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Clock.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 /** The soak's clock: microseconds of monotonic time. */
 final class Clock {
--- a/src/main/java/damsonslip/lab/soak/DiscoveryFront.java
+++ b/src/main/java/damsonslip/tools/lab/soak/DiscoveryFront.java
@@ -1,6 +1,6 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Membership.Change;
+import damsonslip.tools.lab.soak.Membership.Change;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/damsonslip/lab/soak/Errno.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Errno.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 /** Error numbers of Linux that the fault library uses. */
 public enum Errno {
--- a/src/main/java/damsonslip/lab/soak/HoldUps.java
+++ b/src/main/java/damsonslip/tools/lab/soak/HoldUps.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
--- a/src/main/java/damsonslip/lab/soak/Judge.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Judge.java
@@ -1,12 +1,12 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Ledger.Attempt;
-import damsonslip.lab.soak.Ledger.Effect;
-import damsonslip.lab.soak.Ledger.End;
-import damsonslip.lab.soak.Ledger.Finding;
-import damsonslip.lab.soak.Ledger.Request;
-import damsonslip.lab.soak.Membership.Change;
-import damsonslip.lab.soak.Membership.Lifecycle;
+import damsonslip.tools.lab.soak.Ledger.Attempt;
+import damsonslip.tools.lab.soak.Ledger.Effect;
+import damsonslip.tools.lab.soak.Ledger.End;
+import damsonslip.tools.lab.soak.Ledger.Finding;
+import damsonslip.tools.lab.soak.Ledger.Request;
+import damsonslip.tools.lab.soak.Membership.Change;
+import damsonslip.tools.lab.soak.Membership.Lifecycle;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/damsonslip/lab/soak/SchedulerProcess.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SchedulerProcess.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonslip/lab/soak/SoakClient.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakClient.java
@@ -1,8 +1,8 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Ledger.Effect;
-import damsonslip.lab.soak.Ledger.End;
-import damsonslip.lab.soak.Ledger.Request;
+import damsonslip.tools.lab.soak.Ledger.Effect;
+import damsonslip.tools.lab.soak.Ledger.End;
+import damsonslip.tools.lab.soak.Ledger.Request;
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.util.HashMap;
--- a/src/main/java/damsonslip/lab/soak/SoakCommand.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
@@ -1,7 +1,7 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Ledger.Finding;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.lab.soak.Ledger.Finding;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonslip/lab/soak/SoakPlan.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakPlan.java
@@ -1,6 +1,6 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Trouble.Kind;
+import damsonslip.tools.lab.soak.Trouble.Kind;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
--- a/src/main/java/damsonslip/lab/soak/SoakRun.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
@@ -1,9 +1,9 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.FaultProxy.Condition;
-import damsonslip.lab.soak.Membership.Lifecycle;
-import damsonslip.lab.soak.SoakWorker.Mood;
-import damsonslip.lab.soak.Trouble.Kind;
+import damsonslip.tools.lab.soak.FaultProxy.Condition;
+import damsonslip.tools.lab.soak.Membership.Lifecycle;
+import damsonslip.tools.lab.soak.SoakWorker.Mood;
+import damsonslip.tools.lab.soak.Trouble.Kind;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetAddress;
--- a/src/main/java/damsonslip/lab/soak/SoakWorker.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakWorker.java
@@ -1,9 +1,9 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Ledger.Attempt;
-import damsonslip.lab.soak.Ledger.Request;
-import damsonslip.lab.soak.Membership.Entry;
-import damsonslip.lab.soak.Membership.Lifecycle;
+import damsonslip.tools.lab.soak.Ledger.Attempt;
+import damsonslip.tools.lab.soak.Ledger.Request;
+import damsonslip.tools.lab.soak.Membership.Entry;
+import damsonslip.tools.lab.soak.Membership.Lifecycle;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/src/main/java/damsonslip/lab/soak/SystemCall.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SystemCall.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 /**
  * System calls that the fault library can make fail; the order is that of {@code enum call} in
--- a/src/main/java/damsonslip/lab/soak/Verdict.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Verdict.java
@@ -1,6 +1,6 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
-import damsonslip.lab.soak.Ledger.Finding;
+import damsonslip.tools.lab.soak.Ledger.Finding;
 import java.util.List;
 
 /**
--- a/src/main/java/damsonslip/lab/soak/package-info.java
+++ b/src/main/java/damsonslip/tools/lab/soak/package-info.java
@@ -3,4 +3,4 @@
  * all misbehave, judged from outside. Run by {@code lab soak}; its fault library is also used by
  * the tests of single faults. Nothing of the program depends on this package.
  */
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
--- a/src/main/java/damsonslip/bench/Bench.java
+++ b/src/main/java/damsonslip/tools/load/Bench.java
@@ -1,8 +1,8 @@
-package damsonslip.bench;
+package damsonslip.tools.load;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.faktoryclient.FaktoryClient;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.faktoryclient.FaktoryClient;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetAddress;
--- a/src/main/java/damsonslip/bench/package-info.java
+++ b/src/main/java/damsonslip/tools/load/package-info.java
@@ -3,4 +3,4 @@
  * with the time that each command took. Closed loop: each connection has one command under way, so
  * that the figures are those of a server at its limit, not of a site at a given rate.
  */
-package damsonslip.bench;
+package damsonslip.tools.load;
--- a/src/main/java/damsonslip/simhost/WireLine.java
+++ b/src/main/java/damsonslip/tools/simulator/WireLine.java
@@ -1,23 +1,22 @@
-package damsonslip.simhost;
+package damsonslip.tools.simulator;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.Dispatch;
-import damsonslip.Dispatch.AttemptEnded;
-import damsonslip.Dispatch.AttemptStarted;
-import damsonslip.Dispatch.Event;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.JobGone;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.ListUpdate;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.TimerDue;
-import damsonslip.membership.ProbeResult;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptStarted;
+import damsonslip.policy.api.Event;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.JobGone;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.TimerDue;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -32,7 +31,7 @@
     private Long seed;
     private JsonNode conf;
     private String mode;
-    private List<Dispatch.Worker> items;
+    private List<damsonslip.policy.api.Worker> items;
     private String opId;
     private Integer lane;
     private int tenant;
@@ -101,8 +100,9 @@
         }
     }
 
-    private static List<Dispatch.Worker> workers(JsonParser in) throws IOException, BadInput {
-        List<Dispatch.Worker> workers = new ArrayList<>();
+    private static List<damsonslip.policy.api.Worker> workers(JsonParser in)
+            throws IOException, BadInput {
+        List<damsonslip.policy.api.Worker> workers = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             String id = null;
             String status = null;
@@ -130,7 +130,9 @@
                 }
             }
             String runner = needed(id, "runner of an entry");
-            workers.add(new Dispatch.Worker(runner, zone, cell, kind, status(status), since));
+            workers.add(
+                    new damsonslip.policy.api.Worker(
+                            runner, zone, cell, kind, status(status), since));
         }
         return workers;
     }
--- a/src/main/java/damsonslip/net/AcceptBackOff.java
+++ b/src/main/java/damsonslip/transport/AcceptBackOff.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 /**
  * How long a listener rests after an accept that failed: the system is out of descriptors or
--- a/src/main/java/damsonslip/net/ArrivalBound.java
+++ b/src/main/java/damsonslip/transport/ArrivalBound.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 /**
  * The last moment at which a socket, or a listener's queue, was seen empty: what is read from it
--- a/src/main/java/damsonslip/net/DialFailure.java
+++ b/src/main/java/damsonslip/transport/DialFailure.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import java.net.ConnectException;
 import java.net.NoRouteToHostException;
--- a/src/main/java/damsonslip/net/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -1,6 +1,6 @@
-package damsonslip.net;
+package damsonslip.transport;
 
-import damsonslip.core.Loop;
+import damsonslip.engine.Loop;
 import java.io.Closeable;
 import java.io.IOException;
 import org.slf4j.Logger;
--- a/src/main/java/damsonslip/net/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import java.io.IOException;
 import java.nio.channels.CancelledKeyException;
--- a/src/main/java/damsonslip/net/Outflow.java
+++ b/src/main/java/damsonslip/transport/Outflow.java
@@ -1,9 +1,9 @@
-package damsonslip.net;
+package damsonslip.transport;
 
-import damsonslip.core.Loop;
-import damsonslip.core.SlowPeer;
-import damsonslip.datarate.BufferBudget;
-import damsonslip.datarate.MinimumDataRate;
+import damsonslip.engine.Loop;
+import damsonslip.engine.SlowPeer;
+import damsonslip.transport.datarate.BufferBudget;
+import damsonslip.transport.datarate.MinimumDataRate;
 import java.util.function.LongSupplier;
 
 /**
--- a/src/main/java/damsonslip/net/RearmableKey.java
+++ b/src/main/java/damsonslip/transport/RearmableKey.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import java.nio.channels.SelectableChannel;
 import java.nio.channels.SelectionKey;
--- a/src/main/java/damsonslip/net/Room.java
+++ b/src/main/java/damsonslip/transport/Room.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import java.util.Collection;
 import java.util.Comparator;
--- a/src/main/java/damsonslip/net/RoomAcceptor.java
+++ b/src/main/java/damsonslip/transport/RoomAcceptor.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 /**
  * Accepts connections of one kind into a {@link Room}, which bounds their number; those beyond it
--- a/src/main/java/damsonslip/datarate/BufferBudget.java
+++ b/src/main/java/damsonslip/transport/datarate/BufferBudget.java
@@ -1,4 +1,4 @@
-package damsonslip.datarate;
+package damsonslip.transport.datarate;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/damsonslip/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
@@ -1,4 +1,4 @@
-package damsonslip.datarate;
+package damsonslip.transport.datarate;
 
 /**
  * Enforces a minimum data rate on one direction of a connection, as a token bucket counted in
--- a/src/test/java/damsonslip/DeployTest.java
+++ b/src/test/java/damsonslip/DeployTest.java
@@ -21,8 +21,7 @@
     private static final Path SOURCES = Path.of("src/main/java/damsonslip");
 
     /** Commands of their own, which no scheduler runs. */
-    private static final Set<String> TOOLS =
-            Set.of("simhost", "conformance", "bench", "fleet", "faktoryclient", "lab");
+    private static final Set<String> TOOLS = Set.of("tools");
 
     @Test
     void policyAndNodeNameEverySourceOfTheScheduler() throws IOException {
--- a/src/test/java/damsonslip/StructureTest.java
+++ b/src/test/java/damsonslip/StructureTest.java
@@ -9,6 +9,7 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.library.dependencies.SliceAssignment;
 import com.tngtech.archunit.library.dependencies.SliceIdentifier;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -43,31 +44,31 @@
 
     @ParameterizedTest
     @CsvSource({
-        "damsonslip.core..,damsonslip.platform..",
-        "damsonslip.core..,damsonslip.faktory..",
-        "damsonslip.core..,damsonslip.net..",
-        "damsonslip.core..,org.eclipse.jetty..",
-        "damsonslip.platform.clients..,damsonslip.platform.servers..",
-        "damsonslip.platform.servers..,damsonslip.platform.clients..",
+        "damsonslip.engine..,damsonslip.platform..",
+        "damsonslip.engine..,damsonslip.faktory..",
+        "damsonslip.engine..,damsonslip.transport..",
+        "damsonslip.engine..,org.eclipse.jetty..",
+        "damsonslip.platform.client..,damsonslip.platform.worker..",
+        "damsonslip.platform.worker..,damsonslip.platform.client..",
         "damsonslip.platform..,damsonslip.faktory..",
         "damsonslip.faktory..,damsonslip.platform..",
-        "damsonslip,java.net..",
-        "damsonslip,java.time..",
+        "damsonslip.policy..,java.net..",
+        "damsonslip.policy..,java.time..",
         "damsonslip.store..,damsonslip.faktory..",
-        "damsonslip.fleet..,java.io..",
-        "damsonslip.fleet..,java.nio..",
-        "damsonslip.fleet..,java.time..",
-        "damsonslip.fleet..,damsonslip.core..",
-        "damsonslip.faktory.sets..,java.net..",
-        "damsonslip.faktory.sets..,java.time..",
-        "damsonslip.faktory.sets..,redis.clients..",
-        "damsonslip.faktory.sets..,damsonslip.core..",
-        "damsonslip.faktory.sets..,damsonslip.net..",
-        "damsonslip.faktory.sets..,damsonslip.faktory.codec..",
-        "damsonslip.faktory.routes..,damsonslip.core..",
-        "damsonslip.faktory.codec..,damsonslip.net..",
-        "damsonslip.faktory.codec..,damsonslip.core..",
-        "damsonslip.faktory.codec..,damsonslip.faktory.sets.."
+        "damsonslip.tools.fleetreport..,java.io..",
+        "damsonslip.tools.fleetreport..,java.nio..",
+        "damsonslip.tools.fleetreport..,java.time..",
+        "damsonslip.tools.fleetreport..,damsonslip.engine..",
+        "damsonslip.faktory.jobs..,java.net..",
+        "damsonslip.faktory.jobs..,java.time..",
+        "damsonslip.faktory.jobs..,redis.clients..",
+        "damsonslip.faktory.jobs..,damsonslip.engine..",
+        "damsonslip.faktory.jobs..,damsonslip.transport..",
+        "damsonslip.faktory.jobs..,damsonslip.faktory.codec..",
+        "damsonslip.faktory.routing..,damsonslip.engine..",
+        "damsonslip.faktory.codec..,damsonslip.transport..",
+        "damsonslip.faktory.codec..,damsonslip.engine..",
+        "damsonslip.faktory.codec..,damsonslip.faktory.jobs.."
     })
     void packagesKeepToThemselves(String one, String other) {
         noClasses()
@@ -79,14 +80,49 @@
                 .check(PROGRAM);
     }
 
+    /** The packages below {@code damsonslip} from the lowest to the highest. */
+    private static final List<String> LAYERS =
+            List.of(
+                    "policy.api..",
+                    "membership..",
+                    "policy",
+                    "config..",
+                    "engine..",
+                    "transport..",
+                    "store..",
+                    "admin..",
+                    "faktory..",
+                    "platform..",
+                    "tools..",
+                    "cli..");
+
+    @Test
+    void noPackageDependsOnOneThatLiesHigher() {
+        for (int lower = 0; lower < LAYERS.size(); lower++) {
+            String[] higher =
+                    LAYERS.subList(lower + 1, LAYERS.size()).stream()
+                            .map(layer -> "damsonslip." + layer)
+                            .toArray(String[]::new);
+            if (higher.length > 0) {
+                noClasses()
+                        .that()
+                        .resideInAPackage("damsonslip." + LAYERS.get(lower))
+                        .should()
+                        .dependOnClassesThat()
+                        .resideInAnyPackage(higher)
+                        .check(PROGRAM);
+            }
+        }
+    }
+
     @Test
     void theLaboratoryIsKnownToNothingButTheCommandLine() {
         noClasses()
                 .that()
-                .resideOutsideOfPackages("damsonslip.lab..", "damsonslip.program..")
+                .resideOutsideOfPackages("damsonslip.tools.lab..", "damsonslip.cli..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("damsonslip.lab..")
+                .resideInAPackage("damsonslip.tools.lab..")
                 .check(PROGRAM);
     }
 }
--- a/src/test/java/damsonslip/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -1,13 +1,13 @@
-package damsonslip.console;
+package damsonslip.admin.console;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.FaktoryPeer;
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonslip/management/ManagementRequestTest.java
+++ b/src/test/java/damsonslip/admin/management/ManagementRequestTest.java
@@ -1,9 +1,9 @@
-package damsonslip.management;
+package damsonslip.admin.management;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import damsonslip.management.ManagementRequest.Verb;
+import damsonslip.admin.management.ManagementRequest.Verb;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/damsonslip/handover/SharedDirectoryTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
@@ -1,4 +1,4 @@
-package damsonslip.handover;
+package damsonslip.admin.upgrade;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/damsonslip/program/RehearsalTest.java
+++ b/src/test/java/damsonslip/cli/RehearsalTest.java
@@ -1,9 +1,9 @@
-package damsonslip.program;
+package damsonslip.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/damsonslip/program/SimHostTest.java
+++ b/src/test/java/damsonslip/cli/SimHostTest.java
@@ -1,4 +1,4 @@
-package damsonslip.program;
+package damsonslip.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/damsonslip/settings/TreeTest.java
+++ b/src/test/java/damsonslip/config/TreeTest.java
@@ -1,4 +1,4 @@
-package damsonslip.settings;
+package damsonslip.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/damsonslip/core/FailingActionTest.java
+++ b/src/test/java/damsonslip/engine/FailingActionTest.java
@@ -1,18 +1,18 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.Reporting;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
-import damsonslip.core.Counters.Count;
+import damsonslip.engine.Counters.Count;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
--- a/src/test/java/damsonslip/core/LoopTest.java
+++ b/src/test/java/damsonslip/engine/LoopTest.java
@@ -1,4 +1,4 @@
-package damsonslip.core;
+package damsonslip.engine;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/damsonslip/invariants/GuardsTest.java
+++ b/src/test/java/damsonslip/engine/invariants/GuardsTest.java
@@ -1,16 +1,16 @@
-package damsonslip.invariants;
+package damsonslip.engine.invariants;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.ColdLoad;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.invariants.InvariantMonitor.Mode;
-import damsonslip.invariants.RepeatGuard.Earlier;
-import damsonslip.invariants.RepeatGuard.Place;
+import damsonslip.engine.invariants.InvariantMonitor.Mode;
+import damsonslip.engine.invariants.RepeatGuard.Earlier;
+import damsonslip.engine.invariants.RepeatGuard.Place;
+import damsonslip.policy.api.ColdLoad;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobClass;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
--- a/src/test/java/damsonslip/draining/ConnectionDrainingTest.java
+++ b/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
@@ -1,8 +1,8 @@
-package damsonslip.draining;
+package damsonslip.engine.shutdown;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.draining.ConnectionDraining.Action;
+import damsonslip.engine.shutdown.ConnectionDraining.Action;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
--- a/src/test/java/damsonslip/faktory/FaktoryTest.java
+++ b/src/test/java/damsonslip/faktory/FaktoryTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.FaktoryPeer;
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.Program;
-import damsonslip.kit.RedisStandIn;
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Program;
+import damsonslip.testkit.RedisStandIn;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/damsonslip/faktory/RoutesTest.java
+++ b/src/test/java/damsonslip/faktory/RoutesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.FaktoryPeer;
-import damsonslip.kit.FaktoryServer;
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
 import java.io.IOException;
 import java.nio.file.Path;
 import org.junit.jupiter.api.AfterEach;
--- a/src/test/java/damsonslip/faktory/sets/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
@@ -1,13 +1,13 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.sets.Batches.Batch;
-import damsonslip.faktory.sets.Batches.Callback;
-import damsonslip.faktory.sets.JobTable.Entry;
+import damsonslip.faktory.jobs.Batches.Batch;
+import damsonslip.faktory.jobs.Batches.Callback;
+import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Facts;
 import damsonslip.store.JobRecord.State;
--- a/src/test/java/damsonslip/faktory/sets/GlobTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/GlobTest.java
@@ -1,4 +1,4 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/damsonslip/faktory/sets/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -1,4 +1,4 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.sets.JobTable.Entry;
+import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Facts;
 import damsonslip.store.JobRecord.State;
--- a/src/test/java/damsonslip/faktory/sets/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -1,15 +1,15 @@
-package damsonslip.faktory.sets;
+package damsonslip.faktory.jobs;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.faktory.sets.RetryPolicy.NextState;
-import damsonslip.faktory.sets.RetryPolicy.RecoveryAction;
-import damsonslip.faktory.sets.RetryPolicy.RunFailure;
+import damsonslip.faktory.jobs.RetryPolicy.NextState;
+import damsonslip.faktory.jobs.RetryPolicy.RecoveryAction;
+import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobClass;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Facts;
 import damsonslip.store.JobRecord.State;
--- a/src/test/java/damsonslip/overrides/WorkerOverridesTest.java
+++ b/src/test/java/damsonslip/membership/overrides/WorkerOverridesTest.java
@@ -1,13 +1,13 @@
-package damsonslip.overrides;
+package damsonslip.membership.overrides;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.Worker;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Worker;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonslip/peers/PeerProcessesTest.java
+++ b/src/test/java/damsonslip/membership/peers/PeerProcessesTest.java
@@ -1,8 +1,8 @@
-package damsonslip.peers;
+package damsonslip.membership.peers;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.peers.PeerProcesses.Peer;
+import damsonslip.membership.peers.PeerProcesses.Peer;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
+++ b/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.LateServer;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
+import damsonslip.testkit.LateServer;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
 import java.io.EOFException;
 import java.io.File;
 import java.io.IOException;
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/damsonslip/platform/DeparturesTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonslip/platform/EarlyAnswersTest.java
+++ b/src/test/java/damsonslip/platform/EarlyAnswersTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
--- a/src/test/java/damsonslip/platform/FailingAcceptsTest.java
+++ b/src/test/java/damsonslip/platform/FailingAcceptsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.lab.soak.Errno;
-import damsonslip.lab.soak.SystemCall;
+import damsonslip.testkit.Peer;
+import damsonslip.tools.lab.soak.Errno;
+import damsonslip.tools.lab.soak.SystemCall;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
-import damsonslip.kit.Program;
-import damsonslip.lab.soak.FaultControl;
-import damsonslip.lab.soak.FaultLibrary;
+import damsonslip.testkit.Program;
+import damsonslip.tools.lab.soak.FaultControl;
+import damsonslip.tools.lab.soak.FaultLibrary;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/damsonslip/platform/FleetConfig.java
+++ b/src/test/java/damsonslip/platform/FleetConfig.java
@@ -1,6 +1,6 @@
 package damsonslip.platform;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -1,7 +1,7 @@
 package damsonslip.platform;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/test/java/damsonslip/platform/HeldUpCallsTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpCallsTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
-import damsonslip.lab.soak.Errno;
-import damsonslip.lab.soak.SystemCall;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
+import damsonslip.tools.lab.soak.Errno;
+import damsonslip.tools.lab.soak.SystemCall;
 import java.io.IOException;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/damsonslip/platform/LargeListTest.java
+++ b/src/test/java/damsonslip/platform/LargeListTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.DeployFile;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.DeployFile;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/test/java/damsonslip/platform/LastingFolderTest.java
+++ b/src/test/java/damsonslip/platform/LastingFolderTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
-import damsonslip.lab.soak.Errno;
-import damsonslip.lab.soak.SystemCall;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
+import damsonslip.tools.lab.soak.Errno;
+import damsonslip.tools.lab.soak.SystemCall;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonslip/platform/LateSilenceTest.java
+++ b/src/test/java/damsonslip/platform/LateSilenceTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer.Message;
+import damsonslip.testkit.Peer.Message;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.ArrayList;
--- a/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
+++ b/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
 import java.io.IOException;
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.LateServer;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.LateServer;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.concurrent.CompletableFuture;
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
-import damsonslip.lab.soak.Errno;
-import damsonslip.lab.soak.SystemCall;
+import damsonslip.testkit.Program;
+import damsonslip.tools.lab.soak.Errno;
+import damsonslip.tools.lab.soak.SystemCall;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
 import java.io.EOFException;
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -25,7 +25,7 @@
         Program.await("ready", () -> call(second, "READY").startsWith("YES"));
         List<String> loaded = program.said().lines().toList();
         assertTrue(
-                loaded.stream().anyMatch(line -> line.contains(" damsonslip.Rules ")),
+                loaded.stream().anyMatch(line -> line.contains(" damsonslip.policy.Rules ")),
                 "classes are told");
         assertEquals(
                 List.of(),
--- a/src/test/java/damsonslip/platform/ThreadShortageTest.java
+++ b/src/test/java/damsonslip/platform/ThreadShortageTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
-import damsonslip.lab.soak.Errno;
-import damsonslip.lab.soak.SystemCall;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
+import damsonslip.tools.lab.soak.Errno;
+import damsonslip.tools.lab.soak.SystemCall;
 import java.nio.file.Files;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
--- a/src/test/java/damsonslip/platform/servers/HostGroupTest.java
+++ b/src/test/java/damsonslip/platform/discovery/HostGroupTest.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonslip.settings.Site;
+import damsonslip.config.Site;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/damsonslip/platform/servers/KeptAgeTest.java
+++ b/src/test/java/damsonslip/platform/worker/KeptAgeTest.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.servers;
+package damsonslip.platform.worker;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/damsonslip/ColdFleet.java
+++ b/src/test/java/damsonslip/policy/ColdFleet.java
@@ -1,29 +1,29 @@
-package damsonslip;
-
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.AttemptEnded;
-import damsonslip.Dispatch.AttemptStarted;
-import damsonslip.Dispatch.Cancel;
-import damsonslip.Dispatch.Divided;
-import damsonslip.Dispatch.Event;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.ListUpdate;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Probe;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Reporting;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.SetTimer;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.TimerDue;
-import damsonslip.Dispatch.WatchList;
-import damsonslip.membership.ProbeResult;
+package damsonslip.policy;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptStarted;
+import damsonslip.policy.api.Cancel;
+import damsonslip.policy.api.Divided;
+import damsonslip.policy.api.Event;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.TimerDue;
+import damsonslip.policy.api.WatchList;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -173,8 +173,8 @@
                     : null;
         }
 
-        Dispatch.Worker entry() {
-            return new Dispatch.Worker(id, 0, 0, 0, Status.RUNNING, started);
+        damsonslip.policy.api.Worker entry() {
+            return new damsonslip.policy.api.Worker(id, 0, 0, 0, Status.RUNNING, started);
         }
     }
 
@@ -184,7 +184,7 @@
         final int number;
         Rules rules;
         int life;
-        List<Dispatch.Worker> known = List.of();
+        List<damsonslip.policy.api.Worker> known = List.of();
         final Map<String, Long> told = new HashMap<>();
         final Map<String, Work> jobs = new HashMap<>();
         final Set<String> connected = new HashSet<>();
@@ -202,7 +202,7 @@
             list(ListMode.KEPT, known);
         }
 
-        void list(ListMode mode, List<Dispatch.Worker> list) {
+        void list(ListMode mode, List<damsonslip.policy.api.Worker> list) {
             known = list;
             list.forEach(w -> told.put(w.id(), w.startedUs()));
             give(new ListUpdate(mode, list));
@@ -341,7 +341,7 @@
         return this;
     }
 
-    private List<Dispatch.Worker> entries() {
+    private List<damsonslip.policy.api.Worker> entries() {
         return workers.values().stream().map(Hollow::entry).toList();
     }
 
@@ -404,7 +404,7 @@
     }
 
     private void publish() {
-        List<Dispatch.Worker> list = entries();
+        List<damsonslip.policy.api.Worker> list = entries();
         for (Instance instance : instances) {
             long delay = listEarliest + random.nextLong(listDelay + 1);
             at(
@@ -418,11 +418,12 @@
     }
 
     /** Lists come in order: one that was overtaken is not delivered any more. */
-    private static boolean newer(List<Dispatch.Worker> list, List<Dispatch.Worker> than) {
+    private static boolean newer(
+            List<damsonslip.policy.api.Worker> list, List<damsonslip.policy.api.Worker> than) {
         return list.size() > than.size() || list.size() == than.size() && sum(list) > sum(than);
     }
 
-    private static double sum(List<Dispatch.Worker> list) {
+    private static double sum(List<damsonslip.policy.api.Worker> list) {
         return list.stream().mapToDouble(w -> Math.max(0, w.startedUs())).sum();
     }
 
--- a/src/test/java/damsonslip/ColdFleetTest.java
+++ b/src/test/java/damsonslip/policy/ColdFleetTest.java
@@ -1,17 +1,17 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.ColdFleet.SECOND;
+import static damsonslip.policy.ColdFleet.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.ColdFleet.Site;
-import damsonslip.ColdFleet.Traffic;
-import damsonslip.ColdFleet.Worst;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.Reporting;
+import damsonslip.policy.ColdFleet.Site;
+import damsonslip.policy.ColdFleet.Traffic;
+import damsonslip.policy.ColdFleet.Worst;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Reporting;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/damsonslip/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -1,19 +1,19 @@
-package damsonslip;
+package damsonslip.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.AttemptEnded;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.WorkerState;
-import damsonslip.membership.ProbeResult;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.WorkerState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
--- a/src/test/java/damsonslip/ForgottenWorkersTest.java
+++ b/src/test/java/damsonslip/policy/ForgottenWorkersTest.java
@@ -1,19 +1,19 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.sentTo;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.sentTo;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Status;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Status;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -28,10 +28,10 @@
     private final Script script =
             new Script(Script.settings(1, 0, jobClass(Effect.SAFE, Group.ALL)));
 
-    private static Dispatch.Worker[] release(int round) {
+    private static damsonslip.policy.api.Worker[] release(int round) {
         return IntStream.range(0, WORKERS)
                 .mapToObj(i -> worker("w" + round + "-" + i))
-                .toArray(Dispatch.Worker[]::new);
+                .toArray(damsonslip.policy.api.Worker[]::new);
     }
 
     @Test
--- a/src/test/java/damsonslip/FourRulesTest.java
+++ b/src/test/java/damsonslip/policy/FourRulesTest.java
@@ -1,30 +1,30 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.only;
-import static damsonslip.Script.sentTo;
-import static damsonslip.Script.settings;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.only;
+import static damsonslip.policy.Script.sentTo;
+import static damsonslip.policy.Script.settings;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.Cancel;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Fail;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobGone;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Refuse;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.WatchList;
-import damsonslip.membership.ProbeResult;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.Cancel;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Fail;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobGone;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WatchList;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -84,9 +84,11 @@
         assertTrue(script.started("x", 3).isEmpty());
         assertTrue(script.give(new JobGone("x")).isEmpty());
         assertTrue(
-                script.give(new Dispatch.ProbeEnded("nobody", ProbeResult.HEALTHY, null))
+                script.give(
+                                new damsonslip.policy.api.ProbeEnded(
+                                        "nobody", ProbeResult.HEALTHY, null))
                         .isEmpty());
-        assertTrue(script.give(new Dispatch.TimerDue("j:x")).isEmpty());
+        assertTrue(script.give(new damsonslip.policy.api.TimerDue("j:x")).isEmpty());
     }
 
     // ---- rule 2: no effect twice
@@ -266,13 +268,13 @@
             script.job("j" + i);
         }
         int answered = only(script.all, Refuse.class).size();
-        int sent = only(script.all, Dispatch.Send.class).size();
+        int sent = only(script.all, damsonslip.policy.api.Send.class).size();
         assertTrue(answered + sent < 12, "some are held");
         script.pass(SECOND / 2);
         assertEquals(
                 12,
                 only(script.all, Refuse.class).size()
-                        + only(script.all, Dispatch.Send.class).size());
+                        + only(script.all, damsonslip.policy.api.Send.class).size());
     }
 
     // ---- rule 4: cold workers
@@ -323,13 +325,13 @@
                     new Script(settings(3, number / processes, jobClass(Effect.SAFE, Group.ALL)));
             script.list(ListMode.KEPT, worker("cold", 0, 0, Status.RUNNING, SECOND));
             if (processes > 1) {
-                script.give(new Dispatch.Divided(3 * processes, number));
+                script.give(new damsonslip.policy.api.Divided(3 * processes, number));
             }
             for (int i = 0; i < 400; i++) {
-                List<Dispatch.Action> actions = new ArrayList<>(script.job("job" + i));
+                List<damsonslip.policy.api.Action> actions = new ArrayList<>(script.job("job" + i));
                 actions.addAll(script.pass(20_000));
-                List<Dispatch.Send> open =
-                        new ArrayList<>(Script.only(actions, Dispatch.Send.class));
+                List<damsonslip.policy.api.Send> open =
+                        new ArrayList<>(Script.only(actions, damsonslip.policy.api.Send.class));
                 for (int next = 0;
                         next < open.size();
                         next++) { // each end may lead to the next send
@@ -337,7 +339,7 @@
                     open.addAll(
                             Script.only(
                                     script.ended(open.get(next).job(), 0, Outcome.SERVED),
-                                    Dispatch.Send.class));
+                                    damsonslip.policy.api.Send.class));
                 }
             }
         }
--- a/src/test/java/damsonslip/LargeFleetTest.java
+++ b/src/test/java/damsonslip/policy/LargeFleetTest.java
@@ -1,25 +1,25 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.settings;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.settings;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.AttemptEnded;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.ListUpdate;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.PoolState;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.SetTimer;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.WorkerState;
+import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.PoolState;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WorkerState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -82,7 +82,7 @@
     @ValueSource(doubles = {0.8, 3})
     void whoeverHeardOfErrorsKeepsWhatMustNotBeRepeatedAway(double errors) {
         Script script = new Script(settings(14, 0, jobClass(Effect.UNSAFE, Group.ALL))).workers(2);
-        List<Dispatch.Action> first = script.job("first");
+        List<damsonslip.policy.api.Action> first = script.job("first");
         String failing = Script.sentTo(first, "first");
         script.pass(100_000);
         script.give(
@@ -158,7 +158,7 @@
             script.pass(100_000);
             script.ended("j" + i, 0, Outcome.SERVED);
         }
-        List<Dispatch.Action> actions = new ArrayList<>();
+        List<damsonslip.policy.api.Action> actions = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             actions.addAll(script.job("x" + i, 0, 0, null));
         }
@@ -206,7 +206,8 @@
             script.job(job);
             int attempt = 0;
             if (i % of == of - 1) {
-                while (!Script.only(script.pass(150_000), Dispatch.Cancel.class).isEmpty()) {
+                while (!Script.only(script.pass(150_000), damsonslip.policy.api.Cancel.class)
+                        .isEmpty()) {
                     script.ended(job, attempt++, Outcome.CANCELLED);
                 }
                 moved += attempt > 0 ? 1 : 0;
@@ -229,7 +230,7 @@
         for (int number = 0; number < dispatchers; number++) {
             Rules rules =
                     new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
-            List<Dispatch.Action> actions = new ArrayList<>();
+            List<damsonslip.policy.api.Action> actions = new ArrayList<>();
             for (int failure = 0; failure < 4; failure++) {
                 actions.clear();
                 rules.handle(SECOND + failure, new ListUpdate(ListMode.FAILED, List.of()), actions);
@@ -264,7 +265,7 @@
         for (int number = 0; number < dispatchers; number++) {
             Rules rules =
                     new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
-            List<Dispatch.Action> actions = new ArrayList<>();
+            List<damsonslip.policy.api.Action> actions = new ArrayList<>();
             rules.handle(
                     SECOND,
                     new ListUpdate(
@@ -276,7 +277,9 @@
                     new ListUpdate(ListMode.CHANGES, List.of()),
                     actions); // nothing is sent before
             rules.handle(
-                    SECOND, new Dispatch.JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
+                    SECOND,
+                    new damsonslip.policy.api.JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0),
+                    actions);
             for (SetTimer timer : Script.only(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
                     calls.add(timer.atUs());
@@ -327,7 +330,7 @@
                 ListMode.KEPT,
                 IntStream.range(0, 3_000)
                         .mapToObj(i -> worker("w" + i, i % 2, 0, Status.RUNNING, Long.MIN_VALUE))
-                        .toArray(Dispatch.Worker[]::new));
+                        .toArray(damsonslip.policy.api.Worker[]::new));
         long tookMs = (System.nanoTime() - before) / 1_000_000;
         assertTrue(tookMs < 5_000, "3,000 workers took " + tookMs + " ms");
         assertEquals(3_000, script.rules.pools().stream().mapToInt(PoolState::workers).sum());
@@ -340,11 +343,11 @@
     @Test
     void turnsAtColdWorkersDoNotFallTogether() {
         Script script = new Script(settings(40, 3, SAFE));
-        List<Dispatch.Worker> fresh = new ArrayList<>();
+        List<damsonslip.policy.api.Worker> fresh = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
             fresh.add(worker("w" + i, 0, 0, Status.RUNNING, SECOND));
         }
-        script.list(ListMode.KEPT, fresh.toArray(Dispatch.Worker[]::new));
+        script.list(ListMode.KEPT, fresh.toArray(damsonslip.policy.api.Worker[]::new));
         for (int turn = 0; turn < 3; turn++) {
             Set<String> reached = new HashSet<>();
             steps(script, 90, "turn" + turn)
@@ -360,7 +363,7 @@
     private static List<List<Send>> steps(Script script, int count, String name) {
         List<List<Send>> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            List<Dispatch.Action> actions = new ArrayList<>(script.job(name + i));
+            List<damsonslip.policy.api.Action> actions = new ArrayList<>(script.job(name + i));
             actions.addAll(script.pass(20_000));
             all.add(Script.only(actions, Send.class));
             all.get(i).forEach(send -> script.started(send.job(), 0));
--- a/src/test/java/damsonslip/OrdinaryPathTest.java
+++ b/src/test/java/damsonslip/policy/OrdinaryPathTest.java
@@ -1,11 +1,11 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.only;
-import static damsonslip.Script.sentTo;
-import static damsonslip.Script.settings;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.only;
+import static damsonslip.policy.Script.sentTo;
+import static damsonslip.policy.Script.settings;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -13,17 +13,17 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.Cancel;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Refuse;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.Status;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.Cancel;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.Status;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -72,11 +72,11 @@
     void allDispatchersDealAlikeWhateverTheOrderOfTheList() {
         Script one = new Script(settings(4, 0, SAFE, SAFE)).workers(8);
         Script other = new Script(settings(4, 3, SAFE, SAFE));
-        List<Dispatch.Worker> reversed = new ArrayList<>();
+        List<damsonslip.policy.api.Worker> reversed = new ArrayList<>();
         for (int i = 7; i >= 0; i--) {
             reversed.add(worker("w" + i));
         }
-        other.list(ListMode.COMPLETE, reversed.toArray(Dispatch.Worker[]::new));
+        other.list(ListMode.COMPLETE, reversed.toArray(damsonslip.policy.api.Worker[]::new));
         assertEquals(pools(one, 400), pools(other, 400));
     }
 
@@ -92,7 +92,7 @@
         JobClass bound = new JobClass(200_000, 2, 1, Effect.SAFE, Group.ALL, SECOND, 1);
         Script script =
                 new Script(
-                        new Dispatch.Settings(
+                        new damsonslip.policy.api.Settings(
                                 1,
                                 0,
                                 0,
@@ -100,17 +100,20 @@
                                 2,
                                 List.of(SAFE, bound),
                                 List.of(),
-                                new Dispatch.Limits(4, true, true, 0, 0),
-                                new Dispatch.Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
-                                Dispatch.Reporting.WITH_ANSWERS,
+                                new damsonslip.policy.api.Limits(4, true, true, 0, 0),
+                                new damsonslip.policy.api.Guarantees(
+                                        0, 0, 0, 0.5, SECOND, 3, SECOND),
+                                damsonslip.policy.api.Reporting.WITH_ANSWERS,
                                 false,
                                 true,
                                 1_000));
-        List<Dispatch.Worker> list = new ArrayList<>();
+        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(new Dispatch.Worker("w" + i, 0, 0, i % 2, Status.RUNNING, Long.MIN_VALUE));
+            list.add(
+                    new damsonslip.policy.api.Worker(
+                            "w" + i, 0, 0, i % 2, Status.RUNNING, Long.MIN_VALUE));
         }
-        script.list(ListMode.KEPT, list.toArray(Dispatch.Worker[]::new));
+        script.list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
         for (String to : pools(script, 300).get(1)) {
             assertEquals(1, (to.charAt(1) - '0') % 2, to);
         }
@@ -374,11 +377,11 @@
     @Test
     void poolsTakeTheirWorkersZoneByZone() {
         Script script = new Script(settings(1, 0, SAFE, SAFE));
-        List<Dispatch.Worker> list = new ArrayList<>();
+        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             list.add(worker("w" + i, i < 4 ? 1 : 0, 0, Status.RUNNING, Long.MIN_VALUE));
         }
-        script.list(ListMode.KEPT, list.toArray(Dispatch.Worker[]::new));
+        script.list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
         for (Set<String> used : pools(script, 400)) {
             assertTrue(
                     used.stream().allMatch(w -> w.compareTo("w4") >= 0),
--- a/src/test/java/damsonslip/ProbedCandidatesTest.java
+++ b/src/test/java/damsonslip/policy/ProbedCandidatesTest.java
@@ -1,27 +1,27 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.only;
-import static damsonslip.Script.sentTo;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.only;
+import static damsonslip.policy.Script.sentTo;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.Probe;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Reporting;
-import damsonslip.Dispatch.Settings;
-import damsonslip.membership.ProbeResult;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -63,7 +63,7 @@
                 ListMode.KEPT,
                 IntStream.range(0, WORKERS)
                         .mapToObj(i -> worker("w" + i))
-                        .toArray(Dispatch.Worker[]::new));
+                        .toArray(damsonslip.policy.api.Worker[]::new));
         first = script.job("j1");
         only(first, Probe.class).forEach(probe -> asked.add(probe.worker()));
     }
--- a/src/test/java/damsonslip/ProbedWorkersTest.java
+++ b/src/test/java/damsonslip/policy/ProbedWorkersTest.java
@@ -1,29 +1,29 @@
-package damsonslip;
+package damsonslip.policy;
 
-import static damsonslip.Script.SECOND;
-import static damsonslip.Script.jobClass;
-import static damsonslip.Script.only;
-import static damsonslip.Script.sentTo;
-import static damsonslip.Script.worker;
+import static damsonslip.policy.Script.SECOND;
+import static damsonslip.policy.Script.jobClass;
+import static damsonslip.policy.Script.only;
+import static damsonslip.policy.Script.sentTo;
+import static damsonslip.policy.Script.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.ConnectionLost;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.ListUpdate;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Probe;
-import damsonslip.Dispatch.ProbeEnded;
-import damsonslip.Dispatch.Refuse;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Dispatch.Status;
-import damsonslip.membership.ProbeResult;
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.ConnectionLost;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.Status;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -57,7 +57,7 @@
         script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
         long end = script.now + NO_LIST_US;
         while (script.now < end) {
-            if (!only(script.pass(SECOND / 10), Dispatch.WatchList.class).isEmpty()) {
+            if (!only(script.pass(SECOND / 10), damsonslip.policy.api.WatchList.class).isEmpty()) {
                 script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
             }
         }
--- a/src/test/java/damsonslip/Script.java
+++ b/src/test/java/damsonslip/policy/Script.java
@@ -1,25 +1,25 @@
-package damsonslip;
-
-import damsonslip.Dispatch.Action;
-import damsonslip.Dispatch.AttemptEnded;
-import damsonslip.Dispatch.AttemptStarted;
-import damsonslip.Dispatch.Effect;
-import damsonslip.Dispatch.Event;
-import damsonslip.Dispatch.Group;
-import damsonslip.Dispatch.Guarantees;
-import damsonslip.Dispatch.JobArrived;
-import damsonslip.Dispatch.JobClass;
-import damsonslip.Dispatch.Limits;
-import damsonslip.Dispatch.ListMode;
-import damsonslip.Dispatch.ListUpdate;
-import damsonslip.Dispatch.Outcome;
-import damsonslip.Dispatch.Report;
-import damsonslip.Dispatch.Reporting;
-import damsonslip.Dispatch.Send;
-import damsonslip.Dispatch.SetTimer;
-import damsonslip.Dispatch.Settings;
-import damsonslip.Dispatch.Status;
-import damsonslip.Dispatch.TimerDue;
+package damsonslip.policy;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptStarted;
+import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Event;
+import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.ListMode;
+import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.Report;
+import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.Status;
+import damsonslip.policy.api.TimerDue;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -78,24 +78,25 @@
                 4_000);
     }
 
-    static Dispatch.Worker worker(String id, int zone, int cell, Status status, long started) {
-        return new Dispatch.Worker(id, zone, cell, 0, status, started);
+    static damsonslip.policy.api.Worker worker(
+            String id, int zone, int cell, Status status, long started) {
+        return new damsonslip.policy.api.Worker(id, zone, cell, 0, status, started);
     }
 
-    static Dispatch.Worker worker(String id) {
+    static damsonslip.policy.api.Worker worker(String id) {
         return worker(id, 0, 0, Status.RUNNING, Long.MIN_VALUE);
     }
 
     Script workers(int count) {
-        List<Dispatch.Worker> list = new ArrayList<>();
+        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(worker("w" + i));
         }
-        list(ListMode.KEPT, list.toArray(Dispatch.Worker[]::new));
+        list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
         return this;
     }
 
-    List<Action> list(ListMode mode, Dispatch.Worker... workers) {
+    List<Action> list(ListMode mode, damsonslip.policy.api.Worker... workers) {
         return give(new ListUpdate(mode, List.of(workers)));
     }
 
--- a/src/test/java/damsonslip/ThresholdTest.java
+++ b/src/test/java/damsonslip/policy/ThresholdTest.java
@@ -1,4 +1,4 @@
-package damsonslip;
+package damsonslip.policy;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/damsonslip/kit/BusyDiscovery.java
+++ b/src/test/java/damsonslip/testkit/BusyDiscovery.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/src/test/java/damsonslip/kit/FaktoryPeer.java
+++ b/src/test/java/damsonslip/testkit/FaktoryPeer.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/src/test/java/damsonslip/kit/FaktoryServer.java
+++ b/src/test/java/damsonslip/testkit/FaktoryServer.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/damsonslip/kit/Peer.java
+++ b/src/test/java/damsonslip/testkit/Peer.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/test/java/damsonslip/kit/Program.java
+++ b/src/test/java/damsonslip/testkit/Program.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -107,7 +107,7 @@
                                 System.getProperty(
                                         "surefire.test.class.path",
                                         System.getProperty("java.class.path")),
-                                "damsonslip.program.Main"));
+                                "damsonslip.cli.Main"));
         command.addAll(1, more);
         command.addAll(List.of(args));
         if (!limit.isEmpty()) {
--- a/src/test/java/damsonslip/kit/ProgramTest.java
+++ b/src/test/java/damsonslip/testkit/ProgramTest.java
@@ -1,4 +1,4 @@
-package damsonslip.kit;
+package damsonslip.testkit;
 
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/damsonslip/conformance/ConformanceTest.java
+++ b/src/test/java/damsonslip/tools/conformance/ConformanceTest.java
@@ -1,13 +1,13 @@
-package damsonslip.conformance;
+package damsonslip.tools.conformance;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
-import damsonslip.kit.RedisStandIn;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
+import damsonslip.testkit.RedisStandIn;
 import java.io.IOException;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonslip/lab/LabTest.java
+++ b/src/test/java/damsonslip/tools/lab/LabTest.java
@@ -1,12 +1,12 @@
-package damsonslip.lab;
+package damsonslip.tools.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.lab.Sample.Axis;
-import damsonslip.lab.Sample.Basis;
-import damsonslip.settings.BadInput;
+import damsonslip.config.BadInput;
+import damsonslip.tools.lab.Sample.Axis;
+import damsonslip.tools.lab.Sample.Basis;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/src/test/java/damsonslip/lab/soak/SoakTest.java
+++ b/src/test/java/damsonslip/tools/lab/soak/SoakTest.java
@@ -1,4 +1,4 @@
-package damsonslip.lab.soak;
+package damsonslip.tools.lab.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -30,7 +30,7 @@
                         "-cp",
                         System.getProperty(
                                 "surefire.test.class.path", System.getProperty("java.class.path")),
-                        "damsonslip.program.Main");
+                        "damsonslip.cli.Main");
         return new SoakRun(
                         plan, LENGTH_US, dir, library, new SchedulerProcess.Setup(dir, program, ""))
                 .play();
--- a/src/test/java/damsonslip/net/MakeWayTest.java
+++ b/src/test/java/damsonslip/transport/MakeWayTest.java
@@ -1,10 +1,10 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.core.Loop;
-import damsonslip.kit.Program;
+import damsonslip.engine.Loop;
+import damsonslip.testkit.Program;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/src/test/java/damsonslip/net/RoomTest.java
+++ b/src/test/java/damsonslip/transport/RoomTest.java
@@ -1,4 +1,4 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/damsonslip/net/WrittenOrderTest.java
+++ b/src/test/java/damsonslip/transport/WrittenOrderTest.java
@@ -1,10 +1,10 @@
-package damsonslip.net;
+package damsonslip.transport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.core.Loop;
-import damsonslip.kit.Program;
+import damsonslip.engine.Loop;
+import damsonslip.testkit.Program;
 import java.io.InputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/test/java/damsonslip/datarate/BufferBudgetTest.java
+++ b/src/test/java/damsonslip/transport/datarate/BufferBudgetTest.java
@@ -1,8 +1,8 @@
-package damsonslip.datarate;
+package damsonslip.transport.datarate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.datarate.BufferBudget.Holding;
+import damsonslip.transport.datarate.BufferBudget.Holding;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/damsonslip/datarate/MinimumDataRateTest.java
+++ b/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
@@ -1,4 +1,4 @@
-package damsonslip.datarate;
+package damsonslip.transport.datarate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
