--- a/src/main/java/damsonslip/admin/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleClient.java
@@ -1,6 +1,6 @@
 package damsonslip.admin.console;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.transport.Address;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -32,7 +32,8 @@
      * @param arguments the scheduler's address and a command; both may be left out
      * @throws BadInput if the address is malformed or nothing listens there
      */
-    public static void run(List<String> arguments, PrintStream out) throws BadInput, IOException {
+    public static void run(List<String> arguments, PrintStream out)
+            throws ConfigurationException, IOException {
         String address = arguments.isEmpty() ? DEFAULT_ADDRESS : arguments.get(0);
         try (Socket socket = connect(address)) {
             BufferedReader in =
@@ -48,7 +49,7 @@
         }
     }
 
-    private static Socket connect(String address) throws BadInput {
+    private static Socket connect(String address) throws ConfigurationException {
         try {
             InetSocketAddress where = Address.parse(address);
             Socket socket = new Socket();
@@ -56,9 +57,9 @@
             socket.setSoTimeout(TIMEOUT_MS);
             return socket;
         } catch (IllegalArgumentException e) {
-            throw new BadInput("console: " + e.getMessage());
+            throw new ConfigurationException("console: " + e.getMessage());
         } catch (IOException e) {
-            throw new BadInput("console: nothing answers on " + address);
+            throw new ConfigurationException("console: nothing answers on " + address);
         }
     }
 
--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -1,9 +1,9 @@
 package damsonslip.admin.console;
 
 import damsonslip.engine.SlowPeer;
-import damsonslip.transport.Lines;
-import damsonslip.transport.Link;
-import damsonslip.transport.Outflow;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LineDecoder;
+import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,7 +17,7 @@
  * that pipelines commands and reads nothing occupies one answer and one buffer of lines. Confined
  * to the event loop.
  */
-final class ConsoleConnection extends Link {
+final class ConsoleConnection extends EventLoopConnection {
     static final String END_OF_ANSWER = ".";
     private static final int MAX_LINE_BYTES = 4 * 1024;
 
@@ -28,15 +28,16 @@
             new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     private final ConsoleServer server;
-    private final Lines lines = new Lines(MAX_LINE_BYTES);
+    private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
     private final ArrayDeque<String> commands = new ArrayDeque<>();
-    private final Outflow reading;
+    private final OutboundRateMonitor reading;
     private boolean answering;
 
     ConsoleConnection(EndPoint endPoint, ConsoleServer server) {
         super(endPoint, server.loop());
         this.server = server;
-        this.reading = new Outflow(server.loop(), READING, this::backlog, this::tooSlow);
+        this.reading =
+                new OutboundRateMonitor(server.loop(), READING, this::backlog, this::tooSlow);
     }
 
     @Override
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -3,20 +3,20 @@
 import damsonslip.admin.operations.Metric;
 import damsonslip.admin.operations.OperationResult;
 import damsonslip.admin.operations.Operations;
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Front;
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.Frontend;
+import damsonslip.engine.LoopLatency;
 import damsonslip.engine.SlowPeer;
-import damsonslip.engine.Waits;
 import damsonslip.engine.invariants.Invariant;
 import damsonslip.engine.invariants.InvariantMonitor;
 import damsonslip.policy.api.PoolState;
 import damsonslip.policy.api.WorkerState;
 import damsonslip.transport.Address;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
 import java.io.IOException;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -34,20 +34,20 @@
  * Answers the operators' console inside the scheduler. Listens only if a console address is
  * configured.
  */
-public final class ConsoleServer implements Links.Accepting {
+public final class ConsoleServer implements ConnectionManager.ConnectionAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleServer.class);
     private static final int MAX_CONNECTIONS = 8;
     private static final long CONNECT_TIMEOUT_MS = 1_000;
     private static final int MOST_EVENTS = 100;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
-    private final Front front;
+    private final Frontend front;
     private final Operations operations;
     private final AtomicInteger openCount = new AtomicInteger();
     private final Set<ConsoleConnection> connections = new LinkedHashSet<>();
 
-    public ConsoleServer(Loop loop, Counters counters, Front front, Operations operations) {
+    public ConsoleServer(EventLoop loop, Counters counters, Frontend front, Operations operations) {
         this.loop = loop;
         this.counters = counters;
         this.front = front;
@@ -59,11 +59,11 @@
      *
      * @throws BadInput if the address is malformed
      */
-    public void listen(String address) throws BadInput, IOException {
+    public void listen(String address) throws ConfigurationException, IOException {
         try {
-            Links.start(loop, CONNECT_TIMEOUT_MS).listen(Address.parse(address), this);
+            ConnectionManager.start(loop, CONNECT_TIMEOUT_MS).listen(Address.parse(address), this);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("config: console: " + e.getMessage());
+            throw new ConfigurationException("config: console: " + e.getMessage());
         }
     }
 
@@ -79,7 +79,7 @@
     }
 
     @Override
-    public Link open(EndPoint endPoint) {
+    public EventLoopConnection open(EndPoint endPoint) {
         return new ConsoleConnection(endPoint, this);
     }
 
@@ -97,7 +97,7 @@
         LOG.warn("a console reads nothing of its answer and is let go");
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -149,7 +149,7 @@
             String state =
                     !w.running()
                             ? "stopped"
-                            : w.paused() ? "paused" : w.cold() ? "cold" : "running";
+                            : w.paused() ? "paused" : w.warmingUp() ? "cold" : "running";
             text.append(
                     row(
                             "%-24s %-9s %5d %5d %6d %6.1f %s",
@@ -157,8 +157,8 @@
                             state,
                             w.zone(),
                             w.kind(),
-                            w.out(),
-                            w.free(),
+                            w.outstanding(),
+                            w.freeSlots(),
                             w.pool() < 0 ? "-" : front.className(w.pool())));
         }
         return text.toString();
@@ -176,8 +176,8 @@
                             front.className(p.jobClass()),
                             p.workers(),
                             p.slots(),
-                            p.rate(),
-                            p.timeUs() / 1000,
+                            p.arrivalRate(),
+                            p.meanRunTimeUs() / 1000,
                             100 * p.freeShare()));
         }
         return text.toString();
@@ -189,7 +189,10 @@
             text.append(
                     row(
                             "%-16s %7d %7d %9d",
-                            front.className(p.jobClass()), p.present(), p.held(), p.share()));
+                            front.className(p.jobClass()),
+                            p.present(),
+                            p.queued(),
+                            p.admissionShare()));
         }
         return text.toString();
     }
@@ -203,7 +206,7 @@
     }
 
     private String waits() {
-        Waits waits = loop.waits();
+        LoopLatency waits = loop.waits();
         return row("%-10s %9s %9s %9s %9s", "tasks", "50% ms", "99% ms", "99.9% ms", "most ms")
                 .append(
                         row(
--- a/src/main/java/damsonslip/admin/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -1,8 +1,8 @@
 package damsonslip.admin.management;
 
-import damsonslip.engine.Loop;
-import damsonslip.transport.Lines;
-import damsonslip.transport.Link;
+import damsonslip.engine.EventLoop;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LineDecoder;
 import java.nio.ByteBuffer;
 import java.util.List;
 import org.eclipse.jetty.io.EndPoint;
@@ -11,7 +11,7 @@
  * A connection to the management port: reads one request, writes one response and closes. Confined
  * to the loop.
  */
-final class ManagementConnection extends Link {
+final class ManagementConnection extends EventLoopConnection {
     /** Bytes of a request: a verb and a worker's id. */
     private static final int LONGEST_LINE = 512;
 
@@ -28,8 +28,8 @@
     private static final long RESPONSE_TIMEOUT_US = 900_000;
 
     private final ManagementServer server;
-    private final Lines lines = new Lines(LONGEST_LINE);
-    private Loop.Timer timeout;
+    private final LineDecoder lines = new LineDecoder(LONGEST_LINE);
+    private EventLoop.Timer timeout;
 
     /** The request has come whole, or too late. */
     private boolean taken;
--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -2,13 +2,13 @@
 
 import damsonslip.admin.operations.OperationResult;
 import damsonslip.admin.operations.Operations;
-import damsonslip.config.BadInput;
-import damsonslip.engine.Loop;
+import damsonslip.config.ConfigurationException;
+import damsonslip.engine.EventLoop;
 import damsonslip.transport.Address;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
-import damsonslip.transport.Room;
-import damsonslip.transport.RoomAcceptor;
+import damsonslip.transport.ConnectionLimiter;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LimitedAcceptor;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
@@ -19,7 +19,7 @@
  * the clients do. Connections are accepted on the selector's thread; everything else runs on the
  * event loop.
  */
-public final class ManagementServer extends RoomAcceptor<ManagementConnection> {
+public final class ManagementServer extends LimitedAcceptor<ManagementConnection> {
     /**
      * Connections at a time; beyond that the one that has been open longest without a complete
      * request is closed.
@@ -40,13 +40,13 @@
     /** Required by the selector; no outgoing connections are made here. */
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private Operations operations;
 
     /** Creates a server that does not listen yet. */
-    public ManagementServer(Loop loop) {
+    public ManagementServer(EventLoop loop) {
         super(
-                new Room<>(
+                new ConnectionLimiter<>(
                         MAX_CONNECTIONS,
                         OVERFLOW,
                         connection -> !connection.awaitsResult(),
@@ -59,13 +59,14 @@
      *
      * @throws BadInput if the address is malformed or cannot be bound
      */
-    public void listen(String address) throws BadInput {
+    public void listen(String address) throws ConfigurationException {
         try {
-            Links.start(loop, CONNECT_TIMEOUT_MS).listen(Address.parse(address), this);
+            ConnectionManager.start(loop, CONNECT_TIMEOUT_MS).listen(Address.parse(address), this);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("config: mgmt: " + e.getMessage());
+            throw new ConfigurationException("config: mgmt: " + e.getMessage());
         } catch (IOException e) {
-            throw new BadInput("config: mgmt: cannot listen on " + address + ": " + e.getMessage());
+            throw new ConfigurationException(
+                    "config: mgmt: cannot listen on " + address + ": " + e.getMessage());
         }
     }
 
@@ -100,11 +101,11 @@
     }
 
     @Override
-    public Link open(EndPoint endPoint) {
+    public EventLoopConnection open(EndPoint endPoint) {
         return new ManagementConnection(endPoint, this);
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 }
--- a/src/main/java/damsonslip/admin/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -1,12 +1,12 @@
 package damsonslip.admin.operations;
 
-import damsonslip.engine.Answer.Kind;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
-import damsonslip.engine.Front;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.Frontend;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.Response.Kind;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.policy.api.WorkerState;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -44,12 +44,13 @@
         void change(Runnable change, Runnable kept, Consumer<IOException> failed);
     }
 
-    private final Phase phase;
+    private final LifecyclePhase phase;
     private final Counters counters;
-    private final Front front;
+    private final Frontend front;
     private final OverrideStore overrides;
 
-    public Operations(Phase phase, Counters counters, Front front, OverrideStore overrides) {
+    public Operations(
+            LifecyclePhase phase, Counters counters, Frontend front, OverrideStore overrides) {
         this.phase = phase;
         this.counters = counters;
         this.front = front;
@@ -122,7 +123,7 @@
 
     /** A snapshot of all metrics. */
     public List<Metric> metrics() {
-        Driver driver = front.driver();
+        SchedulerEngine driver = front.driver();
         List<Metric> metrics = new ArrayList<>();
         for (int i = 0; i < driver.classes(); i++) {
             String name = front.className(i);
--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -1,7 +1,7 @@
 package damsonslip.admin.upgrade;
 
-import damsonslip.engine.Driver;
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.membership.overrides.WorkerOverrides;
 import damsonslip.membership.peers.PeerProcesses;
 import java.io.IOException;
@@ -38,8 +38,8 @@
     private static final long LOOP_TIMEOUT_MS = 5_000;
 
     private final SharedDirectory directory;
-    private final Loop loop;
-    private final Driver driver;
+    private final EventLoop loop;
+    private final SchedulerEngine driver;
     private final Consumer<PeerProcesses> listener;
     private final ThreadPoolExecutor disk = diskThread();
     private PeerProcesses peers = PeerProcesses.ALONE;
@@ -64,7 +64,10 @@
      * @param listener called on the loop whenever the set of live peers has changed
      */
     public UpgradeCoordinator(
-            SharedDirectory directory, Loop loop, Driver driver, Consumer<PeerProcesses> listener) {
+            SharedDirectory directory,
+            EventLoop loop,
+            SchedulerEngine driver,
+            Consumer<PeerProcesses> listener) {
         this.directory = directory;
         this.loop = loop;
         this.driver = driver;
--- a/src/main/java/damsonslip/cli/FleetLogs.java
+++ b/src/main/java/damsonslip/cli/FleetLogs.java
@@ -1,6 +1,6 @@
 package damsonslip.cli;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.fleetreport.Fleet;
 import damsonslip.tools.fleetreport.Line;
 import damsonslip.tools.fleetreport.Report;
@@ -53,9 +53,9 @@
         }
     }
 
-    static void run(Path folder, PrintStream out) throws BadInput, IOException {
+    static void run(Path folder, PrintStream out) throws ConfigurationException, IOException {
         if (!Files.isDirectory(folder)) {
-            throw new BadInput("fleet: not a folder of logs: " + folder);
+            throw new ConfigurationException("fleet: not a folder of logs: " + folder);
         }
         List<Path> files;
         try (Stream<Path> listed = Files.list(folder)) {
@@ -70,7 +70,7 @@
             }
         }
         if (logs.isEmpty()) {
-            throw new BadInput(
+            throw new ConfigurationException(
                     "fleet: no traces in "
                             + folder
                             + "; run the schedulers with deploy/trace.toml");
--- a/src/main/java/damsonslip/cli/Main.java
+++ b/src/main/java/damsonslip/cli/Main.java
@@ -1,7 +1,7 @@
 package damsonslip.cli;
 
 import damsonslip.admin.console.ConsoleClient;
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.conformance.Conformance;
 import damsonslip.tools.lab.Lab;
 import damsonslip.tools.load.Bench;
@@ -93,7 +93,7 @@
                 }
             }
             return 0;
-        } catch (BadInput | IOException e) {
+        } catch (ConfigurationException | IOException e) {
             err.println("damsonslip: " + e.getMessage());
             return 1;
         }
--- a/src/main/java/damsonslip/cli/Rehearsal.java
+++ b/src/main/java/damsonslip/cli/Rehearsal.java
@@ -1,6 +1,6 @@
 package damsonslip.cli;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -53,7 +53,7 @@
      * Starts as a scheduler does, with a second address, and is used; the exit that follows is its
      * stop.
      */
-    static void run() throws BadInput, IOException {
+    static void run() throws ConfigurationException, IOException {
         Path folder = Files.createTempDirectory("rehearsal");
         try (ServerSocket worker = socket();
                 ServerSocket discovery = socket()) {
--- a/src/main/java/damsonslip/cli/Serve.java
+++ b/src/main/java/damsonslip/cli/Serve.java
@@ -3,14 +3,14 @@
 import damsonslip.admin.console.ConsoleServer;
 import damsonslip.admin.management.ManagementServer;
 import damsonslip.admin.operations.Operations;
-import damsonslip.config.BadInput;
-import damsonslip.config.NodeConfig;
+import damsonslip.config.ConfigurationException;
+import damsonslip.config.SchedulerConfig;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Front;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.Frontend;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
 import damsonslip.faktory.Faktory;
 import damsonslip.faktory.FaktoryConfig;
 import damsonslip.platform.Platform;
@@ -28,21 +28,22 @@
      * Serves the platform, whose configuration the environment names, or what an operator's file
      * sets up.
      */
-    static void start(String file, Map<String, String> environment) throws BadInput, IOException {
+    static void start(String file, Map<String, String> environment)
+            throws ConfigurationException, IOException {
         HangUp hangUp = HangUp.caught();
         Termination termination = Termination.handled();
-        Loop loop = new Loop();
-        Phase phase = new Phase();
+        EventLoop loop = new EventLoop();
+        LifecyclePhase phase = new LifecyclePhase();
         Counters counters = new Counters();
         loop.onTaskFailed(() -> counters.add(Count.TASKS_FAILED));
         Thread stop = null;
         try {
-            Front front;
+            Frontend front;
             String console;
             String second;
             Operations.OverrideStore keeper = Operations.OverrideStore.NONE;
             if (file == null) {
-                NodeConfig config = NodeConfig.read(environment);
+                SchedulerConfig config = SchedulerConfig.read(environment);
                 Platform platform = new Platform(loop, phase, counters, config, environment);
                 front = platform;
                 keeper = platform::change;
@@ -73,7 +74,7 @@
             }
             hangUp.then(front::reload);
             loop.execute(() -> mgmt.serve(operations)); // whoever hears yes may send any signal
-        } catch (BadInput | IOException e) {
+        } catch (ConfigurationException | IOException e) {
             forget(stop);
             phase.moveTo(State.ENDED);
             loop.stop();
@@ -93,7 +94,7 @@
     }
 
     /** Brings the front to an end; the process goes on until this returns. */
-    private static void stop(Front front, Phase phase, Counters counters) {
+    private static void stop(Frontend front, LifecyclePhase phase, Counters counters) {
         front.leave();
         try {
             phase.await(State.ENDED, LONGEST_STOP_MS);
--- a/src/main/java/damsonslip/config/Tree.java
+++ b/src/main/java/damsonslip/config/ConfigurationTree.java
@@ -16,11 +16,11 @@
  * with all that it may map to, takes a part of a start that clients notice, and nothing here is
  * mapped. Depth and lengths are the parser's bounds.
  */
-public final class Tree {
+public final class ConfigurationTree {
     private static final JsonFactory PARSERS = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private Tree() {}
+    private ConfigurationTree() {}
 
     /** Decodes the first value; null if there is none. */
     public static JsonNode read(String text) throws JsonProcessingException {
--- a/src/main/java/damsonslip/config/NodeConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -20,14 +20,14 @@
  * @param site the deployment
  * @param mgmt where the operators' tools call; empty: nowhere
  */
-public record NodeConfig(
+public record SchedulerConfig(
         String name,
         String listen,
         String discovery,
         long seed,
         int sockets,
         JsonNode known,
-        Site site,
+        SiteSettings site,
         String mgmt) {
     private static final int FEWEST_SOCKETS = 128;
 
@@ -35,58 +35,60 @@
      * Reads the file that the environment names; the environment's own figures stand in for absent
      * ones.
      */
-    public static NodeConfig read(Map<String, String> environment) throws BadInput {
+    public static SchedulerConfig read(Map<String, String> environment)
+            throws ConfigurationException {
         String file = environment.get("ROUTER_CONFIG");
         if (file == null || file.isBlank()) {
-            throw new BadInput("config: ROUTER_CONFIG names no file");
+            throw new ConfigurationException("config: ROUTER_CONFIG names no file");
         }
         JsonNode root = parse(file);
         String name =
                 root.path("name").asText(environment.getOrDefault("ROUTER_NAME", "scheduler"));
-        return new NodeConfig(
+        return new SchedulerConfig(
                 name,
                 needed(root, "listen", environment.get("ROUTER_LISTEN")),
                 needed(root, "discovery", environment.get("ROUTER_DISCOVERY")),
                 seed(root.path("seed").asText("0")),
                 Math.max(FEWEST_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
                 root.path("known"),
-                Site.read(root.path("settings")),
+                SiteSettings.read(root.path("settings")),
                 root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
     }
 
-    private static JsonNode parse(String file) throws BadInput {
+    private static JsonNode parse(String file) throws ConfigurationException {
         try {
-            JsonNode root = Tree.read(Files.readString(Path.of(file)));
+            JsonNode root = ConfigurationTree.read(Files.readString(Path.of(file)));
             if (root == null || !root.isObject()) {
-                throw new BadInput("config: " + file + ": not a JSON object");
+                throw new ConfigurationException("config: " + file + ": not a JSON object");
             }
             return root;
         } catch (JsonProcessingException e) {
-            throw new BadInput(
+            throw new ConfigurationException(
                     "config: "
                             + file
                             + ": not JSON: "
                             + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
-            throw new UnreadableFile("config: " + file + ": cannot be read");
+            throw new UnreadableConfigurationException("config: " + file + ": cannot be read");
         } catch (InvalidPathException e) {
-            throw new BadInput("config: " + file + ": cannot be read");
+            throw new ConfigurationException("config: " + file + ": cannot be read");
         }
     }
 
-    private static String needed(JsonNode root, String name, String fallback) throws BadInput {
+    private static String needed(JsonNode root, String name, String fallback)
+            throws ConfigurationException {
         String value = root.path(name).asText(fallback == null ? "" : fallback);
         if (value.isBlank()) {
-            throw new BadInput("config: " + name + " is missing");
+            throw new ConfigurationException("config: " + name + " is missing");
         }
         return value;
     }
 
-    private static long seed(String text) throws BadInput {
+    private static long seed(String text) throws ConfigurationException {
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadInput("config: seed: " + text);
+            throw new ConfigurationException("config: seed: " + text);
         }
     }
 }
--- a/src/main/java/damsonslip/config/SettingsReader.java
+++ b/src/main/java/damsonslip/config/SettingsReader.java
@@ -1,12 +1,12 @@
 package damsonslip.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
 import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.LoadReporting;
 import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,9 +18,9 @@
 public final class SettingsReader {
     private SettingsReader() {}
 
-    public static Settings read(JsonNode conf) throws BadInput {
+    public static Settings read(JsonNode conf) throws ConfigurationException {
         if (conf == null || !conf.isObject()) {
-            throw new BadInput("settings: conf is not an object");
+            throw new ConfigurationException("settings: conf is not an object");
         }
         try {
             return new Settings(
@@ -38,11 +38,11 @@
                     conf.path("specifics").path("tells_start").asBoolean(false),
                     micros(conf, "tick_s", 0.001));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new ConfigurationException(e.getMessage());
         }
     }
 
-    private static List<JobClass> classes(JsonNode conf) throws BadInput {
+    private static List<JobClass> classes(JsonNode conf) throws ConfigurationException {
         JsonNode specifics = conf.path("specifics");
         List<JobClass> classes = new ArrayList<>();
         for (JsonNode lane : conf.path("lanes")) {
@@ -53,20 +53,24 @@
                             .path(i)
                             .asDouble(number(lane, "aim_stretch", 0));
             String semantics = lane.path("semantics").asText("once");
-            Effect effect =
+            Idempotency effect =
                     switch (semantics) {
-                        case "repeatable" -> Effect.SAFE;
-                        case "by_key" -> Effect.KEYED;
-                        case "once" -> Effect.UNSAFE;
-                        default -> throw new BadInput("settings: lanes.semantics: " + semantics);
+                        case "repeatable" -> Idempotency.IDEMPOTENT;
+                        case "by_key" -> Idempotency.IDEMPOTENT_WITH_KEY;
+                        case "once" -> Idempotency.NOT_IDEMPOTENT;
+                        default ->
+                                throw new ConfigurationException(
+                                        "settings: lanes.semantics: " + semantics);
                     };
             String scope = lane.path("dedup_scope").asText("cell");
-            Group group =
+            IdempotencyScope group =
                     switch (scope) {
-                        case "all" -> Group.ALL;
-                        case "zone" -> Group.ZONE;
-                        case "cell" -> Group.CELL;
-                        default -> throw new BadInput("settings: lanes.dedup_scope: " + scope);
+                        case "all" -> IdempotencyScope.ALL_WORKERS;
+                        case "zone" -> IdempotencyScope.ZONE;
+                        case "cell" -> IdempotencyScope.CELL;
+                        default ->
+                                throw new ConfigurationException(
+                                        "settings: lanes.dedup_scope: " + scope);
                     };
             classes.add(
                     new JobClass(
@@ -81,7 +85,7 @@
         return classes;
     }
 
-    private static List<Double> quotas(JsonNode conf) throws BadInput {
+    private static List<Double> quotas(JsonNode conf) throws ConfigurationException {
         List<Double> quotas = new ArrayList<>();
         for (JsonNode realm : conf.path("realms")) {
             quotas.add(number(realm, "quota_per_s", 0));
@@ -89,7 +93,7 @@
         return quotas;
     }
 
-    private static Limits limits(JsonNode conf) throws BadInput {
+    private static Limits limits(JsonNode conf) throws ConfigurationException {
         JsonNode limits = conf.path("limits");
         JsonNode prices = conf.path("prices");
         return new Limits(
@@ -100,7 +104,7 @@
                 number(prices, "cross_zone", 0));
     }
 
-    private static Guarantees guarantees(JsonNode figures) throws BadInput {
+    private static Guarantees guarantees(JsonNode figures) throws ConfigurationException {
         return new Guarantees(
                 micros(figures, "grace_to_answer_s", 0),
                 micros(figures, "drain_grace_s", 0),
@@ -111,39 +115,42 @@
                 micros(figures, "fall_s", 1));
     }
 
-    private static boolean listOnRequest(JsonNode mode) throws BadInput {
+    private static boolean listOnRequest(JsonNode mode) throws ConfigurationException {
         return switch (mode.asText("pushed")) {
             case "on_request" -> true;
             case "pushed" -> false;
-            default -> throw new BadInput("settings: registry_mode: " + mode);
+            default -> throw new ConfigurationException("settings: registry_mode: " + mode);
         };
     }
 
-    private static Reporting reporting(JsonNode conf) throws BadInput {
+    private static LoadReporting reporting(JsonNode conf) throws ConfigurationException {
         String how = conf.path("reporting").path("how").asText("silent");
         return switch (how) {
-            case "piggyback" -> Reporting.WITH_ANSWERS;
-            case "pull" -> Reporting.BY_PROBE;
-            case "silent" -> Reporting.NONE;
-            default -> throw new BadInput("settings: reporting.how: " + how);
+            case "piggyback" -> LoadReporting.WITH_RESPONSES;
+            case "pull" -> LoadReporting.BY_PROBE;
+            case "silent" -> LoadReporting.NONE;
+            default -> throw new ConfigurationException("settings: reporting.how: " + how);
         };
     }
 
-    private static int integer(JsonNode node, String name, int fallback) throws BadInput {
+    private static int integer(JsonNode node, String name, int fallback)
+            throws ConfigurationException {
         return (int) number(node, name, fallback);
     }
 
-    private static long micros(JsonNode node, String name, double fallback) throws BadInput {
+    private static long micros(JsonNode node, String name, double fallback)
+            throws ConfigurationException {
         return Math.round(number(node, name, fallback) * 1e6);
     }
 
-    private static double number(JsonNode node, String name, double fallback) throws BadInput {
+    private static double number(JsonNode node, String name, double fallback)
+            throws ConfigurationException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
             return fallback;
         }
         if (!value.isNumber()) {
-            throw new BadInput("settings: " + name + ": " + value);
+            throw new ConfigurationException("settings: " + name + ": " + value);
         }
         return value.asDouble();
     }
--- a/src/main/java/damsonslip/config/Site.java
+++ b/src/main/java/damsonslip/config/SiteSettings.java
@@ -19,7 +19,7 @@
  * @param probeUs within this time a probe has to be answered
  * @param retryAfter whether clients are told when to come back
  */
-public record Site(
+public record SiteSettings(
         Settings settings,
         List<String> classNames,
         List<String> tenantNames,
@@ -36,18 +36,19 @@
      */
     private static final double PROBE_S = 0.5;
 
-    public static Site read(JsonNode conf) throws BadInput {
+    public static SiteSettings read(JsonNode conf) throws ConfigurationException {
         if (conf.isObject()
                 && !conf.path("instances")
                         .isNumber()) { // all shares follow from it: no guess is safe
-            throw new BadInput("settings: instances, the number of schedulers, is missing");
+            throw new ConfigurationException(
+                    "settings: instances, the number of schedulers, is missing");
         }
         Settings settings = SettingsReader.read(conf);
         List<Long> deadlines = new ArrayList<>();
         for (JsonNode lane : conf.path("lanes")) {
             deadlines.add(micros(lane, "hard_limit_s", 5));
         }
-        return new Site(
+        return new SiteSettings(
                 settings,
                 names(conf.path("lanes"), "name"),
                 names(conf.path("realms"), "name"),
--- a/src/main/java/damsonslip/engine/Execution.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -2,27 +2,27 @@
 
 import damsonslip.engine.invariants.RepeatGuard.Earlier;
 import damsonslip.engine.invariants.RepeatGuard.Place;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Report;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.LoadReport;
 
 /** One attempt to have a query done by a worker. */
-public final class Execution {
-    final Exchange exchange;
+public final class Attempt {
+    final RequestContext exchange;
     final int number;
     private final String worker;
     private final long sentUs;
     private final long endsByUs;
     private final long beginsByUs;
-    Loop.Timer timeout;
+    EventLoop.Timer timeout;
     boolean open = true;
 
     /** How it ended; null while it is open. */
-    Outcome outcome;
+    AttemptOutcome outcome;
 
     private final Place place;
 
-    Execution(
-            Exchange exchange,
+    Attempt(
+            RequestContext exchange,
             int number,
             Place place,
             long sentUs,
@@ -37,7 +37,7 @@
         this.endsByUs = endsByUs;
     }
 
-    public Query query() {
+    public Request query() {
         return exchange.query();
     }
 
@@ -107,8 +107,8 @@
      * @param report the worker's load, or null
      * @param result what the worker gave, where it served
      */
-    public record End(Outcome outcome, Report report, String result) {
-        public static End of(Outcome outcome) {
+    public record End(AttemptOutcome outcome, LoadReport report, String result) {
+        public static End of(AttemptOutcome outcome) {
             return new End(outcome, null, null);
         }
     }
--- a/src/main/java/damsonslip/engine/Loop.java
+++ b/src/main/java/damsonslip/engine/EventLoop.java
@@ -9,8 +9,8 @@
  * The one thread on which everything is decided, and its clock: microseconds since 1970 that never
  * go backwards. State that is touched only from here needs no locks.
  */
-public final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
     private final long epochUs = System.currentTimeMillis() * 1000;
     private final long nanosAtEpoch = System.nanoTime();
     private final ScheduledThreadPoolExecutor thread =
@@ -22,10 +22,10 @@
                         return t;
                     });
 
-    private final Waits waits = new Waits();
+    private final LoopLatency waits = new LoopLatency();
     private volatile Runnable taskFailed = () -> {};
 
-    public Loop() {
+    public EventLoop() {
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
@@ -74,7 +74,7 @@
     }
 
     /** How long tasks have waited for their turn; read on the loop. */
-    public Waits waits() {
+    public LoopLatency waits() {
         return waits;
     }
 
--- a/src/main/java/damsonslip/engine/Front.java
+++ b/src/main/java/damsonslip/engine/Frontend.java
@@ -1,17 +1,19 @@
 package damsonslip.engine;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.io.IOException;
 import java.util.List;
 
 /** What speaks to clients and workers: one of these is put round the core. */
-public interface Front {
+public interface Frontend {
     /**
      * Begins to serve; what is wrong with its configuration is told before anything is taken in.
      */
-    void start() throws BadInput, IOException;
+    void start() throws ConfigurationException, IOException;
 
-    /** Begins to leave in good order; {@link Phase.State#ENDED} tells when that is done. */
+    /**
+     * Begins to leave in good order; {@link LifecyclePhase.State#ENDED} tells when that is done.
+     */
     void leave();
 
     /**
@@ -42,7 +44,7 @@
     }
 
     /** What the program looks like at this moment, for whoever watches it. */
-    Driver driver();
+    SchedulerEngine driver();
 
     /** The name of a class, as its users know it. */
     String className(int jobClass);
--- a/src/main/java/damsonslip/engine/Leave.java
+++ b/src/main/java/damsonslip/engine/GracefulShutdown.java
@@ -1,17 +1,17 @@
 package damsonslip.engine;
 
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.LifecyclePhase.State;
 import java.util.function.BooleanSupplier;
 
 /**
  * The way out: for a while everything goes on as before, since clients still come; then the door is
  * shut; and once nothing is under way any more, or nobody can be waiting for it, the program ends.
  */
-public final class Leave {
+public final class GracefulShutdown {
     private static final long LOOK_US = 20_000;
 
-    private final Loop loop;
-    private final Phase phase;
+    private final EventLoop loop;
+    private final LifecyclePhase phase;
     private final long openUs;
     private final long longestUs;
     private final BooleanSupplier succeeded;
@@ -26,9 +26,9 @@
      * @param shut shuts the door
      * @param done whether nothing is under way
      */
-    public Leave(
-            Loop loop,
-            Phase phase,
+    public GracefulShutdown(
+            EventLoop loop,
+            LifecyclePhase phase,
             long openUs,
             long longestUs,
             BooleanSupplier succeeded,
--- a/src/main/java/damsonslip/engine/Phase.java
+++ b/src/main/java/damsonslip/engine/LifecyclePhase.java
@@ -7,7 +7,7 @@
  * Where the program stands between its start and its exit: one object, whose state only moves
  * forward, but for {@link #drain} and {@link #undrain}.
  */
-public final class Phase {
+public final class LifecyclePhase {
     /** The states, in their order. */
     public enum State {
         /** Reads its settings; takes nothing in. */
--- a/src/main/java/damsonslip/engine/Waits.java
+++ b/src/main/java/damsonslip/engine/LoopLatency.java
@@ -7,7 +7,7 @@
  * How long the loop has made things wait: from when a task was handed to it, or was due, until it
  * began.
  */
-public final class Waits {
+public final class LoopLatency {
     /**
      * Waits beyond this count as this long; nothing that is still of use to anybody waits longer.
      */
--- a/src/main/java/damsonslip/engine/Query.java
+++ b/src/main/java/damsonslip/engine/Request.java
@@ -8,7 +8,7 @@
  * @param id the client's id of it, which no other open query has
  * @param jobClass the index of its class
  * @param tenant the index of who it is for; 0 where there are no tenants
- * @param deadlineUs when the client gives up, on the {@link Loop}'s clock
+ * @param deadlineUs when the client gives up, on the {@link EventLoop}'s clock
  * @param earliestDeadlineUs when the client may have given up already, where the process was held
  *     up and it is not known when the query came; no worker is told of more time than until then
  * @param slots the slots that it takes at a worker
@@ -18,7 +18,7 @@
  * @param fits which workers can take it at all, by id; or null if each can
  * @param cargo what the front passes on to a worker; the core does not look into it
  */
-public record Query(
+public record Request(
         String id,
         int jobClass,
         int tenant,
--- a/src/main/java/damsonslip/engine/Exchange.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -8,11 +8,11 @@
  * A query, its executions and its one final answer: the only place where the client side and the
  * server side of the program meet.
  */
-public final class Exchange {
-    private final Query query;
-    private final AnswerListener listener;
-    private final BiConsumer<Exchange, Answer> counting;
-    final List<Execution> executions = new ArrayList<>(1);
+public final class RequestContext {
+    private final Request query;
+    private final ResponseListener listener;
+    private final BiConsumer<RequestContext, Response> counting;
+    final List<Attempt> executions = new ArrayList<>(1);
     int outstanding;
 
     /** When repeats are last known for such, counted from the first execution that may have run. */
@@ -23,13 +23,16 @@
 
     private boolean closed;
 
-    Exchange(Query query, AnswerListener listener, BiConsumer<Exchange, Answer> counting) {
+    RequestContext(
+            Request query,
+            ResponseListener listener,
+            BiConsumer<RequestContext, Response> counting) {
         this.query = query;
         this.listener = listener;
         this.counting = counting;
     }
 
-    public Query query() {
+    public Request query() {
         return query;
     }
 
@@ -50,7 +53,7 @@
     }
 
     /** Gives the final answer; tells false, and does nothing, if there is one already. */
-    boolean finish(Answer answer) {
+    boolean finish(Response answer) {
         if (closed) {
             return false;
         }
--- a/src/main/java/damsonslip/engine/Trace.java
+++ b/src/main/java/damsonslip/engine/RequestTrace.java
@@ -1,14 +1,14 @@
 package damsonslip.engine;
 
 import damsonslip.engine.EventLog.Kind;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.PoolState;
 import damsonslip.policy.api.ProbeResult;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.Status;
-import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
 import damsonslip.policy.api.WorkerState;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.List;
 import java.util.stream.Collectors;
 import org.slf4j.Logger;
@@ -19,13 +19,16 @@
  * fleet's logs together; the lines are off unless the logger named {@code damsonslip.engine.Trace}
  * is set to debug.
  */
-final class Trace {
-    private static final Logger LOG = LoggerFactory.getLogger(Trace.class);
+final class RequestTrace {
+    /** The name by which operators switch the trace on, and that the fleet report looks for. */
+    private static final String LOGGER_NAME = "damsonslip.core.Trace";
+
+    private static final Logger LOG = LoggerFactory.getLogger(LOGGER_NAME);
     private final boolean on = LOG.isDebugEnabled();
     private final EventLog events;
-    private final Loop loop;
+    private final EventLoop loop;
 
-    Trace(EventLog events, Loop loop) {
+    RequestTrace(EventLog events, EventLoop loop) {
         this.events = events;
         this.loop = loop;
     }
@@ -42,25 +45,25 @@
         if (on) {
             LOG.debug(
                     "settings dispatchers={} number={} zone={} atUs={} coldUs={} fallUs={} fallMultiple={}",
-                    s.dispatchers(),
-                    s.number(),
+                    s.schedulers(),
+                    s.schedulerIndex(),
                     s.zone(),
                     nowUs,
-                    s.guarantees().coldUs(),
-                    s.guarantees().fallUs(),
-                    s.guarantees().fallMultiple());
+                    s.guarantees().slowStartUs(),
+                    s.guarantees().overloadWindowUs(),
+                    s.guarantees().overloadFactor());
             for (int i = 0; i < s.classes().size(); i++) {
                 LOG.debug(
                         "class {} aimUs={} stretch={} worth={}",
                         i,
-                        s.classes().get(i).aimUs(),
-                        s.classes().get(i).stretch(),
-                        s.classes().get(i).worth());
+                        s.classes().get(i).latencyObjectiveUs(),
+                        s.classes().get(i).runTimeFactor(),
+                        s.classes().get(i).priorityWeight());
             }
         }
     }
 
-    void taken(Query query) {
+    void taken(Request query) {
         note(Kind.TAKEN, query.id(), query.jobClass(), query.deadlineUs());
         if (on) {
             LOG.debug(
@@ -72,7 +75,7 @@
         }
     }
 
-    void sent(Execution execution) {
+    void sent(Attempt execution) {
         note(Kind.SENT, execution.query().id(), execution.worker(), execution.number());
         if (on) {
             LOG.debug(
@@ -83,7 +86,7 @@
         }
     }
 
-    void started(Execution execution) {
+    void started(Attempt execution) {
         note(Kind.STARTED, execution.query().id(), execution.worker(), execution.number());
         if (on) {
             LOG.debug(
@@ -94,7 +97,7 @@
         }
     }
 
-    void ended(Execution execution, Outcome outcome) {
+    void ended(Attempt execution, AttemptOutcome outcome) {
         note(Kind.ENDED, execution.query().id(), outcome, execution.number());
         if (on) {
             LOG.debug(
@@ -106,7 +109,7 @@
         }
     }
 
-    void answered(Query query, Answer answer) {
+    void answered(Request query, Response answer) {
         note(Kind.ANSWERED, query.id(), answer.kind(), answer.retryAfterUs());
         if (on) {
             LOG.debug(
@@ -117,23 +120,25 @@
         }
     }
 
-    void listed(ListMode mode, List<Worker> list) {
-        note(mode.isLoss() ? Kind.LIST_LOST : Kind.LISTED, "", mode, list.size());
-        for (Worker w : list) {
-            if (w.status() != Status.RUNNING) {
+    void listed(WorkerListChange mode, List<WorkerEntry> list) {
+        note(mode.isFailure() ? Kind.LIST_LOST : Kind.LISTED, "", mode, list.size());
+        for (WorkerEntry w : list) {
+            if (w.status() != WorkerStatus.RUNNING) {
                 note(Kind.DRAIN_TOLD, w.id(), w.status(), 0);
             }
         }
         if (on) {
             LOG.debug("listed {} entries={}", mode, list.size());
-            for (Worker w : list) {
+            for (WorkerEntry w : list) {
                 LOG.debug(
                         "worker {} zone={} kind={} is={} startedUs={}",
                         w.id(),
                         w.zone(),
                         w.kind(),
                         w.status(),
-                        w.status() == Status.RUNNING && w.startedUs() > 0 ? w.startedUs() : 0);
+                        w.status() == WorkerStatus.RUNNING && w.startedUs() > 0
+                                ? w.startedUs()
+                                : 0);
             }
         }
     }
@@ -158,15 +163,15 @@
             LOG.debug(
                     "pool {} rate={} ms={} share={} free={} has={}",
                     pool.jobClass(),
-                    (int) pool.rate(),
-                    (int) (pool.timeUs() / 1000),
-                    pool.share(),
+                    (int) pool.arrivalRate(),
+                    (int) (pool.meanRunTimeUs() / 1000),
+                    pool.admissionShare(),
                     (int) (100 * pool.freeShare()),
                     members);
         }
         workers.stream()
-                .filter(w -> w.running() && w.cold())
-                .forEach(w -> LOG.debug("cold {} partUs={}", w.id(), (long) w.coldPartUs()));
+                .filter(w -> w.running() && w.warmingUp())
+                .forEach(w -> LOG.debug("cold {} partUs={}", w.id(), (long) w.slowStartBudgetUs()));
     }
 
     void probed(String worker, ProbeResult result) {
--- a/src/main/java/damsonslip/engine/Answer.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -8,7 +8,7 @@
  * @param retryAfterUs when trying again makes sense, where throttled; 0 tells nothing
  * @param late whether the query failed because its time ran out
  */
-public record Answer(Kind kind, String result, long retryAfterUs, boolean late) {
+public record Response(Kind kind, String result, long retryAfterUs, boolean late) {
     /** How a query may end. */
     public enum Kind {
         SERVED,
@@ -16,15 +16,15 @@
         FAILED
     }
 
-    static Answer served(String result) {
-        return new Answer(Kind.SERVED, result, 0, false);
+    static Response served(String result) {
+        return new Response(Kind.SERVED, result, 0, false);
     }
 
-    static Answer throttled(long retryAfterUs) {
-        return new Answer(Kind.THROTTLED, "", retryAfterUs, false);
+    static Response throttled(long retryAfterUs) {
+        return new Response(Kind.THROTTLED, "", retryAfterUs, false);
     }
 
-    static Answer failed(boolean late) {
-        return new Answer(Kind.FAILED, "", 0, late);
+    static Response failed(boolean late) {
+        return new Response(Kind.FAILED, "", 0, late);
     }
 }
--- a/src/main/java/damsonslip/engine/AnswerListener.java
+++ b/src/main/java/damsonslip/engine/ResponseListener.java
@@ -1,9 +1,9 @@
 package damsonslip.engine;
 
 /** The client side of one query: a port that a front implements. */
-public interface AnswerListener {
+public interface ResponseListener {
     /** Takes the final answer; called once at the most, and never after the client has gone. */
-    void answer(Answer answer);
+    void answer(Response answer);
 
     /**
      * Takes in what has come from the client and was not read yet; a departure is told before the
--- a/src/main/java/damsonslip/engine/Driver.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -11,38 +11,38 @@
 import damsonslip.engine.invariants.Violation;
 import damsonslip.membership.overrides.WorkerOverrides;
 import damsonslip.membership.peers.PeerProcesses;
-import damsonslip.policy.Rules;
+import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
-import damsonslip.policy.api.AddressNews;
 import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.AttemptStarted;
 import damsonslip.policy.api.Cancel;
-import damsonslip.policy.api.ColdLoad;
+import damsonslip.policy.api.ClientDisconnected;
 import damsonslip.policy.api.ConnectionLost;
-import damsonslip.policy.api.DiscoveryAddress;
-import damsonslip.policy.api.Divided;
-import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.DiscoveryAddressChanged;
+import damsonslip.policy.api.DiscoveryAddressState;
 import damsonslip.policy.api.Event;
 import damsonslip.policy.api.Fail;
+import damsonslip.policy.api.Idempotency;
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
-import damsonslip.policy.api.JobGone;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.Log;
-import damsonslip.policy.api.Outcome;
 import damsonslip.policy.api.PoolState;
-import damsonslip.policy.api.Probe;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Refuse;
-import damsonslip.policy.api.Report;
+import damsonslip.policy.api.ProbeWorker;
+import damsonslip.policy.api.Reject;
+import damsonslip.policy.api.SchedulersChanged;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
 import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.SlowStartLoad;
 import damsonslip.policy.api.TimerDue;
-import damsonslip.policy.api.WatchList;
-import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WatchWorkerList;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
 import damsonslip.policy.api.WorkerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -56,10 +56,10 @@
 
 /**
  * Tells the decisions what happens and carries out what they say. Every method is called on the
- * {@link Loop}.
+ * {@link EventLoop}.
  */
-public final class Driver {
-    private static final Logger LOG = LoggerFactory.getLogger(Driver.class);
+public final class SchedulerEngine {
+    private static final Logger LOG = LoggerFactory.getLogger(SchedulerEngine.class);
 
     /**
      * No more queries than this are held at once; what comes beyond is throttled before the module
@@ -81,45 +81,45 @@
     /** Events that are written behind a violation. */
     private static final int EVENTS_OF_A_VIOLATION = 16;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Counters counters;
-    private final Rules rules;
+    private final SchedulingPolicy rules;
     private final Settings settings;
     private final EventLog events = new EventLog();
     private final InvariantMonitor monitor;
-    private final Trace trace;
-    private final Map<String, Exchange> exchanges = new HashMap<>();
+    private final RequestTrace trace;
+    private final Map<String, RequestContext> exchanges = new HashMap<>();
     private final WorkerOverrides bans = new WorkerOverrides();
 
     /** Answers by class and kind. */
     private final long[][] answers;
 
     private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-    private WorkerSide workers;
+    private WorkerGateway workers;
     private boolean handling;
     private int open;
 
-    public Driver(Settings settings, long seed, Loop loop, Counters counters) {
+    public SchedulerEngine(Settings settings, long seed, EventLoop loop, Counters counters) {
         this.loop = loop;
         this.counters = counters;
-        this.rules = new Rules(settings, seed);
+        this.rules = new SchedulingPolicy(settings, seed);
         this.settings = settings;
-        this.trace = new Trace(events, loop);
+        this.trace = new RequestTrace(events, loop);
         this.monitor =
                 new InvariantMonitor(
                         InvariantMonitor.Mode.valueOf(
                                 System.getProperty(INVARIANTS, "report").toUpperCase(Locale.ROOT)),
                         this::violated);
         trace.settings(settings, loop.now());
-        this.answers = new long[settings.classes().size()][Answer.Kind.values().length];
+        this.answers = new long[settings.classes().size()][Response.Kind.values().length];
     }
 
     /** So many processes are this one scheduler now; each counts as a scheduler of its own. */
     public void divided(PeerProcesses kin) {
         tell(
-                new Divided(
-                        settings.dispatchers() * kin.processes(),
-                        settings.number() * kin.processes() + kin.index()));
+                new SchedulersChanged(
+                        settings.schedulers() * kin.processes(),
+                        settings.schedulerIndex() * kin.processes() + kin.index()));
     }
 
     /** Whether there is a list of workers to decide by. */
@@ -128,13 +128,13 @@
     }
 
     /** Begins with the list of workers that was kept; before anything else is told. */
-    public void begin(WorkerSide side, List<Worker> kept) {
+    public void begin(WorkerGateway side, List<WorkerEntry> kept) {
         workers = side;
-        trace.listed(ListMode.KEPT, kept);
+        trace.listed(WorkerListChange.KEPT, kept);
         tell(
-                new ListUpdate(
-                        ListMode.KEPT,
-                        bans.apply(ListMode.KEPT, kept, loop.now()),
+                new WorkerListUpdate(
+                        WorkerListChange.KEPT,
+                        bans.apply(WorkerListChange.KEPT, kept, loop.now()),
                         loop.startedUs()));
         if (trace.on()) {
             stands();
@@ -169,16 +169,16 @@
                 events.newest(EVENTS_OF_A_VIOLATION, violation.job()));
     }
 
-    private static List<Earlier> earlier(Exchange exchange) {
-        return exchange.executions.stream().map(Execution::earlier).toList();
+    private static List<Earlier> earlier(RequestContext exchange) {
+        return exchange.executions.stream().map(Attempt::earlier).toList();
     }
 
-    private JobClass classOf(Query query) {
+    private JobClass classOf(Request query) {
         return settings.classes().get(query.jobClass());
     }
 
     private Place place(String worker) {
-        Worker listed = bans.listed(worker);
+        WorkerEntry listed = bans.listed(worker);
         return listed == null
                 ? new Place(worker, 0, 0)
                 : new Place(worker, listed.zone(), listed.cell());
@@ -187,9 +187,9 @@
     /**
      * Whether an attempt may begin that is told this much time, at a worker that drains since then.
      */
-    public boolean permitsSend(Execution execution, long toldUs, long drainingSinceUs) {
-        Query query = execution.query();
-        ColdLoad cold = rules.coldLoad(execution.worker(), query.jobClass());
+    public boolean permitsSend(Attempt execution, long toldUs, long drainingSinceUs) {
+        Request query = execution.query();
+        SlowStartLoad cold = rules.coldLoad(execution.worker(), query.jobClass());
         return monitor.permits(
                 SendGuard.check(
                         new SendGuard.Facts(
@@ -220,7 +220,7 @@
     }
 
     /** How many queries of a class have ended like this. */
-    public long answers(int jobClass, Answer.Kind kind) {
+    public long answers(int jobClass, Response.Kind kind) {
         return answers[jobClass][kind.ordinal()];
     }
 
@@ -265,9 +265,9 @@
         told(bans.restore(text));
     }
 
-    private void told(List<Worker> changed) {
+    private void told(List<WorkerEntry> changed) {
         if (!changed.isEmpty() && workers != null) {
-            tell(new ListUpdate(ListMode.OVERRIDES, changed));
+            tell(new WorkerListUpdate(WorkerListChange.OVERRIDES, changed));
         }
     }
 
@@ -284,14 +284,15 @@
     // ---- the client side
 
     /** Takes a query in, whose id {@link #holds} must not know. */
-    public Exchange take(Query query, AnswerListener listener) {
+    public RequestContext take(Request query, ResponseListener listener) {
         counters.add(Count.QUERIES_TAKEN);
         trace.taken(query);
-        Exchange exchange = new Exchange(query, listener, this::count);
+        RequestContext exchange = new RequestContext(query, listener, this::count);
         open++;
         if (open > MOST_OPEN) {
             exchange.finish(
-                    Answer.throttled(0)); // the module was not asked, so there is no figure to give
+                    Response.throttled(
+                            0)); // the module was not asked, so there is no figure to give
             return exchange;
         }
         exchanges.put(query.id(), exchange);
@@ -309,11 +310,11 @@
         return exchange;
     }
 
-    private void count(Exchange exchange, Answer answer) {
-        Query query = exchange.query();
+    private void count(RequestContext exchange, Response answer) {
+        Request query = exchange.query();
         open--;
         monitor.permits(CloseGuard.checkAnswer(query.id(), loop.now(), query.deadlineUs()));
-        if (answer.kind() == Answer.Kind.THROTTLED) {
+        if (answer.kind() == Response.Kind.THROTTLED) {
             monitor.permits(
                     RepeatGuard.checkRefusal(query.id(), classOf(query), earlier(exchange)));
         }
@@ -328,12 +329,12 @@
     }
 
     /** The client has gone. */
-    public void gone(Exchange exchange) {
+    public void gone(RequestContext exchange) {
         if (exchange.abandon()) {
             open--;
             counters.add(Count.QUERIES_GONE);
             events.add(loop.now(), Kind.DEPARTED, exchange.query().id(), "", 0);
-            tell(new JobGone(exchange.query().id()));
+            tell(new ClientDisconnected(exchange.query().id()));
             withdraw(exchange);
             forget(exchange);
         }
@@ -343,10 +344,10 @@
      * What is still being written would come whole after its client's departure, also where calling
      * off is not allowed.
      */
-    private void withdraw(Exchange exchange) {
-        for (Execution execution : List.copyOf(exchange.executions)) {
+    private void withdraw(RequestContext exchange) {
+        for (Attempt execution : List.copyOf(exchange.executions)) {
             if (execution.open && workers.withdraw(execution)) {
-                ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+                ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
             }
         }
     }
@@ -360,12 +361,12 @@
                 .filter(exchange -> !exchange.closed())
                 .map(exchange -> exchange.query().id())
                 .toList()
-                .forEach(id -> tell(new TimerDue(Rules.lastLabel(id))));
+                .forEach(id -> tell(new TimerDue(SchedulingPolicy.lastLabel(id))));
     }
 
     // ---- the server side
 
-    public void started(Execution execution) {
+    public void started(Attempt execution) {
         if (execution.open) {
             trace.started(execution);
             tell(new AttemptStarted(execution.query().id(), execution.number));
@@ -373,7 +374,7 @@
     }
 
     /** An execution has ended; only the first end counts. */
-    public void ended(Execution execution, Execution.End end) {
+    public void ended(Attempt execution, Attempt.End end) {
         if (!execution.open) {
             return;
         }
@@ -381,14 +382,14 @@
         execution.outcome = end.outcome();
         trace.ended(execution, end.outcome());
         execution.timeout.cancel();
-        Exchange exchange = execution.exchange;
+        RequestContext exchange = execution.exchange;
         exchange.outstanding--;
         JobClass of = classOf(execution.query());
-        if (of.effect() == Effect.KEYED && !end.outcome().provesNotRun()) {
+        if (of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !end.outcome().provesNotRun()) {
             exchange.repeatsUntilUs =
                     Math.min(
                             exchange.repeatsUntilUs,
-                            execution.sentUs() + of.windowUs() - ARRIVES_US);
+                            execution.sentUs() + of.idempotencyWindowUs() - ARRIVES_US);
         }
         counters.add(
                 switch (end.outcome()) {
@@ -401,8 +402,8 @@
                     case CANCELLED -> Count.EXECUTIONS_CANCELLED;
                     case NEVER_SENT -> Count.EXECUTIONS_NEVER_SENT;
                 });
-        if (end.outcome() == Outcome.SERVED) {
-            exchange.finish(Answer.served(end.result()));
+        if (end.outcome() == AttemptOutcome.SERVED) {
+            exchange.finish(Response.served(end.result()));
         }
         tell(
                 new AttemptEnded(
@@ -415,17 +416,17 @@
     }
 
     /** Discovery has sent its list or changes to it. */
-    public void listed(ListMode mode, List<Worker> list) {
+    public void listed(WorkerListChange mode, List<WorkerEntry> list) {
         counters.add(Count.LIST_UPDATES);
         trace.listed(mode, list);
-        tell(new ListUpdate(mode, bans.apply(mode, list, loop.now())));
+        tell(new WorkerListUpdate(mode, bans.apply(mode, list, loop.now())));
     }
 
     /** News of discovery's address after a reload that was asked for at that time. */
-    public void discoveryAddress(AddressNews news, long sinceUs) {
+    public void discoveryAddress(DiscoveryAddressState news, long sinceUs) {
         events.add(
                 loop.now(), Kind.LISTED, "", "address " + news.name().toLowerCase(Locale.ROOT), 0);
-        tell(new DiscoveryAddress(news, sinceUs));
+        tell(new DiscoveryAddressChanged(news, sinceUs));
     }
 
     /**
@@ -433,10 +434,10 @@
      *
      * @param heardUs when something was last read from it
      */
-    public void listLost(ListMode mode, long heardUs) {
+    public void listLost(WorkerListChange mode, long heardUs) {
         counters.add(Count.LIST_FAILURES);
         trace.listed(mode, List.of());
-        tell(new ListUpdate(mode, List.of(), heardUs));
+        tell(new WorkerListUpdate(mode, List.of(), heardUs));
     }
 
     /**
@@ -452,7 +453,7 @@
         tell(new ConnectionLost(worker));
     }
 
-    public void probed(String worker, ProbeResult result, Report report) {
+    public void probed(String worker, ProbeResult result, LoadReport report) {
         trace.probed(worker, result);
         tell(new ProbeEnded(worker, result, report));
     }
@@ -501,17 +502,17 @@
             send(send);
         } else if (action instanceof Cancel cancel) {
             cancel(exchanges.get(cancel.job()), cancel.attempt());
-        } else if (action instanceof Refuse refuse) {
-            finish(refuse.job(), Answer.throttled(refuse.retryAfterUs()));
+        } else if (action instanceof Reject refuse) {
+            finish(refuse.job(), Response.throttled(refuse.retryAfterUs()));
         } else if (action instanceof Fail fail) {
-            Exchange exchange = exchanges.get(fail.job());
-            finish(fail.job(), Answer.failed(exchange != null && late(exchange)));
-        } else if (action instanceof Probe probe) {
+            RequestContext exchange = exchanges.get(fail.job());
+            finish(fail.job(), Response.failed(exchange != null && late(exchange)));
+        } else if (action instanceof ProbeWorker probe) {
             counters.add(Count.PROBES_SENT);
-            workers.probe(probe.worker(), probe.connectedByUs());
+            workers.probe(probe.worker(), probe.connectedBeforeUs());
         } else if (action instanceof SetTimer timer) {
             loop.at(timer.atUs(), () -> tell(new TimerDue(timer.label())));
-        } else if (action instanceof WatchList) {
+        } else if (action instanceof WatchWorkerList) {
             trace.asked();
             workers.watch();
         } else if (action instanceof Log log) {
@@ -519,14 +520,14 @@
         }
     }
 
-    private boolean late(Exchange exchange) {
+    private boolean late(RequestContext exchange) {
         return loop.now() + 50_000 > exchange.query().deadlineUs();
     }
 
     private void send(Send send) {
-        Exchange exchange = exchanges.get(send.job());
+        RequestContext exchange = exchanges.get(send.job());
         if (exchange == null) { // closed while the module decided: it is still owed an end
-            tell(new AttemptEnded(send.job(), 0, Outcome.NEVER_SENT, true, null));
+            tell(new AttemptEnded(send.job(), 0, AttemptOutcome.NEVER_SENT, true, null));
             return;
         }
         counters.add(Count.EXECUTIONS_SENT);
@@ -542,8 +543,8 @@
                                 place,
                                 earlier(exchange),
                                 now));
-        Execution execution =
-                new Execution(
+        Attempt execution =
+                new Attempt(
                         exchange,
                         exchange.executions.size(),
                         place,
@@ -553,36 +554,36 @@
         exchange.executions.add(execution);
         trace.sent(execution);
         exchange.outstanding++;
-        execution.timeout = loop.at(endsBy, () -> stop(execution, Outcome.TIMED_OUT));
+        execution.timeout = loop.at(endsBy, () -> stop(execution, AttemptOutcome.TIMED_OUT));
         if (exchange.closed() || !permitted) {
-            ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+            ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
         } else {
             workers.start(execution);
         }
     }
 
-    private void cancel(Exchange exchange, int number) {
+    private void cancel(RequestContext exchange, int number) {
         if (exchange != null && number < exchange.executions.size()) {
-            stop(exchange.executions.get(number), Outcome.CANCELLED);
+            stop(exchange.executions.get(number), AttemptOutcome.CANCELLED);
         }
     }
 
-    private void stop(Execution execution, Outcome outcome) {
+    private void stop(Attempt execution, AttemptOutcome outcome) {
         if (execution.open) {
             workers.cancel(execution);
-            ended(execution, Execution.End.of(outcome));
+            ended(execution, Attempt.End.of(outcome));
         }
     }
 
-    private void finish(String id, Answer answer) {
-        Exchange exchange = exchanges.get(id);
+    private void finish(String id, Response answer) {
+        RequestContext exchange = exchanges.get(id);
         if (exchange != null) {
             exchange.finish(answer);
             forget(exchange);
         }
     }
 
-    private void forget(Exchange exchange) {
+    private void forget(RequestContext exchange) {
         if (exchange.closed() && exchange.outstanding == 0) {
             exchanges.remove(exchange.query().id());
         }
--- a/src/main/java/damsonslip/engine/invariants/RepeatGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RepeatGuard.java
@@ -1,7 +1,7 @@
 package damsonslip.engine.invariants;
 
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import java.util.List;
 import java.util.Optional;
@@ -36,18 +36,18 @@
             return violation(Invariant.NO_SECOND_COPY, job, place, "one is out");
         }
         Optional<Earlier> first = before.stream().filter(Earlier::mayHaveRun).findFirst();
-        if (first.isEmpty() || of.effect() == Effect.SAFE) {
+        if (first.isEmpty() || of.idempotency() == Idempotency.IDEMPOTENT) {
             return Optional.empty();
         }
-        if (of.effect() == Effect.UNSAFE) {
+        if (of.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return violation(
                     Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
                     job,
                     place,
                     "it may have run at " + first.get().place());
         }
-        boolean late = nowUs > first.get().sentUs() + of.windowUs() + SOCKET_SLACK_US;
-        if (late || !isInGroup(of.group(), first.get().place(), place)) {
+        boolean late = nowUs > first.get().sentUs() + of.idempotencyWindowUs() + SOCKET_SLACK_US;
+        if (late || !isInGroup(of.idempotencyScope(), first.get().place(), place)) {
             return violation(
                     Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW,
                     job,
@@ -63,8 +63,9 @@
      */
     public static Optional<Violation> checkRefusal(String job, JobClass of, List<Earlier> before) {
         boolean harmless =
-                of.effect() == Effect.SAFE
-                        || of.effect() == Effect.KEYED && of.group() == Group.ALL;
+                of.idempotency() == Idempotency.IDEMPOTENT
+                        || of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                                && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
         Optional<Earlier> run = before.stream().filter(Earlier::mayHaveRun).findFirst();
         return harmless || run.isEmpty()
                 ? Optional.empty()
@@ -75,9 +76,9 @@
                         "it may have run there");
     }
 
-    private static boolean isInGroup(Group group, Place one, Place other) {
+    private static boolean isInGroup(IdempotencyScope group, Place one, Place other) {
         return switch (group) {
-            case ALL -> true;
+            case ALL_WORKERS -> true;
             case ZONE -> one.zone() == other.zone();
             case CELL -> one.cell() == other.cell();
         };
--- a/src/main/java/damsonslip/engine/invariants/SendGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/SendGuard.java
@@ -1,6 +1,6 @@
 package damsonslip.engine.invariants;
 
-import damsonslip.policy.api.ColdLoad;
+import damsonslip.policy.api.SlowStartLoad;
 import java.util.Optional;
 
 /** Checks an attempt in the moment in which its first byte is about to leave. */
@@ -34,7 +34,7 @@
             boolean clientWaits,
             long clientEndsUs,
             long toldUs,
-            ColdLoad cold) {}
+            SlowStartLoad cold) {}
 
     private SendGuard() {}
 
@@ -69,8 +69,8 @@
         return Optional.empty();
     }
 
-    private static boolean isTooMuch(ColdLoad cold) {
-        double n = cold.bearable();
+    private static boolean isTooMuch(SlowStartLoad cold) {
+        double n = cold.capacity();
         double chance = n < FEW ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2;
         return cold.requests() > n + chance;
     }
--- a/src/main/java/damsonslip/faktory/AdminCommands.java
+++ b/src/main/java/damsonslip/faktory/AdminCommands.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Command.Mutate;
 import damsonslip.faktory.codec.JobText;
@@ -15,7 +15,7 @@
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
-import damsonslip.store.Op;
+import damsonslip.store.StoreOperation;
 import java.time.Instant;
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
@@ -38,7 +38,7 @@
     private static final DateTimeFormatter CLOCK =
             DateTimeFormatter.ofPattern("HH:mm:ss 'UTC'").withZone(ZoneOffset.UTC);
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AsyncStore store;
     private final Counters counters;
     private final JobCoordinator coordinator;
@@ -48,7 +48,7 @@
     private final long startedUs;
 
     AdminCommands(
-            Loop loop,
+            EventLoop loop,
             AsyncStore store,
             Counters counters,
             JobCoordinator coordinator,
@@ -125,7 +125,7 @@
         }
         List<Entry> part = among.subList(from, Math.min(among.size(), from + BATCH));
         store.ask(
-                new Op.Bodies(part.stream().map(Entry::id).toList()),
+                new StoreOperation.Bodies(part.stream().map(Entry::id).toList()),
                 bodies -> {
                     for (int i = 0; i < part.size(); i++) {
                         Entry entry = part.get(i);
@@ -257,12 +257,12 @@
             switch (change.verb()) {
                 case PAUSE -> {
                     if (jobTable.pause(name)) {
-                        store.insist(new Op.Note(PAUSED, name, "1"));
+                        store.insist(new StoreOperation.Note(PAUSED, name, "1"));
                     }
                 }
                 case RESUME -> {
                     if (jobTable.resume(name)) {
-                        store.insist(new Op.Note(PAUSED, name, null));
+                        store.insist(new StoreOperation.Note(PAUSED, name, null));
                     }
                 }
                 case REMOVE -> remove(jobTable.inQueue(name), 0);
@@ -308,7 +308,7 @@
         }
         for (String name : jobTable.paused()) {
             jobTable.resume(name);
-            store.insist(new Op.Note(PAUSED, name, null));
+            store.insist(new StoreOperation.Note(PAUSED, name, null));
         }
         drop(link, gone, 0);
     }
@@ -320,11 +320,13 @@
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
         store.ask(
-                new Op.Drop(part),
+                new StoreOperation.Drop(part),
                 done -> drop(link, ids, from + BATCH),
                 () -> {
                     for (int i = from; i < ids.size(); i += BATCH) {
-                        store.insist(new Op.Drop(ids.subList(i, Math.min(ids.size(), i + BATCH))));
+                        store.insist(
+                                new StoreOperation.Drop(
+                                        ids.subList(i, Math.min(ids.size(), i + BATCH))));
                     }
                     link.reply(
                             Reply.error(
--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -12,7 +12,7 @@
 import damsonslip.faktory.jobs.Batches.Due;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
-import damsonslip.store.Op;
+import damsonslip.store.StoreOperation;
 import java.util.Arrays;
 import java.util.Map;
 import java.util.UUID;
@@ -232,16 +232,17 @@
 
     // ---- the store
 
-    private static Op.Note note(Batch batch) {
+    private static StoreOperation.Note note(Batch batch) {
         try {
-            return new Op.Note(NOTE, batch.bid(), Json.MAPPER.writeValueAsString(batch));
+            return new StoreOperation.Note(
+                    NOTE, batch.bid(), Json.MAPPER.writeValueAsString(batch));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a batch of plain values", e);
         }
     }
 
     private void keep(Batch batch) {
-        Op.Note now = note(batch);
+        StoreOperation.Note now = note(batch);
         store.ask(
                 now,
                 done -> {},
@@ -283,6 +284,6 @@
     }
 
     private void drop(String bid) {
-        store.insist(new Op.Note(NOTE, bid, null));
+        store.insist(new StoreOperation.Note(NOTE, bid, null));
     }
 }
--- a/src/main/java/damsonslip/faktory/Consumer.java
+++ b/src/main/java/damsonslip/faktory/Consumer.java
@@ -1,9 +1,9 @@
 package damsonslip.faktory;
 
-import damsonslip.engine.Execution;
-import damsonslip.engine.Loop;
-import damsonslip.policy.api.Status;
-import damsonslip.policy.api.Worker;
+import damsonslip.engine.Attempt;
+import damsonslip.engine.EventLoop;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,7 +18,8 @@
  */
 final class Consumer {
     /** A FETCH that waits for a job. */
-    record Offer(FaktoryConnection link, List<String> queues, Loop.Timer timeout, long sinceUs) {}
+    record Offer(
+            FaktoryConnection link, List<String> queues, EventLoop.Timer timeout, long sinceUs) {}
 
     /** Queue names remembered for one worker, which bounds the memory that a faulty one can use. */
     private static final int MAX_QUEUES = 1_000;
@@ -31,9 +32,9 @@
     final ArrayDeque<Offer> offers = new ArrayDeque<>();
 
     /** Attempts that the decision module has placed here and that wait for a FETCH. */
-    final List<Execution> expected = new ArrayList<>();
+    final List<Attempt> expected = new ArrayList<>();
 
-    Status status = Status.RUNNING;
+    WorkerStatus status = WorkerStatus.RUNNING;
     long startedUs;
     long lastHeartbeatUs;
 
@@ -62,7 +63,7 @@
     }
 
     boolean runs() {
-        return status == Status.RUNNING;
+        return status == WorkerStatus.RUNNING;
     }
 
     /** Its number of slots, offered and used; a slot between two fetches still counts. */
@@ -114,7 +115,7 @@
     }
 
     /** Its entry for the decision module's worker list. */
-    Worker entry() {
-        return new Worker(wid, zone, 0, kind, status, startedUs);
+    WorkerEntry entry() {
+        return new WorkerEntry(wid, zone, 0, kind, status, startedUs);
     }
 }
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -1,24 +1,24 @@
 package damsonslip.faktory;
 
-import damsonslip.config.Site;
+import damsonslip.config.SiteSettings;
+import damsonslip.engine.Attempt;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
-import damsonslip.engine.Execution;
-import damsonslip.engine.Loop;
-import damsonslip.engine.WorkerSide;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
+import damsonslip.engine.WorkerGateway;
 import damsonslip.faktory.Consumer.Offer;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.JobText;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
 import damsonslip.store.AsyncStore;
-import damsonslip.store.Op;
+import damsonslip.store.StoreOperation;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -33,7 +33,7 @@
  * reservations of jobs. A FETCH offers a slot; the decision module chooses the job for it, and no
  * job is handed out before the store has recorded its reservation. Confined to the event loop.
  */
-final class Consumers implements WorkerSide, FetchDirectory {
+final class Consumers implements WorkerGateway, FetchDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(Consumers.class);
 
     /** A FETCH that gets no job is answered after this time, as Faktory's protocol requires. */
@@ -58,9 +58,9 @@
      */
     private static final long FETCH_MEMORY_US = 30_000_000;
 
-    private final Loop loop;
-    private final Site site;
-    private final Driver driver;
+    private final EventLoop loop;
+    private final SiteSettings site;
+    private final SchedulerEngine driver;
     private final AsyncStore store;
     private final Counters counters;
     private JobCoordinator coordinator;
@@ -71,18 +71,23 @@
 
     /** An attempt that is about to be handed to a worker, or has been. */
     private static final class Reservation {
-        final Execution execution;
+        final Attempt execution;
         final Consumer consumer;
         boolean handedOut;
-        Loop.Timer expiry = () -> {};
+        EventLoop.Timer expiry = () -> {};
 
-        Reservation(Execution execution, Consumer consumer) {
+        Reservation(Attempt execution, Consumer consumer) {
             this.execution = execution;
             this.consumer = consumer;
         }
     }
 
-    Consumers(Loop loop, Site site, Driver driver, AsyncStore store, Counters counters) {
+    Consumers(
+            EventLoop loop,
+            SiteSettings site,
+            SchedulerEngine driver,
+            AsyncStore store,
+            Counters counters) {
         this.loop = loop;
         this.site = site;
         this.driver = driver;
@@ -121,7 +126,7 @@
         }
         if (known != null) { // a new process with the same id: the old one is gone, and this one is
             // cold
-            stop(known, Status.GONE);
+            stop(known, WorkerStatus.REMOVED);
         }
         long now = loop.now();
         Consumer fresh =
@@ -136,7 +141,7 @@
         consumers.put(hello.wid(), fresh);
         updateList(fresh);
         store.ask(
-                new Op.FirstSeen(fresh.wid + "@" + fresh.process, now / 1000),
+                new StoreOperation.FirstSeen(fresh.wid + "@" + fresh.process, now / 1000),
                 sinceMs -> {
                     if (sinceMs * 1000 < fresh.startedUs) {
                         fresh.startedUs = sinceMs * 1000;
@@ -152,7 +157,7 @@
     }
 
     private void updateList(Consumer consumer) {
-        driver.listed(ListMode.CHANGES, List.of(consumer.entry()));
+        driver.listed(WorkerListChange.CHANGES, List.of(consumer.entry()));
     }
 
     void disconnected(Consumer consumer, FaktoryConnection link) {
@@ -165,7 +170,7 @@
                     RECONNECT_TIMEOUT_US,
                     () -> {
                         if (consumer.links.isEmpty()) {
-                            stop(consumer, Status.GONE);
+                            stop(consumer, WorkerStatus.REMOVED);
                         }
                     });
         }
@@ -180,7 +185,7 @@
         consumer.lastHeartbeatUs = loop.now();
         consumer.rssKb = beat.rssKb();
         if (beat.state().equals("quiet") || beat.state().equals("terminate")) {
-            stop(consumer, Status.DRAINING);
+            stop(consumer, WorkerStatus.DRAINING);
         }
         link.reply(
                 consumer.requestedState.isEmpty()
@@ -194,7 +199,7 @@
         Consumer consumer = consumers.get(wid);
         if (consumer != null) {
             consumer.requestedState = "quiet";
-            stop(consumer, Status.DRAINING);
+            stop(consumer, WorkerStatus.DRAINING);
         }
     }
 
@@ -203,26 +208,26 @@
      * unrun, also those whose reservation is just being recorded. A worker that is gone loses the
      * jobs that it has.
      */
-    private void stop(Consumer consumer, Status status) {
-        if (consumer.status == status || consumer.status == Status.GONE) {
+    private void stop(Consumer consumer, WorkerStatus status) {
+        if (consumer.status == status || consumer.status == WorkerStatus.REMOVED) {
             return;
         }
         consumer.status = status;
         updateList(consumer);
-        List<Execution> expected = List.copyOf(consumer.expected);
+        List<Attempt> expected = List.copyOf(consumer.expected);
         consumer.expected.clear();
-        expected.forEach(execution -> driver.ended(execution, Execution.End.of(Outcome.FULL)));
+        expected.forEach(execution -> driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL)));
         while (!consumer.offers.isEmpty()) {
             Offer offer = consumer.offers.poll();
             offer.timeout().cancel();
             offer.link().reply(Reply.nothing());
         }
-        if (status == Status.GONE) {
+        if (status == WorkerStatus.REMOVED) {
             consumers.remove(consumer.wid);
             for (Reservation held : List.copyOf(reservations.values())) {
                 if (held.consumer == consumer && held.handedOut) {
                     job(held.execution).failure = RunFailure.WORKER_GONE;
-                    end(held, Outcome.RESET);
+                    end(held, AttemptOutcome.RESET);
                 }
             }
         }
@@ -233,7 +238,7 @@
         for (Consumer consumer : new ArrayList<>(consumers.values())) {
             if (consumer.lastHeartbeatUs < silentSince) {
                 LOG.info("worker {} has stopped beating", consumer.wid);
-                stop(consumer, Status.GONE);
+                stop(consumer, WorkerStatus.REMOVED);
             }
             consumer.decaySlots();
         }
@@ -268,7 +273,7 @@
                                 }),
                         loop.now());
         consumer.offers.add(offer[0]);
-        for (Execution execution : consumer.expected) {
+        for (Attempt execution : consumer.expected) {
             Offer taken = consumer.takeOffer(job(execution).queue());
             if (taken != null) {
                 consumer.expected.remove(execution);
@@ -289,25 +294,25 @@
      * many in all.
      */
     private void reportFetch(Consumer consumer) {
-        Report free = load(consumer);
+        LoadReport free = load(consumer);
         driver.probed(
                 consumer.wid,
                 ProbeResult.HEALTHY,
-                Report.offered(
+                LoadReport.fromOfferedSlots(
                         free.freeSlots(),
                         free.freeMemory(),
-                        free.held(),
+                        free.reservedMemory(),
                         Math.max(1, consumer.slots())));
     }
 
-    private static Report load(Consumer consumer) {
-        return new Report(
+    private static LoadReport load(Consumer consumer) {
+        return new LoadReport(
                 Math.max(0, consumer.offers.size() - consumer.expected.size()),
                 Double.NaN,
                 consumer.slotsInUse);
     }
 
-    private static DispatchedJob job(Execution execution) {
+    private static DispatchedJob job(Attempt execution) {
         return (DispatchedJob) execution.query().cargo();
     }
 
@@ -358,10 +363,10 @@
     // ---- attempts
 
     @Override
-    public void start(Execution execution) {
+    public void start(Attempt execution) {
         Consumer consumer = consumers.get(execution.worker());
         if (consumer == null || !consumer.runs()) {
-            driver.ended(execution, Execution.End.of(Outcome.FULL));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL));
             return;
         }
         Offer offer = consumer.takeOffer(job(execution).queue());
@@ -374,7 +379,7 @@
                 SLOT_TIMEOUT_US,
                 () -> {
                     if (consumer.expected.remove(execution)) {
-                        driver.ended(execution, Execution.End.of(Outcome.FULL));
+                        driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL));
                     }
                 });
     }
@@ -383,7 +388,7 @@
      * Records the reservation, then hands the job out. So after a restart a job that the store has
      * as queued was never handed out, and one that it has as reserved may have run.
      */
-    private void reserve(Execution execution, Consumer consumer, Offer offer) {
+    private void reserve(Attempt execution, Consumer consumer, Offer offer) {
         DispatchedJob job = job(execution);
         Reservation held = new Reservation(execution, consumer);
         reservations.put(job.jid(), held);
@@ -392,16 +397,16 @@
                 .jobTable()
                 .move(job.entry, job.record().reserved(consumer.wid, loop.now() / 1000));
         store.ask(
-                new Op.Take(job.record()),
+                new StoreOperation.Take(job.record()),
                 body -> handOut(held, offer, body),
-                () -> handBack(held, offer, Outcome.FULL));
+                () -> handBack(held, offer, AttemptOutcome.FULL));
     }
 
     private void handOut(Reservation held, Offer offer, String body) {
         DispatchedJob job = job(held.execution);
         boolean wanted = held.execution.open() && reservations.get(job.jid()) == held;
         if (!wanted || body == null || !held.consumer.runs() || offer.link().isClosed()) {
-            handBack(held, offer, Outcome.FULL);
+            handBack(held, offer, AttemptOutcome.FULL);
             return;
         }
         counters.add(Count.FETCHES_ANSWERED);
@@ -424,7 +429,7 @@
 
     private void expire(Reservation held) {
         job(held.execution).failure = RunFailure.RESERVATION_EXPIRED;
-        end(held, Outcome.RESET);
+        end(held, AttemptOutcome.RESET);
     }
 
     /**
@@ -445,7 +450,7 @@
      * Returns a job that was not handed out, so that the decision module may place it elsewhere;
      * its FETCH waits again.
      */
-    private void handBack(Reservation held, Offer offer, Outcome outcome) {
+    private void handBack(Reservation held, Offer offer, AttemptOutcome outcome) {
         DispatchedJob job = job(held.execution);
         if (release(held) && held.execution.open()) {
             coordinator.returnUnrun(job);
@@ -453,7 +458,7 @@
         if (!offer.link().isClosed()) {
             fetch(offer.link(), new Command.Fetch(offer.queues()));
         }
-        driver.ended(held.execution, Execution.End.of(outcome));
+        driver.ended(held.execution, Attempt.End.of(outcome));
     }
 
     /**
@@ -461,7 +466,7 @@
      * late one.
      */
     @Override
-    public void cancel(Execution execution) {
+    public void cancel(Attempt execution) {
         Consumer consumer = consumers.get(execution.worker());
         if (consumer != null) {
             consumer.expected.remove(execution);
@@ -473,11 +478,11 @@
         }
     }
 
-    private void end(Reservation held, Outcome outcome) {
+    private void end(Reservation held, AttemptOutcome outcome) {
         held.expiry.cancel();
         if (release(held)) {
             // without a load report: the slot is free only once its worker fetches again
-            driver.ended(held.execution, new Execution.End(outcome, null, ""));
+            driver.ended(held.execution, new Attempt.End(outcome, null, ""));
         }
     }
 
@@ -500,7 +505,7 @@
         DispatchedJob job = job(held.execution);
         job.failure = how;
         job.acknowledge = acknowledge;
-        end(held, how == null ? Outcome.SERVED : Outcome.ERROR);
+        end(held, how == null ? AttemptOutcome.SERVED : AttemptOutcome.ERROR);
         if (job.acknowledge
                 != null) { // the decision module tries it again, so there is nothing to record yet
             job.acknowledge = null;
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -1,7 +1,7 @@
 package damsonslip.faktory;
 
-import damsonslip.engine.Exchange;
-import damsonslip.engine.Query;
+import damsonslip.engine.Request;
+import damsonslip.engine.RequestContext;
 import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.store.JobRecord;
@@ -11,14 +11,14 @@
  * A job while the decision module or a worker has it, with what is known of its runs. Confined to
  * the event loop.
  */
-final class DispatchedJob implements Query.Cargo {
+final class DispatchedJob implements Request.Cargo {
     final Entry entry;
 
     /** When it was given to the decision module, in the loop's microseconds. */
     final long dispatchedUs;
 
     /** Its request in the engine; null until the engine has accepted it. */
-    Exchange exchange;
+    RequestContext exchange;
 
     /** Whether a worker may have run it before this dispatch. */
     final boolean ranBefore;
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -1,14 +1,14 @@
 package damsonslip.faktory;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
-import damsonslip.engine.Front;
-import damsonslip.engine.Leave;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.Frontend;
+import damsonslip.engine.GracefulShutdown;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.SlowPeer;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Reply;
@@ -19,10 +19,10 @@
 import damsonslip.store.MemoryStore;
 import damsonslip.store.RedisStore;
 import damsonslip.transport.Address;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
-import damsonslip.transport.Room;
-import damsonslip.transport.RoomAcceptor;
+import damsonslip.transport.ConnectionLimiter;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LimitedAcceptor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.io.Closeable;
 import java.io.IOException;
@@ -39,7 +39,7 @@
  * services behind them. Connections are accepted on the selector's thread; commands are handled on
  * the event loop.
  */
-public final class Faktory extends RoomAcceptor<FaktoryConnection> implements Front {
+public final class Faktory extends LimitedAcceptor<FaktoryConnection> implements Frontend {
     private static final Logger LOG = LoggerFactory.getLogger(Faktory.class);
 
     /** How long a graceful shutdown still accepts connections. */
@@ -67,13 +67,13 @@
     /** Reports on jobs that are kept until the recovery from the store has ended. */
     private static final int MAX_EARLY_REPORTS = 10_000;
 
-    private final Loop loop;
-    private final Phase phase;
+    private final EventLoop loop;
+    private final LifecyclePhase phase;
     private final Counters counters;
     private final FaktoryConfig config;
     private final String file;
     private volatile Password password;
-    private final Driver driver;
+    private final SchedulerEngine driver;
     private final AsyncStore store;
     private final Consumers consumers;
     private final JobCoordinator coordinator;
@@ -88,10 +88,15 @@
     private long bufferedBytes;
     private volatile Closeable listener;
 
-    public Faktory(Loop loop, Phase phase, Counters counters, FaktoryConfig config, String file)
-            throws BadInput {
+    public Faktory(
+            EventLoop loop,
+            LifecyclePhase phase,
+            Counters counters,
+            FaktoryConfig config,
+            String file)
+            throws ConfigurationException {
         super(
-                new Room<>(
+                new ConnectionLimiter<>(
                         config.links(),
                         config.links() / OVERFLOW_DIVISOR,
                         link -> !link.greeted(),
@@ -103,7 +108,8 @@
         this.file = file;
         this.password = new Password(config.password());
         this.driver =
-                new Driver(config.site().settings(), new SecureRandom().nextLong(), loop, counters);
+                new SchedulerEngine(
+                        config.site().settings(), new SecureRandom().nextLong(), loop, counters);
         this.store = new AsyncStore(loop, store(config));
         this.consumers = new Consumers(loop, config.site(), driver, store, counters);
         this.coordinator =
@@ -126,7 +132,7 @@
         loop.in(SLOW_PEER_CHECK_US, this::closeSlowPeers);
     }
 
-    private static JobStore store(FaktoryConfig config) throws BadInput {
+    private static JobStore store(FaktoryConfig config) throws ConfigurationException {
         if (config.store().equals("memory")) {
             return new MemoryStore();
         }
@@ -134,14 +140,14 @@
             return new RedisStore(
                     RedisStore.address(config.store()), config.storePassword(), config.name());
         } catch (IllegalArgumentException e) {
-            throw new BadInput("config: store: " + e.getMessage());
+            throw new ConfigurationException("config: store: " + e.getMessage());
         }
     }
 
     @Override
-    public void start() throws BadInput, IOException {
+    public void start() throws ConfigurationException, IOException {
         try {
-            Links network = Links.start(loop, CONNECT_TIMEOUT_MS);
+            ConnectionManager network = ConnectionManager.start(loop, CONNECT_TIMEOUT_MS);
             loop.execute(
                     () -> {
                         driver.begin(consumers, List.of());
@@ -159,7 +165,7 @@
                     });
             listener = network.listen(Address.parse(config.listen()), this);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("config: listen: " + e.getMessage());
+            throw new ConfigurationException("config: listen: " + e.getMessage());
         }
         LOG.info(
                 "{} speaks Faktory on {}, store {}",
@@ -178,7 +184,7 @@
             password = new Password(fresh.password());
             LOG.info(
                     "reload: the password is read again; anything else takes effect at the next start");
-        } catch (BadInput e) {
+        } catch (ConfigurationException e) {
             LOG.warn("reload: {}; what held before goes on", e.getMessage());
         }
     }
@@ -199,7 +205,7 @@
         }
         loop.execute(
                 () ->
-                        new Leave(
+                        new GracefulShutdown(
                                         loop,
                                         phase,
                                         SHUTDOWN_ACCEPT_US,
@@ -227,7 +233,7 @@
     }
 
     @Override
-    public Driver driver() {
+    public SchedulerEngine driver() {
         return driver;
     }
 
@@ -237,7 +243,7 @@
     }
 
     @Override
-    public Link open(EndPoint endPoint) {
+    public EventLoopConnection open(EndPoint endPoint) {
         return new FaktoryConnection(endPoint, this);
     }
 
@@ -407,7 +413,7 @@
         counters.add(Count.PASSWORDS_WRONG);
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 }
--- a/src/main/java/damsonslip/faktory/FaktoryConfig.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConfig.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
-import damsonslip.config.BadInput;
-import damsonslip.config.Site;
+import damsonslip.config.ConfigurationException;
+import damsonslip.config.SiteSettings;
 import damsonslip.faktory.jobs.Glob;
 import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.routing.Routes;
@@ -51,7 +51,7 @@
         JobTable.Limits waiting,
         MinimumDataRate.Limits peers,
         Routes routes,
-        Site site) {
+        SiteSettings site) {
     private static final int LINKS = 800;
 
     /** A thousand jobs of a kilobyte each, as the official clients push them in bulk. */
@@ -76,14 +76,15 @@
 
     private static final int DEAD_DAYS = 180;
 
-    public static FaktoryConfig read(String file) throws BadInput {
+    public static FaktoryConfig read(String file) throws ConfigurationException {
         try {
             JsonNode root = new TomlMapper().readTree(Files.readString(Path.of(file)));
             String store = text(root, "store");
             if (!store.equals("memory") && !store.startsWith("redis://")) {
-                throw new BadInput("config: store: neither memory nor redis://host:port: " + store);
+                throw new ConfigurationException(
+                        "config: store: neither memory nor redis://host:port: " + store);
             }
-            Site site = Site.read(root.path("settings"));
+            SiteSettings site = SiteSettings.read(root.path("settings"));
             JsonNode jobs = root.path("jobs");
             int waiting = whole(jobs, "waiting", WAITING, 1);
             JobTable.Limits limits =
@@ -109,17 +110,17 @@
                     routes(root, jobs, site),
                     site);
         } catch (JsonProcessingException e) {
-            throw new BadInput(
+            throw new ConfigurationException(
                     "config: "
                             + file
                             + ": not TOML: "
                             + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException | InvalidPathException e) {
-            throw new BadInput("config: " + file + ": cannot be read");
+            throw new ConfigurationException("config: " + file + ": cannot be read");
         }
     }
 
-    private static MinimumDataRate.Limits peers(JsonNode root) throws BadInput {
+    private static MinimumDataRate.Limits peers(JsonNode root) throws ConfigurationException {
         JsonNode peers = root.path("peers");
         int graceS = whole(peers, "grace_s", PEER_GRACE_S, 1);
         return new MinimumDataRate.Limits(
@@ -129,15 +130,17 @@
                 whole(peers, "least_bytes_per_s", PEER_RATE, 1));
     }
 
-    private static boolean fair(JsonNode jobs) throws BadInput {
+    private static boolean fair(JsonNode jobs) throws ConfigurationException {
         String order = jobs.path("queue_order").asText("strict");
         if (!order.equals("strict") && !order.equals("fair")) {
-            throw new BadInput("config: queue_order: neither strict nor fair: " + order);
+            throw new ConfigurationException(
+                    "config: queue_order: neither strict nor fair: " + order);
         }
         return order.equals("fair");
     }
 
-    private static Routes routes(JsonNode root, JsonNode jobs, Site site) throws BadInput {
+    private static Routes routes(JsonNode root, JsonNode jobs, SiteSettings site)
+            throws ConfigurationException {
         List<Routes.Route> routes = new ArrayList<>();
         for (JsonNode route : root.path("route")) {
             routes.add(
@@ -153,30 +156,33 @@
                 site.classNames());
     }
 
-    private static int jobClass(String where, String name, Site site) throws BadInput {
+    private static int jobClass(String where, String name, SiteSettings site)
+            throws ConfigurationException {
         int index = site.classNames().indexOf(name);
         if (index < 0) {
-            throw new BadInput("config: " + where + ": no class of this name: " + name);
+            throw new ConfigurationException(
+                    "config: " + where + ": no class of this name: " + name);
         }
         return index;
     }
 
-    private static int whole(JsonNode node, String name, int fallback, int least) throws BadInput {
+    private static int whole(JsonNode node, String name, int fallback, int least)
+            throws ConfigurationException {
         JsonNode value = node.path(name);
         if (value.isMissingNode()) {
             return fallback;
         }
         if (!value.isIntegralNumber() || !value.canConvertToInt() || value.intValue() < least) {
-            throw new BadInput(
+            throw new ConfigurationException(
                     "config: " + name + ": not a whole number of " + least + " or more: " + value);
         }
         return value.intValue();
     }
 
-    private static String text(JsonNode root, String name) throws BadInput {
+    private static String text(JsonNode root, String name) throws ConfigurationException {
         String value = root.path(name).asText("");
         if (value.isBlank()) {
-            throw new BadInput("config: " + name + " is missing");
+            throw new ConfigurationException("config: " + name + " is missing");
         }
         return value;
     }
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -5,8 +5,8 @@
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Malformed;
 import damsonslip.faktory.codec.Reply;
-import damsonslip.transport.Lines;
-import damsonslip.transport.Link;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LineDecoder;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -18,7 +18,7 @@
  * A producer's or worker's connection. Commands are handled one at a time: the next one is taken up
  * once the reply to the previous one is written. Confined to the event loop.
  */
-final class FaktoryConnection extends Link {
+final class FaktoryConnection extends EventLoopConnection {
     /** Bytes of a HELLO with every label that a worker may have. */
     private static final int MAX_HELLO_BYTES = 16 * 1024;
 
@@ -32,7 +32,7 @@
 
     private final Faktory faktory;
     private final String salt = Password.salt();
-    private final Lines lines;
+    private final LineDecoder lines;
 
     /** Bytes of an incomplete command. */
     private int incompleteBytes;
@@ -54,7 +54,7 @@
     FaktoryConnection(EndPoint endPoint, Faktory faktory) {
         super(endPoint, faktory.loop());
         this.faktory = faktory;
-        this.lines = new Lines(faktory.maxLineBytes());
+        this.lines = new LineDecoder(faktory.maxLineBytes());
         this.sendRate = new MinimumDataRate(faktory.peerLimits());
         this.readRate = new MinimumDataRate(faktory.peerLimits());
     }
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -1,19 +1,19 @@
 package damsonslip.faktory;
 
-import damsonslip.config.Site;
-import damsonslip.engine.Answer;
+import damsonslip.config.SiteSettings;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
-import damsonslip.engine.Query;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.Request;
+import damsonslip.engine.Response;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
-import damsonslip.policy.api.Effect;
+import damsonslip.policy.api.Idempotency;
 import damsonslip.policy.api.JobClass;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
@@ -70,11 +70,11 @@
      */
     private static final long RESERVATION_MARGIN_MS = 5_000;
 
-    private final Loop loop;
-    private final Site site;
-    private final Driver driver;
+    private final EventLoop loop;
+    private final SiteSettings site;
+    private final SchedulerEngine driver;
     private final AsyncStore store;
-    private final Phase phase;
+    private final LifecyclePhase phase;
     private final Counters counters;
     private final JobTable jobTable;
     private final FetchDirectory fetchDirectory;
@@ -94,11 +94,11 @@
     private int sweeps;
 
     JobCoordinator(
-            Loop loop,
-            Site site,
-            Driver driver,
+            EventLoop loop,
+            SiteSettings site,
+            SchedulerEngine driver,
             AsyncStore store,
-            Phase phase,
+            LifecyclePhase phase,
             Counters counters,
             JobTable jobTable,
             FetchDirectory fetchDirectory,
@@ -230,7 +230,7 @@
      */
     private boolean mayDispatch(int jobClass, long fetchSinceUs) {
         return loop.now() >= blockedUntilUs[jobClass]
-                && (driver.pools().get(jobClass).held() == 0
+                && (driver.pools().get(jobClass).queued() == 0
                         || loop.now() - fetchSinceUs > UNUSED_FETCH_US);
     }
 
@@ -290,9 +290,11 @@
                             nowMs()));
             return null;
         }
-        Effect effect = classOf(entry).effect();
+        Idempotency effect = classOf(entry).idempotency();
         int retries = Math.max(0, record.facts().retry());
-        boolean once = effect == Effect.UNSAFE || (effect == Effect.SAFE && !record.awaited());
+        boolean once =
+                effect == Idempotency.NOT_IDEMPOTENT
+                        || (effect == Idempotency.IDEMPOTENT && !record.awaited());
         int maxAttempts = once ? 1 : retries + 1;
         long deadlineMs =
                 record.awaited()
@@ -310,7 +312,7 @@
         String[] rejection = new String[1];
         dispatched.exchange =
                 driver.take(
-                        new Query(
+                        new Request(
                                 record.id(),
                                 entry.jobClass(),
                                 0,
@@ -329,7 +331,7 @@
     }
 
     /** Handles the decision module's final answer; returns a rejection, or null. */
-    private String finish(DispatchedJob dispatched, Answer answer) {
+    private String finish(DispatchedJob dispatched, Response answer) {
         Entry entry = dispatched.entry;
         unawaited.remove(dispatched);
         if (jobTable.get(entry.id()) != entry) {
@@ -338,7 +340,7 @@
         Consumer<String> acknowledge =
                 dispatched.acknowledge == null ? error -> {} : dispatched.acknowledge;
         dispatched.acknowledge = null;
-        if (answer.kind() == Answer.Kind.SERVED) {
+        if (answer.kind() == Response.Kind.SERVED) {
             transition(
                     entry, entry.record().to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
         } else if (entry.record().awaited()) {
@@ -373,7 +375,7 @@
 
     /** Ends an awaited job that was not served; returns a rejection, or null. */
     private String finishAwaited(
-            DispatchedJob dispatched, Answer answer, Consumer<String> acknowledge) {
+            DispatchedJob dispatched, Response answer, Consumer<String> acknowledge) {
         Entry entry = dispatched.entry;
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
         String message =
@@ -385,7 +387,7 @@
                                         + ": "
                                         + dispatched.failure.message());
         JobRecord record = entry.record();
-        if (mayHaveRun && classOf(entry).effect() != Effect.SAFE) {
+        if (mayHaveRun && classOf(entry).idempotency() != Idempotency.IDEMPOTENT) {
             transition(
                     entry,
                     record.to(
@@ -393,13 +395,13 @@
                     acknowledge);
             return null;
         }
-        boolean rejected = answer.kind() == Answer.Kind.THROTTLED;
+        boolean rejected = answer.kind() == Response.Kind.THROTTLED;
         JobRecord.State state = rejected ? JobRecord.State.REFUSED : JobRecord.State.FAILED;
         transition(entry, record.to(state, 0, message, nowMs()), acknowledge);
         return rejected ? "ERR " + message : null;
     }
 
-    private static String describe(Answer answer) {
+    private static String describe(Response answer) {
         return switch (answer.kind()) {
             case SERVED -> "";
             case THROTTLED ->
@@ -464,7 +466,7 @@
         JobRecord record = entry.record();
         if (!record.awaited()) {
             retryOrEnd(entry, how, acknowledge);
-        } else if (classOf(entry).effect() == Effect.SAFE) {
+        } else if (classOf(entry).idempotency() == Idempotency.IDEMPOTENT) {
             transition(
                     entry,
                     record.to(JobRecord.State.FAILED, 0, how.message(), nowMs()),
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Json;
 import damsonslip.faktory.codec.Malformed;
@@ -17,7 +17,7 @@
 import damsonslip.faktory.routing.Routes;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
-import damsonslip.store.Op;
+import damsonslip.store.StoreOperation;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -38,9 +38,9 @@
 
     private record Progress(int percent, String words, long atMs) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AsyncStore store;
-    private final Phase phase;
+    private final LifecyclePhase phase;
     private final Counters counters;
     private final Routes routes;
     private final int minReserveS;
@@ -70,9 +70,9 @@
     private boolean recovered;
 
     Producers(
-            Loop loop,
+            EventLoop loop,
             AsyncStore store,
-            Phase phase,
+            LifecyclePhase phase,
             Counters counters,
             FaktoryConfig config,
             JobCoordinator coordinator,
@@ -208,7 +208,7 @@
     private void add(JobRecord record, String body, int jobClass, Consumer<String> then) {
         pendingAdds.merge(record.id(), 1, Integer::sum);
         store.ask(
-                new Op.Add(record, body),
+                new StoreOperation.Add(record, body),
                 before -> {
                     added(record.id());
                     then.accept(added(record, body, jobClass, before));
@@ -245,9 +245,9 @@
         if (before.state()
                 == JobRecord.State.REFUSED) { // the rejection invited the producer to push it again
             store.ask(
-                    new Op.Replace(record, body),
+                    new StoreOperation.Replace(record, body),
                     done -> {},
-                    () -> store.insist(new Op.Replace(record, body)));
+                    () -> store.insist(new StoreOperation.Replace(record, body)));
             return accept(record, jobClass);
         }
         if (ours.contains(before) && jobTable.get(record.id()) == null) {
@@ -283,7 +283,7 @@
             return;
         }
         store.ask(
-                new Op.Get(jid),
+                new StoreOperation.Get(jid),
                 found -> {
                     if (uncertain.get(jid) != ours) {
                         return; // pushed again meanwhile, and accepted
@@ -294,7 +294,7 @@
                     }
                     uncertain.remove(jid);
                     if (ours.contains(found) && jobTable.get(jid) == null) {
-                        store.insist(new Op.Drop(List.of(jid)));
+                        store.insist(new StoreOperation.Drop(List.of(jid)));
                     }
                 },
                 () -> loop.in(RETRY_US, () -> withdraw(jid)));
@@ -332,7 +332,7 @@
                     "a callback that was checked when its batch was made", e);
         }
         store.ask(
-                new Op.Add(record, pushed.body()),
+                new StoreOperation.Add(record, pushed.body()),
                 there -> {
                     if (there != null) {
                         before.accept(there);
@@ -369,7 +369,7 @@
             return;
         }
         store.ask(
-                new Op.Get(jid),
+                new StoreOperation.Get(jid),
                 record -> link.reply(Reply.bulk(tracked(jid, record))),
                 () -> link.reply(Reply.error("ERR the store is down")));
     }
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -1,16 +1,16 @@
 package damsonslip.faktory;
 
-import damsonslip.config.Site;
+import damsonslip.config.SiteSettings;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.routing.Routes;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
-import damsonslip.store.Op;
+import damsonslip.store.StoreOperation;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
@@ -29,8 +29,8 @@
      */
     private static final int BATCH = 400;
 
-    private final Loop loop;
-    private final Site site;
+    private final EventLoop loop;
+    private final SiteSettings site;
     private final AsyncStore store;
     private final Counters counters;
     private final Routes routes;
@@ -40,8 +40,8 @@
     private int recovered;
 
     Recovery(
-            Loop loop,
-            Site site,
+            EventLoop loop,
+            SiteSettings site,
             AsyncStore store,
             Counters counters,
             Routes routes,
@@ -64,15 +64,15 @@
      */
     void begin() {
         store.ask(
-                new Op.Notes(AdminCommands.PAUSED),
+                new StoreOperation.Notes(AdminCommands.PAUSED),
                 paused -> {
                     paused.keySet().forEach(coordinator.jobTable()::pause);
                     store.ask(
-                            new Op.Notes(BatchService.NOTE),
+                            new StoreOperation.Notes(BatchService.NOTE),
                             notes -> {
                                 batches.load(notes);
                                 store.ask(
-                                        new Op.Open(),
+                                        new StoreOperation.Open(),
                                         ids -> load(new ArrayList<>(ids), 0),
                                         this::retry);
                             },
@@ -93,7 +93,7 @@
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
         store.ask(
-                new Op.Load(part),
+                new StoreOperation.Load(part),
                 records -> {
                     records.forEach(this::recover);
                     load(ids, from + BATCH);
--- a/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -1,7 +1,7 @@
 package damsonslip.faktory.jobs;
 
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Failure;
@@ -102,14 +102,16 @@
 
     /** Whether the job's class allows a run at this time, given what may have run before. */
     public static boolean mayRun(JobRecord record, JobClass of, long atMs) {
-        if (record.neverRan() || of.effect() == Effect.SAFE) {
+        if (record.neverRan() || of.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
-        boolean deduplicated = of.effect() == Effect.KEYED && of.group() == Group.ALL;
+        boolean deduplicated =
+                of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
         long sinceMs =
                 atMs - record.firstRunMs(); // below 0 where the wall clock was put back: then
         // nobody knows
-        return deduplicated && sinceMs >= 0 && sinceMs < of.windowUs() / 1000;
+        return deduplicated && sinceMs >= 0 && sinceMs < of.idempotencyWindowUs() / 1000;
     }
 
     /**
@@ -124,7 +126,7 @@
         int count = record.failure() == null ? 0 : record.failure().count() + 1;
         Failure failure = failure(count, nowMs, 0, how, record.facts().backtrace());
         String message = how.type() + ": " + how.message();
-        if (of.effect() == Effect.UNSAFE) {
+        if (of.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return new NextState(
                     State.DEAD,
                     nowMs,
@@ -170,7 +172,7 @@
         return switch (record.state()) {
             case QUEUED -> recoveredFromQueue(record, of, nowMs, late);
             case RESERVED ->
-                    record.awaited() && !late && of.effect() == Effect.SAFE
+                    record.awaited() && !late && of.idempotency() == Idempotency.IDEMPOTENT
                             ? RecoveryAction.DISPATCH
                             : RecoveryAction.AWAIT_REPORT;
             default -> RecoveryAction.RESTORE;
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -1,8 +1,8 @@
 package damsonslip.membership.overrides;
 
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Status;
-import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -48,7 +48,7 @@
      * The last entry of each worker that a list has named; one that a later list left out has
      * status GONE.
      */
-    private final Map<String, Worker> lastListed = new TreeMap<>();
+    private final Map<String, WorkerEntry> lastListed = new TreeMap<>();
 
     /** Since when those have been gone that are. */
     private final Map<String, Long> goneSinceUs = new HashMap<>();
@@ -64,9 +64,10 @@
      *
      * @param mode whether the list is complete, so that workers it leaves out are gone
      */
-    public List<Worker> apply(ListMode mode, List<Worker> list, long nowUs) {
-        if (mode == ListMode.COMPLETE || mode == ListMode.KEPT) {
-            lastListed.replaceAll((id, worker) -> with(worker, Status.GONE, worker.startedUs()));
+    public List<WorkerEntry> apply(WorkerListChange mode, List<WorkerEntry> list, long nowUs) {
+        if (mode == WorkerListChange.COMPLETE || mode == WorkerListChange.KEPT) {
+            lastListed.replaceAll(
+                    (id, worker) -> with(worker, WorkerStatus.REMOVED, worker.startedUs()));
         }
         list.forEach(worker -> lastListed.put(worker.id(), worker));
         forget(nowUs);
@@ -76,7 +77,7 @@
     private void forget(long nowUs) {
         lastListed.forEach(
                 (id, worker) -> {
-                    if (worker.status() == Status.GONE) {
+                    if (worker.status() == WorkerStatus.REMOVED) {
                         goneSinceUs.putIfAbsent(id, nowUs);
                     } else {
                         goneSinceUs.remove(id);
@@ -91,15 +92,15 @@
         goneSinceUs.keySet().retainAll(lastListed.keySet());
     }
 
-    private Worker overridden(Worker worker) {
-        boolean drains = disabled.contains(worker.id()) && worker.status() == Status.RUNNING;
-        Status status = drains ? Status.DRAINING : worker.status();
+    private WorkerEntry overridden(WorkerEntry worker) {
+        boolean drains = disabled.contains(worker.id()) && worker.status() == WorkerStatus.RUNNING;
+        WorkerStatus status = drains ? WorkerStatus.DRAINING : worker.status();
         long enabledUs = enabledAtUs.getOrDefault(worker.id(), Long.MIN_VALUE);
         return with(worker, status, Math.max(worker.startedUs(), enabledUs));
     }
 
-    private static Worker with(Worker w, Status status, long startedUs) {
-        return new Worker(w.id(), w.zone(), w.cell(), w.kind(), status, startedUs);
+    private static WorkerEntry with(WorkerEntry w, WorkerStatus status, long startedUs) {
+        return new WorkerEntry(w.id(), w.zone(), w.cell(), w.kind(), status, startedUs);
     }
 
     /** Whether any list has named this worker, or it is disabled. */
@@ -111,7 +112,7 @@
      * What the newest list that named this worker says of it, without the overrides; null if none
      * has.
      */
-    public Worker listed(String id) {
+    public WorkerEntry listed(String id) {
         return lastListed.get(id);
     }
 
@@ -121,14 +122,14 @@
     }
 
     /** Disables a worker; returns the list changes that follow, none if it was disabled already. */
-    public List<Worker> disable(String id) {
+    public List<WorkerEntry> disable(String id) {
         return disabled.add(id) ? listChanges(List.of(id)) : List.of();
     }
 
     /**
      * Enables a worker again; returns the list changes that follow, none if it was not disabled.
      */
-    public List<Worker> enable(String id, long nowUs) {
+    public List<WorkerEntry> enable(String id, long nowUs) {
         if (!disabled.remove(id)) {
             return List.of();
         }
@@ -136,7 +137,7 @@
         return listChanges(List.of(id));
     }
 
-    private List<Worker> listChanges(Collection<String> ids) {
+    private List<WorkerEntry> listChanges(Collection<String> ids) {
         return ids.stream()
                 .filter(lastListed::containsKey)
                 .map(id -> overridden(lastListed.get(id)))
@@ -146,8 +147,8 @@
     /** The ids of the workers that are on the list now, running or draining. */
     public Set<String> listedWorkers() {
         return lastListed.values().stream()
-                .filter(worker -> worker.status() != Status.GONE)
-                .map(Worker::id)
+                .filter(worker -> worker.status() != WorkerStatus.REMOVED)
+                .map(WorkerEntry::id)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
@@ -176,7 +177,7 @@
      * @throws MalformedException if the text is incomplete or of another version; nothing has
      *     changed then
      */
-    public List<Worker> restore(String text) throws MalformedException {
+    public List<WorkerEntry> restore(String text) throws MalformedException {
         Parsed parsed = parse(text);
         Set<String> changed = new TreeSet<>(parsed.disabled());
         changed.addAll(disabled);
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -3,31 +3,31 @@
 import damsonslip.admin.management.ManagementServer;
 import damsonslip.admin.upgrade.SharedDirectory;
 import damsonslip.admin.upgrade.UpgradeCoordinator;
-import damsonslip.config.BadInput;
-import damsonslip.config.NodeConfig;
-import damsonslip.config.UnreadableFile;
+import damsonslip.config.ConfigurationException;
+import damsonslip.config.SchedulerConfig;
+import damsonslip.config.UnreadableConfigurationException;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
 import damsonslip.engine.EventLog.Kind;
-import damsonslip.engine.Front;
-import damsonslip.engine.Leave;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.Frontend;
+import damsonslip.engine.GracefulShutdown;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.StartGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
 import damsonslip.engine.shutdown.ShutdownTimes;
 import damsonslip.membership.peers.PeerProcesses;
-import damsonslip.platform.client.ClientSide;
-import damsonslip.platform.discovery.HostGroup;
-import damsonslip.platform.worker.ServerSide;
-import damsonslip.policy.api.AddressNews;
+import damsonslip.platform.client.ClientServer;
+import damsonslip.platform.discovery.WorkerRegistry;
+import damsonslip.platform.worker.WorkerClient;
+import damsonslip.policy.api.DiscoveryAddressState;
 import damsonslip.transport.Address;
-import damsonslip.transport.Links;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.DescriptorShortage;
 import damsonslip.transport.ListeningPort;
-import damsonslip.transport.SocketShortage;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -49,7 +49,7 @@
 /**
  * The platform's front put together: HTTP from clients, HTTP to workers, the list from discovery.
  */
-public final class Platform implements Front {
+public final class Platform implements Frontend {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
 
     /**
@@ -89,15 +89,15 @@
     /** The exit waits so long at the most for its mark to go. */
     private static final long LAST_TASK_MS = 100;
 
-    private final Loop loop;
-    private final Phase phase;
+    private final EventLoop loop;
+    private final LifecyclePhase phase;
     private final Counters counters;
-    private final NodeConfig config;
+    private final SchedulerConfig config;
     private final Map<String, String> environment;
-    private final Driver driver;
+    private final SchedulerEngine driver;
     private final ShutdownTimes stopTimes;
-    private ClientSide clients;
-    private ServerSide servers;
+    private ClientServer clients;
+    private WorkerClient servers;
     private ListeningPort listener;
     private UpgradeCoordinator handover;
 
@@ -107,10 +107,10 @@
     private boolean folderTried;
 
     public Platform(
-            Loop loop,
-            Phase phase,
+            EventLoop loop,
+            LifecyclePhase phase,
             Counters counters,
-            NodeConfig config,
+            SchedulerConfig config,
             Map<String, String> environment) {
         this.loop = loop;
         this.phase = phase;
@@ -119,8 +119,8 @@
         this.environment = environment;
         this.stopTimes = ShutdownTimes.of(longestDeadlineUs());
         this.driver =
-                new Driver(
-                        config.site().settings().withProbesThatTellDrains(),
+                new SchedulerEngine(
+                        config.site().settings().withProbesReportingDraining(),
                         config.seed(),
                         loop,
                         counters);
@@ -138,15 +138,15 @@
     }
 
     @Override
-    public void start() throws BadInput, IOException {
+    public void start() throws ConfigurationException, IOException {
         InetSocketAddress listen = address("listen", config.listen());
         InetSocketAddress discovery = address("discovery", config.discovery());
-        Links links = Links.start(loop, config.site().connectUs() / 1000);
+        ConnectionManager links = ConnectionManager.start(loop, config.site().connectUs() / 1000);
         clients =
-                new ClientSide(
+                new ClientServer(
                         links, config.site(), driver, phase, counters, rest(1) / 2, overflow(1));
-        servers = new ServerSide(links, config.site(), driver, counters, discovery, rest(1) / 2);
-        HostGroup.Update known = known(servers.hosts());
+        servers = new WorkerClient(links, config.site(), driver, counters, discovery, rest(1) / 2);
+        WorkerRegistry.Update known = known(servers.hosts());
         Path folder = folder();
         keepsBans = folder != null;
         CompletableFuture<Boolean> open = new CompletableFuture<>();
@@ -162,7 +162,7 @@
     }
 
     private void begin(
-            HostGroup.Update known,
+            WorkerRegistry.Update known,
             InetSocketAddress listen,
             Path folder,
             CompletableFuture<Boolean> open) {
@@ -194,8 +194,8 @@
             }
             open.complete(listener != null);
         } catch (IOException e) {
-            if (SocketShortage.mayPass(e)) {
-                loop.in(SocketShortage.AGAIN_MS * 1_000, () -> open(listen, shared, open));
+            if (DescriptorShortage.mayPass(e)) {
+                loop.in(DescriptorShortage.AGAIN_MS * 1_000, () -> open(listen, shared, open));
             } else {
                 open.completeExceptionally(e);
             }
@@ -242,7 +242,7 @@
     }
 
     /** The folder where processes of one scheduler meet; null if there cannot be another one. */
-    private Path folder() throws BadInput {
+    private Path folder() throws ConfigurationException {
         String path = environment.getOrDefault("TMPDIR", "");
         if (config.mgmt().isBlank() || path.isBlank()) {
             return null;
@@ -253,9 +253,9 @@
                 return folder;
             }
         } catch (InvalidPathException e) {
-            throw new BadInput("config: TMPDIR: cannot be used: " + e.getMessage());
+            throw new ConfigurationException("config: TMPDIR: cannot be used: " + e.getMessage());
         }
-        throw new BadInput("config: TMPDIR: not a folder: " + path);
+        throw new ConfigurationException("config: TMPDIR: not a folder: " + path);
     }
 
     private int overflow(int processes) {
@@ -292,11 +292,12 @@
         }
     }
 
-    private static InetSocketAddress address(String name, String text) throws BadInput {
+    private static InetSocketAddress address(String name, String text)
+            throws ConfigurationException {
         try {
             return Address.parse(text);
         } catch (IllegalArgumentException e) {
-            throw new BadInput("config: " + name + ": " + e.getMessage());
+            throw new ConfigurationException("config: " + name + ": " + e.getMessage());
         }
     }
 
@@ -313,18 +314,23 @@
         boolean refused = false;
         while (!phase.atLeast(State.FINISHING)) {
             try {
-                follow(NodeConfig.read(environment), signalUs);
+                follow(SchedulerConfig.read(environment), signalUs);
                 return;
-            } catch (BadInput e) {
+            } catch (ConfigurationException e) {
                 if (!refused) {
                     LOG.warn("reload: {}; what held before goes on", e.getMessage());
                     counters.add(Count.RELOADS_REFUSED);
-                    loop.execute(() -> servers.configurationNews(AddressNews.UNREAD, signalUs));
+                    loop.execute(
+                            () ->
+                                    servers.configurationNews(
+                                            DiscoveryAddressState.UNREAD, signalUs));
                     refused = true;
                 }
-                if (!(e instanceof UnreadableFile) && System.nanoTime() > patienceEndsNs
+                if (!(e instanceof UnreadableConfigurationException)
+                                && System.nanoTime() > patienceEndsNs
                         || !pause()) {
-                    loop.execute(() -> servers.configurationNews(AddressNews.READ, signalUs));
+                    loop.execute(
+                            () -> servers.configurationNews(DiscoveryAddressState.READ, signalUs));
                     return;
                 }
             }
@@ -341,7 +347,7 @@
         }
     }
 
-    private void follow(NodeConfig fresh, long signalUs) throws BadInput {
+    private void follow(SchedulerConfig fresh, long signalUs) throws ConfigurationException {
         InetSocketAddress discovery = address("discovery", fresh.discovery());
         if (!fresh.listen().equals(config.listen()) || !fresh.site().equals(config.site())) {
             LOG.warn("reload: another listen or other settings take effect at the next start only");
@@ -351,15 +357,15 @@
         loop.execute(() -> servers.discoverAt(discovery, signalUs));
     }
 
-    private HostGroup.Update known(HostGroup hosts) throws BadInput {
+    private WorkerRegistry.Update known(WorkerRegistry hosts) throws ConfigurationException {
         if (config.known().isMissingNode() || config.known().isNull()) {
-            return new HostGroup.Update(0, true, Collections.emptyList());
+            return new WorkerRegistry.Update(0, true, Collections.emptyList());
         }
         try {
-            HostGroup.Update known = hosts.decode(config.known());
-            return new HostGroup.Update(known.generation(), true, known.entries());
-        } catch (HostGroup.Malformed e) {
-            throw new BadInput("config: known: " + e.getMessage());
+            WorkerRegistry.Update known = hosts.decode(config.known());
+            return new WorkerRegistry.Update(known.generation(), true, known.entries());
+        } catch (WorkerRegistry.Malformed e) {
+            throw new ConfigurationException("config: known: " + e.getMessage());
         }
     }
 
@@ -385,7 +391,7 @@
     private void leaveServing(long toldUs) {
         clients.answerBy(toldUs + stopTimes.answerDeadlineUs());
         loop.at(toldUs + stopTimes.answerDeadlineUs(), driver::answerAll);
-        new Leave(
+        new GracefulShutdown(
                         loop,
                         phase,
                         stopTimes.acceptUs(),
@@ -460,7 +466,7 @@
     }
 
     @Override
-    public Driver driver() {
+    public SchedulerEngine driver() {
         return driver;
     }
 }
--- a/src/main/java/damsonslip/platform/client/ClientLink.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -1,17 +1,17 @@
 package damsonslip.platform.client;
 
-import damsonslip.engine.Answer;
-import damsonslip.engine.AnswerListener;
-import damsonslip.engine.Exchange;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Query;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.Request;
+import damsonslip.engine.RequestContext;
+import damsonslip.engine.Response;
+import damsonslip.engine.ResponseListener;
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
 import damsonslip.platform.codec.Encoder;
 import damsonslip.platform.codec.Field;
-import damsonslip.transport.Link;
-import damsonslip.transport.Outflow;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -20,7 +20,7 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /** A client's connection: one query at a time, from its bytes to its answer. */
-final class ClientLink extends Link implements AnswerListener {
+final class ClientConnection extends EventLoopConnection implements ResponseListener {
     private static final byte[] CONTINUE =
             "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -44,18 +44,18 @@
      */
     private static final int MOST_AHEAD = Field.MOST_HEADERS + Field.MOST_BODY;
 
-    private final Outflow reading;
-    private final ClientSide side;
-    private final QueryReader reader = new QueryReader();
+    private final OutboundRateMonitor reading;
+    private final ClientServer side;
+    private final RequestReader reader = new RequestReader();
     private final Arrivals arrivals = new Arrivals();
-    private Exchange exchange;
+    private RequestContext exchange;
 
     /**
      * A query that has come whole and is taken once all that came behind it is read. Guards against
      * a client that has left by then: where the loop was held up, query and close are there
      * together, and an attempt would be for nobody.
      */
-    private Query arrived;
+    private Request arrived;
 
     /** A message is being served, by a worker or by ourselves. */
     private boolean busy;
@@ -66,7 +66,7 @@
      * Runs while a message is awaited, the first one from the start on, others once they have
      * begun.
      */
-    private Loop.Timer overdue;
+    private EventLoop.Timer overdue;
 
     /** Whole messages that could be read, and those of them that a worker has served. */
     private int whole;
@@ -74,10 +74,11 @@
     private int served;
     long idleSinceUs;
 
-    ClientLink(EndPoint endPoint, ClientSide side) {
+    ClientConnection(EndPoint endPoint, ClientServer side) {
         super(endPoint, side.loop(), MOST_AHEAD);
         this.side = side;
-        this.reading = new Outflow(side.loop(), READING, this::backlog, this::readsNothing);
+        this.reading =
+                new OutboundRateMonitor(side.loop(), READING, this::backlog, this::readsNothing);
     }
 
     @Override
@@ -100,14 +101,14 @@
         }
         try {
             int before = bytes.remaining();
-            QueryHead head = reader.read(bytes);
+            RequestHead head = reader.read(bytes);
             Arrivals.Arrival came = arrivals.read(before - bytes.remaining(), now);
             if (head != null) {
                 busy = true;
                 whole++;
                 cancelOverdue();
-                if (!QueryReader.mayBegin(bytes)) {
-                    throw new QueryHead.Bad(400, "longer than it says");
+                if (!RequestReader.mayBegin(bytes)) {
+                    throw new RequestHead.Bad(400, "longer than it says");
                 }
                 ask(head, came);
             } else {
@@ -118,7 +119,7 @@
                     overdue = side.loop().in(WHOLE_US, this::overdue);
                 }
             }
-        } catch (QueryHead.Bad e) {
+        } catch (RequestHead.Bad e) {
             refuse(e);
         }
     }
@@ -129,7 +130,7 @@
      * were one.
      */
     private void checkAhead(ByteBuffer bytes) {
-        boolean query = QueryReader.mayBegin(bytes);
+        boolean query = RequestReader.mayBegin(bytes);
         if (query && bytes.remaining() < MOST_AHEAD) {
             return;
         }
@@ -143,7 +144,7 @@
         exchange = null;
         arrived = null;
         refuse(
-                new QueryHead.Bad(
+                new RequestHead.Bad(
                         400, query ? "too much sent ahead of its answer" : "longer than it says"));
     }
 
@@ -151,7 +152,7 @@
      * An error is the last thing on a connection: who has sent one bad message may have hidden
      * others in it.
      */
-    private void refuse(QueryHead.Bad bad) {
+    private void refuse(RequestHead.Bad bad) {
         busy = true;
         leaving = true;
         side.bad(bad);
@@ -171,7 +172,7 @@
         }
         if (begun) {
             cancelOverdue();
-            refuse(new QueryHead.Bad(408, "the query did not come whole"));
+            refuse(new RequestHead.Bad(408, "the query did not come whole"));
         } else if (!reader.midway()) { // one that has begun in this moment has its own time
             endWhenWritten();
         }
@@ -184,13 +185,13 @@
         }
     }
 
-    private void ask(QueryHead head, Arrivals.Arrival came) throws QueryHead.Bad {
+    private void ask(RequestHead head, Arrivals.Arrival came) throws RequestHead.Bad {
         switch (head.path()) {
             case "/api" -> {
                 if (!head.method().equals("POST")) {
-                    throw new QueryHead.Bad(405, "POST only");
+                    throw new RequestHead.Bad(405, "POST only");
                 }
-                Query query = head.query(side.site(), came, side.latestUs());
+                Request query = head.query(side.site(), came, side.latestUs());
                 if (query.deadlineUs()
                         <= side.loop().now()) { // its time has passed behind the ones before it
                     reply(503, "out of time", HttpFields.build());
@@ -203,7 +204,7 @@
                             side.healthy() ? 200 : 503,
                             side.healthy() ? "ok" : "leaving",
                             HttpFields.build());
-            default -> throw new QueryHead.Bad(404, "no such path");
+            default -> throw new RequestHead.Bad(404, "no such path");
         }
     }
 
@@ -212,13 +213,13 @@
         if (arrived == null) {
             return;
         }
-        Query query = arrived;
+        Request query = arrived;
         arrived = null;
         try {
             // the answer may come within the call, before there is an exchange to remember
-            Exchange taken = side.take(query, this);
+            RequestContext taken = side.take(query, this);
             exchange = taken.closed() ? null : taken;
-        } catch (QueryHead.Bad e) {
+        } catch (RequestHead.Bad e) {
             refuse(e);
         }
     }
@@ -235,7 +236,7 @@
     }
 
     @Override
-    public void answer(Answer answer) {
+    public void answer(Response answer) {
         exchange = null;
         HttpFields.Mutable fields = HttpFields.build();
         switch (answer.kind()) {
@@ -277,7 +278,7 @@
         return reading.shown("reads an answer", peer());
     }
 
-    Outflow reading() {
+    OutboundRateMonitor reading() {
         return reading;
     }
 
@@ -363,7 +364,7 @@
     }
 
     /** The order in which they go when there is no room. */
-    static int compareMissed(ClientLink one, ClientLink other) {
+    static int compareMissed(ClientConnection one, ClientConnection other) {
         int worth = Integer.compare(one.worth(), other.worth());
         return worth != 0 ? worth : Long.compare(one.idleSinceUs, other.idleSinceUs);
     }
--- a/src/main/java/damsonslip/platform/client/ClientSide.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -1,23 +1,23 @@
 package damsonslip.platform.client;
 
-import damsonslip.config.Site;
+import damsonslip.config.SiteSettings;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
 import damsonslip.engine.EventLog.Kind;
-import damsonslip.engine.Exchange;
-import damsonslip.engine.Loop;
-import damsonslip.engine.Phase;
-import damsonslip.engine.Phase.State;
-import damsonslip.engine.Query;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.Request;
+import damsonslip.engine.RequestContext;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
+import damsonslip.transport.ConnectionLimiter;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
 import damsonslip.transport.ListeningPort;
-import damsonslip.transport.Outflow;
-import damsonslip.transport.Room;
+import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.BufferBudget;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -30,11 +30,11 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes queries in from clients and gives them their answers. */
-public final class ClientSide implements Links.Accepting {
+public final class ClientServer implements ConnectionManager.ConnectionAcceptor {
     /** Answers that wait to be read may hold this part of the heap, all together. */
     private static final int PART_OF_HEAP = 8;
 
-    private static final Logger LOG = LoggerFactory.getLogger(ClientSide.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
 
     /** Ids of queries that are remembered: more than come in within the longest deadline. */
     private static final int MOST_TAKEN = 4_000;
@@ -45,12 +45,12 @@
      */
     private static final long SWEEP_US = 50_000;
 
-    private final Links links;
-    private final Site site;
-    private final Driver driver;
-    private final Phase phase;
+    private final ConnectionManager links;
+    private final SiteSettings site;
+    private final SchedulerEngine driver;
+    private final LifecyclePhase phase;
     private final Counters counters;
-    private final Room<ClientLink> room;
+    private final ConnectionLimiter<ClientConnection> room;
     private long latestUs = Long.MAX_VALUE;
     private ConnectionDraining draining;
     private boolean succeeded;
@@ -69,11 +69,11 @@
     /**
      * At most so many connections are kept, with some more for the moment until others have gone.
      */
-    public ClientSide(
-            Links links,
-            Site site,
-            Driver driver,
-            Phase phase,
+    public ClientServer(
+            ConnectionManager links,
+            SiteSettings site,
+            SchedulerEngine driver,
+            LifecyclePhase phase,
             Counters counters,
             int mostLinks,
             int overflow) {
@@ -82,7 +82,12 @@
         this.driver = driver;
         this.phase = phase;
         this.counters = counters;
-        this.room = new Room<>(mostLinks, overflow, ClientLink::mayGo, ClientLink::compareMissed);
+        this.room =
+                new ConnectionLimiter<>(
+                        mostLinks,
+                        overflow,
+                        ClientConnection::mayGo,
+                        ClientConnection::compareMissed);
     }
 
     /** Accepts connections from now on, beside another process where the address is shared. */
@@ -148,16 +153,16 @@
     }
 
     @Override
-    public Link open(EndPoint endPoint) {
-        return new ClientLink(endPoint, this);
+    public EventLoopConnection open(EndPoint endPoint) {
+        return new ClientConnection(endPoint, this);
     }
 
-    void opened(ClientLink link) {
+    void opened(ClientConnection link) {
         counters.add(Count.CLIENT_LINKS_OPENED);
         room.opened(link);
     }
 
-    void closed(ClientLink link, CloseGuard.Facts how) {
+    void closed(ClientConnection link, CloseGuard.Facts how) {
         room.closed(link);
         driver.events().add(loop().now(), Kind.CLIENT_CLOSED, how.job(), how.reason(), 0);
         driver.monitor().permits(CloseGuard.check(how));
@@ -169,9 +174,9 @@
      * at us again as soon as it was turned away. Neither may run beside or after the first, nor
      * disturb it.
      */
-    Exchange take(Query query, ClientLink link) throws QueryHead.Bad {
+    RequestContext take(Request query, ClientConnection link) throws RequestHead.Bad {
         if (driver.holds(query.id()) || taken.containsKey(query.id())) {
-            throw new QueryHead.Bad(409, "this id was used already: " + query.id());
+            throw new RequestHead.Bad(409, "this id was used already: " + query.id());
         }
         taken.put(query.id(), true);
         return driver.take(query, link);
@@ -191,9 +196,9 @@
      * Guards the heap: many clients that read nothing hold an answer each. Looked at when a further
      * answer was not taken at once, which usual clients' answers are.
      */
-    void checkBudget(Outflow newest) {
+    void checkBudget(OutboundRateMonitor newest) {
         if (newest.waits()) {
-            List<ClientLink> over =
+            List<ClientConnection> over =
                     BufferBudget.over(
                             Runtime.getRuntime().maxMemory() / PART_OF_HEAP,
                             room.all().stream()
@@ -210,7 +215,9 @@
 
     /** Clients that have yet to read their answers. */
     public Stream<SlowPeer> slowPeers() {
-        return room.all().stream().filter(link -> link.reading().waits()).map(ClientLink::shown);
+        return room.all().stream()
+                .filter(link -> link.reading().waits())
+                .map(ClientConnection::shown);
     }
 
     void readsNothing() {
@@ -218,7 +225,7 @@
         LOG.warn("a client reads nothing of its answer and is let go");
     }
 
-    void bad(QueryHead.Bad why) {
+    void bad(RequestHead.Bad why) {
         counters.add(Count.QUERIES_BAD);
         driver.events().add(loop().now(), Kind.REFUSED_AS_BAD, "", why.getMessage(), why.status());
     }
@@ -227,15 +234,15 @@
         return phase.is(State.SERVING);
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return links.loop();
     }
 
-    Site site() {
+    SiteSettings site() {
         return site;
     }
 
-    Driver driver() {
+    SchedulerEngine driver() {
         return driver;
     }
 }
--- a/src/main/java/damsonslip/platform/client/QueryHead.java
+++ b/src/main/java/damsonslip/platform/client/RequestHead.java
@@ -1,7 +1,7 @@
 package damsonslip.platform.client;
 
-import damsonslip.config.Site;
-import damsonslip.engine.Query;
+import damsonslip.config.SiteSettings;
+import damsonslip.engine.Request;
 import damsonslip.platform.codec.Field;
 import damsonslip.platform.codec.HttpForward;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * @param fields the header fields that matter here, by their names in lower case
  * @param body the content
  */
-record QueryHead(String method, String target, Map<String, String> fields, byte[] body) {
+record RequestHead(String method, String target, Map<String, String> fields, byte[] body) {
     /**
      * No worker has more slots, or more units of memory; what claims more would only spoil the
      * estimates.
@@ -69,7 +69,7 @@
      * Who it is for, by the names that the settings give; where these have none, nobody in
      * particular.
      */
-    private int tenant(Site site) throws Bad {
+    private int tenant(SiteSettings site) throws Bad {
         if (site.tenantNames().isEmpty()) {
             return 0;
         }
@@ -84,7 +84,7 @@
      * The query that this message asks, which came then; it is answered by the latest time at any
      * rate.
      */
-    Query query(Site site, Arrivals.Arrival came, long latestUs) throws Bad {
+    Request query(SiteSettings site, Arrivals.Arrival came, long latestUs) throws Bad {
         String id = plain(Field.ID, needed(Field.ID), ' ');
         int jobClass = site.classNames().indexOf(needed(Field.CLASS));
         if (jobClass < 0) {
@@ -119,7 +119,7 @@
                         plain("Content-Type", field("Content-Type"), ' '),
                         body);
         long deadline = Math.min(came.takenUs() + timeLeft, latestUs);
-        return new Query(
+        return new Request(
                 id,
                 jobClass,
                 tenant,
--- a/src/main/java/damsonslip/platform/client/QueryReader.java
+++ b/src/main/java/damsonslip/platform/client/RequestReader.java
@@ -20,7 +20,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** Decodes a client's bytes, message by message. */
-final class QueryReader implements HttpParser.RequestHandler {
+final class RequestReader implements HttpParser.RequestHandler {
     private static final List<String> METHODS =
             Arrays.stream(HttpMethod.values()).map(m -> m.asString() + " ").toList();
     private static final int LONGEST_METHOD =
@@ -43,10 +43,10 @@
     private boolean persistent;
     private boolean expectsContinue;
     private boolean whole;
-    private QueryHead.Bad bad;
+    private RequestHead.Bad bad;
 
     /** Takes bytes in; gives a message once it is whole, else null. */
-    QueryHead read(ByteBuffer bytes) throws QueryHead.Bad {
+    RequestHead read(ByteBuffer bytes) throws RequestHead.Bad {
         while (!whole && bad == null && BufferUtil.hasContent(bytes)) {
             int before = bytes.remaining();
             parser.parseNext(bytes);
@@ -57,7 +57,7 @@
         if (bad != null) {
             throw bad;
         }
-        return whole ? new QueryHead(method, target, fields, body.toByteArray()) : null;
+        return whole ? new RequestHead(method, target, fields, body.toByteArray()) : null;
     }
 
     /** Whether these bytes, as far as they go, can be the beginning of a message. */
@@ -115,10 +115,10 @@
         } else if (name.equals("expect")) {
             expectsContinue = value.equalsIgnoreCase("100-continue");
         } else if (name.equals("content-length") && parser.getContentLength() > Field.MOST_BODY) {
-            bad = new QueryHead.Bad(413, "body too large");
+            bad = new RequestHead.Bad(413, "body too large");
         }
         if (fields.put(name, value) != null && SINGLE.contains(name)) {
-            bad = new QueryHead.Bad(400, "twice: " + field.getName());
+            bad = new RequestHead.Bad(400, "twice: " + field.getName());
         }
     }
 
@@ -130,7 +130,7 @@
     @Override
     public boolean content(ByteBuffer part) {
         if (body.size() + part.remaining() > Field.MOST_BODY) {
-            bad = new QueryHead.Bad(413, "body too large");
+            bad = new RequestHead.Bad(413, "body too large");
             return true;
         }
         byte[] bytes = new byte[part.remaining()];
@@ -158,7 +158,7 @@
         if (bad == null) {
             int status = failure.getCode() == 414 ? 431 : failure.getCode();
             bad =
-                    new QueryHead.Bad(
+                    new RequestHead.Bad(
                             status,
                             failure.getReason() == null ? "malformed" : failure.getReason());
         }
--- a/src/main/java/damsonslip/platform/codec/AnswerReader.java
+++ b/src/main/java/damsonslip/platform/codec/ResponseReader.java
@@ -11,11 +11,11 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** Decodes what a worker or discovery answers: a head, then lines or a plain body. */
-public final class AnswerReader implements HttpParser.ResponseHandler {
+public final class ResponseReader implements HttpParser.ResponseHandler {
     private static final int MOST_HEADERS = 8 * 1024;
 
     /** What is read, as it comes; after {@link #ended} nothing more of the same answer. */
-    public interface Taker {
+    public interface Listener {
         void head(int status, Map<String, String> fields);
 
         void body(byte[] part);
@@ -28,14 +28,14 @@
     }
 
     private final HttpParser parser = new HttpParser(this, MOST_HEADERS);
-    private final Taker taker;
+    private final Listener taker;
     private Map<String, String> fields = new HashMap<>();
     private int status;
     private boolean persistent;
     private boolean over;
     private boolean broken;
 
-    public AnswerReader(Taker taker) {
+    public ResponseReader(Listener taker) {
         this.taker = taker;
     }
 
--- a/src/main/java/damsonslip/platform/discovery/Discovery.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -1,14 +1,14 @@
 package damsonslip.platform.discovery;
 
-import damsonslip.engine.Driver;
-import damsonslip.engine.Loop;
-import damsonslip.platform.codec.AnswerReader;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.platform.codec.Encoder;
-import damsonslip.policy.api.AddressNews;
-import damsonslip.policy.api.ListMode;
-import damsonslip.transport.DialFailure;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
+import damsonslip.platform.codec.ResponseReader;
+import damsonslip.policy.api.DiscoveryAddressState;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.transport.ConnectFailure;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -20,8 +20,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Watches discovery's list, one watch at a time; when to ask again is the module's decision. */
-public final class Discovery {
-    private static final Logger LOG = LoggerFactory.getLogger(Discovery.class);
+public final class DiscoveryClient {
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
     /**
      * A watch says something every two seconds; one that is silent for longer than this is dead.
@@ -38,9 +38,9 @@
     private static final MinimumDataRate.Limits COMING =
             new MinimumDataRate.Limits(SILENT_US, SILENT_US, 4 * 1024);
 
-    private final Links links;
-    private final HostGroup hosts;
-    private final Driver driver;
+    private final ConnectionManager links;
+    private final WorkerRegistry hosts;
+    private final SchedulerEngine driver;
 
     /**
      * Where lists are pushed, what is there counts as told whether it is watched or not, and asking
@@ -66,11 +66,11 @@
     private Watch current;
     private Runnable told = () -> {};
 
-    public Discovery(
-            Links links,
+    public DiscoveryClient(
+            ConnectionManager links,
             InetSocketAddress address,
-            HostGroup hosts,
-            Driver driver,
+            WorkerRegistry hosts,
+            SchedulerEngine driver,
             boolean pushed) {
         this.links = links;
         this.address = address;
@@ -96,11 +96,11 @@
      * @param sinceUs when the operators asked for the reload
      */
     public void moveTo(InetSocketAddress next, long sinceUs) {
-        driver.discoveryAddress(AddressNews.READ, sinceUs);
+        driver.discoveryAddress(DiscoveryAddressState.READ, sinceUs);
         if (!next.equals(address)) {
             address = next;
             unheard = true;
-            driver.discoveryAddress(AddressNews.MOVED, sinceUs);
+            driver.discoveryAddress(DiscoveryAddressState.MOVED, sinceUs);
             connect();
         }
     }
@@ -120,24 +120,24 @@
         dialling = true;
         links.connect(
                 address,
-                new Links.Opening() {
+                new ConnectionManager.ConnectionFactory() {
                     @Override
-                    public Link open(EndPoint endPoint) {
+                    public EventLoopConnection open(EndPoint endPoint) {
                         return new Watch(endPoint, links.loop(), number);
                     }
 
                     @Override
-                    public void failed(DialFailure why) {
+                    public void failed(ConnectFailure why) {
                         String words =
                                 switch (why) {
                                     case UNREACHABLE -> "it cannot be reached";
                                     case LOCAL -> "no socket can be had here";
                                     case UNHEARD -> "its connection came up unheard";
                                 };
-                        ListMode loss =
-                                why == DialFailure.UNREACHABLE
-                                        ? ListMode.UNREACHABLE
-                                        : ListMode.NOT_CALLED;
+                        WorkerListChange loss =
+                                why == ConnectFailure.UNREACHABLE
+                                        ? WorkerListChange.UNREACHABLE
+                                        : WorkerListChange.NOT_CALLED;
                         over(number, words, loss, links.loop().now());
                     }
                 });
@@ -147,29 +147,29 @@
      * Has the list watched again, unless a newer watch is on its way: where it is asked for, when
      * the module says so.
      */
-    private void over(int number, String why, ListMode loss, long heardUs) {
+    private void over(int number, String why, WorkerListChange loss, long heardUs) {
         LOG.info("the watch on discovery is over: {}", why);
         if (number == newest) {
             dialling = false;
             if (pushed) {
                 links.loop().in(PUSHED_AGAIN_US, this::watch);
             }
-            if (!pushed || loss == ListMode.NOT_CALLED) {
+            if (!pushed || loss == WorkerListChange.NOT_CALLED) {
                 driver.listLost(loss, heardUs);
             }
         }
     }
 
-    private final class Watch extends Link implements AnswerReader.Taker {
-        private final AnswerReader reader = new AnswerReader(this);
-        private final Objects objects = new Objects(MOST_OBJECT);
+    private final class Watch extends EventLoopConnection implements ResponseReader.Listener {
+        private final ResponseReader reader = new ResponseReader(this);
+        private final JsonObjectDecoder objects = new JsonObjectDecoder(MOST_OBJECT);
         private final MinimumDataRate coming = new MinimumDataRate(COMING);
-        private Loop.Timer silent;
+        private EventLoop.Timer silent;
         private final int number;
         private int status;
         private long heardUs;
 
-        Watch(EndPoint endPoint, Loop loop, int number) {
+        Watch(EndPoint endPoint, EventLoop loop, int number) {
             super(endPoint, loop);
             this.number = number;
         }
@@ -212,10 +212,10 @@
          * the watch is well.
          */
         private void quiet() {
-            Loop.Timer due = silent;
+            EventLoop.Timer due = silent;
             look();
             if (silent == due) {
-                fail("it is silent", ListMode.SILENT);
+                fail("it is silent", WorkerListChange.SILENT);
             }
         }
 
@@ -258,13 +258,13 @@
 
         private void take(String object) {
             try {
-                HostGroup.Update update = hosts.decode(object);
+                WorkerRegistry.Update update = hosts.decode(object);
                 if (unheard && number == newest) {
                     unheard = false;
-                    driver.discoveryAddress(AddressNews.HEARD, links.loop().now());
+                    driver.discoveryAddress(DiscoveryAddressState.HEARD, links.loop().now());
                 }
-                driver.listed(HostGroup.mode(update), hosts.apply(update, arrivedAfterUs()));
-            } catch (HostGroup.Malformed e) {
+                driver.listed(WorkerRegistry.mode(update), hosts.apply(update, arrivedAfterUs()));
+            } catch (WorkerRegistry.Malformed e) {
                 fail(e.getMessage());
                 return;
             }
@@ -282,10 +282,10 @@
         }
 
         private void fail(String why) {
-            fail(why, ListMode.FAILED);
+            fail(why, WorkerListChange.FAILED);
         }
 
-        private void fail(String why, ListMode loss) {
+        private void fail(String why, WorkerListChange loss) {
             if (!isClosed()) {
                 end();
                 over(number, why, loss, heardUs);
@@ -294,7 +294,7 @@
 
         @Override
         protected void lost() {
-            over(number, "the connection broke", ListMode.FAILED, arrivedAfterUs());
+            over(number, "the connection broke", WorkerListChange.FAILED, arrivedAfterUs());
         }
 
         @Override
--- a/src/main/java/damsonslip/platform/discovery/Objects.java
+++ b/src/main/java/damsonslip/platform/discovery/JsonObjectDecoder.java
@@ -10,7 +10,7 @@
  * bounded, so that one that never ends cannot fill the memory. What is between the braces is for
  * the parser to judge.
  */
-public final class Objects {
+public final class JsonObjectDecoder {
     private final int most;
     private ByteArrayOutputStream begun = new ByteArrayOutputStream();
     private int depth;
@@ -20,7 +20,7 @@
     /** Nothing stands in the line at hand yet. */
     private boolean blank;
 
-    public Objects(int most) {
+    public JsonObjectDecoder(int most) {
         this.most = most;
     }
 
--- a/src/main/java/damsonslip/platform/discovery/HostGroup.java
+++ b/src/main/java/damsonslip/platform/discovery/WorkerRegistry.java
@@ -2,11 +2,11 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.Site;
-import damsonslip.config.Tree;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Status;
-import damsonslip.policy.api.Worker;
+import damsonslip.config.ConfigurationTree;
+import damsonslip.config.SiteSettings;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
 import damsonslip.transport.Address;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Discovery's list: where each worker listens, and since when it wants nothing new. */
-public final class HostGroup {
-    private static final Logger LOG = LoggerFactory.getLogger(HostGroup.class);
+public final class WorkerRegistry {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
 
     /**
      * This much before the drain grace ends, nothing is begun any more: bytes need time to leave.
@@ -31,7 +31,7 @@
     public record Update(long generation, boolean whole, List<Entry> entries) {}
 
     /** One worker of it. */
-    public record Entry(Worker worker, InetSocketAddress address) {}
+    public record Entry(WorkerEntry worker, InetSocketAddress address) {}
 
     /**
      * Addresses of workers that have stopped are kept so long: what is under way there has ended.
@@ -51,17 +51,17 @@
 
     private static final long RUNNING = Long.MAX_VALUE;
 
-    private final Site site;
+    private final SiteSettings site;
     private final Map<String, Host> hosts = new HashMap<>();
     private long generation;
 
-    public HostGroup(Site site) {
+    public WorkerRegistry(SiteSettings site) {
         this.site = site;
     }
 
     public Update decode(String line) throws Malformed {
         try {
-            return decode(Tree.read(line));
+            return decode(ConfigurationTree.read(line));
         } catch (JsonProcessingException e) {
             throw new Malformed(
                     "host group: not JSON: "
@@ -94,21 +94,22 @@
             throw new IllegalArgumentException("it has no instanceId");
         }
         String state = entry.path("lifecycle").asText("");
-        Status status =
+        WorkerStatus status =
                 switch (state) {
-                    case "ready" -> Status.RUNNING;
-                    case "draining" -> Status.DRAINING;
-                    case "gone" -> Status.GONE;
+                    case "ready" -> WorkerStatus.RUNNING;
+                    case "draining" -> WorkerStatus.DRAINING;
+                    case "gone" -> WorkerStatus.REMOVED;
                     default -> throw new IllegalArgumentException(id + ": lifecycle: " + state);
                 };
         int zone = index(site.zoneNames(), entry.path("zone"), id);
         int kind = index(site.kindNames(), entry.path("machineType"), id);
         long startedMs = entry.path("startedAtMs").asLong(0);
         long started = startedMs == 0 ? Long.MIN_VALUE : startedMs * 1000;
-        Worker worker = new Worker(id, zone, entry.path("cell").asInt(0), kind, status, started);
+        WorkerEntry worker =
+                new WorkerEntry(id, zone, entry.path("cell").asInt(0), kind, status, started);
         String address = entry.path("hostPort").asText("");
         Host known = hosts.get(id);
-        if (address.isEmpty() && status != Status.RUNNING && known != null) {
+        if (address.isEmpty() && status != WorkerStatus.RUNNING && known != null) {
             return new Entry(worker, known.address());
         }
         return new Entry(worker, Address.parse(address));
@@ -124,17 +125,17 @@
     }
 
     /** Takes an update in and gives the list for the decisions. */
-    public List<Worker> apply(Update update, long nowUs) {
+    public List<WorkerEntry> apply(Update update, long nowUs) {
         Set<String> named = new HashSet<>();
-        List<Worker> workers = new ArrayList<>();
+        List<WorkerEntry> workers = new ArrayList<>();
         for (Entry entry : update.entries()) {
-            Worker worker = entry.worker();
+            WorkerEntry worker = entry.worker();
             named.add(worker.id());
             workers.add(worker);
             Host before = hosts.get(worker.id());
             boolean was = before != null && before.stoppedAtUs() != RUNNING;
             long stopped =
-                    worker.status() == Status.RUNNING
+                    worker.status() == WorkerStatus.RUNNING
                             ? RUNNING
                             : was ? before.stoppedAtUs() : nowUs;
             hosts.put(worker.id(), new Host(entry.address(), stopped));
@@ -153,8 +154,8 @@
         return workers;
     }
 
-    public static ListMode mode(Update update) {
-        return update.whole() ? ListMode.COMPLETE : ListMode.CHANGES;
+    public static WorkerListChange mode(Update update) {
+        return update.whole() ? WorkerListChange.COMPLETE : WorkerListChange.CHANGES;
     }
 
     public long generation() {
--- a/src/main/java/damsonslip/platform/worker/KeptAge.java
+++ b/src/main/java/damsonslip/platform/worker/IdleConnectionRisk.java
@@ -6,7 +6,7 @@
  * before the limit in the settings and tell nobody: such a link looks open, and what is written to
  * it may have run as far as anybody can prove.
  */
-final class KeptAge {
+final class IdleConnectionRisk {
     /** The first ages are up to this long, each next ones up to twice as long. */
     private static final long SHORTEST_US = 25_000;
 
--- a/src/main/java/damsonslip/platform/worker/JobState.java
+++ b/src/main/java/damsonslip/platform/worker/JobProgress.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.Tree;
-import damsonslip.policy.api.Report;
+import damsonslip.config.ConfigurationTree;
+import damsonslip.policy.api.LoadReport;
 
 /**
  * A line of a worker's answer, decoded once.
@@ -12,7 +12,7 @@
  * @param result what the job gave, where done
  * @param report the worker's load, or null
  */
-record JobState(Kind kind, String result, Report report) {
+record JobProgress(Kind kind, String result, LoadReport report) {
     enum Kind {
         STARTED,
         RUNNING,
@@ -23,9 +23,9 @@
     }
 
     /** Reads a line about this job; null if it is none. */
-    static JobState read(String line, String id) {
+    static JobProgress read(String line, String id) {
         try {
-            JsonNode node = Tree.read(line);
+            JsonNode node = ConfigurationTree.read(line);
             if (node == null || !id.equals(node.path("id").asText())) {
                 return null;
             }
@@ -42,7 +42,7 @@
             JsonNode result = node.path("result");
             return kind == null
                     ? null
-                    : new JobState(
+                    : new JobProgress(
                             kind,
                             result.isTextual() ? result.asText() : result.toString(),
                             report(node.path("load")));
@@ -51,9 +51,9 @@
         }
     }
 
-    private static Report report(JsonNode load) {
+    private static LoadReport report(JsonNode load) {
         return load.isObject()
-                ? new Report(
+                ? new LoadReport(
                         load.path("x0").asDouble(Double.NaN),
                         load.path("x1").asDouble(Double.NaN),
                         load.path("inflight").asDouble(Double.NaN),
@@ -63,7 +63,7 @@
     }
 
     /** Reads a load header such as {@code TEXT util=0.61, x0=2}; null if there is none. */
-    static Report report(String header) {
+    static LoadReport report(String header) {
         if (header == null || !header.startsWith("TEXT")) {
             return null;
         }
@@ -89,6 +89,6 @@
                 // a figure that is none is left out; the others still count
             }
         }
-        return new Report(free, memory, held, Double.NaN, errors);
+        return new LoadReport(free, memory, held, Double.NaN, errors);
     }
 }
