--- a/src/main/java/damsonslip/platform/worker/ServerSide.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -1,27 +1,27 @@
 package damsonslip.platform.worker;
 
-import damsonslip.config.Site;
+import damsonslip.config.SiteSettings;
+import damsonslip.engine.Attempt;
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
-import damsonslip.engine.Driver;
 import damsonslip.engine.EventLog.Kind;
-import damsonslip.engine.Execution;
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.SlowPeer;
-import damsonslip.engine.WorkerSide;
+import damsonslip.engine.WorkerGateway;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.membership.DiscoveryWatch;
-import damsonslip.platform.discovery.Discovery;
-import damsonslip.platform.discovery.HostGroup;
-import damsonslip.policy.api.AddressNews;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Outcome;
+import damsonslip.platform.discovery.DiscoveryClient;
+import damsonslip.platform.discovery.WorkerRegistry;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.DiscoveryAddressState;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Worker;
-import damsonslip.transport.DialFailure;
-import damsonslip.transport.Link;
-import damsonslip.transport.Links;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.transport.ConnectFailure;
+import damsonslip.transport.ConnectionManager;
+import damsonslip.transport.EventLoopConnection;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -48,8 +48,8 @@
  * Sends executions to workers over kept server links, and learns from discovery which workers there
  * are.
  */
-public final class ServerSide implements WorkerSide {
-    private static final Logger LOG = LoggerFactory.getLogger(ServerSide.class);
+public final class WorkerClient implements WorkerGateway {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerClient.class);
 
     /**
      * An idle link is not used again this close to the worker's own limit, where its close may
@@ -77,28 +77,28 @@
      */
     private static final int FEWEST_LINKS = 8;
 
-    private static final ArrayDeque<ServerLink> NONE = new ArrayDeque<>(0);
+    private static final ArrayDeque<WorkerConnection> NONE = new ArrayDeque<>(0);
 
-    private final Links links;
-    private final Site site;
-    private final Driver driver;
+    private final ConnectionManager links;
+    private final SiteSettings site;
+    private final SchedulerEngine driver;
     private final Counters counters;
     private int most;
-    private final HostGroup hosts;
-    private final Discovery discovery;
-    private final Map<String, ArrayDeque<ServerLink>> idle = new HashMap<>();
-    private final KeptAge keptAge = new KeptAge();
-    private final Set<ServerLink> open = new HashSet<>();
+    private final WorkerRegistry hosts;
+    private final DiscoveryClient discovery;
+    private final Map<String, ArrayDeque<WorkerConnection>> idle = new HashMap<>();
+    private final IdleConnectionRisk keptAge = new IdleConnectionRisk();
+    private final Set<WorkerConnection> open = new HashSet<>();
 
     /** Links on their way, the oldest first. */
     private final Set<Dial> dials = new LinkedHashSet<>();
 
-    private final Map<Execution, ServerLink> carrying = new HashMap<>();
+    private final Map<Attempt, WorkerConnection> carrying = new HashMap<>();
 
-    public ServerSide(
-            Links links,
-            Site site,
-            Driver driver,
+    public WorkerClient(
+            ConnectionManager links,
+            SiteSettings site,
+            SchedulerEngine driver,
             Counters counters,
             InetSocketAddress discovery,
             int mostLinks) {
@@ -107,15 +107,16 @@
         this.driver = driver;
         this.counters = counters;
         this.most = Math.max(FEWEST_LINKS, mostLinks);
-        this.hosts = new HostGroup(site);
+        this.hosts = new WorkerRegistry(site);
         this.discovery =
-                new Discovery(links, discovery, hosts, driver, !site.settings().listOnRequest());
+                new DiscoveryClient(
+                        links, discovery, hosts, driver, !site.settings().pollsWorkerList());
     }
 
     /** There is room for so many links from now on; idle ones beyond that go. */
     public void resize(int mostLinks) {
         most = Math.max(FEWEST_LINKS, mostLinks);
-        List<ServerLink> spare =
+        List<WorkerConnection> spare =
                 idle.values().stream()
                         .flatMap(ArrayDeque::stream)
                         .sorted(Comparator.comparingLong(link -> link.idleSinceUs))
@@ -125,7 +126,7 @@
     }
 
     /** The list that the scheduler had before its start, for the decisions to begin from. */
-    public List<Worker> begin(HostGroup.Update known) {
+    public List<WorkerEntry> begin(WorkerRegistry.Update known) {
         links.loop().in(SWEEP_US, this::sweep);
         return hosts.apply(known, links.loop().now());
     }
@@ -138,7 +139,7 @@
      *     to come, without which nothing can be sent
      */
     public void whenTold(boolean relieved, Runnable next) {
-        if (!site.settings().listOnRequest()) {
+        if (!site.settings().pollsWorkerList()) {
             discovery.watch();
             discovery.whenTold(PUSHED_FIRST_US, next);
         } else if (relieved) {
@@ -148,29 +149,29 @@
         }
     }
 
-    public HostGroup hosts() {
+    public WorkerRegistry hosts() {
         return hosts;
     }
 
     @Override
-    public void start(Execution execution) {
+    public void start(Attempt execution) {
         if (!execution.mayBegin(loop().now())) {
-            driver.ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
             return;
         }
         String worker = execution.worker();
         InetSocketAddress address = hosts.address(worker);
         if (address == null) {
-            driver.ended(execution, Execution.End.of(Outcome.NOT_CONNECTED));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.NOT_CONNECTED));
             return;
         }
-        ServerLink kept = keptLink(worker, effect(execution));
+        WorkerConnection kept = keptLink(worker, effect(execution));
         if (kept != null) {
             carry(kept, execution);
             return;
         }
         if (!makeRoom()) {
-            driver.ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
             return;
         }
         connect(
@@ -178,24 +179,26 @@
                 address,
                 execution::open,
                 link -> dialled(link, execution),
-                why -> driver.ended(execution, Execution.End.of(outcomeOf(why))));
+                why -> driver.ended(execution, Attempt.End.of(outcomeOf(why))));
     }
 
     /** A machine without sockets says nothing of the worker, which is not to be spared for it. */
-    private static Outcome outcomeOf(DialFailure why) {
-        return why == DialFailure.LOCAL ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED;
+    private static AttemptOutcome outcomeOf(ConnectFailure why) {
+        return why == ConnectFailure.LOCAL
+                ? AttemptOutcome.NEVER_SENT
+                : AttemptOutcome.NOT_CONNECTED;
     }
 
-    private Effect effect(Execution execution) {
-        return site.settings().classes().get(execution.query().jobClass()).effect();
+    private Idempotency effect(Attempt execution) {
+        return site.settings().classes().get(execution.query().jobClass()).idempotency();
     }
 
     /**
      * Whether it matters what an answer proves: a second run would be one too many, or has to be
      * where the first was.
      */
-    boolean once(Execution execution) {
-        return effect(execution) != Effect.SAFE;
+    boolean once(Attempt execution) {
+        return effect(execution) != Idempotency.IDEMPOTENT;
     }
 
     /** Opens a link; there has to be room for it. */
@@ -203,21 +206,22 @@
             String worker,
             InetSocketAddress address,
             BooleanSupplier awaited,
-            Consumer<ServerLink> up,
-            Consumer<DialFailure> failed) {
+            Consumer<WorkerConnection> up,
+            Consumer<ConnectFailure> failed) {
         Dial dial = new Dial(awaited, up, failed);
         dials.add(dial);
         dial.closer =
                 links.connect(
                         address,
-                        new Links.Opening() {
+                        new ConnectionManager.ConnectionFactory() {
                             @Override
-                            public Link open(EndPoint endPoint) {
-                                return new ServerLink(endPoint, ServerSide.this, worker, dial::up);
+                            public EventLoopConnection open(EndPoint endPoint) {
+                                return new WorkerConnection(
+                                        endPoint, WorkerClient.this, worker, dial::up);
                             }
 
                             @Override
-                            public void failed(DialFailure why) {
+                            public void failed(ConnectFailure why) {
                                 dial.failed(why);
                             }
                         });
@@ -226,17 +230,20 @@
     /** A link that has neither come up nor failed yet. */
     private final class Dial {
         private final BooleanSupplier awaited;
-        private final Consumer<ServerLink> up;
-        private final Consumer<DialFailure> failed;
+        private final Consumer<WorkerConnection> up;
+        private final Consumer<ConnectFailure> failed;
         private Closeable closer;
 
-        Dial(BooleanSupplier awaited, Consumer<ServerLink> up, Consumer<DialFailure> failed) {
+        Dial(
+                BooleanSupplier awaited,
+                Consumer<WorkerConnection> up,
+                Consumer<ConnectFailure> failed) {
             this.awaited = awaited;
             this.up = up;
             this.failed = failed;
         }
 
-        void up(ServerLink link) {
+        void up(WorkerConnection link) {
             if (dials.remove(this)) {
                 up.accept(link);
             } else { // it came up while it was given up
@@ -244,7 +251,7 @@
             }
         }
 
-        void failed(DialFailure why) {
+        void failed(ConnectFailure why) {
             if (dials.remove(this)) {
                 failed.accept(why);
             }
@@ -256,7 +263,7 @@
             loop().execute(
                             () ->
                                     failed.accept(
-                                            DialFailure
+                                            ConnectFailure
                                                     .UNREACHABLE)); // it has not come up until now
             try {
                 closer.close();
@@ -266,7 +273,7 @@
         }
     }
 
-    void opened(ServerLink link) {
+    void opened(WorkerConnection link) {
         counters.add(Count.SERVER_LINKS_OPENED);
         open.add(link);
         link.idleSinceUs = loop().now();
@@ -277,30 +284,32 @@
      * had gone by then, or whose window had passed: these were never sent, and the module may place
      * them elsewhere.
      */
-    private void dialled(ServerLink link, Execution execution) {
+    private void dialled(WorkerConnection link, Attempt execution) {
         if (execution.mayBegin(loop().now())) {
             carry(link, execution);
         } else {
             idle(link);
-            driver.ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
         }
     }
 
     /** Begins an execution, unless the news that its worker drains came in before its link did. */
-    private void carry(ServerLink link, Execution execution) {
+    private void carry(WorkerConnection link, Attempt execution) {
         if (!maySend(execution.worker())) {
             counters.add(Count.DRAINED_SENDS_STOPPED);
             idle(link);
             // a lease that has run out meanwhile says nothing of the worker
-            Outcome outcome =
-                    mayProbe(execution.worker()) ? Outcome.NEVER_SENT : Outcome.NOT_CONNECTED;
-            driver.ended(execution, Execution.End.of(outcome));
+            AttemptOutcome outcome =
+                    mayProbe(execution.worker())
+                            ? AttemptOutcome.NEVER_SENT
+                            : AttemptOutcome.NOT_CONNECTED;
+            driver.ended(execution, Attempt.End.of(outcome));
             return;
         }
-        long toldUs = ServerLink.toldUs(execution, loop().now());
+        long toldUs = WorkerConnection.toldUs(execution, loop().now());
         if (!driver.permitsSend(execution, toldUs, hosts.stoppedAtUs(execution.worker()))) {
             idle(link);
-            driver.ended(execution, Execution.End.of(Outcome.NEVER_SENT));
+            driver.ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
             return;
         }
         carrying.put(execution, link);
@@ -319,7 +328,7 @@
         return hosts.maySend(worker, loop().now()) && !driver.bars(worker);
     }
 
-    void written(Execution execution) {
+    void written(Attempt execution) {
         counters.add(Count.EXECUTIONS_WRITTEN);
         if (execution != null) { // it may have been given up while it was written
             driver.events()
@@ -332,22 +341,22 @@
         }
     }
 
-    void ended(Execution execution, Execution.End end) {
+    void ended(Attempt execution, Attempt.End end) {
         carrying.remove(execution);
         driver.ended(execution, end);
     }
 
     @Override
-    public void cancel(Execution execution) {
-        ServerLink link = carrying.remove(execution);
+    public void cancel(Attempt execution) {
+        WorkerConnection link = carrying.remove(execution);
         if (link != null) {
             link.giveUp();
         }
     }
 
     @Override
-    public boolean withdraw(Execution execution) {
-        ServerLink link = carrying.get(execution);
+    public boolean withdraw(Attempt execution) {
+        WorkerConnection link = carrying.get(execution);
         if (link == null || link.isWritten()) {
             return false;
         }
@@ -366,7 +375,7 @@
             probeOverLasting(worker, connectedByUs);
             return;
         }
-        ServerLink kept = keptLink(worker, Effect.SAFE);
+        WorkerConnection kept = keptLink(worker, Idempotency.IDEMPOTENT);
         if (kept != null) {
             ask(kept);
         } else if (makeRoom()) {
@@ -378,7 +387,7 @@
                     why ->
                             driver.probed(
                                     worker,
-                                    why == DialFailure.LOCAL
+                                    why == ConnectFailure.LOCAL
                                             ? ProbeResult.NOT_SENT
                                             : ProbeResult.UNREACHABLE,
                                     null));
@@ -387,7 +396,7 @@
         }
     }
 
-    private void ask(ServerLink link) {
+    private void ask(WorkerConnection link) {
         if (!mayProbe(link.worker())) { // the news came while the link was opened
             idle(link);
             driver.probed(link.worker(), ProbeResult.NOT_SENT, null);
@@ -398,7 +407,7 @@
 
     /** Asks a worker over a connection that has stood since then, if one is idle. */
     private void probeOverLasting(String worker, long sinceUs) {
-        Optional<ServerLink> resting =
+        Optional<WorkerConnection> resting =
                 idle.getOrDefault(worker, NONE).stream()
                         .filter(link -> link.standsSince(sinceUs) && fresh(link))
                         .findFirst();
@@ -415,7 +424,7 @@
         loop().execute(() -> driver.probed(worker, none, null));
     }
 
-    void probed(String worker, ProbeResult result, Report report) {
+    void probed(String worker, ProbeResult result, LoadReport report) {
         driver.probed(worker, result, report);
     }
 
@@ -431,7 +440,7 @@
      * The configuration could not be read, or only now, after a reload that was asked for at that
      * time.
      */
-    public void configurationNews(AddressNews news, long sinceUs) {
+    public void configurationNews(DiscoveryAddressState news, long sinceUs) {
         driver.discoveryAddress(news, sinceUs);
     }
 
@@ -446,18 +455,18 @@
      * The link that was used last, so that the others age out and can be closed in time; null if it
      * is too old for what it is to carry. What must not run twice takes the last that is settled.
      */
-    private ServerLink keptLink(String worker, Effect effect) {
-        long settledUs = effect == Effect.SAFE ? 0 : ServerLink.SETTLED_US;
-        Iterator<ServerLink> kept = idle.getOrDefault(worker, NONE).descendingIterator();
-        List<ServerLink> fallen = new ArrayList<>(0);
-        ServerLink found = null;
+    private WorkerConnection keptLink(String worker, Idempotency effect) {
+        long settledUs = effect == Idempotency.IDEMPOTENT ? 0 : WorkerConnection.SETTLED_US;
+        Iterator<WorkerConnection> kept = idle.getOrDefault(worker, NONE).descendingIterator();
+        List<WorkerConnection> fallen = new ArrayList<>(0);
+        WorkerConnection found = null;
         while (kept.hasNext() && found == null) {
-            ServerLink link = kept.next();
+            WorkerConnection link = kept.next();
             long idled = loop().now() - link.idleSinceUs;
             if (idled < settledUs) {
                 continue;
             }
-            if (!keptAge.serves(idled, effect == Effect.UNSAFE)) {
+            if (!keptAge.serves(idled, effect == Idempotency.NOT_IDEMPOTENT)) {
                 break; // the others are older still
             }
             kept.remove();
@@ -472,22 +481,22 @@
     }
 
     /** Whether it is far enough from the worker's own limit, and from what has proved too old. */
-    private boolean fresh(ServerLink link) {
+    private boolean fresh(WorkerConnection link) {
         long idled = loop().now() - link.idleSinceUs;
         return idled < site.idleUs() - Math.min(IDLE_MARGIN_US, site.idleUs() / 2)
                 && keptAge.serves(idled, false);
     }
 
-    KeptAge keptAge() {
+    IdleConnectionRisk keptAge() {
         return keptAge;
     }
 
-    void idle(ServerLink link) {
+    void idle(WorkerConnection link) {
         idle.computeIfAbsent(link.worker(), w -> new ArrayDeque<>()).addLast(link);
     }
 
     /** A link has ended over this execution, which is told in this turn of the loop. */
-    void closedOver(Execution execution) {
+    void closedOver(Attempt execution) {
         loop().execute(
                         () ->
                                 driver.monitor()
@@ -498,9 +507,9 @@
                                                         execution.open())));
     }
 
-    void closed(ServerLink link) {
+    void closed(WorkerConnection link) {
         open.remove(link);
-        ArrayDeque<ServerLink> kept = idle.get(link.worker());
+        ArrayDeque<WorkerConnection> kept = idle.get(link.worker());
         if (kept != null) {
             kept.remove(link);
         }
@@ -522,7 +531,7 @@
             forsaken.get().giveUp();
             return true;
         }
-        Optional<ServerLink> spare =
+        Optional<WorkerConnection> spare =
                 idle.values().stream()
                         .filter(kept -> !kept.isEmpty())
                         .map(ArrayDeque::peekFirst)
@@ -531,19 +540,19 @@
         return spare.isPresent();
     }
 
-    private void closeIdle(ServerLink link) {
+    private void closeIdle(WorkerConnection link) {
         counters.add(Count.SERVER_LINKS_CLOSED_IDLE);
         link.end();
     }
 
-    private void closeForRoom(ServerLink link) {
+    private void closeForRoom(WorkerConnection link) {
         counters.add(Count.SERVER_LINKS_CLOSED_FOR_ROOM);
         link.end();
     }
 
     private void sweep() {
         keptAge.fade();
-        List<ServerLink> old =
+        List<WorkerConnection> old =
                 idle.values().stream()
                         .flatMap(ArrayDeque::stream)
                         .filter(link -> !fresh(link))
@@ -555,7 +564,7 @@
 
     /** Workers that have yet to take a request. */
     public Stream<SlowPeer> slowPeers() {
-        return open.stream().map(ServerLink::shown).filter(Objects::nonNull);
+        return open.stream().map(WorkerConnection::shown).filter(Objects::nonNull);
     }
 
     void standsStill(String worker) {
@@ -574,11 +583,11 @@
         LOG.warn("worker {}: {}", worker, why);
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return links.loop();
     }
 
-    Driver driver() {
+    SchedulerEngine driver() {
         return driver;
     }
 }
--- a/src/main/java/damsonslip/platform/worker/ServerLink.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -1,18 +1,18 @@
 package damsonslip.platform.worker;
 
-import damsonslip.engine.Execution;
-import damsonslip.engine.Loop;
+import damsonslip.engine.Attempt;
+import damsonslip.engine.EventLoop;
 import damsonslip.engine.SlowPeer;
-import damsonslip.platform.codec.AnswerReader;
 import damsonslip.platform.codec.Encoder;
 import damsonslip.platform.codec.Field;
 import damsonslip.platform.codec.HttpForward;
-import damsonslip.policy.api.Outcome;
+import damsonslip.platform.codec.ResponseReader;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.transport.Lines;
-import damsonslip.transport.Link;
-import damsonslip.transport.Outflow;
+import damsonslip.transport.EventLoopConnection;
+import damsonslip.transport.LineDecoder;
+import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.util.List;
@@ -24,7 +24,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** A connection to a worker, which carries one execution or probe at a time. */
-final class ServerLink extends Link implements AnswerReader.Taker {
+final class WorkerConnection extends EventLoopConnection implements ResponseReader.Listener {
     private static final int MOST_LINE = 256 * 1024;
     private static final byte[] NOTHING = {};
 
@@ -64,12 +64,12 @@
      */
     private static final long END_US = 500_000;
 
-    private final ServerSide side;
+    private final WorkerClient side;
     private final String worker;
-    private final Consumer<ServerLink> up;
-    private final AnswerReader reader = new AnswerReader(this);
-    private final Lines lines = new Lines(MOST_LINE);
-    private Execution execution;
+    private final Consumer<WorkerConnection> up;
+    private final ResponseReader reader = new ResponseReader(this);
+    private final LineDecoder lines = new LineDecoder(MOST_LINE);
+    private Attempt execution;
     private boolean probing;
     private ProbeResult healthyTells = ProbeResult.HEALTHY;
 
@@ -80,7 +80,7 @@
     private boolean written;
 
     private int status;
-    private Report report;
+    private LoadReport report;
     private boolean unprocessed;
 
     /** Bytes of a large request that the system did not take at once. */
@@ -90,23 +90,25 @@
     private long idledUs = -1;
 
     private boolean used;
-    private final Outflow taking;
+    private final OutboundRateMonitor taking;
 
     /** Runs while a probe's answer is awaited. */
-    private Loop.Timer probeTime;
+    private EventLoop.Timer probeTime;
 
     /** Runs from an answer's last line to the end of the answer. */
-    private Loop.Timer ending;
+    private EventLoop.Timer ending;
 
     long idleSinceUs;
     private long openedUs;
 
-    ServerLink(EndPoint endPoint, ServerSide side, String worker, Consumer<ServerLink> up) {
+    WorkerConnection(
+            EndPoint endPoint, WorkerClient side, String worker, Consumer<WorkerConnection> up) {
         super(endPoint, side.loop());
         this.up = up;
         this.side = side;
         this.worker = worker;
-        this.taking = new Outflow(side.loop(), TAKING, this::backlog, this::standsStill);
+        this.taking =
+                new OutboundRateMonitor(side.loop(), TAKING, this::backlog, this::standsStill);
     }
 
     String worker() {
@@ -121,7 +123,7 @@
     }
 
     /** Sends a query to the worker, with so much time to do it in. */
-    void carry(Execution next, long toldUs) {
+    void carry(Attempt next, long toldUs) {
         execution = next;
         HttpForward forward = (HttpForward) next.query().cargo();
         HttpFields.Mutable fields =
@@ -142,7 +144,7 @@
      * How long a worker may take itself to be awaited: its client may give up before the scheduler
      * does.
      */
-    static long toldUs(Execution execution, long nowUs) {
+    static long toldUs(Attempt execution, long nowUs) {
         long endsByUs = Math.min(execution.endsByUs(), execution.query().earliestDeadlineUs());
         return Math.max(0, endsByUs - nowUs - execution.expectedUploadUs());
     }
@@ -166,7 +168,7 @@
 
     /** The probe's answer has not come in time, unless it has and the loop was held up. */
     private void probeOverdue() {
-        Loop.Timer due = probeTime;
+        EventLoop.Timer due = probeTime;
         look();
         if (probing && probeTime == due) {
             end();
@@ -175,7 +177,7 @@
     }
 
     /** The probe has ended, and its time with it: the next one on this link has its own. */
-    private void probed(ProbeResult result, Report told) {
+    private void probed(ProbeResult result, LoadReport told) {
         if (probing) {
             probing = false;
             probeTime.cancel();
@@ -234,10 +236,10 @@
         if (execution != null && takesUs > execution.expectedUploadUs() + LATE_LAST_BYTE_US) {
             execution.uploadTakes((long) (takesUs * UPLOAD_MARGIN));
             side.slowUpload(worker, takesUs);
-            Execution late = execution;
+            Attempt late = execution;
             execution = null;
             end();
-            side.ended(late, Execution.End.of(Outcome.NEVER_SENT));
+            side.ended(late, Attempt.End.of(AttemptOutcome.NEVER_SENT));
             return;
         }
         write(this::whole, last);
@@ -301,7 +303,7 @@
         if (idledUs >= 0) {
             side.keptAge().seen(idledUs, false);
         }
-        report = JobState.report(fields.get(Field.LOAD.toLowerCase(Locale.ROOT)));
+        report = JobProgress.report(fields.get(Field.LOAD.toLowerCase(Locale.ROOT)));
         unprocessed = "1".equals(fields.get(Field.NOT_RUN.toLowerCase(Locale.ROOT)));
     }
 
@@ -322,7 +324,7 @@
         if (execution == null || line.isEmpty()) {
             return;
         }
-        JobState state = JobState.read(line, execution.query().id());
+        JobProgress state = JobProgress.read(line, execution.query().id());
         if (state == null) {
             malformed("no job's state: " + line.substring(0, Math.min(80, line.length())));
             return;
@@ -331,10 +333,10 @@
         switch (state.kind()) {
             case STARTED -> side.driver().started(execution);
             case RUNNING -> {}
-            case DONE -> finish(Outcome.SERVED, state.result());
-            case FAILED -> finish(Outcome.ERROR, null);
-            case RETURNED -> finish(Outcome.FULL, null);
-            case LOST -> finish(Outcome.RESET, null);
+            case DONE -> finish(AttemptOutcome.SERVED, state.result());
+            case FAILED -> finish(AttemptOutcome.ERROR, null);
+            case RETURNED -> finish(AttemptOutcome.FULL, null);
+            case LOST -> finish(AttemptOutcome.RESET, null);
         }
     }
 
@@ -364,8 +366,8 @@
             // a 200 that ends before its last line tells no more than a connection that breaks
             finish(
                     unproven || status == 200
-                            ? Outcome.RESET
-                            : turnedAway ? Outcome.FULL : Outcome.ERROR,
+                            ? AttemptOutcome.RESET
+                            : turnedAway ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
                     null);
         }
         busy = false;
@@ -385,11 +387,11 @@
         lost();
     }
 
-    private void finish(Outcome outcome, String result) {
-        Execution done = execution;
+    private void finish(AttemptOutcome outcome, String result) {
+        Attempt done = execution;
         execution = null;
         if (done != null) {
-            side.ended(done, new Execution.End(outcome, report, result));
+            side.ended(done, new Attempt.End(outcome, report, result));
         }
     }
 
@@ -403,7 +405,7 @@
             side.driver().connectionLost(worker);
         }
         probed(ProbeResult.UNREACHABLE, null);
-        finish(written ? Outcome.RESET : Outcome.NOT_CONNECTED, null);
+        finish(written ? AttemptOutcome.RESET : AttemptOutcome.NOT_CONNECTED, null);
     }
 
     private void stopEnding() {
--- a/src/main/java/damsonslip/policy/Threshold.java
+++ b/src/main/java/damsonslip/policy/AdmissionThreshold.java
@@ -1,7 +1,7 @@
 package damsonslip.policy;
 
 /** How many jobs of a class may be present at once: the paper's search by revenue. */
-final class Threshold {
+final class AdmissionThreshold {
     /**
      * The threshold search stops when a step brings less than this part of what all jobs are worth.
      */
@@ -13,7 +13,7 @@
      */
     private static final int MOST_PER_SLOT = 8;
 
-    private Threshold() {}
+    private AdmissionThreshold() {}
 
     /**
      * The paper's search: K rises while V(K) = lambda sum_{j<K} p_j (c - c P(W_j > q)) grows by
--- a/src/main/java/damsonslip/policy/Known.java
+++ b/src/main/java/damsonslip/policy/FleetState.java
@@ -2,8 +2,10 @@
 
 import damsonslip.membership.StartTimes;
 import damsonslip.membership.WorkerLease;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.LoadReport;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -11,8 +13,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** What one dispatcher knows: plain fields that {@link Rules} alone fills and decides by. */
-final class Known {
+/**
+ * What one dispatcher knows: plain fields that {@link SchedulingPolicy} alone fills and decides by.
+ */
+final class FleetState {
     /** The mean of own slots in use goes over about the time by which reports lag behind. */
     private static final double OWN_US = 1e6;
 
@@ -44,7 +48,7 @@
     /** A worker's pace is forgotten over about this long. */
     private static final double PACE_US = 8e6;
 
-    private Known() {}
+    private FleetState() {}
 
     static final class Worker {
         final String id;
@@ -108,16 +112,16 @@
 
         Worker(String id) {
             this.id = id;
-            this.salt = Ring.mix(id.hashCode()) >>> 32;
+            this.salt = HashRing.mix(id.hashCode()) >>> 32;
         }
 
         /**
          * Takes in what a report says of all its slots; gives that, or else its free ones. A worker
          * that offers its slots by itself is alive, however long it is at a job.
          */
-        double told(damsonslip.policy.api.Report report, long now) {
-            if (report.slots() > 0) {
-                slots = report.slots();
+        double told(LoadReport report, long now) {
+            if (report.totalSlots() > 0) {
+                slots = report.totalSlots();
                 answeredAt = now;
             }
             return slots > 0 ? slots : Math.max(0, report.freeSlots());
@@ -128,8 +132,8 @@
          * says of a single job that it failed, and asks for the next; only several in a row, with
          * nothing done between, are its own.
          */
-        boolean suspect(damsonslip.policy.api.Outcome outcome) {
-            return !(slots > 0) || outcome != damsonslip.policy.api.Outcome.ERROR || ++errors > FEW;
+        boolean suspect(AttemptOutcome outcome) {
+            return !(slots > 0) || outcome != AttemptOutcome.ERROR || ++errors > FEW;
         }
 
         /** This part of its slots is free: tells of those like it as well. */
@@ -373,7 +377,7 @@
             for (Free[] kind : free) {
                 Arrays.setAll(kind, zone -> new Free());
             }
-            this.time = Math.max(of.aimUs(), 1);
+            this.time = Math.max(of.latencyObjectiveUs(), 1);
             this.median = time;
         }
 
@@ -397,7 +401,7 @@
 
         /** What the class earns by a slot in a microsecond. */
         double value() {
-            return of.worth() / (time * slotsPerJob);
+            return of.priorityWeight() / (time * slotsPerJob);
         }
 
         /** What is known of the free slots of those like this one. */
--- a/src/main/java/damsonslip/policy/Ring.java
+++ b/src/main/java/damsonslip/policy/HashRing.java
@@ -1,6 +1,6 @@
 package damsonslip.policy;
 
-import damsonslip.policy.Known.Worker;
+import damsonslip.policy.FleetState.Worker;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
@@ -9,8 +9,8 @@
 /**
  * An index of workers by hashed points: a subject finds the same ones although members come and go.
  */
-final class Ring {
-    private Ring() {}
+final class HashRing {
+    private HashRing() {}
 
     /** The members in the order of their points, each as often as it has points. */
     static Worker[] of(List<Worker> members, int pointsEach) {
--- a/src/main/java/damsonslip/policy/Picture.java
+++ b/src/main/java/damsonslip/policy/PolicySnapshot.java
@@ -1,14 +1,16 @@
 package damsonslip.policy;
 
-import damsonslip.policy.Known.Pool;
+import damsonslip.policy.FleetState.Pool;
 import damsonslip.policy.api.PoolState;
 import java.util.List;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
-/** What {@link Rules} knows, put so that people can read it; nothing is decided by it. */
-final class Picture {
-    private Picture() {}
+/**
+ * What {@link SchedulingPolicy} knows, put so that people can read it; nothing is decided by it.
+ */
+final class PolicySnapshot {
+    private PolicySnapshot() {}
 
     static List<PoolState> pools(Pool[] pools, ToDoubleFunction<Pool> free) {
         return IntStream.range(0, pools.length)
--- a/src/main/java/damsonslip/policy/Dealing.java
+++ b/src/main/java/damsonslip/policy/PoolDealer.java
@@ -1,7 +1,7 @@
 package damsonslip.policy;
 
-import damsonslip.policy.Known.Pool;
-import damsonslip.policy.Known.Worker;
+import damsonslip.policy.FleetState.Pool;
+import damsonslip.policy.FleetState.Worker;
 import damsonslip.policy.api.Settings;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,7 +16,7 @@
  * <p>Decides from what {@link Pool} and {@link Worker} hold, and fills in which pool a worker
  * belongs to. Not safe for use by several threads.
  */
-final class Dealing {
+final class PoolDealer {
     /**
      * Pools are cut by parts of the load on this grid: dispatchers with noisy estimates must cut
      * alike.
@@ -39,7 +39,7 @@
 
     private final Pool[] pools;
 
-    Dealing(Pool[] pools) {
+    PoolDealer(Pool[] pools) {
         this.pools = pools;
     }
 
@@ -78,7 +78,7 @@
      * keep their size until a class's part of the load has clearly moved: subjects move with it.
      */
     private double settle(Settings settings) {
-        double sum = Arrays.stream(pools).mapToDouble(Dealing::load).sum();
+        double sum = Arrays.stream(pools).mapToDouble(PoolDealer::load).sum();
         if (sum > 0
                 && Arrays.stream(pools)
                         .anyMatch(p -> Math.abs(load(p) / sum - p.dealt) > MOVE / GRID)) {
@@ -86,7 +86,7 @@
                 pool.dealt = Math.max(1, Math.rint(load(pool) / sum * GRID)) / GRID;
             }
         }
-        return Math.max(1, sum * settings.dispatchers());
+        return Math.max(1, sum * settings.schedulers());
     }
 
     /** Bound load claims its kind first; unbound load spreads over what is left of each kind. */
@@ -97,7 +97,7 @@
         for (int k = 0; k < left.length; k++) {
             left[k] = byKind.get(k).size() * kindSlots[k];
             for (int i = 0; i < pools.length; i++) {
-                if (pools[i].of.kind() == k) {
+                if (pools[i].of.workerKind() == k) {
                     loads[k][i] = pools[i].dealt * all;
                     left[k] -= loads[k][i];
                 }
@@ -107,7 +107,7 @@
         }
         for (int k = 0; k < left.length && room > 0; k++) {
             for (int i = 0; i < pools.length; i++) {
-                if (pools[i].of.kind() < 0) {
+                if (pools[i].of.workerKind() < 0) {
                     loads[k][i] = pools[i].dealt * all * left[k] / room;
                 }
             }
--- a/src/main/java/damsonslip/policy/Probes.java
+++ b/src/main/java/damsonslip/policy/ProbeScheduler.java
@@ -1,12 +1,12 @@
 package damsonslip.policy;
 
-import damsonslip.policy.Known.Job;
-import damsonslip.policy.Known.Worker;
+import damsonslip.policy.FleetState.Job;
+import damsonslip.policy.FleetState.Worker;
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.Probe;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.ProbeWorker;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -20,7 +20,7 @@
  * <p>Decides from what {@link Worker} holds; times are those of the events. Not safe for use by
  * several threads.
  */
-final class Probes {
+final class ProbeScheduler {
     /** Work that a new connection or a probe is taken to cost a cold worker. */
     static final double COST_US = 3_000;
 
@@ -154,7 +154,7 @@
 
     private void send(Worker w, long connectedByUs, long nowUs, List<Action> to) {
         w.lease.probeSent(nowUs);
-        to.add(new Probe(w.id, connectedByUs));
+        to.add(new ProbeWorker(w.id, connectedByUs));
     }
 
     /**
--- a/src/main/java/damsonslip/policy/Rules.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -2,8 +2,8 @@
 
 import damsonslip.membership.DiscoveryWatch;
 import damsonslip.membership.StartTimes;
-import damsonslip.policy.Known.*;
-import damsonslip.policy.Known.Worker;
+import damsonslip.policy.FleetState.*;
+import damsonslip.policy.FleetState.Worker;
 import damsonslip.policy.api.*;
 import java.util.*;
 import java.util.function.Consumer;
@@ -11,14 +11,15 @@
 import java.util.stream.Stream;
 
 /**
- * All decisions of one dispatcher; its interface stands in the package {@code damsonslip.policy.api}.
+ * All decisions of one dispatcher; its interface stands in the package {@code
+ * damsonslip.policy.api}.
  *
  * <p>The design: a pool of workers for each job class, sized by offered load; a threshold on the
  * jobs present, searched by revenue and shared among the dispatchers; admitted jobs held in arrival
  * order and released to their own pool. README.md tells what departs from it. No clock, threads,
  * I/O or shared state.
  */
-public final class Rules {
+public final class SchedulingPolicy {
     // ---- constants, each with its reason
 
     /**
@@ -167,7 +168,7 @@
     private final SplittableRandom random;
     private final DiscoveryWatch discovery;
     private final StartTimes startTimes = new StartTimes();
-    private final ColdBudget coldBudget;
+    private final SlowStartBudget coldBudget;
     private final TreeMap<String, Worker> workers = new TreeMap<>();
     private final Map<String, Job> jobs = new HashMap<>();
     private final Pool[] pools;
@@ -175,8 +176,8 @@
     private final int[] kindSlots;
     private final FreeSeen[] freeSeen;
     private final Free[] freeAnywhere = {new Free(), new Free()};
-    private final Probes probes = new Probes();
-    private final Dealing dealing;
+    private final ProbeScheduler probes = new ProbeScheduler();
+    private final PoolDealer dealing;
     private List<Action> actions;
     private double measured, movesLeft = 1;
     private long now = Long.MIN_VALUE, orders, dealtAt, loggedAt;
@@ -184,17 +185,17 @@
     private int borrowed, moved, beyondQuota, turnedAway;
 
     /** A dispatcher that knows nothing yet; the same seed and events give the same actions. */
-    public Rules(Settings settings, long seed) {
+    public SchedulingPolicy(Settings settings, long seed) {
         this.settings = settings;
         this.rules = settings.guarantees();
         this.random = new SplittableRandom(seed);
         this.discovery = DiscoveryEvents.newWatch(settings);
-        this.coldBudget = new ColdBudget(rules);
+        this.coldBudget = new SlowStartBudget(rules);
         this.pools = new Pool[settings.classes().size()];
         for (int i = 0; i < pools.length; i++) {
             pools[i] = new Pool(settings.classes().get(i), settings.kinds(), settings.zones());
         }
-        this.dealing = new Dealing(pools);
+        this.dealing = new PoolDealer(pools);
         this.quotas = new TenantQuotas(settings.tenantQuotas().size());
         this.freeSeen =
                 Stream.generate(FreeSeen::new).limit(settings.kinds()).toArray(FreeSeen[]::new);
@@ -208,7 +209,7 @@
      * @throws IllegalArgumentException if the event breaks the contract; nothing has changed then
      */
     public void handle(long nowUs, Event event, List<Action> to) {
-        settings.check(event);
+        settings.validate(event);
         if (nowUs < now || event instanceof JobArrived e && jobs.containsKey(e.job())) {
             throw new IllegalArgumentException(
                     "a job comes twice or time goes back: " + nowUs + " " + event);
@@ -218,9 +219,9 @@
         if (!started) {
             start();
         }
-        if (event instanceof ListUpdate e) {
+        if (event instanceof WorkerListUpdate e) {
             listed(e);
-        } else if (event instanceof DiscoveryAddress e) {
+        } else if (event instanceof DiscoveryAddressChanged e) {
             DiscoveryEvents.addressChanged(e, discovery);
         } else if (event instanceof JobArrived e) {
             arrived(e);
@@ -233,7 +234,7 @@
             }
         } else if (event instanceof AttemptEnded e) {
             attemptEnded(e);
-        } else if (event instanceof JobGone e) {
+        } else if (event instanceof ClientDisconnected e) {
             ifOpen(e.job(), this::end);
         } else if (event instanceof ProbeEnded e) {
             probed(e);
@@ -241,9 +242,9 @@
             workers.get(e.worker()).lease.connectionFailed(now);
         } else if (event instanceof TimerDue e) {
             due(e.label());
-        } else if (event instanceof Divided e) {
-            settings = settings.among(e);
-            discovery.divide(e.dispatchers(), e.number());
+        } else if (event instanceof SchedulersChanged e) {
+            settings = settings.withSchedulers(e);
+            discovery.divide(e.schedulers(), e.schedulerIndex());
         }
     }
 
@@ -260,10 +261,10 @@
         loggedAt = dealtAt = now;
         quotas.begin(now);
         timer(DEAL_US / 2 + random.nextLong(DEAL_US), DEAL);
-        if (settings.listOnRequest()) {
+        if (settings.pollsWorkerList()) {
             actions.add(new SetTimer(discovery.start(now, random.nextDouble()), LIST));
         }
-        if (settings.limits().mayProbe() && settings.reporting() == Reporting.BY_PROBE) {
+        if (settings.limits().mayProbe() && settings.loadReporting() == LoadReporting.BY_PROBE) {
             timer(random.nextLong(SWEEP_US) + 1, PROBE);
         }
     }
@@ -288,7 +289,7 @@
             case PROBE -> probe();
             case LIST -> {
                 discovery.called(now);
-                actions.add(new WatchList());
+                actions.add(new WatchWorkerList());
             }
             default ->
                     ifOpen(
@@ -299,14 +300,14 @@
 
     // ---- the list of workers (rule 3)
 
-    private void listed(ListUpdate update) {
-        ListMode mode = update.mode();
-        if (mode == ListMode.NOT_CALLED && !settings.listOnRequest()) {
+    private void listed(WorkerListUpdate update) {
+        WorkerListChange mode = update.change();
+        if (mode == WorkerListChange.NOT_CALLED && !settings.pollsWorkerList()) {
             discovery.unread(now);
             return;
         }
-        if (mode.isLoss()) {
-            long heard = Math.min(now, update.heardUs());
+        if (mode.isFailure()) {
+            long heard = Math.min(now, update.lastReceivedUs());
             actions.add(
                     new SetTimer(
                             discovery.lost(
@@ -316,17 +317,17 @@
         }
         DiscoveryEvents.listReceived(update, discovery);
         boolean changed = false;
-        if (mode.isWhole()) {
+        if (mode.isComplete()) {
             for (Worker w : workers.values()) {
                 changed |= w.running;
                 w.running = false;
             }
         }
         long correction = startTimes.correctionUs();
-        for (damsonslip.policy.api.Worker entry : update.workers()) {
-            changed |= listed(entry, mode.isNews() && startTimes.seesStarts());
+        for (WorkerEntry entry : update.workers()) {
+            changed |= listed(entry, mode.isFromDiscovery() && startTimes.seesStarts());
         }
-        startTimes.listed(mode.isNews(), now);
+        startTimes.listed(mode.isFromDiscovery(), now);
         if (correction != startTimes.correctionUs()) {
             workers.values().stream()
                     .filter(w -> !w.seenToStart)
@@ -349,11 +350,11 @@
         }
     }
 
-    private boolean listed(damsonslip.policy.api.Worker entry, boolean seesStarts) {
+    private boolean listed(WorkerEntry entry, boolean seesStarts) {
         Worker w = workers.computeIfAbsent(entry.id(), Worker::new);
         boolean before = w.running;
         w.ranAt = now;
-        w.running = entry.status() == Status.RUNNING;
+        w.running = entry.status() == WorkerStatus.RUNNING;
         w.zone = entry.zone();
         w.cell = entry.cell();
         w.kind = entry.kind();
@@ -378,7 +379,7 @@
         double weight = Math.min(1, Math.max(RATE_WEIGHT, 1 / measured) * seconds);
         double slow = Math.min(1, Math.max(STEADY_WEIGHT, 1 / measured) * seconds);
         for (Pool pool : pools) {
-            pool.rate += weight * (pool.arrivals * settings.dispatchers() / seconds - pool.rate);
+            pool.rate += weight * (pool.arrivals * settings.schedulers() / seconds - pool.rate);
             pool.steady += slow * (pool.arrivals / seconds - pool.steady);
             pool.arrivals = 0;
             pool.forgetColdSubjects(now);
@@ -388,7 +389,7 @@
     }
 
     private static double aim(Pool pool) {
-        return pool.of.aimUs() + pool.of.stretch() * pool.time;
+        return pool.of.latencyObjectiveUs() + pool.of.runTimeFactor() * pool.time;
     }
 
     /**
@@ -396,13 +397,14 @@
      * mean.
      */
     private static double slack(Pool pool) {
-        return pool.of.aimUs() + (pool.of.stretch() - 1) * Math.min(pool.median, pool.time);
+        return pool.of.latencyObjectiveUs()
+                + (pool.of.runTimeFactor() - 1) * Math.min(pool.median, pool.time);
     }
 
     /**
      * Takes a report in; one that was asked for is fresh, others are about as old as the own mean.
      */
-    private void reported(Worker w, Report report, boolean fresh) {
+    private void reported(Worker w, LoadReport report, boolean fresh) {
         if (report == null || Double.isNaN(report.freeSlots())) {
             return;
         }
@@ -419,7 +421,7 @@
         w.reportedAt = now;
         w.sentMemory = w.memorySentSince(now - REPORT_LAG_US);
         w.tells(Math.min(1, free / w.slots(kindSlots)), cold(w), freeAnywhere, now);
-        w.failing = report.errors() > FAILING;
+        w.failing = report.errorsPerSecond() > FAILING;
         if (w.failing) { // as though struck before: what must not be repeated is not how to find
             // out
             w.strikes = Math.max(w.strikes, 1);
@@ -452,15 +454,18 @@
     private double free(Worker w) {
         double slots = w.slots(kindSlots);
         double others =
-                slots * (1 - share(w)) * (settings.dispatchers() - 1) / settings.dispatchers();
+                slots * (1 - share(w)) * (settings.schedulers() - 1) / settings.schedulers();
         if (!Double.isNaN(w.reportedFree)) {
             double fade = w.pool == null ? 0.5 : w.pool.time / (w.pool.time + (now - w.reportedAt));
             others += fade * (w.others - others);
         }
         int waiting = w.slotsNotStartedSince(now - START_US);
         double free = slots - w.own - others;
-        free = cold(w) ? Math.min(free, slots * rules.warmth(now - w.started) - w.own) : free;
-        return waiting > 0 && settings.tellsStart() ? Math.min(free, -waiting) : free;
+        free =
+                cold(w)
+                        ? Math.min(free, slots * rules.slowStartShareAt(now - w.started) - w.own)
+                        : free;
+        return waiting > 0 && settings.reportsJobStart() ? Math.min(free, -waiting) : free;
     }
 
     // ---- pools by offered load, and thresholds (the design's ordinary path)
@@ -479,19 +484,19 @@
     private void equip(Pool pool, List<Worker> members, int points) {
         if (!members.equals(pool.members) || pool.ring.length != members.size() * points) {
             pool.members = members;
-            pool.ring = Ring.of(members, points);
+            pool.ring = HashRing.of(members, points);
         }
         pool.full = false;
         int n = (int) Math.floor(pool.slots / pool.slotsPerJob);
         double k =
-                Threshold.search(
+                AdmissionThreshold.search(
                         n,
                         pool.rate,
                         SECOND / pool.time,
                         aim(pool) / SECOND,
-                        pool.of.worth(),
-                        Threshold.EPSILON);
-        pool.share = Math.max(1, (int) Math.round(k / settings.dispatchers()));
+                        pool.of.priorityWeight(),
+                        AdmissionThreshold.EPSILON);
+        pool.share = Math.max(1, (int) Math.round(k / settings.schedulers()));
     }
 
     // ---- arrival, quota, admission
@@ -504,11 +509,12 @@
         pool.present++;
         actions.add(new SetTimer(ask.deadlineUs() - settings.tickUs(), OF_JOB + ask.job()));
         boolean within = quotas.takes(ask.tenant(), settings, now);
-        job.near = near(pool, ask.subject());
-        Worker w = pool.hold.isEmpty() || ask.subject() != null ? choose(pool, job, false) : null;
+        job.near = near(pool, ask.affinityKey());
+        Worker w =
+                pool.hold.isEmpty() || ask.affinityKey() != null ? choose(pool, job, false) : null;
         // with a subject all dispatchers choose alike, so that only a report of that very worker
         // counts
-        boolean known = ask.subject() == null || w != null && !Double.isNaN(w.reportedFree);
+        boolean known = ask.affinityKey() == null || w != null && !Double.isNaN(w.reportedFree);
         boolean seenFree = w != null && known && free(w) >= ask.slots();
         boolean beyond = !within && (!seenFree || freeShare(pool) < SPARE);
         beyondQuota += beyond ? 1 : 0;
@@ -518,7 +524,7 @@
         if (beyond || !mayWait()) {
             answer(job);
         } else if (pool.present > most && !seenFree) {
-            Worker lent = ask.subject() == null ? borrow(pool, job) : null;
+            Worker lent = ask.affinityKey() == null ? borrow(pool, job) : null;
             if (lent != null) {
                 send(job, lent); // nobody is turned away beside a pool that is mostly free
             } else {
@@ -536,8 +542,8 @@
     /** Where only probes report loads, a job asks some workers before it goes to one. */
     private boolean looksFirst(Job job) {
         boolean byProbe =
-                settings.reporting() == Reporting.BY_PROBE && settings.limits().mayProbe();
-        return byProbe && job.ask.subject() == null && job.looksUntil == Long.MIN_VALUE;
+                settings.loadReporting() == LoadReporting.BY_PROBE && settings.limits().mayProbe();
+        return byProbe && job.ask.affinityKey() == null && job.looksUntil == Long.MIN_VALUE;
     }
 
     /** Asks some workers that the job could go to; tells whether it waits for that. */
@@ -567,7 +573,9 @@
     }
 
     private double nearness(Worker w) {
-        return w.zone == settings.zone() ? Math.max(ROOM, ZONE * settings.limits().zonePrice()) : 0;
+        return w.zone == settings.zone()
+                ? Math.max(ROOM, ZONE * settings.limits().crossZonePrice())
+                : 0;
     }
 
     private void hold(Job job) {
@@ -622,7 +630,7 @@
         if (job.risk != null && grouped(pool)) {
             return chooseInGroup(pool, job, w -> mayTake(w, job));
         }
-        boolean anywhere = job.ask.subject() == null;
+        boolean anywhere = job.ask.affinityKey() == null;
         double patience = anywhere ? BORROW_AFTER * (aim(pool) - pool.time) : LATE * slack(pool);
         boolean waited = now - job.arrived >= patience;
         Worker candidate = chooseCandidate(job);
@@ -636,7 +644,8 @@
      */
     private Worker borrow(Pool pool, Job job) {
         boolean foreign =
-                job.ask.fits() != null && pool.members.stream().noneMatch(w -> job.ask.fits(w.id));
+                job.ask.eligibleWorkers() != null
+                        && pool.members.stream().noneMatch(w -> job.ask.eligibleWorkers(w.id));
         boolean lost = pressed(job) || pool.members.stream().noneMatch(w -> mayTake(w, job));
         double spare = lost ? 0 : SPARE; // nothing is turned away beside a slot seen free
         for (Pool other : pools) {
@@ -663,8 +672,9 @@
 
     private Worker choose(Pool pool, Job job, boolean far, Predicate<Worker> may) {
         Worker[] ring = pool.ring;
-        boolean anywhere = job.ask.subject() == null;
-        long hash = anywhere ? random.nextLong() : Ring.mix(job.ask.subject() + SUBJECT_SALT);
+        boolean anywhere = job.ask.affinityKey() == null;
+        long hash =
+                anywhere ? random.nextLong() : HashRing.mix(job.ask.affinityKey() + SUBJECT_SALT);
         int at = (int) Math.floorMod(hash, Math.max(1L, ring.length));
         int near = anywhere ? ring.length : job.near + (far ? 1 : 0);
         double least = ROOM - 1 - (anywhere || far ? 0 : QUEUE);
@@ -700,7 +710,7 @@
         }
         double asked = pool.askedFor(subject, now);
         double slots = pool.slots / pool.members.size();
-        double load = asked / Pool.HEAT_US * settings.dispatchers() * pool.median;
+        double load = asked / Pool.HEAT_US * settings.schedulers() * pool.median;
         return (int) Math.ceil(load / (slots * HEAT_FULL));
     }
 
@@ -718,11 +728,14 @@
     }
 
     private static boolean grouped(Pool pool) {
-        return pool.of.effect() == Effect.KEYED && pool.of.group() != Group.ALL;
+        return pool.of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                && pool.of.idempotencyScope() != IdempotencyScope.ALL_WORKERS;
     }
 
     private static boolean sameGroup(Pool pool, Worker one, Worker other) {
-        return pool.of.group() == Group.ZONE ? one.zone == other.zone : one.cell == other.cell;
+        return pool.of.idempotencyScope() == IdempotencyScope.ZONE
+                ? one.zone == other.zone
+                : one.cell == other.cell;
     }
 
     /**
@@ -746,12 +759,12 @@
     }
 
     private boolean couldTake(Worker w, Job job) {
-        int kind = pools[job.ask.jobClass()].of.kind();
+        int kind = pools[job.ask.jobClass()].of.workerKind();
         return w.running
                 && now >= w.pausedUntil
                 && (kind < 0 || kind == w.kind)
                 && !silent(w)
-                && job.ask.fits(w.id)
+                && job.ask.eligibleWorkers(w.id)
                 && trusts(w, job)
                 && coldAllows(w, cost(job));
     }
@@ -759,13 +772,13 @@
     /** A worker struck more than once is tried with what may be repeated, if there are others. */
     private boolean trusts(Worker w, Job job) {
         return w.strikes < 2
-                || pools[job.ask.jobClass()].of.effect() == Effect.SAFE
+                || pools[job.ask.jobClass()].of.idempotency() == Idempotency.IDEMPOTENT
                 || now > w.pausedUntil + TRUST_US
                 || workers.values().stream().noneMatch(other -> other.running && other.strikes < 2);
     }
 
     private double cost(Job job) {
-        return pools[job.ask.jobClass()].time * job.ask.slots() + Probes.COST_US;
+        return pools[job.ask.jobClass()].time * job.ask.slots() + ProbeScheduler.COST_US;
     }
 
     // ---- cold workers (rule 4)
@@ -789,10 +802,10 @@
         w.sentMemory += job.ask.memory();
         coldBudget.spend(w, cost(job), now);
         actions.add(new Send(job.ask.job(), w.id, 0));
-        if (settings.tellsStart()
+        if (settings.reportsJobStart()
                 && settings.limits().mayCancel()
-                && job.ask.subject() == null
-                && pools[job.ask.jobClass()].of.effect() != Effect.UNSAFE) {
+                && job.ask.affinityKey() == null
+                && pools[job.ask.jobClass()].of.idempotency() != Idempotency.NOT_IDEMPOTENT) {
             timer(moveAfter(job), STARTED + job.ask.job());
         }
     }
@@ -813,7 +826,7 @@
                 || job.outstanding != 1
                 || now - a.sent < moveAfter(job)
                 || job.attempts.size() >= settings.limits().maxAttempts()
-                || job.runs + 1 >= job.ask.mostRuns()) {
+                || job.runs + 1 >= job.ask.maxRuns()) {
             return;
         }
         Pool pool = pools[job.ask.jobClass()];
@@ -856,14 +869,16 @@
         w.own(-job.ask.slots(), now);
         w.others += w.fresh ? job.ask.slots() : 0; // not free until the next report says so
         w.answeredAt =
-                e.outcome() == Outcome.SERVED || e.outcome() == Outcome.FULL ? now : w.answeredAt;
+                e.outcome() == AttemptOutcome.SERVED || e.outcome() == AttemptOutcome.FULL
+                        ? now
+                        : w.answeredAt;
         reported(w, e.report(), false);
-        if (settings.reporting()
-                == Reporting.NONE) { // else only a report says that what was sent has left
+        if (settings.loadReporting()
+                == LoadReporting.NONE) { // else only a report says that what was sent has left
             w.sentMemory = Math.max(0, w.sentMemory - job.ask.memory());
         }
         health(a, e.outcome());
-        if (e.closed() && !job.ended) {
+        if (e.jobAnswered() && !job.ended) {
             end(job);
         } else if (!job.ended) {
             goOn(job, a, e.outcome());
@@ -880,7 +895,7 @@
         }
     }
 
-    private void health(Attempt a, Outcome outcome) {
+    private void health(Attempt a, AttemptOutcome outcome) {
         Worker w = a.worker;
         switch (outcome) {
             case SERVED -> {
@@ -889,7 +904,7 @@
                 w.paced(pools[a.job.ask.jobClass()].timed(w, took), now);
             }
             case CANCELLED -> { // what has not started in its time says as much as a report
-                if (settings.tellsStart() && a.started == 0 && now - a.sent > START_US) {
+                if (settings.reportsJobStart() && a.started == 0 && now - a.sent > START_US) {
                     w.full(kindSlots, cold(w), freeAnywhere, now);
                 }
             }
@@ -902,7 +917,7 @@
             // is
             case ERROR, NOT_CONNECTED, TIMED_OUT -> {
                 strike(w, w.suspect(outcome));
-                if (outcome != Outcome.ERROR) {
+                if (outcome != AttemptOutcome.ERROR) {
                     w.lease.connectionFailed(now);
                 }
             }
@@ -928,7 +943,7 @@
      * An attempt has ended without serving: another if the class allows it, else the answer (rules
      * 1, 2).
      */
-    private void goOn(Job job, Attempt a, Outcome outcome) {
+    private void goOn(Job job, Attempt a, AttemptOutcome outcome) {
         job.runs += outcome.provesNotRun() ? 0 : 1;
         if (!outcome.provesNotRun() && job.risk == null) {
             job.risk = a;
@@ -946,18 +961,20 @@
     /** Whether it may be sent, if this (or null) is the first attempt that may have run. */
     private boolean mayRepeat(Job job, Attempt risk) {
         JobClass of = pools[job.ask.jobClass()].of;
-        boolean again = of.effect() != Effect.UNSAFE && job.runs < job.ask.mostRuns();
+        boolean again =
+                of.idempotency() != Idempotency.NOT_IDEMPOTENT && job.runs < job.ask.maxRuns();
         return risk == null
-                || again && of.effect() == Effect.SAFE
-                || again && now + settings.tickUs() < risk.sent + of.windowUs();
+                || again && of.idempotency() == Idempotency.IDEMPOTENT
+                || again && now + settings.tickUs() < risk.sent + of.idempotencyWindowUs();
     }
 
     private boolean harmless(Job job) {
         JobClass of = pools[job.ask.jobClass()].of;
         boolean clean = job.risk == null && job.outstanding == 0;
         return clean
-                || of.effect() == Effect.SAFE
-                || of.effect() == Effect.KEYED && of.group() == Group.ALL;
+                || of.idempotency() == Idempotency.IDEMPOTENT
+                || of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
     }
 
     /**
@@ -969,7 +986,7 @@
         Pool pool = pools[job.ask.jobClass()];
         actions.add(
                 harmless(job)
-                        ? new Refuse(job.ask.job(), retryAfter(pool))
+                        ? new Reject(job.ask.job(), retryAfter(pool))
                         : new Fail(job.ask.job()));
         end(job);
     }
@@ -979,7 +996,7 @@
      * end.
      */
     private long retryAfter(Pool pool) {
-        double slots = Math.max(1, pool.slots / pool.slotsPerJob) / settings.dispatchers();
+        double slots = Math.max(1, pool.slots / pool.slotsPerJob) / settings.schedulers();
         double excess = Math.max(1, pool.present - pool.share);
         return (long) Math.min(MOST_RETRY_US, excess * pool.time / slots);
     }
@@ -1013,16 +1030,16 @@
 
     private void probe() {
         double own =
-                Arrays.stream(pools).mapToDouble(pool -> pool.rate / settings.dispatchers()).sum();
+                Arrays.stream(pools).mapToDouble(pool -> pool.rate / settings.schedulers()).sum();
         probes.probeNext(own, SWEEP_US, settings.limits(), this::bearsProbe, now, actions);
         timer(SWEEP_US, PROBE);
     }
 
     /** Whether a worker bears the work of a probe; it is spent then. */
     private boolean bearsProbe(Worker w) {
-        boolean bears = coldAllows(w, Probes.COST_US);
+        boolean bears = coldAllows(w, ProbeScheduler.COST_US);
         if (bears) {
-            coldBudget.spend(w, Probes.COST_US, now);
+            coldBudget.spend(w, ProbeScheduler.COST_US, now);
         }
         return bears;
     }
@@ -1031,7 +1048,9 @@
      * Whether a worker can be asked itself whether it takes work, and its answer holds for a while.
      */
     private boolean leases() {
-        return settings.leasesByProbe() && discovery.graceUs() > 0 && discovery.mayAskWorkers(now);
+        return settings.leasesWorkersByProbe()
+                && discovery.graceUs() > 0
+                && discovery.mayAskWorkers(now);
     }
 
     /**
@@ -1092,18 +1111,18 @@
      * What a cold worker has had from here in its window, and what it bears; null if it is not
      * cold.
      */
-    public ColdLoad coldLoad(String worker, int jobClass) {
+    public SlowStartLoad coldLoad(String worker, int jobClass) {
         Worker w = workers.get(worker);
         if (w == null || !cold(w)) {
             return null;
         }
         return coldBudget.load(
-                w, settings, freeSeen[w.kind], pools[jobClass].time + Probes.COST_US, now);
+                w, settings, freeSeen[w.kind], pools[jobClass].time + ProbeScheduler.COST_US, now);
     }
 
     /** How the pools stand, by class. */
     public List<PoolState> pools() {
-        return Picture.pools(pools, this::freeShare);
+        return PolicySnapshot.pools(pools, this::freeShare);
     }
 
     /** How the workers stand, by id; {@code nowUs} tells which of them are cold or paused. */
@@ -1135,7 +1154,7 @@
             loggedAt = now;
             actions.add(
                     new Log(
-                            Picture.line(pools, this::freeShare)
+                            PolicySnapshot.line(pools, this::freeShare)
                                     + " borrowed "
                                     + borrowed
                                     + " moved "
--- a/src/main/java/damsonslip/policy/ColdBudget.java
+++ b/src/main/java/damsonslip/policy/SlowStartBudget.java
@@ -1,10 +1,10 @@
 package damsonslip.policy;
 
-import damsonslip.policy.Known.FreeSeen;
-import damsonslip.policy.Known.Worker;
-import damsonslip.policy.api.ColdLoad;
+import damsonslip.policy.FleetState.FreeSeen;
+import damsonslip.policy.FleetState.Worker;
 import damsonslip.policy.api.Guarantees;
 import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.SlowStartLoad;
 
 /**
  * What a cold worker may be sent (rule 4, slow start). Its budget is cut into windows of the stated
@@ -15,7 +15,7 @@
  * <p>Decides from what {@link Worker} holds; times are those of the events. Not safe for use by
  * several threads.
  */
-final class ColdBudget {
+final class SlowStartBudget {
     /**
      * Part of the stated budget that is spent: job times are guesses, and windows overlap by two.
      */
@@ -23,15 +23,15 @@
 
     private final Guarantees rules;
 
-    ColdBudget(Guarantees rules) {
+    SlowStartBudget(Guarantees rules) {
         this.rules = rules;
     }
 
     /** Whether the worker has not reached its full capacity yet. */
     boolean isCold(Worker w, long now) {
-        return rules.coldShare() < 1
+        return rules.slowStartShare() < 1
                 && w.started != Long.MIN_VALUE
-                && now - w.started < rules.coldUs();
+                && now - w.started < rules.slowStartUs();
     }
 
     /** Whether work of this cost may be sent there now. */
@@ -42,19 +42,21 @@
         long turn = turn(w, now);
         double mine = part(w, settings, ofKind, now);
         long turns = Math.max(1, (long) Math.ceil(cost / mine));
-        return Math.floorMod(turn + w.salt, turns) == Math.floorMod((long) settings.number(), turns)
+        return Math.floorMod(turn + w.salt, turns)
+                        == Math.floorMod((long) settings.schedulerIndex(), turns)
                 && (w.coldTurn == turn ? w.coldSpent : 0) + cost <= mine * turns;
     }
 
     /** The part of the budget that is this dispatcher's, in the window at hand. */
     double part(Worker w, Settings settings, FreeSeen ofKind, long now) {
-        double warmth = rules.warmth(turn(w, now) * rules.fallUs());
-        double all = PART * rules.fallMultiple() * warmth * w.shown(ofKind) * rules.fallUs();
-        return all / settings.dispatchers();
+        double warmth = rules.slowStartShareAt(turn(w, now) * rules.overloadWindowUs());
+        double all =
+                PART * rules.overloadFactor() * warmth * w.shown(ofKind) * rules.overloadWindowUs();
+        return all / settings.schedulers();
     }
 
     private long turn(Worker w, long now) {
-        return Math.floorDiv(now - w.started, rules.fallUs());
+        return Math.floorDiv(now - w.started, rules.overloadWindowUs());
     }
 
     /** Work of this cost has been sent there. */
@@ -68,10 +70,10 @@
      * What was sent there from here in the window, and what it bears there from all, in requests of
      * this length.
      */
-    ColdLoad load(Worker w, Settings settings, FreeSeen ofKind, double requestUs, long now) {
+    SlowStartLoad load(Worker w, Settings settings, FreeSeen ofKind, double requestUs, long now) {
         double spent = w.coldTurn == turn(w, now) ? w.coldSpent : 0;
-        return new ColdLoad(
+        return new SlowStartLoad(
                 spent / requestUs,
-                part(w, settings, ofKind, now) / PART * settings.dispatchers() / requestUs);
+                part(w, settings, ofKind, now) / PART * settings.schedulers() / requestUs);
     }
 }
--- a/src/main/java/damsonslip/policy/TenantQuotas.java
+++ b/src/main/java/damsonslip/policy/TenantQuotas.java
@@ -54,7 +54,7 @@
         double[] used = rate.clone();
         Arrays.setAll(
                 used,
-                t -> used[t] * settings.dispatchers() / (settings.tenantQuotas().get(t) + SMALL));
+                t -> used[t] * settings.schedulers() / (settings.tenantQuotas().get(t) + SMALL));
         Arrays.sort(used);
         return used.length < 2 ? 1 : Math.max(1, used[(used.length - 1) / 2]);
     }
@@ -68,7 +68,7 @@
         double seconds = (nowUs - levelAt) / SECOND;
         levelAt = nowUs;
         for (int t = 0; t < level.length; t++) {
-            double part = settings.tenantQuotas().get(t) / settings.dispatchers() * busier;
+            double part = settings.tenantQuotas().get(t) / settings.schedulers() * busier;
             level[t] = Math.min(level[t] + seconds * part, Math.max(LEAST_BURST, BURST_S * part));
         }
         boolean within = level[tenant] >= 1;
--- a/src/main/java/damsonslip/policy/api/Action.java
+++ b/src/main/java/damsonslip/policy/api/Action.java
@@ -2,4 +2,4 @@
 
 /** What a dispatcher shall do. */
 public sealed interface Action
-        permits Send, Cancel, Refuse, Fail, Probe, SetTimer, WatchList, Log {}
+        permits Send, Cancel, Reject, Fail, ProbeWorker, SetTimer, WatchWorkerList, Log {}
--- a/src/main/java/damsonslip/policy/api/Outcome.java
+++ b/src/main/java/damsonslip/policy/api/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package damsonslip.policy.api;
 
 /** How an attempt ended. */
-public enum Outcome {
+public enum AttemptOutcome {
     SERVED,
     ERROR,
     FULL,
--- a/src/main/java/damsonslip/policy/api/JobGone.java
+++ b/src/main/java/damsonslip/policy/api/ClientDisconnected.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
 /** The client has gone; nothing more is owed. */
-public record JobGone(String job) implements Event {}
+public record ClientDisconnected(String job) implements Event {}
--- a/src/main/java/damsonslip/policy/api/AddressNews.java
+++ b/src/main/java/damsonslip/policy/api/DiscoveryAddressState.java
@@ -1,7 +1,7 @@
 package damsonslip.policy.api;
 
 /** What is known of discovery's address after the operators have asked for a reload. */
-public enum AddressNews {
+public enum DiscoveryAddressState {
     /** The configuration cannot be read at the moment, and may name another address. */
     UNREAD,
     /** The configuration was read, or refused for what it says. */
--- a/src/main/java/damsonslip/policy/api/Event.java
+++ b/src/main/java/damsonslip/policy/api/Event.java
@@ -2,13 +2,13 @@
 
 /** What happens to a dispatcher. */
 public sealed interface Event
-        permits ListUpdate,
-                DiscoveryAddress,
+        permits WorkerListUpdate,
+                DiscoveryAddressChanged,
                 JobArrived,
                 AttemptStarted,
                 AttemptEnded,
-                JobGone,
+                ClientDisconnected,
                 ProbeEnded,
                 ConnectionLost,
-                Divided,
+                SchedulersChanged,
                 TimerDue {}
--- a/src/main/java/damsonslip/policy/api/Guarantees.java
+++ b/src/main/java/damsonslip/policy/api/Guarantees.java
@@ -3,34 +3,36 @@
 /**
  * The figures of the four rules.
  *
- * @param answerGraceUs how long after the client's deadline a final answer still counts
+ * @param responseGraceUs how long after the client's deadline a final answer still counts
  * @param drainGraceUs how soon sends to a draining worker must end
- * @param askEveryUs how often a list that is not watched has to be asked for at the least
- * @param coldShare the share of its capacity that a worker starts with
- * @param coldUs when it is warm
- * @param fallMultiple more than this multiple of its present capacity,
- * @param fallUs for this long, pushes a cold worker over
+ * @param maxPollIntervalUs how often a list that is not watched has to be asked for at the least
+ * @param slowStartShare the share of its capacity that a worker starts with
+ * @param slowStartUs when it is warm
+ * @param overloadFactor more than this multiple of its present capacity,
+ * @param overloadWindowUs for this long, pushes a cold worker over
  */
 public record Guarantees(
-        long answerGraceUs,
+        long responseGraceUs,
         long drainGraceUs,
-        long askEveryUs,
-        double coldShare,
-        long coldUs,
-        double fallMultiple,
-        long fallUs) {
+        long maxPollIntervalUs,
+        double slowStartShare,
+        long slowStartUs,
+        double overloadFactor,
+        long overloadWindowUs) {
     public Guarantees {
-        Requirements.require(answerGraceUs >= 0, "settings: grace to answer: " + answerGraceUs);
+        Requirements.require(responseGraceUs >= 0, "settings: grace to answer: " + responseGraceUs);
         Requirements.require(drainGraceUs >= 0, "settings: drain grace: " + drainGraceUs);
-        Requirements.require(askEveryUs >= 0, "settings: ask every: " + askEveryUs);
-        Requirements.require(coldShare > 0 && coldShare <= 1, "settings: cold share: " + coldShare);
-        Requirements.require(coldUs >= 0, "settings: cold time: " + coldUs);
-        Requirements.require(fallMultiple > 0, "settings: fall multiple: " + fallMultiple);
-        Requirements.require(fallUs > 0, "settings: fall time: " + fallUs);
+        Requirements.require(maxPollIntervalUs >= 0, "settings: ask every: " + maxPollIntervalUs);
+        Requirements.require(
+                slowStartShare > 0 && slowStartShare <= 1,
+                "settings: cold share: " + slowStartShare);
+        Requirements.require(slowStartUs >= 0, "settings: cold time: " + slowStartUs);
+        Requirements.require(overloadFactor > 0, "settings: fall multiple: " + overloadFactor);
+        Requirements.require(overloadWindowUs > 0, "settings: fall time: " + overloadWindowUs);
     }
 
     /** The worst share of its capacity that a worker may have at this age. */
-    public double warmth(long age) {
-        return Math.min(1, coldShare + (1 - coldShare) * Math.max(0, age) / coldUs);
+    public double slowStartShareAt(long age) {
+        return Math.min(1, slowStartShare + (1 - slowStartShare) * Math.max(0, age) / slowStartUs);
     }
 }
--- a/src/main/java/damsonslip/policy/api/Effect.java
+++ b/src/main/java/damsonslip/policy/api/Idempotency.java
@@ -1,11 +1,11 @@
 package damsonslip.policy.api;
 
 /** What a repeat of a job does. */
-public enum Effect {
+public enum Idempotency {
     /** May run any number of times. */
-    SAFE,
+    IDEMPOTENT,
     /** Repeats are dropped within a group of workers and a window of time. */
-    KEYED,
+    IDEMPOTENT_WITH_KEY,
     /** Must not run twice. */
-    UNSAFE
+    NOT_IDEMPOTENT
 }
--- a/src/main/java/damsonslip/policy/api/JobArrived.java
+++ b/src/main/java/damsonslip/policy/api/JobArrived.java
@@ -11,17 +11,17 @@
         String job,
         int jobClass,
         int tenant,
-        Long subject,
+        Long affinityKey,
         long deadlineUs,
         int slots,
         double memory,
-        int mostRuns,
-        Predicate<String> fits)
+        int maxRuns,
+        Predicate<String> eligibleWorkers)
         implements Event {
     public JobArrived {
         Requirements.require(job != null, "a job without an id");
         Requirements.require(slots >= 1, "slots of a job: " + slots);
-        Requirements.require(mostRuns >= 1, "runs of a job: " + mostRuns);
+        Requirements.require(maxRuns >= 1, "runs of a job: " + maxRuns);
     }
 
     public JobArrived(
@@ -36,7 +36,7 @@
     }
 
     /** Whether this worker can take it. */
-    public boolean fits(String worker) {
-        return fits == null || fits.test(worker);
+    public boolean eligibleWorkers(String worker) {
+        return eligibleWorkers == null || eligibleWorkers.test(worker);
     }
 }
--- a/src/main/java/damsonslip/policy/api/JobClass.java
+++ b/src/main/java/damsonslip/policy/api/JobClass.java
@@ -3,19 +3,20 @@
 /**
  * A job class.
  *
- * @param aimUs an answer within this time, plus stretch times the running time, earns full worth
- * @param stretch how much of its own running time extends the aim
- * @param worth what a job in time is worth
- * @param effect what a repeat does
- * @param group for keyed jobs, who drops repeats
- * @param windowUs for keyed jobs, for how long after the first send
- * @param kind the only kind of worker that runs it, or -1
+ * @param latencyObjectiveUs an answer within this time, plus stretch times the running time, earns
+ *     full worth
+ * @param runTimeFactor how much of its own running time extends the aim
+ * @param priorityWeight what a job in time is worth
+ * @param idempotency what a repeat does
+ * @param idempotencyScope for keyed jobs, who drops repeats
+ * @param idempotencyWindowUs for keyed jobs, for how long after the first send
+ * @param workerKind the only kind of worker that runs it, or -1
  */
 public record JobClass(
-        long aimUs,
-        double stretch,
-        double worth,
-        Effect effect,
-        Group group,
-        long windowUs,
-        int kind) {}
+        long latencyObjectiveUs,
+        double runTimeFactor,
+        double priorityWeight,
+        Idempotency idempotency,
+        IdempotencyScope idempotencyScope,
+        long idempotencyWindowUs,
+        int workerKind) {}
--- a/src/main/java/damsonslip/policy/api/Reporting.java
+++ b/src/main/java/damsonslip/policy/api/LoadReporting.java
@@ -1,8 +1,8 @@
 package damsonslip.policy.api;
 
 /** Where load reports come from. */
-public enum Reporting {
-    WITH_ANSWERS,
+public enum LoadReporting {
+    WITH_RESPONSES,
     BY_PROBE,
     NONE
 }
--- a/src/main/java/damsonslip/policy/api/PoolState.java
+++ b/src/main/java/damsonslip/policy/api/PoolState.java
@@ -5,9 +5,9 @@
         int jobClass,
         int workers,
         double slots,
-        double rate,
-        double timeUs,
+        double arrivalRate,
+        double meanRunTimeUs,
         double freeShare,
         int present,
-        int held,
-        int share) {}
+        int queued,
+        int admissionShare) {}
--- a/src/main/java/damsonslip/policy/api/Probe.java
+++ b/src/main/java/damsonslip/policy/api/ProbeWorker.java
@@ -4,4 +4,4 @@
  * Ask a worker for its load, and whether it takes work; over a connection that came up by that
  * time, or over any if that is {@link Long#MAX_VALUE}.
  */
-public record Probe(String worker, long connectedByUs) implements Action {}
+public record ProbeWorker(String worker, long connectedBeforeUs) implements Action {}
--- a/src/main/java/damsonslip/policy/api/Settings.java
+++ b/src/main/java/damsonslip/policy/api/Settings.java
@@ -5,8 +5,8 @@
 /**
  * What the dispatcher is told once, before anything else.
  *
- * @param dispatchers how many dispatchers share the workers
- * @param number this one's number among them, from 0
+ * @param schedulers how many dispatchers share the workers
+ * @param schedulerIndex this one's number among them, from 0
  * @param zone this one's zone
  * @param zones how many zones there are
  * @param kinds how many kinds of worker there are
@@ -14,16 +14,16 @@
  * @param tenantQuotas jobs a second within each tenant's share, over all dispatchers; or empty
  * @param limits what is allowed
  * @param guarantees the figures of the four rules
- * @param reporting where load reports come from
- * @param listOnRequest whether the list of workers comes only when asked for
- * @param tellsStart whether workers say when a job starts
+ * @param loadReporting where load reports come from
+ * @param pollsWorkerList whether the list of workers comes only when asked for
+ * @param reportsJobStart whether workers say when a job starts
  * @param tickUs the least time between two events of a dispatcher
- * @param probesTellDrains whether a worker that drains does not answer a probe as one that takes
- *     work
+ * @param probesReportDraining whether a worker that drains does not answer a probe as one that
+ *     takes work
  */
 public record Settings(
-        int dispatchers,
-        int number,
+        int schedulers,
+        int schedulerIndex,
         int zone,
         int zones,
         int kinds,
@@ -31,28 +31,31 @@
         List<Double> tenantQuotas,
         Limits limits,
         Guarantees guarantees,
-        Reporting reporting,
-        boolean listOnRequest,
-        boolean tellsStart,
+        LoadReporting loadReporting,
+        boolean pollsWorkerList,
+        boolean reportsJobStart,
         long tickUs,
-        boolean probesTellDrains) {
+        boolean probesReportDraining) {
     public Settings {
         classes = List.copyOf(classes);
         tenantQuotas = List.copyOf(tenantQuotas);
         Requirements.require(!classes.isEmpty(), "settings: classes: there are none");
-        Requirements.require(dispatchers >= 1, "settings: dispatchers: " + dispatchers);
-        boolean numbered = number >= 0 && number < dispatchers;
-        Requirements.require(numbered, "settings: number: " + number + " of " + dispatchers);
+        Requirements.require(schedulers >= 1, "settings: dispatchers: " + schedulers);
+        boolean numbered = schedulerIndex >= 0 && schedulerIndex < schedulers;
+        Requirements.require(numbered, "settings: number: " + schedulerIndex + " of " + schedulers);
         Requirements.require(zone >= 0 && zone < zones, "settings: zone: " + zone + " of " + zones);
         Requirements.require(kinds >= 1, "settings: kinds: " + kinds);
         Requirements.require(tickUs >= 0, "settings: tick: " + tickUs);
         for (JobClass c : classes) {
-            Requirements.require(c.aimUs() >= 0, "settings: aim: " + c.aimUs());
-            Requirements.require(c.stretch() >= 0, "settings: stretch: " + c.stretch());
-            Requirements.require(c.worth() >= 0, "settings: worth: " + c.worth());
-            Requirements.require(c.windowUs() >= 0, "settings: window: " + c.windowUs());
             Requirements.require(
-                    c.kind() >= -1 && c.kind() < kinds, "settings: kind of a class: " + c.kind());
+                    c.latencyObjectiveUs() >= 0, "settings: aim: " + c.latencyObjectiveUs());
+            Requirements.require(c.runTimeFactor() >= 0, "settings: stretch: " + c.runTimeFactor());
+            Requirements.require(c.priorityWeight() >= 0, "settings: worth: " + c.priorityWeight());
+            Requirements.require(
+                    c.idempotencyWindowUs() >= 0, "settings: window: " + c.idempotencyWindowUs());
+            Requirements.require(
+                    c.workerKind() >= -1 && c.workerKind() < kinds,
+                    "settings: kind of a class: " + c.workerKind());
         }
         for (double quota : tenantQuotas) {
             Requirements.require(quota >= 0, "settings: quota: " + quota);
@@ -70,7 +73,7 @@
             List<Double> tenantQuotas,
             Limits limits,
             Guarantees guarantees,
-            Reporting reporting,
+            LoadReporting reporting,
             boolean listOnRequest,
             boolean tellsStart,
             long tickUs) {
@@ -92,10 +95,10 @@
     }
 
     /** The same for one of so many dispatchers. */
-    public Settings among(Divided e) {
+    public Settings withSchedulers(SchedulersChanged e) {
         return new Settings(
-                e.dispatchers(),
-                e.number(),
+                e.schedulers(),
+                e.schedulerIndex(),
                 zone,
                 zones,
                 kinds,
@@ -103,18 +106,18 @@
                 tenantQuotas,
                 limits,
                 guarantees,
-                reporting,
-                listOnRequest,
-                tellsStart,
+                loadReporting,
+                pollsWorkerList,
+                reportsJobStart,
                 tickUs,
-                probesTellDrains);
+                probesReportDraining);
     }
 
     /** The same where a worker that drains does not answer a probe as one that takes work. */
-    public Settings withProbesThatTellDrains() {
+    public Settings withProbesReportingDraining() {
         return new Settings(
-                dispatchers,
-                number,
+                schedulers,
+                schedulerIndex,
                 zone,
                 zones,
                 kinds,
@@ -122,22 +125,22 @@
                 tenantQuotas,
                 limits,
                 guarantees,
-                reporting,
-                listOnRequest,
-                tellsStart,
+                loadReporting,
+                pollsWorkerList,
+                reportsJobStart,
                 tickUs,
                 true);
     }
 
     /** Whether workers can be asked themselves whether they take work, where no list holds. */
-    public boolean leasesByProbe() {
-        return probesTellDrains && listOnRequest && limits.mayProbe();
+    public boolean leasesWorkersByProbe() {
+        return probesReportDraining && pollsWorkerList && limits.mayProbe();
     }
 
     /**
      * Rejects an event that names a class, tenant, zone or kind that these settings do not have.
      */
-    public void check(Event event) {
+    public void validate(Event event) {
         if (event instanceof JobArrived e) {
             Requirements.require(
                     e.jobClass() >= 0 && e.jobClass() < classes.size(),
@@ -145,8 +148,8 @@
             int tenants = Math.max(1, tenantQuotas.size());
             Requirements.require(
                     e.tenant() >= 0 && e.tenant() < tenants, "unknown tenant: " + e.tenant());
-        } else if (event instanceof ListUpdate e) {
-            for (Worker w : e.workers()) {
+        } else if (event instanceof WorkerListUpdate e) {
+            for (WorkerEntry w : e.workers()) {
                 Requirements.require(w.kind() < kinds, "unknown kind: " + w.kind());
                 Requirements.require(
                         w.zone() >= 0 && w.zone() < zones, "unknown zone: " + w.zone());
--- a/src/main/java/damsonslip/policy/api/WatchList.java
+++ b/src/main/java/damsonslip/policy/api/WatchWorkerList.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
 /** Ask for changes of the list from now on. */
-public record WatchList() implements Action {}
+public record WatchWorkerList() implements Action {}
--- a/src/main/java/damsonslip/policy/api/Worker.java
+++ b/src/main/java/damsonslip/policy/api/WorkerEntry.java
@@ -5,8 +5,9 @@
  *
  * @param startedUs when it last started, or {@link Long#MIN_VALUE} if long past
  */
-public record Worker(String id, int zone, int cell, int kind, Status status, long startedUs) {
-    public Worker {
+public record WorkerEntry(
+        String id, int zone, int cell, int kind, WorkerStatus status, long startedUs) {
+    public WorkerEntry {
         Requirements.require(id != null, "a worker without an id");
         Requirements.require(kind >= 0, "kind of a worker: " + kind);
     }
--- a/src/main/java/damsonslip/policy/api/ListMode.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListChange.java
@@ -1,7 +1,7 @@
 package damsonslip.policy.api;
 
 /** What a list update holds: workers, or the way in which a call or a watch ended. */
-public enum ListMode {
+public enum WorkerListChange {
     /** Workers that have changed. */
     CHANGES,
     /** The complete list. */
@@ -20,17 +20,17 @@
     NOT_CALLED;
 
     /** Whether a worker that the update does not name has been removed. */
-    public boolean isWhole() {
+    public boolean isComplete() {
         return this == COMPLETE || this == KEPT;
     }
 
     /** Whether the update was received from discovery just now. */
-    public boolean isNews() {
+    public boolean isFromDiscovery() {
         return this == CHANGES || this == COMPLETE;
     }
 
     /** Whether the update reports the end of a call or a watch instead of workers. */
-    public boolean isLoss() {
+    public boolean isFailure() {
         return switch (this) {
             case FAILED, UNREACHABLE, SILENT, NOT_CALLED -> true;
             case CHANGES, COMPLETE, KEPT, OVERRIDES -> false;
--- a/src/main/java/damsonslip/policy/api/ListUpdate.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListUpdate.java
@@ -7,12 +7,13 @@
  * a watch that fell silent when it last said something, and for a list that was kept when the
  * process that begins with it was launched.
  */
-public record ListUpdate(ListMode mode, List<Worker> workers, long heardUs) implements Event {
-    public ListUpdate {
+public record WorkerListUpdate(
+        WorkerListChange change, List<WorkerEntry> workers, long lastReceivedUs) implements Event {
+    public WorkerListUpdate {
         workers = List.copyOf(workers);
     }
 
-    public ListUpdate(ListMode mode, List<Worker> workers) {
+    public WorkerListUpdate(WorkerListChange mode, List<WorkerEntry> workers) {
         this(mode, workers, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/damsonslip/policy/api/WorkerState.java
+++ b/src/main/java/damsonslip/policy/api/WorkerState.java
@@ -10,9 +10,9 @@
         int zone,
         int kind,
         boolean running,
-        boolean cold,
+        boolean warmingUp,
         boolean paused,
-        int out,
-        double free,
+        int outstanding,
+        double freeSlots,
         int pool,
-        double coldPartUs) {}
+        double slowStartBudgetUs) {}
--- a/src/main/java/damsonslip/policy/api/Status.java
+++ b/src/main/java/damsonslip/policy/api/WorkerStatus.java
@@ -1,8 +1,8 @@
 package damsonslip.policy.api;
 
 /** What the list of workers says about one of them. */
-public enum Status {
+public enum WorkerStatus {
     RUNNING,
     DRAINING,
-    GONE
+    REMOVED
 }
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -1,6 +1,6 @@
 package damsonslip.store;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -35,9 +35,9 @@
     private static final long KEEP_RETRY_US = 500_000;
     private static final long LAST_WAIT_S = 2;
 
-    private record Call<T>(Op<T> op, Consumer<T> then, Runnable failed) {}
+    private record Call<T>(StoreOperation<T> op, Consumer<T> then, Runnable failed) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final JobStore store;
     private final LinkedBlockingQueue<Call<?>> calls = new LinkedBlockingQueue<>();
     private final AtomicInteger waiting = new AtomicInteger();
@@ -53,7 +53,7 @@
     private volatile boolean down;
     private long downUntilNs;
 
-    public AsyncStore(Loop loop, JobStore store) {
+    public AsyncStore(EventLoop loop, JobStore store) {
         this.loop = loop;
         this.store = store;
         thread.setDaemon(true);
@@ -71,7 +71,7 @@
     }
 
     /** Asks the store; one of the two is called later, on the loop. Called on the loop. */
-    public <T> void ask(Op<T> op, Consumer<T> then, Runnable failed) {
+    public <T> void ask(StoreOperation<T> op, Consumer<T> then, Runnable failed) {
         if (closing || waiting.get() >= MOST_WAITING) {
             loop.execute(failed);
             return;
@@ -100,7 +100,7 @@
     public void keep(JobRecord record, Runnable then, Runnable failed) {
         enqueue(
                 new Call<>(
-                        new Op.Put(record),
+                        new StoreOperation.Put(record),
                         done -> then.run(),
                         () -> {
                             failed.run();
@@ -117,7 +117,7 @@
     }
 
     /** Does it again and again until the store has done it. */
-    public void insist(Op<?> op) {
+    public void insist(StoreOperation<?> op) {
         enqueue(new Call<>(op, done -> {}, () -> loop.in(KEEP_RETRY_US, () -> insist(op))));
     }
 
@@ -174,7 +174,7 @@
         }
     }
 
-    private List<Object> guarded(List<? extends Op<?>> ops) throws StoreException {
+    private List<Object> guarded(List<? extends StoreOperation<?>> ops) throws StoreException {
         if (down && System.nanoTime() < downUntilNs) {
             throw new StoreException("the store is down", null);
         }
@@ -196,7 +196,7 @@
     }
 
     /** Guards the thread, and with it every later call, against a fault in one. */
-    private List<Object> run(List<? extends Op<?>> ops) throws StoreException {
+    private List<Object> run(List<? extends StoreOperation<?>> ops) throws StoreException {
         try {
             return store.run(ops);
         } catch (RuntimeException e) {
--- a/src/main/java/damsonslip/store/JobStore.java
+++ b/src/main/java/damsonslip/store/JobStore.java
@@ -12,7 +12,7 @@
      * @return for each what it gives, or the {@link StoreException} with which it alone failed
      * @throws StoreException if the store did not answer; whether any of them was done is not known
      */
-    List<Object> run(List<? extends Op<?>> ops) throws StoreException;
+    List<Object> run(List<? extends StoreOperation<?>> ops) throws StoreException;
 
     @Override
     void close();
--- a/src/main/java/damsonslip/store/MemoryStore.java
+++ b/src/main/java/damsonslip/store/MemoryStore.java
@@ -21,32 +21,32 @@
     private final Map<String, Long> workers = new LinkedHashMap<>();
 
     @Override
-    public synchronized List<Object> run(List<? extends Op<?>> ops) {
+    public synchronized List<Object> run(List<? extends StoreOperation<?>> ops) {
         List<Object> results = new ArrayList<>(ops.size());
         ops.forEach(op -> results.add(run(op)));
         return results;
     }
 
-    private Object run(Op<?> op) {
-        if (op instanceof Op.Add add) {
+    private Object run(StoreOperation<?> op) {
+        if (op instanceof StoreOperation.Add add) {
             Held before = jobs.putIfAbsent(add.record().id(), new Held(add.record(), add.body()));
             return before == null ? null : before.record();
-        } else if (op instanceof Op.Put put) {
+        } else if (op instanceof StoreOperation.Put put) {
             return put(put.record(), body(put.record().id()));
-        } else if (op instanceof Op.Replace replace) {
+        } else if (op instanceof StoreOperation.Replace replace) {
             return put(replace.record(), replace.body());
-        } else if (op instanceof Op.Take take) {
+        } else if (op instanceof StoreOperation.Take take) {
             String body = body(take.record().id());
             put(take.record(), body);
             return body;
-        } else if (op instanceof Op.Get get) {
+        } else if (op instanceof StoreOperation.Get get) {
             Held held = jobs.get(get.id());
             return held == null ? null : held.record();
-        } else if (op instanceof Op.Bodies bodies) {
+        } else if (op instanceof StoreOperation.Bodies bodies) {
             List<String> found = new ArrayList<>();
             bodies.ids().forEach(id -> found.add(body(id)));
             return found;
-        } else if (op instanceof Op.Drop drop) {
+        } else if (op instanceof StoreOperation.Drop drop) {
             drop.ids()
                     .forEach(
                             id -> {
@@ -54,13 +54,13 @@
                                 over.remove(id);
                             });
             return null;
-        } else if (op instanceof Op.Open) {
+        } else if (op instanceof StoreOperation.Open) {
             return jobs.values().stream()
                     .map(Held::record)
                     .filter(record -> !record.state().isFinal())
                     .map(JobRecord::id)
                     .toList();
-        } else if (op instanceof Op.Load load) {
+        } else if (op instanceof StoreOperation.Load load) {
             return load.ids().stream()
                     .map(jobs::get)
                     .filter(Objects::nonNull)
@@ -71,8 +71,8 @@
         return aside(op);
     }
 
-    private Object aside(Op<?> op) {
-        if (op instanceof Op.Note note) {
+    private Object aside(StoreOperation<?> op) {
+        if (op instanceof StoreOperation.Note note) {
             Map<String, String> kind =
                     notes.computeIfAbsent(note.kind(), k -> new LinkedHashMap<>());
             if (note.words() == null) {
@@ -81,9 +81,9 @@
                 kind.put(note.key(), note.words());
             }
             return null;
-        } else if (op instanceof Op.Notes all) {
+        } else if (op instanceof StoreOperation.Notes all) {
             return new LinkedHashMap<>(notes.getOrDefault(all.kind(), Map.of()));
-        } else if (op instanceof Op.FirstSeen seen) {
+        } else if (op instanceof StoreOperation.FirstSeen seen) {
             Long before = workers.putIfAbsent(seen.worker(), seen.nowMs());
             return before == null ? seen.nowMs() : before;
         }
--- a/src/main/java/damsonslip/store/RedisStore.java
+++ b/src/main/java/damsonslip/store/RedisStore.java
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public List<Object> run(List<? extends Op<?>> ops) throws StoreException {
+    public List<Object> run(List<? extends StoreOperation<?>> ops) throws StoreException {
         try (AbstractPipeline line = redis.pipelined()) {
             List<Result> results = new ArrayList<>(ops.size());
             ops.forEach(op -> results.add(ask(line, op)));
@@ -90,51 +90,51 @@
         }
     }
 
-    private Result ask(AbstractPipeline line, Op<?> op) {
-        if (op instanceof Op.Add add) {
+    private Result ask(AbstractPipeline line, StoreOperation<?> op) {
+        if (op instanceof StoreOperation.Add add) {
             return add(line, add.record(), add.body());
-        } else if (op instanceof Op.Put put) {
+        } else if (op instanceof StoreOperation.Put put) {
             return all(put(line, put.record()));
-        } else if (op instanceof Op.Replace replace) {
+        } else if (op instanceof StoreOperation.Replace replace) {
             Response<String> body = line.set(body(replace.record().id()), replace.body());
             List<Response<?>> record = put(line, replace.record());
             record.add(body);
             return all(record);
-        } else if (op instanceof Op.Take take) {
+        } else if (op instanceof StoreOperation.Take take) {
             List<Response<?>> record = put(line, take.record());
             Response<String> body = line.get(body(take.record().id()));
             return () -> {
                 all(record).get();
                 return body.get();
             };
-        } else if (op instanceof Op.Get get) {
+        } else if (op instanceof StoreOperation.Get get) {
             Response<String> text = line.get(key(get.id()));
             return () -> text.get() == null ? null : decode(text.get());
-        } else if (op instanceof Op.Bodies bodies) {
+        } else if (op instanceof StoreOperation.Bodies bodies) {
             return many(line, bodies.ids(), RedisStore::body)::get;
-        } else if (op instanceof Op.Drop drop) {
+        } else if (op instanceof StoreOperation.Drop drop) {
             return drop(line, drop.ids());
-        } else if (op instanceof Op.Open) {
+        } else if (op instanceof StoreOperation.Open) {
             var ids = line.smembers(open);
             return () -> List.copyOf((Collection<String>) ids.get());
-        } else if (op instanceof Op.Load load) {
+        } else if (op instanceof StoreOperation.Load load) {
             return load(line, load.ids());
         }
         return aside(line, op);
     }
 
-    private Result aside(AbstractPipeline line, Op<?> op) {
-        if (op instanceof Op.Note note) {
+    private Result aside(AbstractPipeline line, StoreOperation<?> op) {
+        if (op instanceof StoreOperation.Note note) {
             String where = notes(note.kind());
             Response<Long> done =
                     note.words() == null
                             ? line.hdel(where, note.key())
                             : line.hset(where, note.key(), note.words());
             return all(List.of(done));
-        } else if (op instanceof Op.Notes notes) {
+        } else if (op instanceof StoreOperation.Notes notes) {
             Response<Map<String, String>> found = line.hgetAll(notes(notes.kind()));
             return found::get;
-        } else if (op instanceof Op.FirstSeen seen) {
+        } else if (op instanceof StoreOperation.FirstSeen seen) {
             String key = PREFIX + "worker:" + seen.worker();
             line.set(
                     key, Long.toString(seen.nowMs()), SetParams.setParams().nx().ex(KEEP_WORKER_S));
--- a/src/main/java/damsonslip/store/Op.java
+++ b/src/main/java/damsonslip/store/StoreOperation.java
@@ -10,49 +10,49 @@
  *
  * @param <T> what it gives
  */
-public sealed interface Op<T> {
+public sealed interface StoreOperation<T> {
     /** The record that it writes, or null. */
     default JobRecord record() {
         return null;
     }
 
     /** Takes a new job in; gives the record that was there already, or null if there was none. */
-    record Add(JobRecord record, String body) implements Op<JobRecord> {}
+    record Add(JobRecord record, String body) implements StoreOperation<JobRecord> {}
 
     /** Replaces a job's record. */
-    record Put(JobRecord record) implements Op<Void> {}
+    record Put(JobRecord record) implements StoreOperation<Void> {}
 
     /** Replaces a job's record and its body. */
-    record Replace(JobRecord record, String body) implements Op<Void> {}
+    record Replace(JobRecord record, String body) implements StoreOperation<Void> {}
 
     /**
      * Replaces a job's record, as it goes to a worker, and gives its body; null if there is none.
      */
-    record Take(JobRecord record) implements Op<String> {}
+    record Take(JobRecord record) implements StoreOperation<String> {}
 
     /** A job's record, or null. */
-    record Get(String id) implements Op<JobRecord> {}
+    record Get(String id) implements StoreOperation<JobRecord> {}
 
     /** Jobs' bodies in the same order; null for one that is not there. */
-    record Bodies(List<String> ids) implements Op<List<String>> {}
+    record Bodies(List<String> ids) implements StoreOperation<List<String>> {}
 
     /** Forgets jobs wholly. */
-    record Drop(List<String> ids) implements Op<Void> {}
+    record Drop(List<String> ids) implements StoreOperation<Void> {}
 
     /** The ids of the jobs that this scheduler took in and that have no final state. */
-    record Open() implements Op<List<String>> {}
+    record Open() implements StoreOperation<List<String>> {}
 
     /** The records of these jobs, without those that are not there or are over. */
-    record Load(List<String> ids) implements Op<List<JobRecord>> {}
+    record Load(List<String> ids) implements StoreOperation<List<JobRecord>> {}
 
     /** Keeps a few words under a kind and a key; null forgets them. */
-    record Note(String kind, String key, String words) implements Op<Void> {}
+    record Note(String kind, String key, String words) implements StoreOperation<Void> {}
 
     /** All notes of a kind. */
-    record Notes(String kind) implements Op<Map<String, String>> {}
+    record Notes(String kind) implements StoreOperation<Map<String, String>> {}
 
     /**
      * When a worker was first seen, by whichever scheduler; now, if never. In Unix milliseconds.
      */
-    record FirstSeen(String worker, long nowMs) implements Op<Long> {}
+    record FirstSeen(String worker, long nowMs) implements StoreOperation<Long> {}
 }
--- a/src/main/java/damsonslip/tools/conformance/Conformance.java
+++ b/src/main/java/damsonslip/tools/conformance/Conformance.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.conformance;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -27,7 +27,7 @@
      * Plays against the server that the arguments name; gives the exit code: 0, or 1 if a case
      * found a fault.
      */
-    public static int run(List<String> arguments, PrintStream out) throws BadInput {
+    public static int run(List<String> arguments, PrintStream out) throws ConfigurationException {
         String address = "";
         String password = "";
         String only = "";
@@ -44,22 +44,22 @@
             } else if (!argument.startsWith("--") && address.isEmpty()) {
                 address = argument;
             } else {
-                throw new BadInput(USAGE);
+                throw new ConfigurationException(USAGE);
             }
         }
         return new Play(server(address), password, flush, only, out).all();
     }
 
-    private static InetSocketAddress server(String address) throws BadInput {
+    private static InetSocketAddress server(String address) throws ConfigurationException {
         int colon = address.lastIndexOf(':');
         try {
             if (colon <= 0) {
-                throw new BadInput(USAGE);
+                throw new ConfigurationException(USAGE);
             }
             return new InetSocketAddress(
                     address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
         } catch (IllegalArgumentException e) {
-            throw new BadInput(USAGE);
+            throw new ConfigurationException(USAGE);
         }
     }
 
@@ -76,7 +76,7 @@
 
         private static final int SIDE_BY_SIDE = 4;
 
-        int all() throws BadInput {
+        int all() throws ConfigurationException {
             List<Result> results = new ArrayList<>();
             String wid = "conf-" + Stage.id();
             List<Cases.Case> chosen =
@@ -96,7 +96,7 @@
                     }
                 }
             } catch (IOException | Stage.Fault e) {
-                throw new BadInput(
+                throw new ConfigurationException(
                         "conformance: no server of the protocol on "
                                 + server.getHostString()
                                 + ":"
--- a/src/main/java/damsonslip/tools/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -1,9 +1,9 @@
 package damsonslip.tools.lab;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import damsonslip.config.BadInput;
-import damsonslip.config.Site;
-import damsonslip.config.Tree;
+import damsonslip.config.ConfigurationException;
+import damsonslip.config.ConfigurationTree;
+import damsonslip.config.SiteSettings;
 import java.util.Locale;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
@@ -52,9 +52,9 @@
         return SETTINGS.formatted(schedulers, names, quotas);
     }
 
-    Site site() throws BadInput {
+    SiteSettings site() throws ConfigurationException {
         try {
-            return Site.read(Tree.read(settingsText()));
+            return SiteSettings.read(ConfigurationTree.read(settingsText()));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("the hollow fleet's own settings", e);
         }
--- a/src/main/java/damsonslip/tools/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/HollowScheduler.java
@@ -1,22 +1,22 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
-import damsonslip.platform.discovery.HostGroup;
-import damsonslip.platform.discovery.Objects;
-import damsonslip.policy.Rules;
+import damsonslip.config.ConfigurationException;
+import damsonslip.platform.discovery.JsonObjectDecoder;
+import damsonslip.platform.discovery.WorkerRegistry;
+import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.AttemptStarted;
 import damsonslip.policy.api.Event;
 import damsonslip.policy.api.JobArrived;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Report;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
 import damsonslip.policy.api.TimerDue;
-import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -46,8 +46,8 @@
     private record Due(long atUs, long order, Event event) {}
 
     private final HollowFleet fleet;
-    private final Rules rules;
-    private final HostGroup registry;
+    private final SchedulingPolicy rules;
+    private final WorkerRegistry registry;
     private final CpuTimes cpu;
     private final PriorityQueue<Due> due =
             new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::order));
@@ -60,11 +60,11 @@
     private long order;
     private int jobs;
 
-    HollowScheduler(HollowFleet fleet, CpuTimes cpu) throws BadInput {
+    HollowScheduler(HollowFleet fleet, CpuTimes cpu) throws ConfigurationException {
         this.fleet = fleet;
         this.cpu = cpu;
-        this.rules = new Rules(fleet.site().settings(), fleet.seed());
-        this.registry = new HostGroup(fleet.site());
+        this.rules = new SchedulingPolicy(fleet.site().settings(), fleet.seed());
+        this.registry = new WorkerRegistry(fleet.site());
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.seed());
         this.exponential = ZigguratSampler.Exponential.of(random);
         this.taskUs = Math.round(Goal.TASK_S * 1e6);
@@ -73,22 +73,22 @@
     /** Takes in a list as it comes from discovery. */
     void listed(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        HostGroup.Update[] update = new HostGroup.Update[1];
-        List<List<Worker>> workers = new ArrayList<>();
+        WorkerRegistry.Update[] update = new WorkerRegistry.Update[1];
+        List<List<WorkerEntry>> workers = new ArrayList<>();
         cpu.time(
                 CpuTimes.Event.DECODE,
                 () -> {
                     update[0] = decoded(bytes);
                     workers.add(registry.apply(update[0], now));
                 });
-        ListMode mode = HostGroup.mode(update[0]);
-        handle(CpuTimes.Event.LIST, new ListUpdate(mode, workers.get(0)));
+        WorkerListChange mode = WorkerRegistry.mode(update[0]);
+        handle(CpuTimes.Event.LIST, new WorkerListUpdate(mode, workers.get(0)));
     }
 
-    private HostGroup.Update decoded(byte[] bytes) {
+    private WorkerRegistry.Update decoded(byte[] bytes) {
         try {
-            return registry.decode(new Objects(MOST_OBJECT).take(bytes).get(0));
-        } catch (HostGroup.Malformed e) {
+            return registry.decode(new JsonObjectDecoder(MOST_OBJECT).take(bytes).get(0));
+        } catch (WorkerRegistry.Malformed e) {
             throw new IllegalStateException("the hollow discovery's own list", e);
         }
     }
@@ -143,9 +143,10 @@
                     new AttemptEnded(
                             send.job(),
                             0,
-                            Outcome.SERVED,
+                            AttemptOutcome.SERVED,
                             true,
-                            new Report(exponential.sample() * MEAN_FREE, Double.NaN, Double.NaN)));
+                            new LoadReport(
+                                    exponential.sample() * MEAN_FREE, Double.NaN, Double.NaN)));
         }
     }
 
--- a/src/main/java/damsonslip/tools/lab/Lab.java
+++ b/src/main/java/damsonslip/tools/lab/Lab.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.lab.soak.SoakCommand;
 import java.io.PrintStream;
 import java.io.PrintWriter;
@@ -38,7 +38,7 @@
                 });
         line.setExecutionExceptionHandler(
                 (thrown, command, parsed) -> {
-                    if (!(thrown instanceof BadInput)) {
+                    if (!(thrown instanceof ConfigurationException)) {
                         throw thrown;
                     }
                     err.println("damsonslip: " + firstLine(thrown));
--- a/src/main/java/damsonslip/tools/lab/Measure.java
+++ b/src/main/java/damsonslip/tools/lab/Measure.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 
 /** What is measured of each role, with its unit and, where the goal names one, its budget. */
 enum Measure {
@@ -80,12 +80,12 @@
         this.budget = budget;
     }
 
-    static Measure labelled(String role, String label) throws BadInput {
+    static Measure labelled(String role, String label) throws ConfigurationException {
         for (Measure measure : values()) {
             if (measure.role.equals(role) && measure.label.equals(label)) {
                 return measure;
             }
         }
-        throw new BadInput("lab: unknown measure: " + role + ", " + label);
+        throw new ConfigurationException("lab: unknown measure: " + role + ", " + label);
     }
 }
--- a/src/main/java/damsonslip/tools/lab/RealCommand.java
+++ b/src/main/java/damsonslip/tools/lab/RealCommand.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.lab.Sample.Axis;
 import damsonslip.tools.lab.Sample.Basis;
 import java.io.IOException;
@@ -55,14 +55,15 @@
     private final List<Sample> samples = new ArrayList<>();
 
     @Override
-    public Integer call() throws BadInput, IOException, InterruptedException {
+    public Integer call() throws ConfigurationException, IOException, InterruptedException {
         for (int size : workers) {
             if (size < 1 || size > MOST_WORKERS) {
-                throw new BadInput("lab: workers: " + size + " is not from 1 to " + MOST_WORKERS);
+                throw new ConfigurationException(
+                        "lab: workers: " + size + " is not from 1 to " + MOST_WORKERS);
             }
         }
         if (processes < 1 || processes > MOST_PROCESSES) {
-            throw new BadInput(
+            throw new ConfigurationException(
                     "lab: processes: " + processes + " is not from 1 to " + MOST_PROCESSES);
         }
         Path file = csv == null ? null : SampleFile.writable(csv);
--- a/src/main/java/damsonslip/tools/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.math.BigDecimal;
 import java.math.MathContext;
 
@@ -52,10 +52,10 @@
                 basis.name().toLowerCase());
     }
 
-    static Sample parse(String line) throws BadInput {
+    static Sample parse(String line) throws ConfigurationException {
         String[] cells = line.split(",(?=(?:[^\"]*\"[^\"]*\")*[^\"]*$)");
         if (cells.length != 7) {
-            throw new BadInput("lab: not a line of samples: " + line);
+            throw new ConfigurationException("lab: not a line of samples: " + line);
         }
         try {
             return new Sample(
@@ -65,7 +65,7 @@
                     Double.parseDouble(cells[5]),
                     Basis.valueOf(cells[6].toUpperCase()));
         } catch (IllegalArgumentException e) {
-            throw new BadInput("lab: not a line of samples: " + line);
+            throw new ConfigurationException("lab: not a line of samples: " + line);
         }
     }
 
--- a/src/main/java/damsonslip/tools/lab/SampleFile.java
+++ b/src/main/java/damsonslip/tools/lab/SampleFile.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.InvalidPathException;
@@ -14,7 +14,7 @@
     private SampleFile() {}
 
     /** Fails now if the file could not be written later, so that no run is lost over it. */
-    static Path writable(String name) throws BadInput {
+    static Path writable(String name) throws ConfigurationException {
         try {
             Path file = Path.of(name).toAbsolutePath();
             Path folder = file.getParent();
@@ -22,19 +22,20 @@
                     || Files.isDirectory(file)
                     || !Files.isDirectory(folder)
                     || Files.exists(file) && !Files.isWritable(file)) {
-                throw new BadInput("lab: cannot write " + name);
+                throw new ConfigurationException("lab: cannot write " + name);
             }
             Files.delete(Files.createTempFile(folder, ".lab", ".tmp"));
             return file;
         } catch (IOException | InvalidPathException e) {
-            throw new BadInput("lab: cannot write " + name);
+            throw new ConfigurationException("lab: cannot write " + name);
         }
     }
 
     /**
      * Writes beside the file and moves it there, so that the file is either the old one or whole.
      */
-    static void write(Path file, List<String> remarks, List<Sample> samples) throws BadInput {
+    static void write(Path file, List<String> remarks, List<Sample> samples)
+            throws ConfigurationException {
         List<String> lines = new ArrayList<>();
         remarks.forEach(remark -> lines.add("# " + remark));
         lines.add(Sample.HEADER);
@@ -48,11 +49,11 @@
                 Files.deleteIfExists(beside);
             }
         } catch (IOException e) {
-            throw new BadInput("lab: cannot write " + file + ": " + e.getMessage());
+            throw new ConfigurationException("lab: cannot write " + file + ": " + e.getMessage());
         }
     }
 
-    static List<Sample> read(String name) throws BadInput {
+    static List<Sample> read(String name) throws ConfigurationException {
         try {
             List<Sample> samples = new ArrayList<>();
             for (String line : Files.readAllLines(Path.of(name))) {
@@ -61,11 +62,11 @@
                 }
             }
             if (samples.isEmpty()) {
-                throw new BadInput("lab: no samples in " + name);
+                throw new ConfigurationException("lab: no samples in " + name);
             }
             return samples;
         } catch (IOException | InvalidPathException e) {
-            throw new BadInput("lab: cannot read " + name);
+            throw new ConfigurationException("lab: cannot read " + name);
         }
     }
 }
--- a/src/main/java/damsonslip/tools/lab/ScaleCommand.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleCommand.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -62,7 +62,7 @@
     @Spec private CommandSpec spec;
 
     @Override
-    public Integer call() throws BadInput {
+    public Integer call() throws ConfigurationException {
         check("workers", workers, Runtime.getRuntime().maxMemory() / 2 / WORKER_BYTES);
         check("schedulers", schedulers, Runtime.getRuntime().maxMemory() / 2 / SCHEDULER_BYTES);
         check("teams", teams, Runtime.getRuntime().maxMemory() / 2 / TEAM_BYTES);
@@ -87,13 +87,14 @@
         return 0;
     }
 
-    private static void check(String name, List<Integer> sizes, long most) throws BadInput {
+    private static void check(String name, List<Integer> sizes, long most)
+            throws ConfigurationException {
         for (int size : sizes) {
             if (size < 1) {
-                throw new BadInput("lab: " + name + ": " + size + " is less than 1");
+                throw new ConfigurationException("lab: " + name + ": " + size + " is less than 1");
             }
             if (size > most) {
-                throw new BadInput(
+                throw new ConfigurationException(
                         "lab: "
                                 + name
                                 + ": "
--- a/src/main/java/damsonslip/tools/lab/ScaleRun.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleRun.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.lab.Sample.Axis;
 import damsonslip.tools.lab.Sample.Basis;
 import java.nio.charset.StandardCharsets;
@@ -63,7 +63,7 @@
         this.progress = progress;
     }
 
-    List<Sample> run() throws BadInput {
+    List<Sample> run() throws ConfigurationException {
         warmUp();
         for (int size : sizes.workers()) {
             progress.accept("workers " + size);
@@ -97,7 +97,7 @@
     }
 
     /** The first size would else pay for compiling what all of them use. */
-    private void warmUp() throws BadInput {
+    private void warmUp() throws ConfigurationException {
         int smallest = sizes.workers().stream().min(Integer::compare).orElseThrow();
         HollowFleet fleet =
                 new HollowFleet(smallest, BASE.schedulers(), BASE.teams(), BASE.zones(), seed);
@@ -105,7 +105,7 @@
         change(scheduler, fleet, 10 * effort.changes());
     }
 
-    private void workers(HollowFleet fleet) throws BadInput {
+    private void workers(HollowFleet fleet) throws ConfigurationException {
         bytes(fleet);
         decisions(Axis.WORKERS, fleet.workers(), fleet);
         troubles(fleet);
@@ -133,7 +133,7 @@
     }
 
     /** What the decision module spends, with a fleet that has been served for a while. */
-    private void decisions(Axis axis, int size, HollowFleet fleet) throws BadInput {
+    private void decisions(Axis axis, int size, HollowFleet fleet) throws ConfigurationException {
         CpuTimes cpu = new CpuTimes();
         HollowScheduler scheduler = served(fleet, cpu);
         double firstList = cpu.sumUs(CpuTimes.Event.LIST) + cpu.sumUs(CpuTimes.Event.DECODE);
@@ -171,7 +171,7 @@
         add(Measure.CONTROL_SHARE, axis, size, 100 * share, Basis.MEASURED);
     }
 
-    private HollowScheduler served(HollowFleet fleet, CpuTimes cpu) throws BadInput {
+    private HollowScheduler served(HollowFleet fleet, CpuTimes cpu) throws ConfigurationException {
         HollowScheduler scheduler = new HollowScheduler(fleet, cpu);
         scheduler.listed(fleet.wholeList(1));
         scheduler.serve(effort.jobs(), jobsASecond(fleet));
@@ -192,7 +192,7 @@
         }
     }
 
-    private void troubles(HollowFleet fleet) throws BadInput {
+    private void troubles(HollowFleet fleet) throws ConfigurationException {
         CpuTimes cpu = new CpuTimes();
         HollowScheduler scheduler = served(fleet, cpu);
         int workers = fleet.workers();
@@ -251,7 +251,7 @@
                 scheduler.listed(fleet.wholeList(1));
             }
             return scheduler;
-        } catch (BadInput e) {
+        } catch (ConfigurationException e) {
             throw new IllegalStateException("the hollow fleet's own settings", e);
         }
     }
@@ -260,7 +260,7 @@
      * How old what a scheduler knows of a worker is, after serving for so long as the effort
      * allows.
      */
-    private void reports(HollowFleet fleet) throws BadInput {
+    private void reports(HollowFleet fleet) throws ConfigurationException {
         HollowScheduler scheduler = served(fleet, new CpuTimes());
         scheduler.pass(0);
         List<Double> ages = scheduler.reportAges();
@@ -285,7 +285,7 @@
                 Basis.ESTIMATED);
     }
 
-    private void schedulers(int size) throws BadInput {
+    private void schedulers(int size) throws ConfigurationException {
         decisions(
                 Axis.SCHEDULERS,
                 size,
--- a/src/main/java/damsonslip/tools/lab/SlopesCommand.java
+++ b/src/main/java/damsonslip/tools/lab/SlopesCommand.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
@@ -25,7 +25,7 @@
     @Spec private CommandSpec spec;
 
     @Override
-    public Integer call() throws BadInput {
+    public Integer call() throws ConfigurationException {
         List<Sample> samples = new ArrayList<>();
         for (String file : files) {
             samples.addAll(SampleFile.read(file));
--- a/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab.soak;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.lab.soak.Ledger.Finding;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -95,7 +95,7 @@
     private Optional<Path> library = Optional.empty();
 
     @Override
-    public Integer call() throws BadInput, IOException, InterruptedException {
+    public Integer call() throws ConfigurationException, IOException, InterruptedException {
         check("processes", processes, MOST_PROCESSES);
         check("seconds", seconds, MOST_SECONDS);
         PrintWriter out = spec.commandLine().getOut();
@@ -121,9 +121,10 @@
         return failed == 0 ? 0 : 1;
     }
 
-    private static void check(String name, int value, int most) throws BadInput {
+    private static void check(String name, int value, int most) throws ConfigurationException {
         if (value < 1 || value > most) {
-            throw new BadInput("lab: " + name + ": " + value + " is not from 1 to " + most);
+            throw new ConfigurationException(
+                    "lab: " + name + ": " + value + " is not from 1 to " + most);
         }
     }
 
--- a/src/main/java/damsonslip/tools/load/Bench.java
+++ b/src/main/java/damsonslip/tools/load/Bench.java
@@ -1,7 +1,7 @@
 package damsonslip.tools.load;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.faktoryclient.FaktoryClient;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -60,7 +60,8 @@
     }
 
     /** Runs by these arguments; gives the exit code. */
-    public static int run(List<String> arguments, PrintStream out) throws BadInput, IOException {
+    public static int run(List<String> arguments, PrintStream out)
+            throws ConfigurationException, IOException {
         String address = "";
         int connections = 10;
         int jobs = 10_000;
@@ -79,29 +80,30 @@
         return new Bench(server(address), connections, jobs, bulk, waiting, out).run();
     }
 
-    private static int whole(List<String> arguments, int at, int most) throws BadInput {
+    private static int whole(List<String> arguments, int at, int most)
+            throws ConfigurationException {
         try {
             int value = Integer.parseInt(arguments.get(at));
             if (value >= 1 && value <= most) {
                 return value;
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw new BadInput(USAGE);
+            throw new ConfigurationException(USAGE);
         }
-        throw new BadInput("bench: from 1 to " + most + ": " + arguments.get(at));
+        throw new ConfigurationException("bench: from 1 to " + most + ": " + arguments.get(at));
     }
 
     /** Guards others' servers: this load goes to the machine that it runs on. */
-    private static InetSocketAddress server(String address) throws BadInput {
+    private static InetSocketAddress server(String address) throws ConfigurationException {
         int colon = address.lastIndexOf(':');
         try {
             InetAddress host = InetAddress.getByName(colon < 0 ? "" : address.substring(0, colon));
             if (colon <= 0 || !host.isLoopbackAddress()) {
-                throw new BadInput(USAGE);
+                throw new ConfigurationException(USAGE);
             }
             return new InetSocketAddress(host, Integer.parseInt(address.substring(colon + 1)));
         } catch (UnknownHostException | IllegalArgumentException e) {
-            throw new BadInput(USAGE);
+            throw new ConfigurationException(USAGE);
         }
     }
 
--- a/src/main/java/damsonslip/tools/simulator/SimHost.java
+++ b/src/main/java/damsonslip/tools/simulator/SimHost.java
@@ -6,19 +6,19 @@
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.config.SettingsReader;
-import damsonslip.policy.Rules;
+import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.Cancel;
 import damsonslip.policy.api.Event;
 import damsonslip.policy.api.Fail;
 import damsonslip.policy.api.Log;
-import damsonslip.policy.api.Probe;
-import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.ProbeWorker;
+import damsonslip.policy.api.Reject;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
-import damsonslip.policy.api.WatchList;
+import damsonslip.policy.api.WatchWorkerList;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -39,7 +39,7 @@
     private final OutputStream out;
     private final JsonGenerator json;
     private final WireLine line = new WireLine();
-    private final Map<Integer, Rules> instances = new HashMap<>();
+    private final Map<Integer, SchedulingPolicy> instances = new HashMap<>();
     private final List<Action> actions = new ArrayList<>();
 
     public SimHost(InputStream in, OutputStream out) throws IOException {
@@ -51,15 +51,15 @@
     }
 
     /** Answers batches until the input ends. */
-    public void run() throws IOException, BadInput {
+    public void run() throws IOException, ConfigurationException {
         try {
             while (next()) {
                 if (!line.cmd().equals("begin_batch")) {
-                    throw new BadInput("expected begin_batch, got " + line.cmd());
+                    throw new ConfigurationException("expected begin_batch, got " + line.cmd());
                 }
                 batch(line.clock());
             }
-        } catch (BadInput e) {
+        } catch (ConfigurationException e) {
             throw atLine(e.getMessage());
         } catch (JsonProcessingException e) {
             throw atLine(
@@ -68,26 +68,26 @@
         }
     }
 
-    private BadInput atLine(String what) {
-        return new BadInput("line " + in.currentLocation().getLineNr() + ": " + what);
+    private ConfigurationException atLine(String what) {
+        return new ConfigurationException("line " + in.currentLocation().getLineNr() + ": " + what);
     }
 
-    private boolean next() throws IOException, BadInput {
+    private boolean next() throws IOException, ConfigurationException {
         JsonToken token = in.nextToken();
         if (token == null) {
             return false;
         }
         if (token != JsonToken.START_OBJECT) {
-            throw new BadInput("not a JSON object");
+            throw new ConfigurationException("not a JSON object");
         }
         line.read(in);
         return true;
     }
 
-    private void batch(long clock) throws IOException, BadInput {
+    private void batch(long clock) throws IOException, ConfigurationException {
         while (true) {
             if (!next()) {
-                throw new BadInput("the input ends within a batch");
+                throw new ConfigurationException("the input ends within a batch");
             }
             if (line.cmd().equals("end")) {
                 break;
@@ -97,7 +97,8 @@
                 case "create" ->
                         instances.put(
                                 dispatcher,
-                                new Rules(SettingsReader.read(line.conf()), line.seed()));
+                                new SchedulingPolicy(
+                                        SettingsReader.read(line.conf()), line.seed()));
                 case "kill" -> instances.remove(dispatcher);
                 default -> handle(dispatcher, clock, line.event());
             }
@@ -109,8 +110,9 @@
         out.flush();
     }
 
-    private void handle(int dispatcher, long clock, Event event) throws IOException, BadInput {
-        Rules rules = instances.get(dispatcher);
+    private void handle(int dispatcher, long clock, Event event)
+            throws IOException, ConfigurationException {
+        SchedulingPolicy rules = instances.get(dispatcher);
         if (rules == null || event == null) {
             return;
         }
@@ -118,7 +120,7 @@
         try {
             rules.handle(clock, event, actions);
         } catch (IllegalArgumentException e) {
-            throw new BadInput(e.getMessage());
+            throw new ConfigurationException(e.getMessage());
         } catch (RuntimeException e) {
             write("internal_error", dispatcher);
             json.writeStringField("body_text", e + " at " + e.getStackTrace()[0]);
@@ -139,13 +141,13 @@
         } else if (action instanceof Cancel cancel) {
             writeJob("undo_send", dispatcher, cancel.job());
             json.writeNumberField("round_no", cancel.attempt());
-        } else if (action instanceof Refuse refuse) {
+        } else if (action instanceof Reject refuse) {
             writeJob("deny", dispatcher, refuse.job());
             json.writeFieldName("retry_after_s");
             seconds(refuse.retryAfterUs());
         } else if (action instanceof Fail fail) {
             writeJob("drop_request", dispatcher, fail.job());
-        } else if (action instanceof Probe probe) {
+        } else if (action instanceof ProbeWorker probe) {
             write("sound_out", dispatcher);
             json.writeStringField("runner", probe.worker());
         } else if (action instanceof SetTimer timer) {
@@ -153,7 +155,7 @@
             json.writeFieldName("moment_s");
             seconds(timer.atUs());
             json.writeStringField("label", timer.label());
-        } else if (action instanceof WatchList) {
+        } else if (action instanceof WatchWorkerList) {
             write("stream_changes", dispatcher);
             json.writeBooleanField("want", true);
         } else if (action instanceof Log log) {
--- a/src/main/java/damsonslip/tools/simulator/WireLine.java
+++ b/src/main/java/damsonslip/tools/simulator/WireLine.java
@@ -3,20 +3,21 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.AttemptStarted;
+import damsonslip.policy.api.ClientDisconnected;
 import damsonslip.policy.api.Event;
 import damsonslip.policy.api.JobArrived;
-import damsonslip.policy.api.JobGone;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Status;
 import damsonslip.policy.api.TimerDue;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import damsonslip.policy.api.WorkerStatus;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +32,7 @@
     private Long seed;
     private JsonNode conf;
     private String mode;
-    private List<damsonslip.policy.api.Worker> items;
+    private List<WorkerEntry> items;
     private String opId;
     private Integer lane;
     private int tenant;
@@ -43,12 +44,12 @@
     private int topic;
     private String reason;
     private boolean closed;
-    private Report load;
+    private LoadReport load;
     private String runner;
     private String label;
 
     /** Reads the object whose opening brace the parser stands on. */
-    void read(JsonParser in) throws IOException, BadInput {
+    void read(JsonParser in) throws IOException, ConfigurationException {
         cmd = mode = opId = reason = runner = label = null;
         dispatcher = lane = round = null;
         moment = deadline = null;
@@ -69,7 +70,7 @@
         }
     }
 
-    private void field(JsonParser in, String name) throws IOException, BadInput {
+    private void field(JsonParser in, String name) throws IOException, ConfigurationException {
         switch (name) {
             case "cmd" -> cmd = in.getText();
             case "dispatcher" -> dispatcher = in.getIntValue();
@@ -100,9 +101,9 @@
         }
     }
 
-    private static List<damsonslip.policy.api.Worker> workers(JsonParser in)
-            throws IOException, BadInput {
-        List<damsonslip.policy.api.Worker> workers = new ArrayList<>();
+    private static List<WorkerEntry> workers(JsonParser in)
+            throws IOException, ConfigurationException {
+        List<WorkerEntry> workers = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             String id = null;
             String status = null;
@@ -130,23 +131,21 @@
                 }
             }
             String runner = needed(id, "runner of an entry");
-            workers.add(
-                    new damsonslip.policy.api.Worker(
-                            runner, zone, cell, kind, status(status), since));
+            workers.add(new WorkerEntry(runner, zone, cell, kind, status(status), since));
         }
         return workers;
     }
 
-    private static Status status(String text) throws BadInput {
+    private static WorkerStatus status(String text) throws ConfigurationException {
         return switch (needed(text, "status of an entry")) {
-            case "Running" -> Status.RUNNING;
-            case "Stopping" -> Status.DRAINING;
-            case "Deleted" -> Status.GONE;
-            default -> throw new BadInput("unknown status: " + text);
+            case "Running" -> WorkerStatus.RUNNING;
+            case "Stopping" -> WorkerStatus.DRAINING;
+            case "Deleted" -> WorkerStatus.REMOVED;
+            default -> throw new ConfigurationException("unknown status: " + text);
         };
     }
 
-    private static Report report(JsonParser in) throws IOException {
+    private static LoadReport report(JsonParser in) throws IOException {
         double freeSlots = Double.NaN;
         double freeMemory = Double.NaN;
         double held = Double.NaN;
@@ -165,22 +164,22 @@
                 default -> {}
             }
         }
-        return new Report(freeSlots, freeMemory, held, Double.NaN, errors);
+        return new LoadReport(freeSlots, freeMemory, held, Double.NaN, errors);
     }
 
-    String cmd() throws BadInput {
+    String cmd() throws ConfigurationException {
         return needed(cmd, "cmd");
     }
 
-    int dispatcher() throws BadInput {
+    int dispatcher() throws ConfigurationException {
         return needed(dispatcher, "dispatcher");
     }
 
-    long clock() throws BadInput {
+    long clock() throws ConfigurationException {
         return micros(needed(moment, "ts_s"));
     }
 
-    long seed() throws BadInput {
+    long seed() throws ConfigurationException {
         return needed(seed, "prng");
     }
 
@@ -189,9 +188,9 @@
     }
 
     /** The event that this line stands for, or null if the decisions have no use for it. */
-    Event event() throws BadInput {
+    Event event() throws ConfigurationException {
         return switch (cmd()) {
-            case "sync" -> new ListUpdate(listMode(), items == null ? List.of() : items);
+            case "sync" -> new WorkerListUpdate(listMode(), items == null ? List.of() : items);
             case "job_in" ->
                     new JobArrived(
                             needed(opId, "op_id"),
@@ -212,41 +211,41 @@
                             outcome(),
                             closed,
                             load);
-            case "vanished" -> new JobGone(needed(opId, "op_id"));
+            case "vanished" -> new ClientDisconnected(needed(opId, "op_id"));
             case "probe_result" ->
                     new ProbeEnded(
                             needed(runner, "runner"),
-                            outcome() == Outcome.SERVED
+                            outcome() == AttemptOutcome.SERVED
                                     ? ProbeResult.HEALTHY
                                     : ProbeResult.UNREACHABLE,
                             load);
             case "deadline_hit" -> new TimerDue(needed(label, "label"));
             case "ack_first", "memo" -> null;
-            default -> throw new BadInput("unknown cmd: " + cmd);
+            default -> throw new ConfigurationException("unknown cmd: " + cmd);
         };
     }
 
-    private ListMode listMode() throws BadInput {
+    private WorkerListChange listMode() throws ConfigurationException {
         return switch (needed(mode, "mode")) {
-            case "Partial" -> ListMode.CHANGES;
-            case "Complete" -> ListMode.COMPLETE;
-            case "Persisted" -> ListMode.KEPT;
-            case "Error" -> ListMode.FAILED;
-            default -> throw new BadInput("unknown mode: " + mode);
+            case "Partial" -> WorkerListChange.CHANGES;
+            case "Complete" -> WorkerListChange.COMPLETE;
+            case "Persisted" -> WorkerListChange.KEPT;
+            case "Error" -> WorkerListChange.FAILED;
+            default -> throw new ConfigurationException("unknown mode: " + mode);
         };
     }
 
-    private Outcome outcome() throws BadInput {
+    private AttemptOutcome outcome() throws ConfigurationException {
         return switch (needed(reason, "reason")) {
-            case "Ok" -> Outcome.SERVED;
-            case "Failed" -> Outcome.ERROR;
-            case "QueueFull" -> Outcome.FULL;
-            case "TimedOut" -> Outcome.TIMED_OUT;
-            case "ConnectError" -> Outcome.NOT_CONNECTED;
-            case "ResetByPeer" -> Outcome.RESET;
-            case "Canceled" -> Outcome.CANCELLED;
-            case "Ignored" -> Outcome.NEVER_SENT;
-            default -> throw new BadInput("unknown reason: " + reason);
+            case "Ok" -> AttemptOutcome.SERVED;
+            case "Failed" -> AttemptOutcome.ERROR;
+            case "QueueFull" -> AttemptOutcome.FULL;
+            case "TimedOut" -> AttemptOutcome.TIMED_OUT;
+            case "ConnectError" -> AttemptOutcome.NOT_CONNECTED;
+            case "ResetByPeer" -> AttemptOutcome.RESET;
+            case "Canceled" -> AttemptOutcome.CANCELLED;
+            case "Ignored" -> AttemptOutcome.NEVER_SENT;
+            default -> throw new ConfigurationException("unknown reason: " + reason);
         };
     }
 
@@ -254,9 +253,9 @@
         return Math.round(seconds * 1e6);
     }
 
-    private static <T> T needed(T value, String name) throws BadInput {
+    private static <T> T needed(T value, String name) throws ConfigurationException {
         if (value == null) {
-            throw new BadInput("lacks " + name);
+            throw new ConfigurationException("lacks " + name);
         }
         return value;
     }
--- a/src/main/java/damsonslip/transport/DialFailure.java
+++ b/src/main/java/damsonslip/transport/ConnectFailure.java
@@ -4,7 +4,7 @@
 import java.net.NoRouteToHostException;
 
 /** Why a connection did not come up. */
-public enum DialFailure {
+public enum ConnectFailure {
     /** The other side, or the network on the way there, refused it or said nothing. */
     UNREACHABLE,
     /**
@@ -19,7 +19,7 @@
     UNHEARD;
 
     /** Tells by what the call threw that was to begin the connection. */
-    static DialFailure of(Exception thrown) {
+    static ConnectFailure of(Exception thrown) {
         return thrown instanceof ConnectException || thrown instanceof NoRouteToHostException
                 ? UNREACHABLE
                 : LOCAL;
--- a/src/main/java/damsonslip/transport/Room.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -15,7 +15,7 @@
  * say nothing: when it is full, the newest is let in and the one that is missed least has to go.
  * All but {@link #admit}, {@link #hasRoom} and {@link #turnedBack} is called on the loop.
  */
-public final class Room<L extends Link> {
+public final class ConnectionLimiter<L extends EventLoopConnection> {
     private volatile int most;
     private volatile int overflow;
     private final Predicate<L> mayGo;
@@ -29,7 +29,7 @@
      * @param mayGo whether a connection may be ended to make room
      * @param missed the order in which they go
      */
-    public Room(int most, int overflow, Predicate<L> mayGo, Comparator<L> missed) {
+    public ConnectionLimiter(int most, int overflow, Predicate<L> mayGo, Comparator<L> missed) {
         this.most = most;
         this.overflow = overflow;
         this.mayGo = mayGo;
@@ -69,9 +69,11 @@
      */
     public void opened(L link) {
         open.add(link);
-        List<L> lingering = open.stream().filter(Link::isLingering).toList();
+        List<L> lingering = open.stream().filter(EventLoopConnection::isLingering).toList();
         int staying = open.size() - lingering.size();
-        lingering.stream().limit(Math.max(0, lingering.size() - overflow / 2)).forEach(Link::end);
+        lingering.stream()
+                .limit(Math.max(0, lingering.size() - overflow / 2))
+                .forEach(EventLoopConnection::end);
         if (staying > most) {
             makeRoom(link);
         }
--- a/src/main/java/damsonslip/transport/Links.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -24,9 +24,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Opens and accepts {@link Link}s, over one selector of Jetty's. */
-public final class Links extends SelectorManager {
-    private static final Logger LOG = LoggerFactory.getLogger(Links.class);
+/** Opens and accepts {@link EventLoopConnection}s, over one selector of Jetty's. */
+public final class ConnectionManager extends SelectorManager {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionManager.class);
 
     /**
      * What the system may hold of a message for a server that does not take it. Small, so that the
@@ -51,7 +51,7 @@
     /**
      * The selector looks this often though nothing happens. So it is known of every socket that it
      * was empty two rounds ago at the latest, and only a process that was held up has to reckon
-     * with more ({@link Link#TOLERATED_WAIT_US}).
+     * with more ({@link EventLoopConnection#TOLERATED_WAIT_US}).
      */
     private static final long ROUND_MS = 40;
 
@@ -66,11 +66,11 @@
      */
     private static final long LOOK_US = 400_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final RoundClock rounds;
 
     /** All that were opened, and some that are closed since the last look; touched on the loop. */
-    private final List<Link> open = new ArrayList<>();
+    private final List<EventLoopConnection> open = new ArrayList<>();
 
     private final Listeners listeners;
 
@@ -83,15 +83,15 @@
     private record Admission(ListeningSocket listener, long arrivedAfterUs) {}
 
     /** Makes the link for a connection that is up. */
-    public interface Opening {
-        Link open(EndPoint endPoint);
+    public interface ConnectionFactory {
+        EventLoopConnection open(EndPoint endPoint);
 
         /** The connection never came up; told on the loop. */
-        default void failed(DialFailure why) {}
+        default void failed(ConnectFailure why) {}
     }
 
     /** Decides on connections that come in. */
-    public interface Accepting extends Opening {
+    public interface ConnectionAcceptor extends ConnectionFactory {
         /**
          * Whether a connection may be accepted now; who comes meanwhile waits to be. Called on the
          * selector's thread.
@@ -110,7 +110,7 @@
         void turnedBack();
     }
 
-    private Links(Loop loop) {
+    private ConnectionManager(EventLoop loop) {
         super(threads(), new ScheduledExecutorScheduler(loop.executor()), 1);
         this.loop = loop;
         this.rounds = new RoundClock(loop::now);
@@ -121,14 +121,16 @@
      * Starts the selector; waits where the system has no descriptors to give just now. Not to be
      * called on the loop.
      */
-    public static Links start(Loop loop, long connectTimeoutMs) throws IOException {
-        Links links = SocketShortage.outlast(() -> started(loop, connectTimeoutMs));
+    public static ConnectionManager start(EventLoop loop, long connectTimeoutMs)
+            throws IOException {
+        ConnectionManager links = DescriptorShortage.outlast(() -> started(loop, connectTimeoutMs));
         loop.in(LOOK_US, links::lookBehindSelector);
         return links;
     }
 
-    private static Links started(Loop loop, long connectTimeoutMs) throws IOException {
-        Links links = new Links(loop);
+    private static ConnectionManager started(EventLoop loop, long connectTimeoutMs)
+            throws IOException {
+        ConnectionManager links = new ConnectionManager(loop);
         links.setConnectTimeout(connectTimeoutMs);
         try {
             links.start();
@@ -141,8 +143,8 @@
     }
 
     private void lookBehindSelector() {
-        open.removeIf(Link::isClosed);
-        List.copyOf(open).forEach(Link::lookBehindSelector);
+        open.removeIf(EventLoopConnection::isClosed);
+        List.copyOf(open).forEach(EventLoopConnection::lookBehindSelector);
         selector.submit(listeners::acceptUnnoticed);
         loop.in(LOOK_US, this::lookBehindSelector);
     }
@@ -159,7 +161,7 @@
                         0,
                         TimeUnit.SECONDS,
                         new LinkedBlockingQueue<>(),
-                        Links::thread);
+                        ConnectionManager::thread);
         threads.prestartAllCoreThreads();
         return threads;
     }
@@ -170,7 +172,7 @@
         return thread;
     }
 
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
@@ -178,8 +180,9 @@
      * Listens there until the result is closed; waits where the system has no socket to give just
      * now. Not to be called on the loop.
      */
-    public Closeable listen(InetSocketAddress address, Accepting taker) throws IOException {
-        return SocketShortage.outlast(() -> open(address, taker, false));
+    public Closeable listen(InetSocketAddress address, ConnectionAcceptor taker)
+            throws IOException {
+        return DescriptorShortage.outlast(() -> open(address, taker, false));
     }
 
     /**
@@ -187,7 +190,7 @@
      *
      * @param shared whether another process may listen there as well
      */
-    public ListeningPort open(InetSocketAddress address, Accepting taker, boolean shared)
+    public ListeningPort open(InetSocketAddress address, ConnectionAcceptor taker, boolean shared)
             throws IOException {
         ListeningSocket socket =
                 listeners.bind(address, taker, shared, new ArrivalBound(rounds, loop.now()));
@@ -203,7 +206,7 @@
      * @return gives the dial up and frees its descriptor, if it has not come up yet; whether that
      *     is told is left open
      */
-    public Closeable connect(InetSocketAddress address, Opening opening) {
+    public Closeable connect(InetSocketAddress address, ConnectionFactory opening) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
@@ -215,11 +218,11 @@
             } else {
                 connect(
                         channel,
-                        new PendingDial(channel, opening, loop, getConnectTimeout() * 1_000));
+                        new PendingConnect(channel, opening, loop, getConnectTimeout() * 1_000));
             }
         } catch (IOException | RuntimeException e) {
             close(channel);
-            DialFailure why = DialFailure.of(e);
+            ConnectFailure why = ConnectFailure.of(e);
             loop.execute(() -> opening.failed(why));
         }
         SocketChannel dialled = channel;
@@ -303,7 +306,7 @@
     public Connection newConnection(
             SelectableChannel channel, EndPoint endPoint, Object attachment) {
         admitted.remove(channel);
-        Link link = ((Opening) attachment).open(endPoint);
+        EventLoopConnection link = ((ConnectionFactory) attachment).open(endPoint);
         loop.execute(() -> open.add(link));
         return link;
     }
@@ -311,7 +314,7 @@
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable ex, Object attachment) {
         close(channel);
-        loop.execute(() -> ((Opening) attachment).failed(DialFailure.UNREACHABLE));
+        loop.execute(() -> ((ConnectionFactory) attachment).failed(ConnectFailure.UNREACHABLE));
     }
 
     private static void close(SelectableChannel channel) {
--- a/src/main/java/damsonslip/transport/SocketShortage.java
+++ b/src/main/java/damsonslip/transport/DescriptorShortage.java
@@ -12,8 +12,8 @@
  * in its tables (socket(2), epoll_create(2)). That passes, and a start that ended for it would have
  * to be made again by somebody else.
  */
-public final class SocketShortage {
-    private static final Logger LOG = LoggerFactory.getLogger(SocketShortage.class);
+public final class DescriptorShortage {
+    private static final Logger LOG = LoggerFactory.getLogger(DescriptorShortage.class);
 
     /** So long until the next try. */
     public static final long AGAIN_MS = 100;
@@ -26,7 +26,7 @@
         T make() throws IOException;
     }
 
-    private SocketShortage() {}
+    private DescriptorShortage() {}
 
     /**
      * Whether this failure is one that passes; an address that is taken or cannot be had does not.
--- a/src/main/java/damsonslip/transport/Link.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
@@ -14,10 +14,10 @@
 
 /**
  * One open connection. Jetty's selector only tells that there is something to do; reading, deciding
- * and writing all happen on the {@link Loop}, so that subclasses need no locks.
+ * and writing all happen on the {@link EventLoop}, so that subclasses need no locks.
  */
-public abstract class Link extends AbstractConnection {
-    private static final Logger LOG = LoggerFactory.getLogger(Link.class);
+public abstract class EventLoopConnection extends AbstractConnection {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoopConnection.class);
     private static final int IN_BUFFER = 8 * 1024;
 
     /** How long a peer may take to close its side after the last answer. */
@@ -66,7 +66,7 @@
 
     private record Out(ByteBuffer[] bytes, Runnable written) {}
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final int mostAhead;
     private ByteBuffer in = BufferUtil.allocate(IN_BUFFER);
     private final ArrayDeque<Out> out = new ArrayDeque<>();
@@ -92,7 +92,7 @@
 
     private long progressAtLastLook;
 
-    protected Link(EndPoint endPoint, Loop loop) {
+    protected EventLoopConnection(EndPoint endPoint, EventLoop loop) {
         this(endPoint, loop, IN_BUFFER);
     }
 
@@ -102,7 +102,7 @@
      *
      * @param mostAhead so much is kept of it; then nothing more is read
      */
-    protected Link(EndPoint endPoint, Loop loop, int mostAhead) {
+    protected EventLoopConnection(EndPoint endPoint, EventLoop loop, int mostAhead) {
         super(endPoint, loop::execute);
         this.loop = loop;
         this.mostAhead = mostAhead;
@@ -283,8 +283,8 @@
     }
 
     /**
-     * Told on the loop, since {@link Links} has all writing done there: whatever event comes next
-     * finds it known already whether the last byte has left.
+     * Told on the loop, since {@link ConnectionManager} has all writing done there: whatever event
+     * comes next finds it known already whether the last byte has left.
      */
     private final class Written implements Callback {
         private final Runnable then;
--- a/src/main/java/damsonslip/transport/RoomAcceptor.java
+++ b/src/main/java/damsonslip/transport/LimitedAcceptor.java
@@ -1,21 +1,22 @@
 package damsonslip.transport;
 
 /**
- * Accepts connections of one kind into a {@link Room}, which bounds their number; those beyond it
- * wait in the listener's queue until the event loop has let others go. {@link #hasRoom}, {@link
- * #admit} and {@link #turnedBack} are called on any thread, {@link #opened} and {@link #closed} by
- * the connections, on the event loop.
+ * Accepts connections of one kind into a {@link ConnectionLimiter}, which bounds their number;
+ * those beyond it wait in the listener's queue until the event loop has let others go. {@link
+ * #hasRoom}, {@link #admit} and {@link #turnedBack} are called on any thread, {@link #opened} and
+ * {@link #closed} by the connections, on the event loop.
  */
-public abstract class RoomAcceptor<L extends Link> implements Links.Accepting {
-    private final Room<L> room;
+public abstract class LimitedAcceptor<L extends EventLoopConnection>
+        implements ConnectionManager.ConnectionAcceptor {
+    private final ConnectionLimiter<L> room;
 
     /** Accepts connections into this room. */
-    protected RoomAcceptor(Room<L> room) {
+    protected LimitedAcceptor(ConnectionLimiter<L> room) {
         this.room = room;
     }
 
     /** The accepted connections. */
-    protected final Room<L> room() {
+    protected final ConnectionLimiter<L> room() {
         return room;
     }
 
--- a/src/main/java/damsonslip/transport/Lines.java
+++ b/src/main/java/damsonslip/transport/LineDecoder.java
@@ -8,11 +8,11 @@
 /**
  * Cuts a body into its lines; bounded, so that a peer that never ends one cannot fill the memory.
  */
-public final class Lines {
+public final class LineDecoder {
     private final int most;
     private ByteArrayOutputStream begun = new ByteArrayOutputStream();
 
-    public Lines(int most) {
+    public LineDecoder(int most) {
         this.most = most;
     }
 
--- a/src/main/java/damsonslip/transport/Listeners.java
+++ b/src/main/java/damsonslip/transport/Listeners.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
@@ -31,7 +31,7 @@
     private static final long FULL_REST_US = 2_000;
 
     private final Map<SelectableChannel, ListeningSocket> sockets = new ConcurrentHashMap<>();
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<ManagedSelector> selector;
     private final Admission admission;
 
@@ -43,7 +43,7 @@
     /**
      * @param selector the selector, once it has been started
      */
-    Listeners(Loop loop, Supplier<ManagedSelector> selector, Admission admission) {
+    Listeners(EventLoop loop, Supplier<ManagedSelector> selector, Admission admission) {
         this.loop = loop;
         this.selector = selector;
         this.admission = admission;
@@ -56,7 +56,10 @@
      * @param queue when those who wait in its queue have come at the earliest
      */
     ListeningSocket bind(
-            InetSocketAddress address, Links.Accepting taker, boolean shared, ArrivalBound queue)
+            InetSocketAddress address,
+            ConnectionManager.ConnectionAcceptor taker,
+            boolean shared,
+            ArrivalBound queue)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
--- a/src/main/java/damsonslip/transport/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.Closeable;
 import java.io.IOException;
 import org.slf4j.Logger;
@@ -14,7 +14,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ListeningPort.class);
     private static final long LOOK_US = 1_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Listeners listeners;
     private final ListeningSocket socket;
     private final Closeable acceptor;
@@ -23,7 +23,7 @@
     /**
      * @param acceptor has the selector let go of the socket
      */
-    ListeningPort(Loop loop, Listeners listeners, ListeningSocket socket, Closeable acceptor) {
+    ListeningPort(EventLoop loop, Listeners listeners, ListeningSocket socket, Closeable acceptor) {
         this.loop = loop;
         this.listeners = listeners;
         this.socket = socket;
--- a/src/main/java/damsonslip/transport/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -24,13 +24,16 @@
     private static final long LOG_EVERY_US = 1_000_000;
 
     private final ServerSocketChannel server;
-    private final Links.Accepting taker;
+    private final ConnectionManager.ConnectionAcceptor taker;
     private final ArrivalBound queue;
     private final AcceptBackOff backOff = new AcceptBackOff();
     private volatile long failures;
     private long loggedUs = Long.MIN_VALUE / 2;
 
-    ListeningSocket(ServerSocketChannel server, Links.Accepting taker, ArrivalBound queue) {
+    ListeningSocket(
+            ServerSocketChannel server,
+            ConnectionManager.ConnectionAcceptor taker,
+            ArrivalBound queue) {
         this.server = server;
         this.taker = taker;
         this.queue = queue;
@@ -41,7 +44,7 @@
     }
 
     /** Who is told of its connections. */
-    Links.Accepting taker() {
+    ConnectionManager.ConnectionAcceptor taker() {
         return taker;
     }
 
--- a/src/main/java/damsonslip/transport/LoopEndPoint.java
+++ b/src/main/java/damsonslip/transport/LoopEndPoint.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.IOException;
 import java.net.SocketException;
 import java.nio.ByteBuffer;
@@ -37,7 +37,7 @@
     private static final long NEVER = Long.MIN_VALUE;
     private static final int END = -1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ManagedSelector selector;
     private final RearmableKey key;
     private final ArrivalBound arrival;
@@ -49,7 +49,7 @@
             ManagedSelector selector,
             RearmableKey key,
             Scheduler scheduler,
-            Loop loop,
+            EventLoop loop,
             ArrivalBound arrival) {
         super(channel, selector, key, scheduler);
         this.loop = loop;
@@ -136,7 +136,7 @@
         if (ready != null) {
             loop.execute(
                     () -> {
-                        if (getConnection() instanceof Link link) {
+                        if (getConnection() instanceof EventLoopConnection link) {
                             link.selected();
                         }
                         ready.run();
--- a/src/main/java/damsonslip/transport/Outflow.java
+++ b/src/main/java/damsonslip/transport/OutboundRateMonitor.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.engine.SlowPeer;
 import damsonslip.transport.datarate.BufferBudget;
 import damsonslip.transport.datarate.MinimumDataRate;
@@ -10,15 +10,15 @@
  * Watches one message being written to a peer, by what the system has not taken yet, and tells when
  * the peer is too slow. Most messages are taken at once, and nothing is set up for those.
  */
-public final class Outflow {
+public final class OutboundRateMonitor {
     /** A message under way is looked at this often: short beside every grace. */
     private static final long LOOK_US = 50_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final MinimumDataRate pace;
     private final LongSupplier backlog;
     private final Runnable tooSlow;
-    private Loop.Timer next;
+    private EventLoop.Timer next;
     private long seen;
 
     /**
@@ -27,8 +27,8 @@
      * @param backlog how much the system has not taken
      * @param tooSlow what to do when the peer does not keep up; told once for each message
      */
-    public Outflow(
-            Loop loop, MinimumDataRate.Limits limits, LongSupplier backlog, Runnable tooSlow) {
+    public OutboundRateMonitor(
+            EventLoop loop, MinimumDataRate.Limits limits, LongSupplier backlog, Runnable tooSlow) {
         this.loop = loop;
         this.pace = new MinimumDataRate(limits);
         this.backlog = backlog;
--- a/src/main/java/damsonslip/transport/PendingDial.java
+++ b/src/main/java/damsonslip/transport/PendingConnect.java
@@ -1,6 +1,6 @@
 package damsonslip.transport;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 import org.eclipse.jetty.io.EndPoint;
@@ -10,16 +10,20 @@
  * the selector may be held up; then nothing is heard when it comes up, and its time limit passes.
  * That says nothing of the other side.
  */
-final class PendingDial implements Links.Opening {
+final class PendingConnect implements ConnectionManager.ConnectionFactory {
     /** It is looked at this long before its limit. */
     private static final long LOOK_BEFORE_US = 20_000;
 
     private final SocketChannel channel;
-    private final Links.Opening opening;
-    private final Loop.Timer look;
+    private final ConnectionManager.ConnectionFactory opening;
+    private final EventLoop.Timer look;
     private boolean failed;
 
-    PendingDial(SocketChannel channel, Links.Opening opening, Loop loop, long limitUs) {
+    PendingConnect(
+            SocketChannel channel,
+            ConnectionManager.ConnectionFactory opening,
+            EventLoop loop,
+            long limitUs) {
         this.channel = channel;
         this.opening = opening;
         this.look = loop.in(limitUs - LOOK_BEFORE_US, this::lookBehindSelector);
@@ -33,22 +37,22 @@
         try {
             if (channel.isConnectionPending() && channel.finishConnect()) {
                 channel.close();
-                failed(DialFailure.UNHEARD);
+                failed(ConnectFailure.UNHEARD);
             }
         } catch (IOException e) {
-            failed(DialFailure.UNREACHABLE); // refused or reset, as the selector would have told
+            failed(ConnectFailure.UNREACHABLE); // refused or reset, as the selector would have told
         }
     }
 
     @Override
-    public Link open(EndPoint endPoint) {
+    public EventLoopConnection open(EndPoint endPoint) {
         look.cancel();
         return opening.open(endPoint);
     }
 
     /** Told on the loop; the look and the selector may both find a failure. */
     @Override
-    public void failed(DialFailure why) {
+    public void failed(ConnectFailure why) {
         look.cancel();
         if (!failed) {
             failed = true;
--- a/src/test/java/damsonslip/config/TreeTest.java
+++ b/src/test/java/damsonslip/config/TreeTest.java
@@ -25,18 +25,19 @@
                 "{} trailing"
             })
     void valuesAreAsTheMapperReadsThem(String text) throws JsonProcessingException {
-        assertEquals(new ObjectMapper().readTree(text), Tree.read(text));
+        assertEquals(new ObjectMapper().readTree(text), ConfigurationTree.read(text));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1,", "{\"a\"}", "{\"a\":}", "nul", "{a:1}", "\"open", "[1 2]"})
     void halfAValueIsNone(String text) {
-        assertThrows(JsonProcessingException.class, () -> Tree.read(text));
+        assertThrows(JsonProcessingException.class, () -> ConfigurationTree.read(text));
     }
 
     @Test
     void nothingIsNullAndDepthIsBounded() throws JsonProcessingException {
-        assertNull(Tree.read("  "));
-        assertThrows(JsonProcessingException.class, () -> Tree.read("[".repeat(5_000)));
+        assertNull(ConfigurationTree.read("  "));
+        assertThrows(
+                JsonProcessingException.class, () -> ConfigurationTree.read("[".repeat(5_000)));
     }
 }
--- a/src/test/java/damsonslip/engine/FailingActionTest.java
+++ b/src/test/java/damsonslip/engine/FailingActionTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import damsonslip.engine.Counters.Count;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
 import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.LoadReporting;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.Status;
-import damsonslip.policy.api.Worker;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -21,15 +21,15 @@
 /** An action of the decisions that a front fails to carry out. */
 class FailingActionTest {
     private static final long DEADLINE_US = 300_000;
-    private static final WorkerSide FAILING =
-            new WorkerSide() {
+    private static final WorkerGateway FAILING =
+            new WorkerGateway() {
                 @Override
-                public void start(Execution execution) {
+                public void start(Attempt execution) {
                     throw new IllegalStateException("a fault of the front");
                 }
 
                 @Override
-                public void cancel(Execution execution) {}
+                public void cancel(Attempt execution) {}
 
                 @Override
                 public void probe(String worker, long connectedByUs) {}
@@ -39,7 +39,15 @@
             };
 
     private static Settings settings() {
-        JobClass once = new JobClass(200_000, 2, 1, Effect.UNSAFE, Group.ALL, 0, -1);
+        JobClass once =
+                new JobClass(
+                        200_000,
+                        2,
+                        1,
+                        Idempotency.NOT_IDEMPOTENT,
+                        IdempotencyScope.ALL_WORKERS,
+                        0,
+                        -1);
         return new Settings(
                 1,
                 0,
@@ -50,7 +58,7 @@
                 List.of(),
                 new Limits(3, true, false, 0, 0),
                 new Guarantees(50_000, 500_000, 10_000_000, 1, 0, 1, 1_000_000),
-                Reporting.WITH_ANSWERS,
+                LoadReporting.WITH_RESPONSES,
                 false,
                 true,
                 1_000);
@@ -59,20 +67,22 @@
     /** Its request is answered at its time all the same, and the caller goes on. */
     @Test
     void leavesItsRequestWithAnAnswer() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Counters counters = new Counters();
-        Driver driver = new Driver(settings(), 1, loop, counters);
-        CompletableFuture<Answer> answered = new CompletableFuture<>();
-        CompletableFuture<Exchange> taken = new CompletableFuture<>();
+        SchedulerEngine driver = new SchedulerEngine(settings(), 1, loop, counters);
+        CompletableFuture<Response> answered = new CompletableFuture<>();
+        CompletableFuture<RequestContext> taken = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     driver.begin(
                             FAILING,
-                            List.of(new Worker("a", 0, 0, 0, Status.RUNNING, Long.MIN_VALUE)));
+                            List.of(
+                                    new WorkerEntry(
+                                            "a", 0, 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE)));
                     long endsUs = loop.now() + DEADLINE_US;
                     taken.complete(
                             driver.take(
-                                    new Query(
+                                    new Request(
                                             "q",
                                             0,
                                             0,
@@ -87,7 +97,7 @@
                                     answered::complete));
                 });
         assertNotNull(taken.get(5, TimeUnit.SECONDS), "the call returns");
-        assertEquals(Answer.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
+        assertEquals(Response.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
         assertEquals(1, counters.get(Count.ACTIONS_FAILED));
         loop.stop();
     }
--- a/src/test/java/damsonslip/engine/LoopTest.java
+++ b/src/test/java/damsonslip/engine/LoopTest.java
@@ -12,7 +12,7 @@
 class LoopTest {
     @Test
     void goesOnBehindATaskThatFailsAndTellsOfIt() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         AtomicInteger failed = new AtomicInteger();
         CountDownLatch next = new CountDownLatch(1);
         loop.onTaskFailed(failed::incrementAndGet);
--- a/src/test/java/damsonslip/engine/invariants/GuardsTest.java
+++ b/src/test/java/damsonslip/engine/invariants/GuardsTest.java
@@ -7,10 +7,10 @@
 import damsonslip.engine.invariants.InvariantMonitor.Mode;
 import damsonslip.engine.invariants.RepeatGuard.Earlier;
 import damsonslip.engine.invariants.RepeatGuard.Place;
-import damsonslip.policy.api.ColdLoad;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.SlowStartLoad;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -25,7 +25,7 @@
     private static final Place OTHER_ZONE = new Place("c", 1, 2);
 
     private static Optional<Violation> send(
-            long drainingSinceUs, boolean waits, long leftUs, long toldUs, ColdLoad cold) {
+            long drainingSinceUs, boolean waits, long leftUs, long toldUs, SlowStartLoad cold) {
         return SendGuard.check(
                 new SendGuard.Facts(
                         "q",
@@ -68,13 +68,13 @@
 
     @Test
     void aColdWorkerBearsItsBudgetAndWhatChanceAdds() {
-        assertTrue(send(Long.MAX_VALUE, true, 900 * MS, 0, new ColdLoad(122, 100)).isEmpty());
+        assertTrue(send(Long.MAX_VALUE, true, 900 * MS, 0, new SlowStartLoad(122, 100)).isEmpty());
         assertBreaks(
                 Invariant.NO_COLD_WORKER_OVERLOADED,
-                send(Long.MAX_VALUE, true, 900 * MS, 0, new ColdLoad(123, 100)));
+                send(Long.MAX_VALUE, true, 900 * MS, 0, new SlowStartLoad(123, 100)));
     }
 
-    private static JobClass of(Effect effect, Group group) {
+    private static JobClass of(Idempotency effect, IdempotencyScope group) {
         return new JobClass(0, 0, 1, effect, group, 1_000 * MS, -1);
     }
 
@@ -90,29 +90,40 @@
     void neverHasTwoOut() {
         assertBreaks(
                 Invariant.NO_SECOND_COPY,
-                repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, true, false)));
+                repeat(
+                        of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS),
+                        SAME_ZONE,
+                        earlier(MS, true, false)));
     }
 
     @Test
     void repeatsWhatMustRunOnceOnlyWhereItNeverRan() {
-        JobClass once = of(Effect.UNSAFE, Group.ALL);
+        JobClass once = of(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         assertTrue(repeat(once, SAME_ZONE, earlier(MS, false, true)).isEmpty());
         assertBreaks(
                 Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
                 repeat(once, SAME_ZONE, earlier(MS, false, false)));
         assertTrue(
-                repeat(of(Effect.SAFE, Group.ALL), SAME_ZONE, earlier(MS, false, false)).isEmpty());
+                repeat(
+                                of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS),
+                                SAME_ZONE,
+                                earlier(MS, false, false))
+                        .isEmpty());
     }
 
     @Test
     void repeatsKeyedOnesInTheGroupAndInTheWindow() {
-        JobClass keyed = of(Effect.KEYED, Group.ZONE);
+        JobClass keyed = of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE);
         assertTrue(repeat(keyed, SAME_ZONE, earlier(1_000 * MS, false, false)).isEmpty());
         Invariant broken = Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW;
         assertBreaks(broken, repeat(keyed, OTHER_ZONE, earlier(MS, false, false)));
         assertBreaks(broken, repeat(keyed, SAME_ZONE, earlier(1_051 * MS, false, false)));
         assertBreaks(
-                broken, repeat(of(Effect.KEYED, Group.CELL), SAME_ZONE, earlier(MS, false, false)));
+                broken,
+                repeat(
+                        of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.CELL),
+                        SAME_ZONE,
+                        earlier(MS, false, false)));
     }
 
     @Test
@@ -120,12 +131,22 @@
         List<Earlier> run = List.of(earlier(MS, false, false));
         assertBreaks(
                 Invariant.NO_REFUSAL_AFTER_A_RUN,
-                RepeatGuard.checkRefusal("q", of(Effect.UNSAFE, Group.ALL), run));
+                RepeatGuard.checkRefusal(
+                        "q", of(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS), run));
         assertBreaks(
                 Invariant.NO_REFUSAL_AFTER_A_RUN,
-                RepeatGuard.checkRefusal("q", of(Effect.KEYED, Group.ZONE), run));
-        assertTrue(RepeatGuard.checkRefusal("q", of(Effect.KEYED, Group.ALL), run).isEmpty());
-        assertTrue(RepeatGuard.checkRefusal("q", of(Effect.SAFE, Group.ALL), run).isEmpty());
+                RepeatGuard.checkRefusal(
+                        "q", of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE), run));
+        assertTrue(
+                RepeatGuard.checkRefusal(
+                                "q",
+                                of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ALL_WORKERS),
+                                run)
+                        .isEmpty());
+        assertTrue(
+                RepeatGuard.checkRefusal(
+                                "q", of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS), run)
+                        .isEmpty());
     }
 
     @Test
--- a/src/test/java/damsonslip/faktory/RoutesTest.java
+++ b/src/test/java/damsonslip/faktory/RoutesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
@@ -49,7 +49,8 @@
         "links = 800,links = 0,links: not a whole number"
     })
     void whatIsWrongIsToldInOneLine(String find, String put, String told) {
-        BadInput refused = assertThrows(BadInput.class, () -> read(find, put));
+        ConfigurationException refused =
+                assertThrows(ConfigurationException.class, () -> read(find, put));
         assertTrue(
                 refused.getMessage().contains(told) && refused.getMessage().lines().count() == 1,
                 refused.getMessage());
--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -7,8 +7,8 @@
 import damsonslip.faktory.jobs.RetryPolicy.NextState;
 import damsonslip.faktory.jobs.RetryPolicy.RecoveryAction;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Facts;
@@ -19,10 +19,28 @@
 
 /** What becomes of a job, for every class and retry count. */
 class RetryPolicyTest {
-    static final JobClass SAFE = new JobClass(1, 2, 1, Effect.SAFE, Group.ALL, 0, -1);
-    static final JobClass ONCE = new JobClass(1, 2, 1, Effect.UNSAFE, Group.ALL, 0, -1);
-    static final JobClass KEYED = new JobClass(1, 2, 1, Effect.KEYED, Group.ALL, 40_000_000, -1);
-    static final JobClass BY_ZONE = new JobClass(1, 2, 1, Effect.KEYED, Group.ZONE, 40_000_000, -1);
+    static final JobClass SAFE =
+            new JobClass(1, 2, 1, Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
+    static final JobClass ONCE =
+            new JobClass(1, 2, 1, Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
+    static final JobClass KEYED =
+            new JobClass(
+                    1,
+                    2,
+                    1,
+                    Idempotency.IDEMPOTENT_WITH_KEY,
+                    IdempotencyScope.ALL_WORKERS,
+                    40_000_000,
+                    -1);
+    static final JobClass BY_ZONE =
+            new JobClass(
+                    1,
+                    2,
+                    1,
+                    Idempotency.IDEMPOTENT_WITH_KEY,
+                    IdempotencyScope.ZONE,
+                    40_000_000,
+                    -1);
     private static final RunFailure BROKEN = new RunFailure("E", "m", List.of("a", "b", "c"));
     private final SplittableRandom random = new SplittableRandom(1);
 
--- a/src/test/java/damsonslip/platform/discovery/HostGroupTest.java
+++ b/src/test/java/damsonslip/platform/discovery/HostGroupTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonslip.config.Site;
+import damsonslip.config.SiteSettings;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -18,12 +18,12 @@
         {"instances":1,"azs":["z"],"shapes":["k"],"registry_mode":"on_request","guarantees":{"drain_grace_s":0.5},
         "lanes":[{"name":"read","aim_s":0.5,"hard_limit_s":5,"semantics":"repeatable","value":1}]}""";
 
-    private HostGroup hosts;
+    private WorkerRegistry hosts;
     private long now;
 
     @BeforeEach
     void settings() throws Exception {
-        hosts = new HostGroup(Site.read(new ObjectMapper().readTree(SETTINGS)));
+        hosts = new WorkerRegistry(SiteSettings.read(new ObjectMapper().readTree(SETTINGS)));
     }
 
     private static String entry(String id, String lifecycle) {
@@ -35,7 +35,7 @@
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    private void list(boolean whole, String... entries) throws HostGroup.Malformed {
+    private void list(boolean whole, String... entries) throws WorkerRegistry.Malformed {
         hosts.apply(
                 hosts.decode(
                         "{\"generation\":1,\"reset\":"
--- a/src/test/java/damsonslip/platform/worker/KeptAgeTest.java
+++ b/src/test/java/damsonslip/platform/worker/KeptAgeTest.java
@@ -9,7 +9,7 @@
 class KeptAgeTest {
     @Test
     void agesAtWhichLinksBreakAreGivenUpAndTriedAgainLater() {
-        KeptAge age = new KeptAge();
+        IdleConnectionRisk age = new IdleConnectionRisk();
         for (int i = 0; i < 20; i++) {
             age.seen(40_000, false);
             age.seen(300_000, i % 2 == 0);
@@ -25,7 +25,7 @@
 
     @Test
     void whatMayBeSentOnlyOnceIsMoreCareful() {
-        KeptAge age = new KeptAge();
+        IdleConnectionRisk age = new IdleConnectionRisk();
         age.seen(300_000, true);
         assertTrue(age.serves(300_000, false));
         assertFalse(age.serves(300_000, true));
--- a/src/test/java/damsonslip/policy/ColdFleet.java
+++ b/src/test/java/damsonslip/policy/ColdFleet.java
@@ -2,28 +2,29 @@
 
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.AttemptStarted;
 import damsonslip.policy.api.Cancel;
-import damsonslip.policy.api.Divided;
 import damsonslip.policy.api.Event;
 import damsonslip.policy.api.Guarantees;
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.LoadReport;
+import damsonslip.policy.api.LoadReporting;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.ProbeWorker;
+import damsonslip.policy.api.SchedulersChanged;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.Status;
 import damsonslip.policy.api.TimerDue;
-import damsonslip.policy.api.WatchList;
+import damsonslip.policy.api.WatchWorkerList;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -80,7 +81,7 @@
             int dispatchers,
             int toldDispatchers,
             Guarantees guarantees,
-            Reporting reporting,
+            LoadReporting reporting,
             int workerSlots,
             List<Traffic> traffic,
             double jobsPerSecond) {
@@ -115,12 +116,12 @@
          * up to this age.
          */
         double bound(long age) {
-            double warmth = guarantees.warmth(age - guarantees.fallUs() / 2);
+            double warmth = guarantees.slowStartShareAt(age - guarantees.overloadWindowUs() / 2);
             double n =
-                    guarantees.fallMultiple()
+                    guarantees.overloadFactor()
                             * warmth
                             * workerSlots
-                            * guarantees.fallUs()
+                            * guarantees.overloadWindowUs()
                             / meanWork();
             return n + 2 * Math.sqrt(n) + 2;
         }
@@ -166,15 +167,15 @@
                     .add(new Load(now, work, told));
         }
 
-        Report report(boolean asked) {
-            boolean reports = asked || site.reporting() == Reporting.WITH_ANSWERS;
+        LoadReport report(boolean asked) {
+            boolean reports = asked || site.reporting() == LoadReporting.WITH_RESPONSES;
             return reports
-                    ? new Report(full ? 0 : site.workerSlots(), Double.NaN, Double.NaN)
+                    ? new LoadReport(full ? 0 : site.workerSlots(), Double.NaN, Double.NaN)
                     : null;
         }
 
-        damsonslip.policy.api.Worker entry() {
-            return new damsonslip.policy.api.Worker(id, 0, 0, 0, Status.RUNNING, started);
+        WorkerEntry entry() {
+            return new WorkerEntry(id, 0, 0, 0, WorkerStatus.RUNNING, started);
         }
     }
 
@@ -182,9 +183,9 @@
 
     private final class Instance {
         final int number;
-        Rules rules;
+        SchedulingPolicy rules;
         int life;
-        List<damsonslip.policy.api.Worker> known = List.of();
+        List<WorkerEntry> known = List.of();
         final Map<String, Long> told = new HashMap<>();
         final Map<String, Work> jobs = new HashMap<>();
         final Set<String> connected = new HashSet<>();
@@ -196,21 +197,21 @@
         /** A new process: it knows the kept list and nothing else. */
         void start() {
             life++;
-            rules = new Rules(site.settings(number), random.nextLong());
+            rules = new SchedulingPolicy(site.settings(number), random.nextLong());
             jobs.clear();
             connected.clear();
-            list(ListMode.KEPT, known);
+            list(WorkerListChange.KEPT, known);
         }
 
-        void list(ListMode mode, List<damsonslip.policy.api.Worker> list) {
+        void list(WorkerListChange mode, List<WorkerEntry> list) {
             known = list;
             list.forEach(w -> told.put(w.id(), w.startedUs()));
-            give(new ListUpdate(mode, list));
+            give(new WorkerListUpdate(mode, list));
         }
 
         /** Counts from now on as one of so many processes of its dispatcher. */
         void divide(int processes, int index) {
-            give(new Divided(site.dispatchers() * processes, number * processes + index));
+            give(new SchedulersChanged(site.dispatchers() * processes, number * processes + index));
         }
 
         void give(Event event) {
@@ -236,8 +237,8 @@
             } else if (action instanceof SetTimer timer) {
                 later(Math.max(0, timer.atUs() - now), new TimerDue(timer.label()));
             } else if (action instanceof Cancel cancel) {
-                end(0, cancel.job(), cancel.attempt(), Outcome.CANCELLED, () -> null);
-            } else if (action instanceof Probe probe) {
+                end(0, cancel.job(), cancel.attempt(), AttemptOutcome.CANCELLED, () -> null);
+            } else if (action instanceof ProbeWorker probe) {
                 Hollow w = workers.get(probe.worker());
                 if (w.up) {
                     reach(w, HANDSHAKE_US);
@@ -247,7 +248,7 @@
                         w.up
                                 ? new ProbeEnded(w.id, ProbeResult.HEALTHY, w.report(true))
                                 : new ProbeEnded(w.id, ProbeResult.UNREACHABLE, null));
-            } else if (action instanceof WatchList) {
+            } else if (action instanceof WatchWorkerList) {
                 throw new IllegalStateException("lists are pushed here");
             }
         }
@@ -263,22 +264,26 @@
             int attempt = job.open().size();
             job.open().add(true);
             if (!w.up) {
-                end(NETWORK_US, send.job(), attempt, Outcome.NOT_CONNECTED, () -> null);
+                end(NETWORK_US, send.job(), attempt, AttemptOutcome.NOT_CONNECTED, () -> null);
                 return;
             }
             reach(w, job.traffic().work());
             if (random.nextDouble() < turnedAway) {
-                end(NETWORK_US, send.job(), attempt, Outcome.FULL, () -> w.report(false));
+                end(NETWORK_US, send.job(), attempt, AttemptOutcome.FULL, () -> w.report(false));
                 return;
             }
             long wait = random.nextDouble() < stuck ? SECOND : NETWORK_US;
             long took = (long) (job.traffic().workUs() * (0.5 + random.nextDouble()));
             later(wait, new AttemptStarted(send.job(), attempt));
-            end(wait + took, send.job(), attempt, Outcome.SERVED, () -> w.report(false));
+            end(wait + took, send.job(), attempt, AttemptOutcome.SERVED, () -> w.report(false));
         }
 
         private void end(
-                long inUs, String id, int attempt, Outcome outcome, Supplier<Report> report) {
+                long inUs,
+                String id,
+                int attempt,
+                AttemptOutcome outcome,
+                Supplier<LoadReport> report) {
             int of = life;
             Work job = jobs.get(id);
             at(
@@ -290,7 +295,7 @@
                                             id,
                                             attempt,
                                             outcome,
-                                            outcome == Outcome.SERVED,
+                                            outcome == AttemptOutcome.SERVED,
                                             report.get()));
                         }
                     });
@@ -341,7 +346,7 @@
         return this;
     }
 
-    private List<damsonslip.policy.api.Worker> entries() {
+    private List<WorkerEntry> entries() {
         return workers.values().stream().map(Hollow::entry).toList();
     }
 
@@ -404,26 +409,25 @@
     }
 
     private void publish() {
-        List<damsonslip.policy.api.Worker> list = entries();
+        List<WorkerEntry> list = entries();
         for (Instance instance : instances) {
             long delay = listEarliest + random.nextLong(listDelay + 1);
             at(
                     now + delay,
                     () -> {
                         if (newer(list, instance.known)) {
-                            instance.list(ListMode.CHANGES, list);
+                            instance.list(WorkerListChange.CHANGES, list);
                         }
                     });
         }
     }
 
     /** Lists come in order: one that was overtaken is not delivered any more. */
-    private static boolean newer(
-            List<damsonslip.policy.api.Worker> list, List<damsonslip.policy.api.Worker> than) {
+    private static boolean newer(List<WorkerEntry> list, List<WorkerEntry> than) {
         return list.size() > than.size() || list.size() == than.size() && sum(list) > sum(than);
     }
 
-    private static double sum(List<damsonslip.policy.api.Worker> list) {
+    private static double sum(List<WorkerEntry> list) {
         return list.stream().mapToDouble(w -> Math.max(0, w.startedUs())).sum();
     }
 
@@ -498,11 +502,13 @@
         boolean broken = false;
         for (Load load : loads) {
             long age = load.at() - start;
-            if (age >= site.guarantees().coldUs()) {
+            if (age >= site.guarantees().slowStartUs()) {
                 break;
             }
             inSpan[load.told() ? 1 : 0] += load.work();
-            for (; loads.get(from).at() <= load.at() - site.guarantees().fallUs(); from++) {
+            for (;
+                    loads.get(from).at() <= load.at() - site.guarantees().overloadWindowUs();
+                    from++) {
                 inSpan[loads.get(from).told() ? 1 : 0] -= loads.get(from).work();
             }
             double sum = Arrays.stream(inSpan).sum();
