--- a/src/test/java/damsonslip/policy/ColdFleetTest.java
+++ b/src/test/java/damsonslip/policy/ColdFleetTest.java
@@ -7,11 +7,11 @@
 import damsonslip.policy.ColdFleet.Site;
 import damsonslip.policy.ColdFleet.Traffic;
 import damsonslip.policy.ColdFleet.Worst;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
 import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.LoadReporting;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -76,7 +76,14 @@
 
     private static Traffic traffic(long workUs, int slots, double share) {
         return new Traffic(
-                new JobClass(workUs, 2, 1, Effect.SAFE, Group.ALL, 5 * SECOND, -1),
+                new JobClass(
+                        workUs,
+                        2,
+                        1,
+                        Idempotency.IDEMPOTENT,
+                        IdempotencyScope.ALL_WORKERS,
+                        5 * SECOND,
+                        -1),
                 workUs,
                 slots,
                 share);
@@ -118,11 +125,12 @@
             traffic.add(
                     traffic(workUs, 1 + random.nextInt(Math.min(workerSlots, 3)), weight / sum));
         }
-        Reporting reporting = random.nextBoolean() ? Reporting.WITH_ANSWERS : Reporting.BY_PROBE;
+        LoadReporting reporting =
+                random.nextBoolean() ? LoadReporting.WITH_RESPONSES : LoadReporting.BY_PROBE;
         Site site =
                 new Site(dispatchers, dispatchers, guarantees, reporting, workerSlots, traffic, 1);
-        double slots = workerSlots * guarantees.warmth(4 * SECOND);
-        double allowed = guarantees.fallMultiple() * slots * SECOND / site.meanWork();
+        double slots = workerSlots * guarantees.slowStartShareAt(4 * SECOND);
+        double allowed = guarantees.overloadFactor() * slots * SECOND / site.meanWork();
         double jobsPerSecond = Math.min(1_200, 6 * allowed);
         return new Site(
                 dispatchers,
@@ -140,7 +148,7 @@
         fleet.at(START, fleet::fillWarm);
         fleet.at(START, () -> fleet.startWorker("cold0"));
         fleet.at(START + SECOND / 2 + 1, () -> fleet.startWorker("cold1"));
-        trouble.accept(fleet, site.guarantees().fallUs());
+        trouble.accept(fleet, site.guarantees().overloadWindowUs());
         return fleet.run(END).worst();
     }
 
@@ -170,7 +178,7 @@
                         100,
                         100,
                         guarantees(0.35, 10, 4.5, 2),
-                        Reporting.WITH_ANSWERS,
+                        LoadReporting.WITH_RESPONSES,
                         workerSlots,
                         List.of(traffic(50_000, 1, 1)),
                         1_000);
@@ -190,7 +198,7 @@
                         30,
                         10,
                         guarantees(0.25, 8, 3, 2),
-                        Reporting.WITH_ANSWERS,
+                        LoadReporting.WITH_RESPONSES,
                         4,
                         List.of(traffic(50_000, 1, 1)),
                         1_000);
--- a/src/test/java/damsonslip/policy/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -5,13 +5,13 @@
 
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.AttemptEnded;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobArrived;
-import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.WorkerState;
 import java.util.ArrayList;
@@ -29,8 +29,8 @@
                 Script.settings(
                         1,
                         0,
-                        Script.jobClass(Effect.SAFE, Group.ALL),
-                        Script.jobClass(Effect.UNSAFE, Group.ALL)));
+                        Script.jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS),
+                        Script.jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
     }
 
     private static List<String> send(Script script, String id, Predicate<String> fits) {
@@ -53,11 +53,11 @@
                 new ProbeEnded(
                         worker,
                         ProbeResult.HEALTHY,
-                        Report.offered(free, Double.NaN, slots - free, slots)));
+                        LoadReport.fromOfferedSlots(free, Double.NaN, slots - free, slots)));
     }
 
-    private static void ended(Script script, String id, Outcome outcome) {
-        script.give(new AttemptEnded(id, 0, outcome, outcome == Outcome.SERVED, null));
+    private static void ended(Script script, String id, AttemptOutcome outcome) {
+        script.give(new AttemptEnded(id, 0, outcome, outcome == AttemptOutcome.SERVED, null));
     }
 
     @Test
@@ -68,7 +68,7 @@
             List<String> went = new ArrayList<>(send(script, "j" + i, only::equals));
             went.addAll(sent(script.pass(3 * Script.SECOND)));
             assertEquals(List.of(only), went, "whichever pool that worker is in");
-            ended(script, "j" + i, Outcome.SERVED);
+            ended(script, "j" + i, AttemptOutcome.SERVED);
         }
     }
 
@@ -82,15 +82,15 @@
         }
         assertEquals(20, went, "though nothing of its kind was ever seen before");
         WorkerState state = script.rules.workers(script.now).get(0);
-        assertEquals(0, state.free(), 0.01);
-        ended(script, "j0", Outcome.SERVED);
+        assertEquals(0, state.freeSlots(), 0.01);
+        ended(script, "j0", AttemptOutcome.SERVED);
         assertEquals(
                 0,
-                script.rules.workers(script.now).get(0).free(),
+                script.rules.workers(script.now).get(0).freeSlots(),
                 0.01,
                 "its slot is free once it is offered");
         offers(script, "w0", 1, 20);
-        assertEquals(1, script.rules.workers(script.now).get(0).free(), 0.01);
+        assertEquals(1, script.rules.workers(script.now).get(0).freeSlots(), 0.01);
     }
 
     @Test
@@ -110,19 +110,19 @@
         offers(script, "w0", 4, 4);
         for (int i = 0; i < 3; i++) {
             send(script, "f" + i, null);
-            ended(script, "f" + i, Outcome.ERROR);
+            ended(script, "f" + i, AttemptOutcome.ERROR);
             assertTrue(!script.rules.workers(script.now).get(0).paused(), "after " + (i + 1));
             offers(script, "w0", 4, 4);
         }
         send(script, "good", null);
-        ended(script, "good", Outcome.SERVED);
+        ended(script, "good", AttemptOutcome.SERVED);
         for (int i = 0; i < 4; i++) {
             assertTrue(
                     !script.rules.workers(script.now).get(0).paused(),
                     "what was done between counts");
             offers(script, "w0", 4, 4);
             send(script, "g" + i, null);
-            ended(script, "g" + i, Outcome.ERROR);
+            ended(script, "g" + i, AttemptOutcome.ERROR);
         }
         assertTrue(
                 script.rules.workers(script.now).get(0).paused(), "four with nothing done between");
@@ -135,7 +135,7 @@
         for (int i = 0; i < 40; i++) {
             send(script, "q" + i, null);
             script.now += i % 4 == 0 ? 4_000 : 200; // now and then twenty times as long as usual
-            ended(script, "q" + i, Outcome.SERVED);
+            ended(script, "q" + i, AttemptOutcome.SERVED);
             offers(script, "w0", 4, 4);
         }
         assertEquals(List.of("w0"), send(script, "last", null), "at once");
--- a/src/test/java/damsonslip/policy/ForgottenWorkersTest.java
+++ b/src/test/java/damsonslip/policy/ForgottenWorkersTest.java
@@ -8,12 +8,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobArrived;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -26,22 +27,24 @@
     private static final int MOST_KNOWN = 12 * WORKERS;
 
     private final Script script =
-            new Script(Script.settings(1, 0, jobClass(Effect.SAFE, Group.ALL)));
+            new Script(
+                    Script.settings(
+                            1, 0, jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
 
-    private static damsonslip.policy.api.Worker[] release(int round) {
+    private static WorkerEntry[] release(int round) {
         return IntStream.range(0, WORKERS)
                 .mapToObj(i -> worker("w" + round + "-" + i))
-                .toArray(damsonslip.policy.api.Worker[]::new);
+                .toArray(WorkerEntry[]::new);
     }
 
     @Test
     void workersThatAreLongGoneAreForgotten() {
         for (int round = 0; round < 100; round++) {
-            script.list(ListMode.COMPLETE, release(round));
+            script.list(WorkerListChange.COMPLETE, release(round));
             String job = "j" + round;
             assertNotNull(sentTo(script.job(job), job));
             script.pass(SECOND / 10);
-            script.ended(job, 0, Outcome.SERVED);
+            script.ended(job, 0, AttemptOutcome.SERVED);
             script.pass(MINUTE);
         }
         int known = script.rules.workers(script.now).size();
@@ -51,12 +54,12 @@
     /** An attempt there is still out, whose end frees what it holds. */
     @Test
     void aWorkerWithAnAttemptOutIsKnownUntilThatEnds() {
-        script.list(ListMode.COMPLETE, worker("a"));
+        script.list(WorkerListChange.COMPLETE, worker("a"));
         script.give(new JobArrived("j1", 0, 0, null, script.now + 100 * MINUTE, 1, 0));
-        script.list(ListMode.COMPLETE, worker("b"));
+        script.list(WorkerListChange.COMPLETE, worker("b"));
         script.pass(20 * MINUTE);
         assertEquals(2, script.rules.workers(script.now).size());
-        script.ended("j1", 0, Outcome.SERVED);
+        script.ended("j1", 0, AttemptOutcome.SERVED);
         script.pass(MINUTE);
         assertEquals(1, script.rules.workers(script.now).size());
     }
@@ -64,12 +67,15 @@
     /** A worker that was forgotten and comes back is one like any other. */
     @Test
     void aForgottenWorkerThatComesBackIsUsed() {
-        script.list(ListMode.COMPLETE, worker("a"), worker("b"));
-        script.list(ListMode.CHANGES, worker("a", 0, 0, Status.GONE, Long.MIN_VALUE));
+        script.list(WorkerListChange.COMPLETE, worker("a"), worker("b"));
+        script.list(
+                WorkerListChange.CHANGES, worker("a", 0, 0, WorkerStatus.REMOVED, Long.MIN_VALUE));
         script.pass(20 * MINUTE);
         assertEquals(1, script.rules.workers(script.now).size());
         script.list(
-                ListMode.CHANGES, worker("a"), worker("b", 0, 0, Status.DRAINING, Long.MIN_VALUE));
+                WorkerListChange.CHANGES,
+                worker("a"),
+                worker("b", 0, 0, WorkerStatus.DRAINING, Long.MIN_VALUE));
         assertEquals("a", sentTo(script.job("j1"), "j1"));
     }
 }
--- a/src/test/java/damsonslip/policy/LargeFleetTest.java
+++ b/src/test/java/damsonslip/policy/LargeFleetTest.java
@@ -7,19 +7,23 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import damsonslip.policy.api.Action;
 import damsonslip.policy.api.AttemptEnded;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Cancel;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
+import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.PoolState;
-import damsonslip.policy.api.Report;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
-import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
 import damsonslip.policy.api.WorkerState;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -34,7 +38,8 @@
 
 /** What many dispatchers that each see little do together. */
 class LargeFleetTest {
-    private static final JobClass SAFE = jobClass(Effect.SAFE, Group.ALL);
+    private static final JobClass SAFE =
+            jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
 
     /**
      * Guards against sending into the queues of workers of which nothing was heard as though they
@@ -47,12 +52,14 @@
         for (int i = 0; i < 60; i++) {
             script.job("j" + i);
             script.pass(100_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
-        script.list(ListMode.CHANGES, worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
+        script.list(
+                WorkerListChange.CHANGES,
+                worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         WorkerState far = script.rules.workers(script.now).get(0);
         assertTrue(
-                far.id().equals("far") && far.free() < 2,
+                far.id().equals("far") && far.freeSlots() < 2,
                 "no report says that anybody has room: " + far);
     }
 
@@ -64,11 +71,11 @@
             script.free = i < 50 ? 4 : 0;
             script.job("j" + i);
             script.pass(3 * SECOND / 2);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
         double free =
                 script.rules.workers(script.now).stream()
-                        .mapToDouble(WorkerState::free)
+                        .mapToDouble(WorkerState::freeSlots)
                         .average()
                         .orElseThrow();
         assertTrue(free < 1.3, "ten reports in fifteen seconds say that all are full: " + free);
@@ -81,22 +88,30 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.8, 3})
     void whoeverHeardOfErrorsKeepsWhatMustNotBeRepeatedAway(double errors) {
-        Script script = new Script(settings(14, 0, jobClass(Effect.UNSAFE, Group.ALL))).workers(2);
-        List<damsonslip.policy.api.Action> first = script.job("first");
+        Script script =
+                new Script(
+                                settings(
+                                        14,
+                                        0,
+                                        jobClass(
+                                                Idempotency.NOT_IDEMPOTENT,
+                                                IdempotencyScope.ALL_WORKERS)))
+                        .workers(2);
+        List<Action> first = script.job("first");
         String failing = Script.sentTo(first, "first");
         script.pass(100_000);
         script.give(
                 new AttemptEnded(
                         "first",
                         0,
-                        Outcome.SERVED,
+                        AttemptOutcome.SERVED,
                         true,
-                        new Report(4, Double.NaN, Double.NaN, Double.NaN, errors)));
+                        new LoadReport(4, Double.NaN, Double.NaN, Double.NaN, errors)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             used.add(Script.sentTo(script.job("j" + i), "j" + i));
             script.pass(150_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
         assertEquals(
                 errors < 1,
@@ -117,7 +132,7 @@
             jobs.merge(to, 1, Integer::sum);
             script.started("j" + i, 0);
             script.pass(to.equals("w3") ? 400_000 : 100_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
         assertTrue(
                 jobs.get("w3") <= 2,
@@ -135,10 +150,10 @@
             script.free = i % 20 == 0 ? 4 : 1.4; // of four: less than a pool lends in good times
             script.job("j" + i, i % 20 == 0 ? 1 : 0, 0, null);
             script.pass(100_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
         String own = Script.sentTo(script.job("x", 1, 0, null), "x");
-        script.ended("x", 0, Outcome.NOT_CONNECTED);
+        script.ended("x", 0, AttemptOutcome.NOT_CONNECTED);
         String lent = Script.sentTo(script.pass(110_000), "x");
         assertTrue(lent != null && !lent.equals(own), "sent to " + own + ", then to " + lent);
     }
@@ -150,15 +165,23 @@
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 5})
     void whatEarnsMoreBorrowsAnySlotSeenFree(double worth) {
-        JobClass first = new JobClass(200_000, 2, worth, Effect.SAFE, Group.ALL, 5 * SECOND, -1);
+        JobClass first =
+                new JobClass(
+                        200_000,
+                        2,
+                        worth,
+                        Idempotency.IDEMPOTENT,
+                        IdempotencyScope.ALL_WORKERS,
+                        5 * SECOND,
+                        -1);
         Script script = new Script(settings(1, 0, first, SAFE)).workers(8);
         for (int i = 0; i < 200; i++) {
             script.free = i % 20 < 2 ? 4 : 1.4; // of four: less than a pool lends in good times
             script.job("j" + i, i % 2, 0, null);
             script.pass(100_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
-        List<damsonslip.policy.api.Action> actions = new ArrayList<>();
+        List<Action> actions = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             actions.addAll(script.job("x" + i, 0, 0, null));
         }
@@ -177,16 +200,16 @@
             script.job("j" + i);
             script.started("j" + i, 0);
             script.pass(100_000);
-            script.ended("j" + i, 0, Outcome.SERVED);
+            script.ended("j" + i, 0, AttemptOutcome.SERVED);
         }
         double before = free(script);
         String to = Script.sentTo(script.job("x"), "x");
         script.pass(110_000); // and it is moved
-        script.ended("x", 0, Outcome.CANCELLED);
+        script.ended("x", 0, AttemptOutcome.CANCELLED);
         script.pass(20_000);
         assertTrue(
                 script.rules.workers(script.now).stream()
-                        .anyMatch(w -> w.id().equals(to) && w.free() < 1.5),
+                        .anyMatch(w -> w.id().equals(to) && w.freeSlots() < 1.5),
                 to);
         assertTrue(free(script) < before - 0.5, "from " + before + " to " + free(script));
     }
@@ -206,15 +229,14 @@
             script.job(job);
             int attempt = 0;
             if (i % of == of - 1) {
-                while (!Script.only(script.pass(150_000), damsonslip.policy.api.Cancel.class)
-                        .isEmpty()) {
-                    script.ended(job, attempt++, Outcome.CANCELLED);
+                while (!Script.only(script.pass(150_000), Cancel.class).isEmpty()) {
+                    script.ended(job, attempt++, AttemptOutcome.CANCELLED);
                 }
                 moved += attempt > 0 ? 1 : 0;
             }
             script.started(job, attempt);
             script.pass(50_000);
-            script.ended(job, attempt, Outcome.SERVED);
+            script.ended(job, attempt, AttemptOutcome.SERVED);
         }
         assertTrue(moved >= least && moved <= most, moved + " are moved");
     }
@@ -228,12 +250,16 @@
         List<Long> calls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
         for (int number = 0; number < dispatchers; number++) {
-            Rules rules =
-                    new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
-            List<damsonslip.policy.api.Action> actions = new ArrayList<>();
+            SchedulingPolicy rules =
+                    new SchedulingPolicy(
+                            settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
+            List<Action> actions = new ArrayList<>();
             for (int failure = 0; failure < 4; failure++) {
                 actions.clear();
-                rules.handle(SECOND + failure, new ListUpdate(ListMode.FAILED, List.of()), actions);
+                rules.handle(
+                        SECOND + failure,
+                        new WorkerListUpdate(WorkerListChange.FAILED, List.of()),
+                        actions);
                 Script.only(actions, SetTimer.class)
                         .forEach(
                                 timer -> {
@@ -263,23 +289,21 @@
         List<Long> deals = new ArrayList<>();
         Map<String, Integer> opened = new HashMap<>();
         for (int number = 0; number < dispatchers; number++) {
-            Rules rules =
-                    new Rules(settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
-            List<damsonslip.policy.api.Action> actions = new ArrayList<>();
+            SchedulingPolicy rules =
+                    new SchedulingPolicy(
+                            settings(dispatchers, number, List.of(), true, SAFE), 1_000 + number);
+            List<Action> actions = new ArrayList<>();
             rules.handle(
                     SECOND,
-                    new ListUpdate(
-                            ListMode.KEPT,
+                    new WorkerListUpdate(
+                            WorkerListChange.KEPT,
                             IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList()),
                     actions);
             rules.handle(
                     SECOND,
-                    new ListUpdate(ListMode.CHANGES, List.of()),
+                    new WorkerListUpdate(WorkerListChange.CHANGES, List.of()),
                     actions); // nothing is sent before
-            rules.handle(
-                    SECOND,
-                    new damsonslip.policy.api.JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0),
-                    actions);
+            rules.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
             for (SetTimer timer : Script.only(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
                     calls.add(timer.atUs());
@@ -316,7 +340,7 @@
 
     private static double free(Script script) {
         return script.rules.workers(script.now).stream()
-                .mapToDouble(WorkerState::free)
+                .mapToDouble(WorkerState::freeSlots)
                 .average()
                 .orElseThrow();
     }
@@ -327,10 +351,17 @@
         Script script = new Script(settings(100, 0, SAFE, SAFE));
         long before = System.nanoTime();
         script.list(
-                ListMode.KEPT,
+                WorkerListChange.KEPT,
                 IntStream.range(0, 3_000)
-                        .mapToObj(i -> worker("w" + i, i % 2, 0, Status.RUNNING, Long.MIN_VALUE))
-                        .toArray(damsonslip.policy.api.Worker[]::new));
+                        .mapToObj(
+                                i ->
+                                        worker(
+                                                "w" + i,
+                                                i % 2,
+                                                0,
+                                                WorkerStatus.RUNNING,
+                                                Long.MIN_VALUE))
+                        .toArray(WorkerEntry[]::new));
         long tookMs = (System.nanoTime() - before) / 1_000_000;
         assertTrue(tookMs < 5_000, "3,000 workers took " + tookMs + " ms");
         assertEquals(3_000, script.rules.pools().stream().mapToInt(PoolState::workers).sum());
@@ -343,11 +374,11 @@
     @Test
     void turnsAtColdWorkersDoNotFallTogether() {
         Script script = new Script(settings(40, 3, SAFE));
-        List<damsonslip.policy.api.Worker> fresh = new ArrayList<>();
+        List<WorkerEntry> fresh = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            fresh.add(worker("w" + i, 0, 0, Status.RUNNING, SECOND));
+            fresh.add(worker("w" + i, 0, 0, WorkerStatus.RUNNING, SECOND));
         }
-        script.list(ListMode.KEPT, fresh.toArray(damsonslip.policy.api.Worker[]::new));
+        script.list(WorkerListChange.KEPT, fresh.toArray(WorkerEntry[]::new));
         for (int turn = 0; turn < 3; turn++) {
             Set<String> reached = new HashSet<>();
             steps(script, 90, "turn" + turn)
@@ -363,12 +394,12 @@
     private static List<List<Send>> steps(Script script, int count, String name) {
         List<List<Send>> all = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            List<damsonslip.policy.api.Action> actions = new ArrayList<>(script.job(name + i));
+            List<Action> actions = new ArrayList<>(script.job(name + i));
             actions.addAll(script.pass(20_000));
             all.add(Script.only(actions, Send.class));
             all.get(i).forEach(send -> script.started(send.job(), 0));
             if (i >= 10) {
-                all.get(i - 10).forEach(send -> script.ended(send.job(), 0, Outcome.SERVED));
+                all.get(i - 10).forEach(send -> script.ended(send.job(), 0, AttemptOutcome.SERVED));
             }
         }
         return all;
@@ -384,7 +415,7 @@
         double[] sent = new double[500];
         for (int number = 0; number < dispatchers; number++) {
             Script script = new Script(settings(dispatchers, number, SAFE));
-            script.list(ListMode.KEPT, worker("cold", 0, 0, Status.RUNNING, SECOND));
+            script.list(WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
             List<List<Send>> steps = steps(script, 400, "job");
             for (int i = 0; i < 400; i++) {
                 sent[i] +=
--- a/src/test/java/damsonslip/policy/OrdinaryPathTest.java
+++ b/src/test/java/damsonslip/policy/OrdinaryPathTest.java
@@ -14,16 +14,21 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.Cancel;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
+import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.LoadReporting;
+import damsonslip.policy.api.Reject;
 import damsonslip.policy.api.Send;
-import damsonslip.policy.api.Status;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -35,7 +40,8 @@
 
 /** Pools, admission, hold and release, and the answers to the failures found so far. */
 class OrdinaryPathTest {
-    private static final JobClass SAFE = jobClass(Effect.SAFE, Group.ALL);
+    private static final JobClass SAFE =
+            jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
 
     /**
      * Sends jobs of both classes for a while, each served after a tenth of a second; where each
@@ -51,7 +57,7 @@
             }
             script.pass(SECOND / 10);
             if (to != null) {
-                script.ended(id, 0, Outcome.SERVED);
+                script.ended(id, 0, AttemptOutcome.SERVED);
                 if (i > jobs / 2) {
                     used.get(i % 2).add(to);
                 }
@@ -72,11 +78,11 @@
     void allDispatchersDealAlikeWhateverTheOrderOfTheList() {
         Script one = new Script(settings(4, 0, SAFE, SAFE)).workers(8);
         Script other = new Script(settings(4, 3, SAFE, SAFE));
-        List<damsonslip.policy.api.Worker> reversed = new ArrayList<>();
+        List<WorkerEntry> reversed = new ArrayList<>();
         for (int i = 7; i >= 0; i--) {
             reversed.add(worker("w" + i));
         }
-        other.list(ListMode.COMPLETE, reversed.toArray(damsonslip.policy.api.Worker[]::new));
+        other.list(WorkerListChange.COMPLETE, reversed.toArray(WorkerEntry[]::new));
         assertEquals(pools(one, 400), pools(other, 400));
     }
 
@@ -89,10 +95,18 @@
 
     @Test
     void aBoundClassKeepsToItsKind() {
-        JobClass bound = new JobClass(200_000, 2, 1, Effect.SAFE, Group.ALL, SECOND, 1);
+        JobClass bound =
+                new JobClass(
+                        200_000,
+                        2,
+                        1,
+                        Idempotency.IDEMPOTENT,
+                        IdempotencyScope.ALL_WORKERS,
+                        SECOND,
+                        1);
         Script script =
                 new Script(
-                        new damsonslip.policy.api.Settings(
+                        new Settings(
                                 1,
                                 0,
                                 0,
@@ -100,20 +114,17 @@
                                 2,
                                 List.of(SAFE, bound),
                                 List.of(),
-                                new damsonslip.policy.api.Limits(4, true, true, 0, 0),
-                                new damsonslip.policy.api.Guarantees(
-                                        0, 0, 0, 0.5, SECOND, 3, SECOND),
-                                damsonslip.policy.api.Reporting.WITH_ANSWERS,
+                                new Limits(4, true, true, 0, 0),
+                                new Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
+                                LoadReporting.WITH_RESPONSES,
                                 false,
                                 true,
                                 1_000));
-        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
+        List<WorkerEntry> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(
-                    new damsonslip.policy.api.Worker(
-                            "w" + i, 0, 0, i % 2, Status.RUNNING, Long.MIN_VALUE));
+            list.add(new WorkerEntry("w" + i, 0, 0, i % 2, WorkerStatus.RUNNING, Long.MIN_VALUE));
         }
-        script.list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
+        script.list(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
         for (String to : pools(script, 300).get(1)) {
             assertEquals(1, (to.charAt(1) - '0') % 2, to);
         }
@@ -126,13 +137,13 @@
         int refused = 0;
         for (int i = 0; i < 60; i++) {
             List<Action> at = script.job("job" + i);
-            refused += only(at, Refuse.class).size();
+            refused += only(at, Reject.class).size();
             only(at, Send.class).forEach(send -> sent.add(send.job()));
         }
         assertEquals(4, sent.size(), "one worker of four slots");
         assertTrue(refused > 30, refused + " refused");
         script.pass(SECOND / 20);
-        List<Action> after = script.ended(sent.get(0), 0, Outcome.SERVED);
+        List<Action> after = script.ended(sent.get(0), 0, AttemptOutcome.SERVED);
         List<Send> released = only(after, Send.class);
         assertFalse(released.isEmpty());
         assertEquals("job4", released.get(0).job(), "the oldest held");
@@ -145,9 +156,9 @@
         for (int i = 0; i < 12; i++) {
             script.job("job" + i);
         }
-        int before = only(script.all, Refuse.class).size();
+        int before = only(script.all, Reject.class).size();
         script.pass(2 * SECOND);
-        assertTrue(only(script.all, Refuse.class).size() > before);
+        assertTrue(only(script.all, Reject.class).size() > before);
         assertEquals(4, only(script.all, Send.class).size());
     }
 
@@ -164,7 +175,7 @@
             script.pass(SECOND / 100);
             if (i % 2 == 0 && !out.isEmpty()) {
                 script.free = Math.max(0, 4 - out.size() / 2.0);
-                script.ended(out.remove(0), 0, Outcome.SERVED);
+                script.ended(out.remove(0), 0, AttemptOutcome.SERVED);
             }
             for (Send send : only(script.all.subList(seen, script.all.size()), Send.class)) {
                 sent[send.job().charAt(0) - '0']++;
@@ -186,7 +197,7 @@
             String id = "job" + i;
             used.add(sentTo(script.job(id, 0, 0, 77L), id));
             script.pass(SECOND / 4);
-            script.ended(id, 0, Outcome.SERVED);
+            script.ended(id, 0, AttemptOutcome.SERVED);
         }
         assertEquals(1, used.size(), used.toString());
     }
@@ -202,7 +213,7 @@
             String to = sentTo(script.job(id), id);
             script.pass(SECOND / 20);
             if (to != null && !to.equals(silent)) {
-                script.ended(id, 0, Outcome.SERVED);
+                script.ended(id, 0, AttemptOutcome.SERVED);
             } else if (i > 50) {
                 late++;
             }
@@ -225,7 +236,7 @@
             }
             again.pass(SECOND / 10);
             if (to != null) {
-                again.ended(id, 0, Outcome.SERVED);
+                again.ended(id, 0, AttemptOutcome.SERVED);
             }
         }
         assertEquals(alone.all, again.all);
@@ -251,7 +262,7 @@
      */
     @Test
     void aWorkerThatFailsEverythingAtOnceIsLeftOutAndTriedWithWhatMayBeRepeated() {
-        JobClass once = jobClass(Effect.UNSAFE, Group.ALL);
+        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         Script script = new Script(settings(1, 0, SAFE, once)).workers(4);
         int[] failed = new int[2];
         for (int i = 0; i < 400; i++) {
@@ -261,7 +272,7 @@
                     "w0".equals(sentTo(at, id)) || "w3".equals(sentTo(at, id));
                     attempt++) {
                 failed[i % 2]++;
-                at = script.ended(id, attempt, Outcome.ERROR);
+                at = script.ended(id, attempt, AttemptOutcome.ERROR);
             }
             script.pass(SECOND / 20);
             script.ended(
@@ -271,7 +282,7 @@
                                     .toList()
                                     .size()
                             - 1,
-                    Outcome.SERVED);
+                    AttemptOutcome.SERVED);
         }
         assertTrue(
                 failed[0] > 0 && failed[0] + failed[1] < 30,
@@ -290,7 +301,7 @@
         for (int i = 0; i < 34; i++) {
             all.addAll(script.job("burst" + i, 0, 0, null));
         }
-        assertEquals(0, only(all, Refuse.class).size());
+        assertEquals(0, only(all, Reject.class).size());
         assertTrue(
                 only(all, Send.class).stream().map(Send::worker).distinct().count() > 5,
                 "beyond the own five");
@@ -310,7 +321,7 @@
         }
         script.pass(SECOND);
         for (String id : List.of("a", "b", "c", "d")) {
-            script.ended(id, 0, Outcome.SERVED);
+            script.ended(id, 0, AttemptOutcome.SERVED);
         }
         assertEquals("w0", sentTo(script.job("e"), "e"));
         assertEquals("w0", sentTo(script.job("f"), "f"));
@@ -322,7 +333,7 @@
      */
     @Test
     void aJobThatDoesNotStartMovesToWhereThereIsRoomIfItMayBeRepeated() {
-        JobClass once = jobClass(Effect.UNSAFE, Group.ALL);
+        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         Script script = new Script(settings(1, 0, SAFE, once)).workers(4);
         script.job("a");
         script.started("a", 0);
@@ -332,7 +343,7 @@
         assertTrue(only(script.pass(SECOND / 2), Cancel.class).isEmpty(), "neither may move");
         String first = sentTo(script.job("d"), "d");
         assertEquals(List.of(new Cancel("d", 0)), only(script.pass(SECOND / 10), Cancel.class));
-        List<Action> after = new ArrayList<>(script.ended("d", 0, Outcome.CANCELLED));
+        List<Action> after = new ArrayList<>(script.ended("d", 0, AttemptOutcome.CANCELLED));
         after.addAll(script.pass(SECOND / 20));
         assertFalse(first.equals(sentTo(after, "d")), "not to the one that did not start it");
         assertEquals(1, only(after, Send.class).size());
@@ -350,11 +361,11 @@
                                 List.of(),
                                 false,
                                 zonePrice,
-                                jobClass(Effect.SAFE, Group.ALL)));
+                                jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
         script.list(
-                ListMode.KEPT,
-                worker("near", 0, 0, Status.RUNNING, Long.MIN_VALUE),
-                worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
+                WorkerListChange.KEPT,
+                worker("near", 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE),
+                worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         script.pass(2 * SECOND);
         for (int i = 0; i < 3; i++) { // three of four slots are in use nearby
             script.give(
@@ -377,11 +388,11 @@
     @Test
     void poolsTakeTheirWorkersZoneByZone() {
         Script script = new Script(settings(1, 0, SAFE, SAFE));
-        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
+        List<WorkerEntry> list = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            list.add(worker("w" + i, i < 4 ? 1 : 0, 0, Status.RUNNING, Long.MIN_VALUE));
+            list.add(worker("w" + i, i < 4 ? 1 : 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         }
-        script.list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
+        script.list(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
         for (Set<String> used : pools(script, 400)) {
             assertTrue(
                     used.stream().allMatch(w -> w.compareTo("w4") >= 0),
@@ -395,12 +406,12 @@
         Script script = new Script(settings(1, 0, SAFE)).workers(1);
         script.job("a");
         script.job("b");
-        script.ended("a", 0, Outcome.SERVED);
-        List<Action> after = script.ended("b", 0, Outcome.RESET);
+        script.ended("a", 0, AttemptOutcome.SERVED);
+        List<Action> after = script.ended("b", 0, AttemptOutcome.RESET);
         assertEquals("w0", sentTo(after, "b"), "at once");
         script.pass(SECOND);
         assertNull(
-                sentTo(script.ended("b", 1, Outcome.RESET), "b"),
+                sentTo(script.ended("b", 1, AttemptOutcome.RESET), "b"),
                 "a quiet one is spared for a while");
     }
 
@@ -416,7 +427,7 @@
             String to = sentTo(script.job(id), id);
             script.started(id, 0);
             script.pass("w0".equals(to) ? SECOND / 2 : SECOND / 10);
-            script.ended(id, 0, Outcome.SERVED);
+            script.ended(id, 0, AttemptOutcome.SERVED);
             slow += "w0".equals(to) ? 1 : 0;
         }
         assertTrue(slow > 0 && slow < 20, slow + " of 200");
@@ -450,9 +461,9 @@
             only(script.all, Send.class).stream()
                     .map(Send::job)
                     .filter(job -> job.startsWith(prefix) && !slow.contains(job))
-                    .forEach(job -> script.ended(job, 0, Outcome.SERVED));
+                    .forEach(job -> script.ended(job, 0, AttemptOutcome.SERVED));
             script.pass(SECOND);
-            slow.forEach(job -> script.ended(job, 0, Outcome.SERVED));
+            slow.forEach(job -> script.ended(job, 0, AttemptOutcome.SERVED));
             late[round < 60 ? 0 : 1] += slow.size();
         }
         assertTrue(
--- a/src/test/java/damsonslip/policy/ProbedCandidatesTest.java
+++ b/src/test/java/damsonslip/policy/ProbedCandidatesTest.java
@@ -11,17 +11,18 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.policy.api.Action;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
 import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.LoadReport;
+import damsonslip.policy.api.LoadReporting;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.ProbeWorker;
 import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -45,12 +46,12 @@
                             0,
                             1,
                             1,
-                            List.of(jobClass(Effect.SAFE, Group.ALL)),
+                            List.of(jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)),
                             List.of(),
                             new Limits(4, false, true, 0.002, 0.1),
                             new Guarantees(
                                     16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND),
-                            Reporting.BY_PROBE,
+                            LoadReporting.BY_PROBE,
                             false,
                             true,
                             4_000));
@@ -60,18 +61,18 @@
     @BeforeEach
     void aJobComes() {
         script.list(
-                ListMode.KEPT,
+                WorkerListChange.KEPT,
                 IntStream.range(0, WORKERS)
                         .mapToObj(i -> worker("w" + i))
-                        .toArray(damsonslip.policy.api.Worker[]::new));
+                        .toArray(WorkerEntry[]::new));
         first = script.job("j1");
-        only(first, Probe.class).forEach(probe -> asked.add(probe.worker()));
+        only(first, ProbeWorker.class).forEach(probe -> asked.add(probe.worker()));
     }
 
     private List<Action> reports(String worker, double free) {
         return script.give(
                 new ProbeEnded(
-                        worker, ProbeResult.HEALTHY, new Report(free, Double.NaN, Double.NaN)));
+                        worker, ProbeResult.HEALTHY, new LoadReport(free, Double.NaN, Double.NaN)));
     }
 
     @Test
@@ -101,7 +102,7 @@
         asked.forEach(worker -> reports(worker, 4));
         List<Action> second = script.job("j2");
         assertTrue(
-                only(second, Probe.class).stream()
+                only(second, ProbeWorker.class).stream()
                         .noneMatch(probe -> asked.contains(probe.worker())));
     }
 }
--- a/src/test/java/damsonslip/policy/ProbedWorkersTest.java
+++ b/src/test/java/damsonslip/policy/ProbedWorkersTest.java
@@ -12,18 +12,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.ConnectionLost;
-import damsonslip.policy.api.Effect;
-import damsonslip.policy.api.Group;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Probe;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.Refuse;
+import damsonslip.policy.api.ProbeWorker;
+import damsonslip.policy.api.Reject;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.Status;
+import damsonslip.policy.api.WatchWorkerList;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -46,25 +47,30 @@
     private final Script script = new Script(settings());
 
     private static Settings settings() {
-        return Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL))
-                .withProbesThatTellDrains();
+        return Script.settings(
+                        1,
+                        0,
+                        List.of(),
+                        true,
+                        jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS))
+                .withProbesReportingDraining();
     }
 
     /** Two workers whose list holds no more, and was heard until its watch was lost. */
     private void loseTheList() {
-        script.list(ListMode.KEPT, worker("a"), worker("b"));
-        script.list(ListMode.COMPLETE, worker("a"), worker("b"));
-        script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
+        script.list(WorkerListChange.KEPT, worker("a"), worker("b"));
+        script.list(WorkerListChange.COMPLETE, worker("a"), worker("b"));
+        script.give(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), script.now));
         long end = script.now + NO_LIST_US;
         while (script.now < end) {
-            if (!only(script.pass(SECOND / 10), damsonslip.policy.api.WatchList.class).isEmpty()) {
-                script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
+            if (!only(script.pass(SECOND / 10), WatchWorkerList.class).isEmpty()) {
+                script.give(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), script.now));
             }
         }
     }
 
     private static String probed(List<Action> actions) {
-        List<Probe> probes = only(actions, Probe.class);
+        List<ProbeWorker> probes = only(actions, ProbeWorker.class);
         return probes.isEmpty() ? null : probes.get(0).worker();
     }
 
@@ -125,14 +131,14 @@
         answers(other, ProbeResult.UNREACHABLE);
         List<Action> all = new ArrayList<>(script.pass(3 * SECOND));
         all.addAll(script.job("j2"));
-        assertTrue(only(all, Probe.class).isEmpty());
+        assertTrue(only(all, ProbeWorker.class).isEmpty());
         assertEquals(
                 1,
-                only(all, Refuse.class).stream()
+                only(all, Reject.class).stream()
                         .filter(refused -> refused.job().equals("j2"))
                         .count(),
                 "nobody can be asked: it is answered at once");
-        script.list(ListMode.CHANGES);
+        script.list(WorkerListChange.CHANGES);
         assertNotNull(sentTo(script.job("j3"), "j3"), "a list tells of restarts");
     }
 
@@ -157,7 +163,7 @@
         script.pass(20 * SECOND);
         List<Action> at = script.job("j1");
         assertNull(probed(at));
-        assertEquals(1, only(at, Refuse.class).size());
+        assertEquals(1, only(at, Reject.class).size());
     }
 
     @Test
@@ -166,7 +172,7 @@
         String asked = probed(script.job("j1"));
         answers(asked, ProbeResult.HEALTHY_THROUGHOUT);
         assertTrue(script.rules.mayUse(asked, script.now));
-        script.ended("j1", 0, Outcome.RESET);
+        script.ended("j1", 0, AttemptOutcome.RESET);
         assertFalse(script.rules.mayUse(asked, script.now));
     }
 
@@ -194,14 +200,14 @@
         script.give(new ConnectionLost("b"));
         List<Action> at = script.job("j1");
         assertNull(probed(at));
-        assertEquals(1, only(at, Refuse.class).size());
+        assertEquals(1, only(at, Reject.class).size());
     }
 
     /** Discovery was heard behind it: a list that still stands would tell of a start. */
     @Test
     void aConnectionThatBrokeBeforeDiscoveryWasLastHeardSaysNothing() {
-        script.list(ListMode.KEPT, worker("a"), worker("b"));
-        script.list(ListMode.COMPLETE, worker("a"), worker("b"));
+        script.list(WorkerListChange.KEPT, worker("a"), worker("b"));
+        script.list(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         script.give(new ConnectionLost("a"));
         script.give(new ConnectionLost("b"));
         script.pass(SECOND);
@@ -214,7 +220,7 @@
         loseTheList();
         List<Action> all = new ArrayList<>(script.job("j1"));
         all.addAll(script.pass(LEASE_US));
-        assertEquals(1, only(all, Probe.class).size());
+        assertEquals(1, only(all, ProbeWorker.class).size());
     }
 
     /** A probe that this machine cannot send says nothing of the worker, which is asked again. */
@@ -232,10 +238,10 @@
     /** While a list holds nobody is asked. */
     @Test
     void aListThatHoldsNeedsNoProbe() {
-        script.list(ListMode.KEPT, worker("a"), worker("b"));
-        script.list(ListMode.COMPLETE, worker("a"), worker("b"));
+        script.list(WorkerListChange.KEPT, worker("a"), worker("b"));
+        script.list(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         assertNotNull(sentTo(script.job("j1"), "j1"));
-        assertTrue(only(script.all, Probe.class).isEmpty());
+        assertTrue(only(script.all, ProbeWorker.class).isEmpty());
     }
 
     /**
@@ -245,13 +251,13 @@
      */
     @Test
     void aStartAsksNobodyUntilDiscoveryHasTold() {
-        script.list(ListMode.KEPT, worker("a"), worker("b"));
+        script.list(WorkerListChange.KEPT, worker("a"), worker("b"));
         List<Action> all = new ArrayList<>(script.job("j1"));
         all.addAll(script.pass(SECOND));
-        script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
+        script.give(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), script.now));
         script.pass(NO_LIST_US);
         all.addAll(script.job("j2"));
-        assertTrue(only(all, Probe.class).isEmpty());
+        assertTrue(only(all, ProbeWorker.class).isEmpty());
         assertNull(sentTo(all, "j2"));
     }
 
@@ -261,7 +267,9 @@
     @Test
     void aStartAsksWorkersOfOtherZones() {
         script.list(
-                ListMode.KEPT, worker("a"), worker("far", 1, 0, Status.RUNNING, Long.MIN_VALUE));
+                WorkerListChange.KEPT,
+                worker("a"),
+                worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         assertEquals("far", probed(script.job("j1")));
         assertEquals("far", sentTo(answers("far", ProbeResult.HEALTHY), "j1"));
         assertFalse(script.rules.mayUse("a", script.now));
@@ -274,10 +282,10 @@
     @Test
     void whoCouldNotReachDiscoveryAsksNobody() {
         loseTheList();
-        script.give(new ListUpdate(ListMode.UNREACHABLE, List.of(), script.now));
+        script.give(new WorkerListUpdate(WorkerListChange.UNREACHABLE, List.of(), script.now));
         script.pass(NO_LIST_US);
-        script.give(new ListUpdate(ListMode.FAILED, List.of(), script.now));
-        assertTrue(only(script.job("j1"), Probe.class).isEmpty());
+        script.give(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), script.now));
+        assertTrue(only(script.job("j1"), ProbeWorker.class).isEmpty());
     }
 
     /** Where probes tell nothing of drains, or a worker is told as draining, none counts. */
@@ -286,14 +294,19 @@
     void whereProbesTellNothingOfDrainsNothingIsSent(ProbeResult result) {
         Script other =
                 new Script(
-                        Script.settings(1, 0, List.of(), true, jobClass(Effect.SAFE, Group.ALL)));
-        other.list(ListMode.KEPT, worker("a"));
-        other.list(ListMode.COMPLETE, worker("a"));
-        other.give(new ListUpdate(ListMode.FAILED, List.of(), other.now));
+                        Script.settings(
+                                1,
+                                0,
+                                List.of(),
+                                true,
+                                jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
+        other.list(WorkerListChange.KEPT, worker("a"));
+        other.list(WorkerListChange.COMPLETE, worker("a"));
+        other.give(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), other.now));
         other.now += NO_LIST_US;
         other.give(new ProbeEnded("a", result, null));
         List<Action> at = other.job("j1");
         assertNull(sentTo(at, "j1"));
-        assertEquals(1, only(at, Refuse.class).size());
+        assertEquals(1, only(at, Reject.class).size());
     }
 }
--- a/src/test/java/damsonslip/policy/Script.java
+++ b/src/test/java/damsonslip/policy/Script.java
@@ -2,24 +2,25 @@
 
 import damsonslip.policy.api.Action;
 import damsonslip.policy.api.AttemptEnded;
+import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.AttemptStarted;
-import damsonslip.policy.api.Effect;
 import damsonslip.policy.api.Event;
-import damsonslip.policy.api.Group;
 import damsonslip.policy.api.Guarantees;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.JobClass;
 import damsonslip.policy.api.Limits;
-import damsonslip.policy.api.ListMode;
-import damsonslip.policy.api.ListUpdate;
-import damsonslip.policy.api.Outcome;
-import damsonslip.policy.api.Report;
-import damsonslip.policy.api.Reporting;
+import damsonslip.policy.api.LoadReport;
+import damsonslip.policy.api.LoadReporting;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.Status;
 import damsonslip.policy.api.TimerDue;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -28,7 +29,7 @@
 final class Script {
     static final long SECOND = 1_000_000;
 
-    final Rules rules;
+    final SchedulingPolicy rules;
     final List<Action> all = new ArrayList<>();
     private final PriorityQueue<SetTimer> timers =
             new PriorityQueue<>((a, b) -> Long.compare(a.atUs(), b.atUs()));
@@ -38,10 +39,10 @@
     double free = 4;
 
     Script(Settings settings) {
-        rules = new Rules(settings, 7);
+        rules = new SchedulingPolicy(settings, 7);
     }
 
-    static JobClass jobClass(Effect effect, Group group) {
+    static JobClass jobClass(Idempotency effect, IdempotencyScope group) {
         return new JobClass(200_000, 2, 1, effect, group, 5 * SECOND, -1);
     }
 
@@ -72,32 +73,31 @@
                 quotas,
                 new Limits(4, true, true, 0.002, zonePrice),
                 new Guarantees(16_000, 500_000, 10 * SECOND, 0.25, 8 * SECOND, 3, 2 * SECOND),
-                Reporting.WITH_ANSWERS,
+                LoadReporting.WITH_RESPONSES,
                 ask,
                 true,
                 4_000);
     }
 
-    static damsonslip.policy.api.Worker worker(
-            String id, int zone, int cell, Status status, long started) {
-        return new damsonslip.policy.api.Worker(id, zone, cell, 0, status, started);
+    static WorkerEntry worker(String id, int zone, int cell, WorkerStatus status, long started) {
+        return new WorkerEntry(id, zone, cell, 0, status, started);
     }
 
-    static damsonslip.policy.api.Worker worker(String id) {
-        return worker(id, 0, 0, Status.RUNNING, Long.MIN_VALUE);
+    static WorkerEntry worker(String id) {
+        return worker(id, 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE);
     }
 
     Script workers(int count) {
-        List<damsonslip.policy.api.Worker> list = new ArrayList<>();
+        List<WorkerEntry> list = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             list.add(worker("w" + i));
         }
-        list(ListMode.KEPT, list.toArray(damsonslip.policy.api.Worker[]::new));
+        list(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
         return this;
     }
 
-    List<Action> list(ListMode mode, damsonslip.policy.api.Worker... workers) {
-        return give(new ListUpdate(mode, List.of(workers)));
+    List<Action> list(WorkerListChange mode, WorkerEntry... workers) {
+        return give(new WorkerListUpdate(mode, List.of(workers)));
     }
 
     List<Action> give(Event event) {
@@ -121,14 +121,14 @@
         return give(new JobArrived(id, jobClass, tenant, subject, now + 10 * SECOND, 1, 0));
     }
 
-    List<Action> ended(String id, int attempt, Outcome outcome) {
+    List<Action> ended(String id, int attempt, AttemptOutcome outcome) {
         return give(
                 new AttemptEnded(
                         id,
                         attempt,
                         outcome,
-                        outcome == Outcome.SERVED,
-                        new Report(free, Double.NaN, Double.NaN)));
+                        outcome == AttemptOutcome.SERVED,
+                        new LoadReport(free, Double.NaN, Double.NaN)));
     }
 
     List<Action> started(String id, int attempt) {
--- a/src/test/java/damsonslip/policy/ThresholdTest.java
+++ b/src/test/java/damsonslip/policy/ThresholdTest.java
@@ -14,13 +14,13 @@
     @ParameterizedTest
     @CsvSource({"10, 7.5, 19", "7, 5, 14", "13, 10, 24", "4, 2, 9", "16, 13, 28"})
     void agreesWithThePapersFigure1(int n, double load, int k) {
-        assertEquals(k, Threshold.search(n, load, 1, 2, 100, Threshold.EPSILON));
+        assertEquals(k, AdmissionThreshold.search(n, load, 1, 2, 100, AdmissionThreshold.EPSILON));
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.5, 2", "1, 2, 3", "2, 1.5, 1.5", "3, 2, 2.5", "5, 8, 2", "8, 6, 3"})
     void agreesWithADirectSummation(int n, double load, double q) {
-        int found = Threshold.search(n, load, 1, q, 1, FINE);
+        int found = AdmissionThreshold.search(n, load, 1, q, 1, FINE);
         double at = revenue(n, load, q, found);
         assertTrue(at >= revenue(n, load, q, found - 1), "K is no worse than one less");
         assertTrue(
@@ -29,10 +29,10 @@
 
     @Test
     void staysFiniteForLargePoolsAndOverload() {
-        int k = Threshold.search(2000, 5000, 1, 3, 1, Threshold.EPSILON);
+        int k = AdmissionThreshold.search(2000, 5000, 1, 3, 1, AdmissionThreshold.EPSILON);
         assertTrue(k >= 2000 && k <= 16001, "K = " + k);
-        assertTrue(Threshold.search(1, 1e6, 1, 2, 1, Threshold.EPSILON) >= 1);
-        assertEquals(3, Threshold.search(3, 0, 1, 2, 1, Threshold.EPSILON));
+        assertTrue(AdmissionThreshold.search(1, 1e6, 1, 2, 1, AdmissionThreshold.EPSILON) >= 1);
+        assertEquals(3, AdmissionThreshold.search(3, 0, 1, 2, 1, AdmissionThreshold.EPSILON));
     }
 
     private static double revenue(int n, double load, double q, int k) {
--- a/src/test/java/damsonslip/tools/lab/LabTest.java
+++ b/src/test/java/damsonslip/tools/lab/LabTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.config.BadInput;
+import damsonslip.config.ConfigurationException;
 import damsonslip.tools.lab.Sample.Axis;
 import damsonslip.tools.lab.Sample.Basis;
 import java.io.ByteArrayOutputStream;
@@ -55,7 +55,7 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    private List<Sample> small(String name) throws BadInput {
+    private List<Sample> small(String name) throws ConfigurationException {
         Path file = dir.resolve(name);
         List<String> args = new ArrayList<>(List.of(SMALL));
         args.add(file.toString());
@@ -64,7 +64,8 @@
     }
 
     @Test
-    void givesTheSameCountsFromTheSameSeedAndTheSameTablesFromTheFile() throws BadInput {
+    void givesTheSameCountsFromTheSameSeedAndTheSameTablesFromTheFile()
+            throws ConfigurationException {
         List<Sample> one = small("one.csv");
         List<String> told =
                 out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/damsonslip/transport/MakeWayTest.java
+++ b/src/test/java/damsonslip/transport/MakeWayTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.testkit.Program;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -21,11 +21,11 @@
     private static final long QUIET_MS = 200;
 
     /** Needed from the first byte that it has read on. */
-    private static final class Answering extends Link {
+    private static final class Answering extends EventLoopConnection {
         private final CountDownLatch up = new CountDownLatch(1);
         private volatile boolean asked;
 
-        Answering(EndPoint endPoint, Loop loop) {
+        Answering(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
         }
 
@@ -44,7 +44,7 @@
         protected void lost() {}
     }
 
-    private static Answering connect(Links links, Loop loop, ServerSocket server)
+    private static Answering connect(ConnectionManager links, EventLoop loop, ServerSocket server)
             throws InterruptedException {
         Answering[] made = new Answering[1];
         links.connect(
@@ -58,11 +58,12 @@
     /** The request is there before the newcomer is let in, and the loop has not come to read it. */
     @Test
     void whoHasAskedAndWasNotReadYetDoesNotMakeWay() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            Links links = Links.start(loop, 1_000);
-            Room<Answering> room =
-                    new Room<>(1, 8, link -> !link.asked, Comparator.comparingInt(link -> 0));
+            ConnectionManager links = ConnectionManager.start(loop, 1_000);
+            ConnectionLimiter<Answering> room =
+                    new ConnectionLimiter<>(
+                            1, 8, link -> !link.asked, Comparator.comparingInt(link -> 0));
             Answering first = connect(links, loop, server);
             Socket peer = server.accept();
             Answering second = connect(links, loop, server);
--- a/src/test/java/damsonslip/transport/MarksTest.java
+++ b/src/test/java/damsonslip/transport/MarksTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.testkit.Program;
 import java.io.Closeable;
 import java.io.IOException;
@@ -23,8 +23,8 @@
     private static final int ASKED = 200_000;
     private final AtomicLong most = new AtomicLong();
 
-    private final class Echo extends Link {
-        Echo(EndPoint endPoint, Loop loop) {
+    private final class Echo extends EventLoopConnection {
+        Echo(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
         }
 
@@ -44,10 +44,10 @@
 
     @Test
     void aPeerThatReadsNothingIsNotReadFromAndLosesNothing() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         int port = Program.freePort();
-        Links.Accepting taker =
-                new Links.Accepting() {
+        ConnectionManager.ConnectionAcceptor taker =
+                new ConnectionManager.ConnectionAcceptor() {
                     @Override
                     public boolean admit() {
                         return true;
@@ -57,12 +57,12 @@
                     public void turnedBack() {}
 
                     @Override
-                    public Link open(EndPoint endPoint) {
+                    public EventLoopConnection open(EndPoint endPoint) {
                         return new Echo(endPoint, loop);
                     }
                 };
         try (Closeable door =
-                        Links.start(loop, 1_000)
+                        ConnectionManager.start(loop, 1_000)
                                 .listen(new InetSocketAddress("127.0.0.1", port), taker);
                 Socket peer = new Socket("127.0.0.1", port)) {
             Thread asker =
--- a/src/test/java/damsonslip/transport/RoomTest.java
+++ b/src/test/java/damsonslip/transport/RoomTest.java
@@ -11,8 +11,8 @@
 
 /** How many connections are held. */
 class RoomTest {
-    private final Room<Link> room =
-            new Room<>(30, 10, link -> true, Comparator.comparingInt(link -> 0));
+    private final ConnectionLimiter<EventLoopConnection> room =
+            new ConnectionLimiter<>(30, 10, link -> true, Comparator.comparingInt(link -> 0));
 
     /** A crowd is accepted at one go, long before the first of it is set up. */
     @Test
--- a/src/test/java/damsonslip/transport/WrittenOrderTest.java
+++ b/src/test/java/damsonslip/transport/WrittenOrderTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.engine.Loop;
+import damsonslip.engine.EventLoop;
 import damsonslip.testkit.Program;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -36,8 +36,8 @@
     private final AtomicReference<Boolean> knownAtLoss = new AtomicReference<>();
     private final CountDownLatch up = new CountDownLatch(1);
 
-    private final class Upload extends Link {
-        Upload(EndPoint endPoint, Loop loop) {
+    private final class Upload extends EventLoopConnection {
+        Upload(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
         }
 
@@ -66,11 +66,11 @@
      */
     @Test
     void aResetBehindTheLastByteIsNotTakenForOneBeforeIt() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4 * 1024);
             server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
-            Links.start(loop, 1_000)
+            ConnectionManager.start(loop, 1_000)
                     .connect(
                             (InetSocketAddress) server.getLocalSocketAddress(),
                             endPoint -> new Upload(endPoint, loop));
