--- /dev/null
+++ b/src/test/java/damsonslip/compatibility/StoredEntries.java
@@ -0,0 +1,101 @@
+package damsonslip.compatibility;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * The contents of a store as a text file: a JSON array a line, of which the first tells when the
+ * contents were recorded.
+ */
+final class StoredEntries {
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final String RECORDED = "recorded";
+    private static final String BATCHES = "damsonslip:batch:" + StoredJobsScenario.SCHEDULER;
+    private static final Pattern MILLIS = Pattern.compile("\\b1[0-9]{12}\\b");
+    private static final Pattern INSTANT =
+        Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{8}(\\.[0-9]+)?Z");
+    /** A rejection names the time to wait. */
+    private static final Pattern REJECTION_DELAY = Pattern.compile("after [0-9]+\\.[0-9]{3} s");
+
+    private StoredEntries() { }
+
+    static void write(Path file, List<List<String>> entries) throws IOException {
+        StringBuilder text = new StringBuilder();
+        String nowMs = Long.toString(System.currentTimeMillis());
+        text.append(JSON.writeValueAsString(List.of(RECORDED, nowMs))).append('\n');
+        for (List<String> entry : entries) {
+            text.append(JSON.writeValueAsString(entry)).append('\n');
+        }
+        Files.createDirectories(file.getParent());
+        Files.writeString(file, text);
+    }
+
+    /** The entries exactly as they were recorded. */
+    static List<List<String>> read(Path file) throws IOException {
+        List<String> lines = Files.readAllLines(file);
+        return parse(lines.subList(1, lines.size()));
+    }
+
+    /** The entries as they would be had they been recorded just now: each time in them is moved. */
+    static List<List<String>> readAsOfNow(Path file) throws IOException {
+        List<String> lines = Files.readAllLines(file);
+        long recordedMs = Long.parseLong(JSON.readTree(lines.get(0)).get(1).asText());
+        long shiftMs = System.currentTimeMillis() - recordedMs;
+        List<String> moved = new ArrayList<>();
+        for (String line : lines.subList(1, lines.size())) {
+            moved.add(MILLIS.matcher(line).replaceAll(
+                found -> Long.toString(Long.parseLong(found.group()) + shiftMs)));
+        }
+        return parse(moved);
+    }
+
+    private static List<List<String>> parse(List<String> lines) throws IOException {
+        List<List<String>> entries = new ArrayList<>();
+        for (String line : lines) {
+            List<String> entry = new ArrayList<>();
+            JSON.readTree(line).forEach(part -> entry.add(part.asText()));
+            entries.add(entry);
+        }
+        return entries;
+    }
+
+    /** The id of the batch with this description. */
+    static String batch(List<List<String>> entries, String description) throws IOException {
+        for (List<String> entry : entries) {
+            if (entry.get(1).equals(BATCHES)) {
+                JsonNode batch = JSON.readTree(entry.get(3));
+                if (batch.path("description").asText().equals(description)) {
+                    return entry.get(2);
+                }
+            }
+        }
+        throw new AssertionError("no batch '" + description + "' is stored");
+    }
+
+    /** The entries as sorted lines in which everything that differs between two runs is masked. */
+    static String masked(List<List<String>> entries) throws IOException {
+        List<String> lines = new ArrayList<>();
+        for (List<String> entry : entries) {
+            lines.add(String.join(" | ", entry).replace("\n", "\\n"));
+        }
+        String text = String.join("\n", lines);
+        for (String description : List.of("open", "child", "complete", "ended")) {
+            text = text.replace(batch(entries, description), "BATCH-" + description);
+        }
+        text = mask(text, MILLIS, "MILLISECONDS");
+        text = mask(text, INSTANT, "INSTANT");
+        text = mask(text, REJECTION_DELAY, "after DELAY s");
+        return String.join("\n", text.lines().sorted().toList());
+    }
+
+    private static String mask(String text, Pattern pattern, String by) {
+        return pattern.matcher(text).replaceAll(Matcher.quoteReplacement(by));
+    }
+}
--- a/src/test/java/damsonslip/testkit/RedisStandIn.java
+++ b/src/test/java/damsonslip/testkit/RedisStandIn.java
@@ -17,6 +17,10 @@
  * fits.
  */
 public final class RedisStandIn implements AutoCloseable {
+    private static final String TEXT = "text";
+    private static final String MEMBER = "member";
+    private static final String FIELD = "field";
+
     public final int port;
     private final Map<String, String> texts = new TreeMap<>();
     private final Map<String, Set<String>> sets = new TreeMap<>();
@@ -50,6 +54,32 @@
         texts.put(key, text);
     }
 
+    /**
+     * Everything in the store, an entry a list: its type, its key and its value, or the member of a set, or the field of a
+     * hash and its value.
+     */
+    public synchronized List<List<String>> entries() {
+        List<List<String>> entries = new ArrayList<>();
+        texts.forEach((key, value) -> entries.add(List.of(TEXT, key, value)));
+        sets.forEach((key, members) -> members.forEach(member -> entries.add(List.of(MEMBER, key, member))));
+        hashes.forEach((key, fields) -> fields.forEach((field, value) ->
+            entries.add(List.of(FIELD, key, field, value))));
+        return entries;
+    }
+
+    /** Adds entries that {@link #entries} has returned, past the protocol. */
+    public synchronized void addEntries(List<List<String>> entries) {
+        for (List<String> entry : entries) {
+            String key = entry.get(1);
+            switch (entry.get(0)) {
+                case TEXT -> texts.put(key, entry.get(2));
+                case MEMBER -> sets.computeIfAbsent(key, k -> new TreeSet<>()).add(entry.get(2));
+                case FIELD -> hashes.computeIfAbsent(key, k -> new TreeMap<>()).put(entry.get(2), entry.get(3));
+                default -> throw new IllegalArgumentException("not an entry: " + entry);
+            }
+        }
+    }
+
     /** From now on every command is answered with an error, or no longer. */
     public void errors(boolean on) {
         errors = on;
