--- /dev/null
+++ b/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
@@ -0,0 +1,201 @@
+package damsonslip.compatibility;
+
+import damsonslip.kit.FaktoryServer;
+import damsonslip.kit.Peer;
+import damsonslip.kit.Program;
+import java.io.IOException;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The Faktory protocol: replies and errors, byte for byte except for times and salts. */
+class FaktoryWireTest {
+    private static final String JOB =
+        "PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1],\"queue\":\"default\"}";
+    private static final String HELLO = "HELLO {\"v\":2,\"wid\":\"\"}";
+
+    @TempDir
+    Path dir;
+    private FaktoryServer server;
+    private Recording recording;
+
+    private void start(String name, String password) throws IOException {
+        server = new FaktoryServer(dir, "memory", password);
+        server.start();
+        recording = new Recording(name)
+            .masking("\"s\":\"[0-9a-zA-Z]+\"", "\"s\":\"<salt>\"")
+            .masking("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z", "<time>")
+            .masking("[0-9]{2}:[0-9]{2}:[0-9]{2} UTC", "<clock>")
+            .masking("\"(uptime|used_memory_mb)\":[0-9]+", "\"$1\":<figure>")
+            .masking("b-[0-9a-f]{16}", "<bid>")
+            .masking("retry after [0-9.]+ s", "retry after <seconds> s");
+    }
+
+    @AfterEach
+    void close() throws Exception {
+        server.close();
+    }
+
+    private Peer connect() throws IOException {
+        return server.closing(Peer.connect(server.port));
+    }
+
+    /** A connection that has said HELLO; a producer's where the worker's id is empty. */
+    private Peer greeted(String workerId) throws IOException {
+        Peer peer = connect();
+        RawText.line(peer);
+        RawText.line(peer.send("HELLO {\"v\":2,\"wid\":\"" + workerId + "\"}\r\n"));
+        return peer;
+    }
+
+    /** Sends a command and records it with its reply. */
+    private void say(Peer peer, String command) throws IOException {
+        String reply = RawText.line(peer.send(command + "\r\n"));
+        if (reply.startsWith("$") && !reply.startsWith("$-")) {
+            int length = Integer.parseInt(reply.substring(1).strip());
+            // the length follows from what is masked; the end that is read shows that it is right
+            reply = "$<length>\r\n" + peer.bytes(length + 2);
+        }
+        recording.add(command, reply);
+    }
+
+    @Test
+    void greetsWithoutAPassword() throws Exception {
+        start("faktory-greeting", "");
+        Peer peer = connect();
+        recording.add("greeting", RawText.line(peer));
+        say(peer, HELLO);
+        say(peer, HELLO);
+        for (String wrong : List.of("HELLO {\"v\":3}", "HELLO nonsense", "HELLO", "INFO", "JUMP")) {
+            Peer other = connect();
+            RawText.line(other);
+            recording.add(wrong, RawText.untilClosed(other.send(wrong + "\r\n")));
+        }
+        recording.verify();
+    }
+
+    @Test
+    void greetsWithAPassword() throws Exception {
+        start("faktory-password", "s3cret");
+        Peer peer = connect();
+        recording.add("greeting", RawText.line(peer));
+        recording.add("a wrong proof", RawText.untilClosed(
+            peer.send("HELLO {\"v\":2,\"wid\":\"\",\"pwdhash\":\"00\"}\r\n")));
+        recording.add("right proof", server.peer("").call("BATCH STATUS b-none"));
+        recording.verify();
+    }
+
+    @Test
+    void carriesJobsFromPushToAck() throws Exception {
+        start("faktory-jobs", "");
+        Peer producer = greeted("");
+        Peer worker = greeted("w1");
+        say(producer, "TRACK GET job-00001");
+        say(producer, JOB);
+        say(producer, "TRACK GET job-00001");
+        say(worker, "FETCH default");
+        say(producer, JOB);
+        say(worker, "TRACK SET {\"jid\":\"job-00001\",\"percent\":40,\"desc\":\"on it\"}");
+        say(producer, "TRACK GET job-00001");
+        say(worker, "BEAT {\"wid\":\"w1\"}");
+        say(worker, "ACK {\"jid\":\"job-00001\"}");
+        say(producer, "TRACK GET job-00001");
+        say(producer, JOB.replace("00001", "00002").replace("}", ",\"retry\":0}"));
+        say(worker, "FETCH default");
+        say(worker, "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\","
+            + "\"backtrace\":[\"line\"]}");
+        say(producer, "TRACK GET job-00002");
+        say(worker, "ACK {\"jid\":\"job-99999\"}");
+        say(worker, "FETCH other");
+        say(producer, "PUSHB []");
+        say(producer, "PUSHB [{\"jid\":\"job-00003\",\"jobtype\":\"t\",\"args\":[]},"
+            + "{\"jid\":\"job-00004\"},{\"jid\":\"short\",\"jobtype\":\"t\",\"args\":[]}]");
+        say(producer, "INFO");
+        recording.verify();
+    }
+
+    @Test
+    void manages() throws Exception {
+        start("faktory-management", "");
+        Peer producer = greeted("");
+        say(producer, "INFO");
+        say(producer, JOB.replace("}", ",\"at\":\"2099-01-01T00:00:00Z\"}"));
+        say(producer, "MUTATE {\"cmd\":\"kill\",\"target\":\"scheduled\",\"filter\":{}}");
+        say(producer, "MUTATE {\"cmd\":\"jump\",\"target\":\"scheduled\"}");
+        say(producer, "MUTATE {\"cmd\":\"clear\",\"target\":\"elsewhere\"}");
+        say(producer, "QUEUE PAUSE default");
+        say(producer, "INFO");
+        say(producer, "QUEUE RESUME default");
+        say(producer, "QUEUE JUMP default");
+        say(producer, "BATCH NEW {\"description\":\"d\",\"success\":{\"jobtype\":\"t\","
+            + "\"args\":[],\"queue\":\"default\"}}");
+        say(producer, "BATCH NEW {}");
+        say(producer, "BATCH OPEN b-none");
+        say(producer, "BATCH COMMIT b-none");
+        say(producer, "BATCH JUMP b-none");
+        say(producer, "FLUSH");
+        recording.add("END", RawText.untilClosed(producer.send("END\r\n")));
+        recording.verify();
+    }
+
+    @Test
+    void tellsCommonErrors() throws Exception {
+        start("faktory-errors", "");
+        Peer producer = greeted("");
+        for (String wrong : List.of("PUSH {", "PUSH", "PUSH []", "PUSHB {}", "PUSH {}", "JUMP",
+            "push {}",
+            JOB.replace("job-00001", "short"), JOB.replace("job-00001", "job 00001"),
+            JOB.replace("\"jobtype\":\"t\",", ""), JOB.replace("[1]", "1"),
+            JOB.replace("\"default\"", "\"no name\""), JOB.replace("}", ",\"at\":\"soon\"}"),
+            JOB.replace("}", ",\"custom\":{\"class\":\"no-such\"}}"),
+            JOB.replace("}", ",\"custom\":{\"deadline\":\"soon\"}}"),
+            JOB.replace("}", ",\"custom\":{\"unique_until\":\"later\",\"unique_for\":5}}"),
+            JOB.replace("}", ",\"custom\":{\"bid\":\"b-none\"}}"),
+            "FETCH default", "ACK {\"jid\":\"job-00001\"}", "ACK {}", "FAIL {}",
+            "BEAT {\"wid\":\"w9\"}",
+            "TRACK", "TRACK JUMP x", "TRACK SET {}", "QUEUE PAUSE", "BATCH", "MUTATE {}",
+            JOB.replace("}", ",\"custom\":{\"unique_for\":60}}"),
+            JOB.replace("00001", "00002").replace("}", ",\"custom\":{\"unique_for\":60}}"))) {
+            say(producer, wrong);
+        }
+        recording.verify();
+    }
+
+    /** Awaited jobs beyond what can be done in time are rejected with the time to come back. */
+    @Test
+    void throttles() throws Exception {
+        start("faktory-throttled", "");
+        Peer producer = greeted("");
+        String reply = "";
+        for (int i = 10; i < 99 && !reply.startsWith("-"); i++) {
+            reply = RawText.line(producer.send(JOB.replace("job-00001", "job-000" + i)
+                .replace("}",
+                    ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}") + "\r\n"));
+        }
+        recording.add("throttled", reply).verify();
+    }
+
+    @Test
+    void shutsDown() throws Exception {
+        start("faktory-shutdown", "");
+        Peer producer = greeted("");
+        Peer worker = greeted("w1");
+        say(producer, JOB.replace("}", ",\"custom\":{\"class\":\"apply-submit\",\"deadline\":5}}"));
+        say(worker, "FETCH default");
+        server.program().terminate();
+        Program.await("it finishes", () -> {
+            try {
+                return RawText.line(producer.send("PUSH {}\r\n")).startsWith("-SHUTDOWN");
+            } catch (IOException e) {
+                throw new AssertionError(e);
+            }
+        });
+        say(producer, JOB);
+        say(worker, "BEAT {\"wid\":\"w1\"}");
+        say(worker, "ACK {\"jid\":\"job-00001\"}");
+        recording.add("exit", Integer.toString(server.program().exit()));
+        recording.verify();
+    }
+}
