--- a/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
+++ b/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
@@ -1,7 +1,7 @@
 package damsonslip.compatibility;
 
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -17,21 +17,35 @@
 /** The messages and exit codes of starts that fail for their configuration or command line. */
 class ConfigurationErrorsTest {
     private static final Pattern LOG_LINE =
-        Pattern.compile("^[0-9]{2}:[0-9]{2}:[0-9]{2}\\.[0-9]{3} ");
-    private static final Map<String, String> NO_ADDRESSES = Map.of("ROUTER_CONFIG", "",
-        "ROUTER_LISTEN", "", "ROUTER_DISCOVERY", "", "ROUTER_NAME", "", "ROUTER_MGMT", "");
-    private static final String GOOD = "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\","
-        + "\"settings\":{\"instances\":1,\"lanes\":[{\"name\":\"read\"}]}}";
+            Pattern.compile("^[0-9]{2}:[0-9]{2}:[0-9]{2}\\.[0-9]{3} ");
+    private static final Map<String, String> NO_ADDRESSES =
+            Map.of(
+                    "ROUTER_CONFIG",
+                    "",
+                    "ROUTER_LISTEN",
+                    "",
+                    "ROUTER_DISCOVERY",
+                    "",
+                    "ROUTER_NAME",
+                    "",
+                    "ROUTER_MGMT",
+                    "");
+    private static final String GOOD =
+            "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\","
+                    + "\"settings\":{\"instances\":1,\"lanes\":[{\"name\":\"read\"}]}}";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
 
     /** The exit code and what was written apart from log lines, which begin with a time. */
     private static String end(Program program) throws InterruptedException {
         try (program) {
             int code = program.exit();
-            String messages = program.said().lines().filter(line -> !LOG_LINE.matcher(line).find())
-                .map(line -> line + "\n").collect(Collectors.joining());
+            String messages =
+                    program.said()
+                            .lines()
+                            .filter(line -> !LOG_LINE.matcher(line).find())
+                            .map(line -> line + "\n")
+                            .collect(Collectors.joining());
             return "exit " + code + "\n" + messages;
         }
     }
@@ -46,29 +60,42 @@
 
     @Test
     void tellsWhatIsWrongWithThePlatformsFile() throws Exception {
-        Recording recording = new Recording("errors-platform")
-            .masking("config: " + dir + "/[^:]*:", "config: <file>:");
+        Recording recording =
+                new Recording("errors-platform")
+                        .masking("config: " + dir + "/[^:]*:", "config: <file>:");
         recording.add("no file is named", end(new Program(null, NO_ADDRESSES, List.of(), "serve")));
         recording.add("file missing", platform(dir.resolve("missing.json")));
         recording.add("a folder", platform(Files.createDirectory(dir.resolve("folder"))));
-        for (String text : List.of("", "{", "[]", "{}", "nonsense",
-            GOOD.replace("\"listen\":\"127.0.0.1:1\",", ""),
-            GOOD.replace("\"discovery\":\"127.0.0.1:1\",", ""),
-            GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
-            GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
-            GOOD.replace("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
-            GOOD.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
-            GOOD.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
-            GOOD.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
-            GOOD.replace("\"settings\"", "\"other\""), GOOD.replace("\"instances\":1,", ""),
-            GOOD.replace("\"instances\":1", "\"instances\":\"one\""),
-            GOOD.replace("\"instances\":1", "\"instances\":0"),
-            GOOD.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
-            GOOD.replace("\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
-            GOOD.replace("\"instances\":1", "\"instances\":1,\"reporting\":{\"how\":\"other\"}"),
-            GOOD.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
-            GOOD.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
-            GOOD.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""))) {
+        for (String text :
+                List.of(
+                        "",
+                        "{",
+                        "[]",
+                        "{}",
+                        "nonsense",
+                        GOOD.replace("\"listen\":\"127.0.0.1:1\",", ""),
+                        GOOD.replace("\"discovery\":\"127.0.0.1:1\",", ""),
+                        GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
+                        GOOD.replace(
+                                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
+                        GOOD.replace(
+                                "\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
+                        GOOD.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
+                        GOOD.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
+                        GOOD.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
+                        GOOD.replace("\"settings\"", "\"other\""),
+                        GOOD.replace("\"instances\":1,", ""),
+                        GOOD.replace("\"instances\":1", "\"instances\":\"one\""),
+                        GOOD.replace("\"instances\":1", "\"instances\":0"),
+                        GOOD.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
+                        GOOD.replace(
+                                "\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
+                        GOOD.replace(
+                                "\"instances\":1",
+                                "\"instances\":1,\"reporting\":{\"how\":\"other\"}"),
+                        GOOD.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
+                        GOOD.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
+                        GOOD.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""))) {
             recording.add(text, platform(Program.file(dir, text)));
         }
         recording.verify();
@@ -78,14 +105,29 @@
     void tellsWhichAddressIsInUse() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
-            Recording recording = new Recording("errors-address-in-use")
-                .replacing(address, "<taken>");
-            recording.add("clients", platform(Program.file(dir, GOOD.replace(
-                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"" + address + "\""))));
-            recording.add("management", platform(Program.file(dir, GOOD.replace(
-                "{\"listen\"", "{\"mgmt\":\"" + address + "\",\"listen\""))));
-            recording.add("Faktory", faktory(Program.file(dir,
-                FaktoryServer.settings(taken.getLocalPort(), "memory"))));
+            Recording recording =
+                    new Recording("errors-address-in-use").replacing(address, "<taken>");
+            recording.add(
+                    "clients",
+                    platform(
+                            Program.file(
+                                    dir,
+                                    GOOD.replace(
+                                            "\"listen\":\"127.0.0.1:1\"",
+                                            "\"listen\":\"" + address + "\""))));
+            recording.add(
+                    "management",
+                    platform(
+                            Program.file(
+                                    dir,
+                                    GOOD.replace(
+                                            "{\"listen\"",
+                                            "{\"mgmt\":\"" + address + "\",\"listen\""))));
+            recording.add(
+                    "Faktory",
+                    faktory(
+                            Program.file(
+                                    dir, FaktoryServer.settings(taken.getLocalPort(), "memory"))));
             recording.verify();
         }
     }
@@ -98,27 +140,38 @@
 
     @Test
     void tellsWhatIsWrongWithFaktorysFile() throws Exception {
-        Recording recording = new Recording("errors-faktory")
-            .masking("nowhere:[0-9]+", "nowhere:<port>")
-            .masking("config: " + dir + "/[^:]*:", "config: <file>:");
+        Recording recording =
+                new Recording("errors-faktory")
+                        .masking("nowhere:[0-9]+", "nowhere:<port>")
+                        .masking("config: " + dir + "/[^:]*:", "config: <file>:");
         recording.add("file missing", faktory(dir.resolve("missing.toml")));
-        for (String text : List.of("", "name = ", "name = 'n'",
-            "name = 'n'\nlisten = '127.0.0.1:1'",
-            "store = 'disk'")) {
+        for (String text :
+                List.of(
+                        "",
+                        "name = ",
+                        "name = 'n'",
+                        "name = 'n'\nlisten = '127.0.0.1:1'",
+                        "store = 'disk'")) {
             recording.add(text, faktory(Program.file(dir, text)));
         }
-        String[][] replacements = {{"name = \"school-desk\"", ""}, {"\"memory\"",
-            "\"redis://nowhere:many\""},
+        String[][] replacements = {
+            {"name = \"school-desk\"", ""},
+            {"\"memory\"", "\"redis://nowhere:many\""},
             {"listen = \"127.0.0.1:", "listen = \"nowhere:"},
             {"console = \"127.0.0.1:7420\"", "console = \"nowhere\""},
-            {"mgmt = \"\"", "mgmt = \"nowhere\""}, {"links = 800", "links = 0"},
-            {"links = 800", "links = \"many\""}, {"longest_line = 1048576", "longest_line = 10"},
+            {"mgmt = \"\"", "mgmt = \"nowhere\""},
+            {"links = 800", "links = 0"},
+            {"links = 800", "links = \"many\""},
+            {"longest_line = 1048576", "longest_line = 10"},
             {"queue_order = \"strict\"", "queue_order = \"random\""},
             {"default_class = \"background\"", "default_class = \"no-such\""},
-            {"class = \"status-read\"", "class = \"no-such\""}, {"instances = 1 ",
-            "instances = 0 "},
-            {"semantics = \"by_key\"", "semantics = \"twice\""}, {"grace_s = 10", "grace_s = 1.5"},
-            {"aim_s = 0.06", "aim_s = \"soon\""}, {"instances = 1 ", "schedulers = 1 "}};
+            {"class = \"status-read\"", "class = \"no-such\""},
+            {"instances = 1 ", "instances = 0 "},
+            {"semantics = \"by_key\"", "semantics = \"twice\""},
+            {"grace_s = 10", "grace_s = 1.5"},
+            {"aim_s = 0.06", "aim_s = \"soon\""},
+            {"instances = 1 ", "schedulers = 1 "}
+        };
         for (String[] each : replacements) {
             recording.add(String.join(" -> ", each), faktory(faktoryFile(each)));
         }
@@ -128,9 +181,22 @@
     @Test
     void tellsHowItIsCalled() throws Exception {
         Recording recording = new Recording("errors-command-line");
-        for (String line : List.of("", "jump", "serve a b", "simhost a", "fleet", "fleet a b",
-            "conformance", "conformance nowhere", "conformance --jump", "bench", "bench nowhere",
-            "lab", "lab jump", "console nowhere phase")) {
+        for (String line :
+                List.of(
+                        "",
+                        "jump",
+                        "serve a b",
+                        "simhost a",
+                        "fleet",
+                        "fleet a b",
+                        "conformance",
+                        "conformance nowhere",
+                        "conformance --jump",
+                        "bench",
+                        "bench nowhere",
+                        "lab",
+                        "lab jump",
+                        "console nowhere phase")) {
             String[] words = line.isEmpty() ? new String[0] : line.split(" ");
             recording.add(line, end(new Program(null, words)));
         }
--- a/src/test/java/damsonslip/compatibility/CounterNamesTest.java
+++ b/src/test/java/damsonslip/compatibility/CounterNamesTest.java
@@ -1,7 +1,7 @@
 package damsonslip.compatibility;
 
-import damsonslip.core.Counters;
-import damsonslip.core.Counters.Count;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
 import org.junit.jupiter.api.Test;
 
 /**
--- a/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
+++ b/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
@@ -1,8 +1,8 @@
 package damsonslip.compatibility;
 
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -13,24 +13,24 @@
 /** The Faktory protocol: replies and errors, byte for byte except for times and salts. */
 class FaktoryWireTest {
     private static final String JOB =
-        "PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1],\"queue\":\"default\"}";
+            "PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1],\"queue\":\"default\"}";
     private static final String HELLO = "HELLO {\"v\":2,\"wid\":\"\"}";
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private FaktoryServer server;
     private Recording recording;
 
     private void start(String name, String password) throws IOException {
         server = new FaktoryServer(dir, "memory", password);
         server.start();
-        recording = new Recording(name)
-            .masking("\"s\":\"[0-9a-zA-Z]+\"", "\"s\":\"<salt>\"")
-            .masking("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z", "<time>")
-            .masking("[0-9]{2}:[0-9]{2}:[0-9]{2} UTC", "<clock>")
-            .masking("\"(uptime|used_memory_mb)\":[0-9]+", "\"$1\":<figure>")
-            .masking("b-[0-9a-f]{16}", "<bid>")
-            .masking("retry after [0-9.]+ s", "retry after <seconds> s");
+        recording =
+                new Recording(name)
+                        .masking("\"s\":\"[0-9a-zA-Z]+\"", "\"s\":\"<salt>\"")
+                        .masking("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:.]+Z", "<time>")
+                        .masking("[0-9]{2}:[0-9]{2}:[0-9]{2} UTC", "<clock>")
+                        .masking("\"(uptime|used_memory_mb)\":[0-9]+", "\"$1\":<figure>")
+                        .masking("b-[0-9a-f]{16}", "<bid>")
+                        .masking("retry after [0-9.]+ s", "retry after <seconds> s");
     }
 
     @AfterEach
@@ -81,8 +81,10 @@
         start("faktory-password", "s3cret");
         Peer peer = connect();
         recording.add("greeting", RawText.line(peer));
-        recording.add("a wrong proof", RawText.untilClosed(
-            peer.send("HELLO {\"v\":2,\"wid\":\"\",\"pwdhash\":\"00\"}\r\n")));
+        recording.add(
+                "a wrong proof",
+                RawText.untilClosed(
+                        peer.send("HELLO {\"v\":2,\"wid\":\"\",\"pwdhash\":\"00\"}\r\n")));
         recording.add("right proof", server.peer("").call("BATCH STATUS b-none"));
         recording.verify();
     }
@@ -104,14 +106,18 @@
         say(producer, "TRACK GET job-00001");
         say(producer, JOB.replace("00001", "00002").replace("}", ",\"retry\":0}"));
         say(worker, "FETCH default");
-        say(worker, "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\","
-            + "\"backtrace\":[\"line\"]}");
+        say(
+                worker,
+                "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\","
+                        + "\"backtrace\":[\"line\"]}");
         say(producer, "TRACK GET job-00002");
         say(worker, "ACK {\"jid\":\"job-99999\"}");
         say(worker, "FETCH other");
         say(producer, "PUSHB []");
-        say(producer, "PUSHB [{\"jid\":\"job-00003\",\"jobtype\":\"t\",\"args\":[]},"
-            + "{\"jid\":\"job-00004\"},{\"jid\":\"short\",\"jobtype\":\"t\",\"args\":[]}]");
+        say(
+                producer,
+                "PUSHB [{\"jid\":\"job-00003\",\"jobtype\":\"t\",\"args\":[]},"
+                    + "{\"jid\":\"job-00004\"},{\"jid\":\"short\",\"jobtype\":\"t\",\"args\":[]}]");
         say(producer, "INFO");
         recording.verify();
     }
@@ -129,8 +135,10 @@
         say(producer, "INFO");
         say(producer, "QUEUE RESUME default");
         say(producer, "QUEUE JUMP default");
-        say(producer, "BATCH NEW {\"description\":\"d\",\"success\":{\"jobtype\":\"t\","
-            + "\"args\":[],\"queue\":\"default\"}}");
+        say(
+                producer,
+                "BATCH NEW {\"description\":\"d\",\"success\":{\"jobtype\":\"t\","
+                        + "\"args\":[],\"queue\":\"default\"}}");
         say(producer, "BATCH NEW {}");
         say(producer, "BATCH OPEN b-none");
         say(producer, "BATCH COMMIT b-none");
@@ -144,20 +152,40 @@
     void tellsCommonErrors() throws Exception {
         start("faktory-errors", "");
         Peer producer = greeted("");
-        for (String wrong : List.of("PUSH {", "PUSH", "PUSH []", "PUSHB {}", "PUSH {}", "JUMP",
-            "push {}",
-            JOB.replace("job-00001", "short"), JOB.replace("job-00001", "job 00001"),
-            JOB.replace("\"jobtype\":\"t\",", ""), JOB.replace("[1]", "1"),
-            JOB.replace("\"default\"", "\"no name\""), JOB.replace("}", ",\"at\":\"soon\"}"),
-            JOB.replace("}", ",\"custom\":{\"class\":\"no-such\"}}"),
-            JOB.replace("}", ",\"custom\":{\"deadline\":\"soon\"}}"),
-            JOB.replace("}", ",\"custom\":{\"unique_until\":\"later\",\"unique_for\":5}}"),
-            JOB.replace("}", ",\"custom\":{\"bid\":\"b-none\"}}"),
-            "FETCH default", "ACK {\"jid\":\"job-00001\"}", "ACK {}", "FAIL {}",
-            "BEAT {\"wid\":\"w9\"}",
-            "TRACK", "TRACK JUMP x", "TRACK SET {}", "QUEUE PAUSE", "BATCH", "MUTATE {}",
-            JOB.replace("}", ",\"custom\":{\"unique_for\":60}}"),
-            JOB.replace("00001", "00002").replace("}", ",\"custom\":{\"unique_for\":60}}"))) {
+        for (String wrong :
+                List.of(
+                        "PUSH {",
+                        "PUSH",
+                        "PUSH []",
+                        "PUSHB {}",
+                        "PUSH {}",
+                        "JUMP",
+                        "push {}",
+                        JOB.replace("job-00001", "short"),
+                        JOB.replace("job-00001", "job 00001"),
+                        JOB.replace("\"jobtype\":\"t\",", ""),
+                        JOB.replace("[1]", "1"),
+                        JOB.replace("\"default\"", "\"no name\""),
+                        JOB.replace("}", ",\"at\":\"soon\"}"),
+                        JOB.replace("}", ",\"custom\":{\"class\":\"no-such\"}}"),
+                        JOB.replace("}", ",\"custom\":{\"deadline\":\"soon\"}}"),
+                        JOB.replace(
+                                "}", ",\"custom\":{\"unique_until\":\"later\",\"unique_for\":5}}"),
+                        JOB.replace("}", ",\"custom\":{\"bid\":\"b-none\"}}"),
+                        "FETCH default",
+                        "ACK {\"jid\":\"job-00001\"}",
+                        "ACK {}",
+                        "FAIL {}",
+                        "BEAT {\"wid\":\"w9\"}",
+                        "TRACK",
+                        "TRACK JUMP x",
+                        "TRACK SET {}",
+                        "QUEUE PAUSE",
+                        "BATCH",
+                        "MUTATE {}",
+                        JOB.replace("}", ",\"custom\":{\"unique_for\":60}}"),
+                        JOB.replace("00001", "00002")
+                                .replace("}", ",\"custom\":{\"unique_for\":60}}"))) {
             say(producer, wrong);
         }
         recording.verify();
@@ -170,9 +198,14 @@
         Peer producer = greeted("");
         String reply = "";
         for (int i = 10; i < 99 && !reply.startsWith("-"); i++) {
-            reply = RawText.line(producer.send(JOB.replace("job-00001", "job-000" + i)
-                .replace("}",
-                    ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}") + "\r\n"));
+            reply =
+                    RawText.line(
+                            producer.send(
+                                    JOB.replace("job-00001", "job-000" + i)
+                                                    .replace(
+                                                            "}",
+                                                            ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}")
+                                            + "\r\n"));
         }
         recording.add("throttled", reply).verify();
     }
@@ -185,13 +218,15 @@
         say(producer, JOB.replace("}", ",\"custom\":{\"class\":\"apply-submit\",\"deadline\":5}}"));
         say(worker, "FETCH default");
         server.program().terminate();
-        Program.await("it finishes", () -> {
-            try {
-                return RawText.line(producer.send("PUSH {}\r\n")).startsWith("-SHUTDOWN");
-            } catch (IOException e) {
-                throw new AssertionError(e);
-            }
-        });
+        Program.await(
+                "it finishes",
+                () -> {
+                    try {
+                        return RawText.line(producer.send("PUSH {}\r\n")).startsWith("-SHUTDOWN");
+                    } catch (IOException e) {
+                        throw new AssertionError(e);
+                    }
+                });
         say(producer, JOB);
         say(worker, "BEAT {\"wid\":\"w1\"}");
         say(worker, "ACK {\"jid\":\"job-00001\"}");
--- a/src/test/java/damsonslip/compatibility/ManagementWireTest.java
+++ b/src/test/java/damsonslip/compatibility/ManagementWireTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -15,23 +15,28 @@
 
 /** What operators are told: by the management port, by the console, and on the last line. */
 class ManagementWireTest {
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private PlatformProgram platform;
 
     @BeforeEach
     void start() throws IOException {
         platform = new PlatformProgram(dir);
-        platform.worker("a", (peer, request) -> {
-            if (request.contains(": fail")) {
-                PlatformProgram.ending("failed", "").handle(peer, request);
-            } else {
-                PlatformProgram.serving().handle(peer, request);
-            }
-        }).start(UnaryOperator.identity()).awaitList();
+        platform.worker(
+                        "a",
+                        (peer, request) -> {
+                            if (request.contains(": fail")) {
+                                PlatformProgram.ending("failed", "").handle(peer, request);
+                            } else {
+                                PlatformProgram.serving().handle(peer, request);
+                            }
+                        })
+                .start(UnaryOperator.identity())
+                .awaitList();
         platform.ask(request("fail", "submit"));
-        Program.await("the worker is used again", () ->
-            platform.console("workers").contains(" running "), platform.program());
+        Program.await(
+                "the worker is used again",
+                () -> platform.console("workers").contains(" running "),
+                platform.program());
         platform.ask(request("q1", "read"));
         platform.ask("GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n");
     }
@@ -48,11 +53,26 @@
     @Test
     void answersEachCommand() throws Exception {
         Recording recording = new Recording("management-commands");
-        for (String command : List.of("READY", "STATS", "DISABLE a", "STATS", "DISABLE a",
-            "ENABLE a",
-            " \tENABLE  a ", "DISABLE nobody", "ENABLE nobody", "DISABLE", "ENABLE a b",
-            "READY now",
-            "STATS a", "DRAIN a", "ready", "JUMP", "", "x".repeat(600))) {
+        for (String command :
+                List.of(
+                        "READY",
+                        "STATS",
+                        "DISABLE a",
+                        "STATS",
+                        "DISABLE a",
+                        "ENABLE a",
+                        " \tENABLE  a ",
+                        "DISABLE nobody",
+                        "ENABLE nobody",
+                        "DISABLE",
+                        "ENABLE a b",
+                        "READY now",
+                        "STATS a",
+                        "DRAIN a",
+                        "ready",
+                        "JUMP",
+                        "",
+                        "x".repeat(600))) {
             String title = command.length() < 100 ? command : command.length() + " characters";
             recording.add(title, platform.manage(command));
         }
@@ -71,7 +91,7 @@
     void drainsAndUndrains() throws Exception {
         Recording recording = new Recording("management-drain");
         try (Peer idle = Peer.connect(platform.port).send(request("q2", "read"));
-             Peer begun = Peer.connect(platform.port)) {
+                Peer begun = Peer.connect(platform.port)) {
             recording.add("before", RawText.httpMessage(idle));
             begun.send(request("q3", "read").replace("\r\n\r\nbody", "\r\n"));
             Thread.sleep(300);
@@ -92,17 +112,40 @@
 
     @Test
     void answersTheConsolesCommands() throws Exception {
-        Recording recording = new Recording("console-commands")
-            .masking("(?m)^( *[0-9]+|[0-9][0-9:.TZ-]+)(?= .*q1)", "<time>")
-            .masking("figure=[0-9]{5,}", "figure=<time>")
-            .masking("(?m)^(read|submit)( +[0-9]+ +[0-9]+) +[0-9]+$", "$1$2 <threshold>")
-            .masking("[0-9]+\\.[0-9]+", "<figure>").masking(" +(?=<figure>)", " ")
-            .masking("<figure> (read|submit|-)\n", "<figure> <pool>\n");
-        for (String command : List.of("phase", "counters", "stats", "queues", "invariants",
-            "events q1",
-            "events nobody", "slow", "disable", "enable", "disable nobody", "disable a", "workers",
-            "enable a", "enable a b", "workers", "help", "jump", "", "PHASE", "drain", "phase",
-            "undrain")) {
+        Recording recording =
+                new Recording("console-commands")
+                        .masking("(?m)^( *[0-9]+|[0-9][0-9:.TZ-]+)(?= .*q1)", "<time>")
+                        .masking("figure=[0-9]{5,}", "figure=<time>")
+                        .masking(
+                                "(?m)^(read|submit)( +[0-9]+ +[0-9]+) +[0-9]+$", "$1$2 <threshold>")
+                        .masking("[0-9]+\\.[0-9]+", "<figure>")
+                        .masking(" +(?=<figure>)", " ")
+                        .masking("<figure> (read|submit|-)\n", "<figure> <pool>\n");
+        for (String command :
+                List.of(
+                        "phase",
+                        "counters",
+                        "stats",
+                        "queues",
+                        "invariants",
+                        "events q1",
+                        "events nobody",
+                        "slow",
+                        "disable",
+                        "enable",
+                        "disable nobody",
+                        "disable a",
+                        "workers",
+                        "enable a",
+                        "enable a b",
+                        "workers",
+                        "help",
+                        "jump",
+                        "",
+                        "PHASE",
+                        "drain",
+                        "phase",
+                        "undrain")) {
             recording.add(command, platform.console(command));
         }
         recording.verify();
@@ -111,9 +154,11 @@
     /** The columns; the figures of these depend on time. */
     @Test
     void namesTheColumnsOfMeasuredFigures() throws Exception {
-        Recording recording = new Recording("console-measured")
-            .masking("(?m)(?<= )[0-9.]+(?= |$)", "<figure>").masking("(?m)^[0-9]+", "<count>")
-            .masking(" +(?=<figure>)", " ");
+        Recording recording =
+                new Recording("console-measured")
+                        .masking("(?m)(?<= )[0-9.]+(?= |$)", "<figure>")
+                        .masking("(?m)^[0-9]+", "<count>")
+                        .masking(" +(?=<figure>)", " ");
         recording.add("waits", platform.console("waits"));
         recording.add("pools", platform.console("pools")).verify();
     }
@@ -130,12 +175,15 @@
     @Test
     void printsTheConsolesAnswers() throws Exception {
         int nobody = Program.freePort();
-        Recording recording = new Recording("console-program")
-            .replacing("127.0.0.1:" + nobody, "<nobody>");
-        for (String[] arguments : new String[][] {{"console", "127.0.0.1:" + platform.console,
-            "phase"},
-            {"console", "127.0.0.1:" + platform.console, "disable", "nobody"},
-            {"console", "127.0.0.1:" + nobody, "phase"}, {"console", "nowhere", "phase"}}) {
+        Recording recording =
+                new Recording("console-program").replacing("127.0.0.1:" + nobody, "<nobody>");
+        for (String[] arguments :
+                new String[][] {
+                    {"console", "127.0.0.1:" + platform.console, "phase"},
+                    {"console", "127.0.0.1:" + platform.console, "disable", "nobody"},
+                    {"console", "127.0.0.1:" + nobody, "phase"},
+                    {"console", "nowhere", "phase"}
+                }) {
             try (Program console = new Program(null, arguments)) {
                 recording.add(arguments[2], "exit " + console.exit() + "\n" + console.said());
             }
--- a/src/test/java/damsonslip/compatibility/PlatformWireTest.java
+++ b/src/test/java/damsonslip/compatibility/PlatformWireTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -22,8 +22,7 @@
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
     private static final UnaryOperator<String> AS_IT_IS = UnaryOperator.identity();
 
-    @TempDir
-    Path dir;
+    @TempDir Path dir;
     private PlatformProgram platform;
 
     @BeforeEach
@@ -37,9 +36,10 @@
     }
 
     private Recording recording(String name) {
-        return new Recording(name).masking("X-Time-Left: [0-9]+u", "X-Time-Left: <time>u")
-            .masking("Retry-After: [0-9]+\\.[0-9]{3}\r", "Retry-After: <seconds>\r")
-            .replacing("127.0.0.1:" + platform.port, "<scheduler>");
+        return new Recording(name)
+                .masking("X-Time-Left: [0-9]+u", "X-Time-Left: <time>u")
+                .masking("Retry-After: [0-9]+\\.[0-9]{3}\r", "Retry-After: <seconds>\r")
+                .replacing("127.0.0.1:" + platform.port, "<scheduler>");
     }
 
     private static String request(String id, String jobClass, String timeLeft, String headers) {
@@ -57,18 +57,27 @@
         Map<String, String> requests = new LinkedHashMap<>();
         requests.put("with a key", request("q1", "submit"));
         requests.put("without a key", request("q2", "read", "4000m", ""));
-        requests.put("with every header", request("q3", "read", "4000000u",
-            "X-Repeat: 1\r\nCookie: other=1; sid=7f3a9c21e0b4d655\r\nX-Facts: slots=2,memory=3\r\n"
-            + "Content-Type: text/plain\r\nAccept: */*\r\nIdempotency-Key: k-q3\r\n"));
-        requests.put("without a time",
-            request("q6", "read").replace("X-Time-Left: 4000m\r\n", ""));
+        requests.put(
+                "with every header",
+                request(
+                        "q3",
+                        "read",
+                        "4000000u",
+                        "X-Repeat: 1\r\n"
+                                + "Cookie: other=1; sid=7f3a9c21e0b4d655\r\n"
+                                + "X-Facts: slots=2,memory=3\r\n"
+                                + "Content-Type: text/plain\r\n"
+                                + "Accept: */*\r\n"
+                                + "Idempotency-Key: k-q3\r\n"));
+        requests.put("without a time", request("q6", "read").replace("X-Time-Left: 4000m\r\n", ""));
         requests.put("asking for a close", request("q4", "read", "4000m", "Connection: close\r\n"));
         requests.put("in HTTP/1.0", request("q5", "read").replace("HTTP/1.1", "HTTP/1.0"));
         for (Map.Entry<String, String> each : requests.entrySet()) {
             recording.add("client, " + each.getKey(), each.getValue());
             String answer = platform.ask(each.getValue());
-            recording.add("to the worker",
-                platform.workerRequests.get(platform.workerRequests.size() - 1));
+            recording.add(
+                    "to the worker",
+                    platform.workerRequests.get(platform.workerRequests.size() - 1));
             recording.add("to the client", answer);
         }
         recording.verify();
@@ -80,10 +89,10 @@
         Recording recording = recording("platform-kept-connection");
         try (Peer client = Peer.connect(platform.port)) {
             recording.add("the first", RawText.httpMessage(client.send(request("q1", "read"))));
-            recording.add("health", RawText.httpMessage(
-                client.send(HEALTH)));
-            String[] parts = request("q2", "read", "4000m", "Expect: 100-continue\r\n")
-                .split("(?<=\r\n\r\n)");
+            recording.add("health", RawText.httpMessage(client.send(HEALTH)));
+            String[] parts =
+                    request("q2", "read", "4000m", "Expect: 100-continue\r\n")
+                            .split("(?<=\r\n\r\n)");
             recording.add("before the body", RawText.httpMessage(client.send(parts[0])));
             recording.add("behind the body", RawText.httpMessage(client.send(parts[1])));
         }
@@ -96,18 +105,26 @@
         platform.worker("a", PlatformProgram.serving()).start(AS_IT_IS).awaitList();
         Recording recording = recording("platform-bad-requests");
         String good = request("q1", "read");
-        for (String bad : List.of(good.replace("POST", "GET"), good.replace("/api", "/elsewhere"),
-            good.replace("X-Correlation-Id: q1\r\n", ""),
-            good.replace("X-Correlation-Id: q1", "X-Correlation-Id: q1\r\nX-Correlation-Id: q2"),
-            good.replace("X-Service-Class: read", "X-Service-Class: other"),
-            good.replace("X-Service-Class: read\r\n", ""), good.replace("4000m", "4000"),
-            good.replace("4000m", "soon"), good.replace("X-Correlation-Id: q1",
-            "X-Correlation-Id: \u00e9"),
-            good.replace("Host:", "X-Facts: slots=many\r\nHost:"),
-            good.replace("Content-Length: 4", "Content-Length: four"),
-            good.replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 70000\r\n\r\n"),
-            good.replace("Host: app.svc\r\n", ""), "nonsense\r\n\r\n",
-            "GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n")) {
+        for (String bad :
+                List.of(
+                        good.replace("POST", "GET"),
+                        good.replace("/api", "/elsewhere"),
+                        good.replace("X-Correlation-Id: q1\r\n", ""),
+                        good.replace(
+                                "X-Correlation-Id: q1",
+                                "X-Correlation-Id: q1\r\nX-Correlation-Id: q2"),
+                        good.replace("X-Service-Class: read", "X-Service-Class: other"),
+                        good.replace("X-Service-Class: read\r\n", ""),
+                        good.replace("4000m", "4000"),
+                        good.replace("4000m", "soon"),
+                        good.replace("X-Correlation-Id: q1", "X-Correlation-Id: \u00e9"),
+                        good.replace("Host:", "X-Facts: slots=many\r\nHost:"),
+                        good.replace("Content-Length: 4", "Content-Length: four"),
+                        good.replace(
+                                "Content-Length: 4\r\n\r\nbody", "Content-Length: 70000\r\n\r\n"),
+                        good.replace("Host: app.svc\r\n", ""),
+                        "nonsense\r\n\r\n",
+                        "GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n")) {
             recording.add("client", bad);
             try (Peer client = Peer.connect(platform.port).send(bad)) {
                 recording.add("answer", RawText.lastHttpMessage(client));
@@ -122,8 +139,9 @@
         try (Peer first = Peer.connect(platform.port).send(request("q1", "submit"))) {
             Program.await("it is sent", () -> platform.workerRequests.size() == 1);
             try (Peer other = Peer.connect(platform.port).send(request("q1", "submit"))) {
-                recording("platform-id-in-use").add("answer", RawText.lastHttpMessage(other))
-                    .verify();
+                recording("platform-id-in-use")
+                        .add("answer", RawText.lastHttpMessage(other))
+                        .verify();
             }
             first.close();
         }
@@ -152,7 +170,8 @@
     void answersWhatTakesTooLongAndCancelsIt() throws Exception {
         List<String> behind = new CopyOnWriteArrayList<>();
         platform.worker("a", (peer, request) -> behind.add(RawText.untilClosed(peer)))
-            .start(AS_IT_IS).awaitList();
+                .start(AS_IT_IS)
+                .awaitList();
         Recording recording = recording("platform-out-of-time");
         recording.add("out of time", platform.ask(request("q1", "submit", "600m", "")));
         Program.await("the attempt is cancelled", () -> behind.size() == 1);
@@ -184,15 +203,17 @@
     @Test
     void watchesDiscovery() throws Exception {
         platform.worker("a", PlatformProgram.serving());
-        platform.start(AS_IT_IS, (peer, request) -> {
-            if (platform.discoveryRequests.size() == 1) {
-                peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
-                return;
-            }
-            peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                .chunk(platform.list().replace(":7,", ":9,"));
-            Thread.sleep(500); // and the watch ends
-        });
+        platform.start(
+                AS_IT_IS,
+                (peer, request) -> {
+                    if (platform.discoveryRequests.size() == 1) {
+                        peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+                        return;
+                    }
+                    peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                            .chunk(platform.list().replace(":7,", ":9,"));
+                    Thread.sleep(500); // and the watch ends
+                });
         Program.await("calls of discovery", () -> platform.discoveryRequests.size() >= 4);
         Recording recording = recording("platform-discovery");
         for (int i = 0; i < 4; i++) {
@@ -203,26 +224,38 @@
 
     @Test
     void probesWorkers() throws Exception {
-        platform.worker("a", PlatformProgram.answering(
-            "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3")).start(file -> file
-            .replace("\"may_cancel\":true", "\"may_cancel\":true,\"may_probe\":true")
-            .replace("\"lanes\"",
-                "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
+        platform.worker(
+                        "a",
+                        PlatformProgram.answering("HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3"))
+                .start(
+                        file ->
+                                file.replace(
+                                                "\"may_cancel\":true",
+                                                "\"may_cancel\":true,\"may_probe\":true")
+                                        .replace(
+                                                "\"lanes\"",
+                                                "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
         Program.await("two probes", () -> platform.workerRequests.size() >= 2);
-        recording("platform-probe").add("the first", platform.workerRequests.get(0))
-            .add("the second", platform.workerRequests.get(1)).verify();
+        recording("platform-probe")
+                .add("the first", platform.workerRequests.get(0))
+                .add("the second", platform.workerRequests.get(1))
+                .verify();
     }
 
     /** Clients are asked to leave, and each is answered before the program ends. */
     @Test
     void answersWhileItShutsDown() throws Exception {
-        platform.worker("a", (peer, request) -> {
-            Thread.sleep(900);
-            PlatformProgram.serving().handle(peer, request);
-        }).start(AS_IT_IS).awaitList();
+        platform.worker(
+                        "a",
+                        (peer, request) -> {
+                            Thread.sleep(900);
+                            PlatformProgram.serving().handle(peer, request);
+                        })
+                .start(AS_IT_IS)
+                .awaitList();
         Recording recording = recording("platform-shutdown");
         try (Peer early = Peer.connect(platform.port).send(request("q1", "read"));
-             Peer kept = Peer.connect(platform.port).send(HEALTH)) {
+                Peer kept = Peer.connect(platform.port).send(HEALTH)) {
             Program.await("it is sent", () -> platform.workerRequests.size() == 1);
             recording.add("health before", RawText.httpMessage(kept));
             platform.program().terminate();
@@ -230,8 +263,9 @@
             recording.add("health", platform.ask(HEALTH));
             recording.add("the management port", platform.manage("READY"));
             recording.add("a new request", platform.ask(request("q2", "read")));
-            recording.add("a request on a kept connection",
-                RawText.lastHttpMessage(kept.send(request("q3", "read"))));
+            recording.add(
+                    "a request on a kept connection",
+                    RawText.lastHttpMessage(kept.send(request("q3", "read"))));
             recording.add("an earlier request", RawText.lastHttpMessage(early));
         }
         assertEquals(143, platform.program().exit());
--- a/src/test/java/damsonslip/compatibility/RawText.java
+++ b/src/test/java/damsonslip/compatibility/RawText.java
@@ -1,6 +1,6 @@
 package damsonslip.compatibility;
 
-import damsonslip.kit.Peer;
+import damsonslip.testkit.Peer;
 import java.io.IOException;
 import java.net.SocketException;
 import java.util.regex.Matcher;
@@ -10,11 +10,12 @@
 final class RawText {
     /** What a transcript shows where the other side has closed the connection. */
     static final String CLOSED = "<connection closed>";
+
     private static final Pattern CONTENT_LENGTH =
-        Pattern.compile("(?i)\r\ncontent-length: *([0-9]+)\r\n");
+            Pattern.compile("(?i)\r\ncontent-length: *([0-9]+)\r\n");
     private static final Pattern HEADER = Pattern.compile("(?im)^([^:\r\n]+):.*$");
 
-    private RawText() { }
+    private RawText() {}
 
     /** An HTTP message: its head and as many bytes of content as its Content-Length tells. */
     static String httpMessage(Peer peer) throws IOException {
@@ -27,8 +28,9 @@
             head.append(next);
         }
         Matcher length = CONTENT_LENGTH.matcher(head);
-        return length.find() ? head + peer.bytes(Integer.parseInt(length.group(1)))
-            : head.toString();
+        return length.find()
+                ? head + peer.bytes(Integer.parseInt(length.group(1)))
+                : head.toString();
     }
 
     /** An HTTP message, and whether the connection is closed behind it. */
--- a/src/test/java/damsonslip/compatibility/Recording.java
+++ b/src/test/java/damsonslip/compatibility/Recording.java
@@ -17,8 +17,8 @@
  * A transcript of exchanges that is compared with a recorded one, byte for byte except for the
  * parts that a test declares to vary. Carriage returns, line feeds and backslashes are written as
  * {@code \r}, {@code \n} and {@code \\}, and each line feed also starts a new line of the
- * transcript. With the system property {@code damsonslip.wire.record} the transcript is written
- * to the test resources instead, and the test fails, so that no build passes in this mode.
+ * transcript. With the system property {@code damsonslip.wire.record} the transcript is written to
+ * the test resources instead, and the test fails, so that no build passes in this mode.
  */
 final class Recording {
     private static final String RECORD_PROPERTY = "damsonslip.wire.record";
--- a/src/test/java/damsonslip/compatibility/SavedDirectory.java
+++ b/src/test/java/damsonslip/compatibility/SavedDirectory.java
@@ -1,8 +1,8 @@
 package damsonslip.compatibility;
 
-import damsonslip.kit.Peer;
-import damsonslip.kit.Peer.Message;
-import damsonslip.kit.Program;
+import damsonslip.testkit.Peer;
+import damsonslip.testkit.Peer.Message;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -50,11 +50,16 @@
     }
 
     private Program start(Peer.Server discovery) throws IOException {
-        String known = saved("known-workers.json").replace("PORT-A", port(worker("worker-a")))
-            .replace("PORT-B", port(worker("worker-b")));
-        String config = saved("config.json").replace("PORT-LISTEN", Integer.toString(port))
-            .replace("PORT-MANAGEMENT", Integer.toString(management))
-            .replace("PORT-DISCOVERY", port(discovery)).replace("KNOWN-WORKERS", known.strip());
+        String known =
+                saved("known-workers.json")
+                        .replace("PORT-A", port(worker("worker-a")))
+                        .replace("PORT-B", port(worker("worker-b")));
+        String config =
+                saved("config.json")
+                        .replace("PORT-LISTEN", Integer.toString(port))
+                        .replace("PORT-MANAGEMENT", Integer.toString(management))
+                        .replace("PORT-DISCOVERY", port(discovery))
+                        .replace("KNOWN-WORKERS", known.strip());
         Program program = new Program(Program.file(directory, config), "serve");
         open.add(0, program);
         return program;
@@ -65,32 +70,36 @@
     }
 
     private Peer.Server discovery(boolean replies) throws IOException {
-        return server(peer -> {
-            peer.message();
-            if (replies) {
-                peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    .chunk("{\"generation\":7,\"reset\":false,\"instances\":[]}");
-            }
-            while (true) {
-                Thread.sleep(CHUNK_INTERVAL_MS);
-                if (replies) {
-                    peer.chunk("");
-                }
-            }
-        });
+        return server(
+                peer -> {
+                    peer.message();
+                    if (replies) {
+                        peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                                .chunk("{\"generation\":7,\"reset\":false,\"instances\":[]}");
+                    }
+                    while (true) {
+                        Thread.sleep(CHUNK_INTERVAL_MS);
+                        if (replies) {
+                            peer.chunk("");
+                        }
+                    }
+                });
     }
 
     private Peer.Server worker(String id) throws IOException {
         List<String> received = requests.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
-        return server(peer -> {
-            while (true) {
-                Message job = peer.message();
-                String jobId = String.valueOf(job.field("X-Correlation-Id"));
-                received.add(jobId);
-                String head = "{\"id\":\"" + jobId + "\",\"from\":\"" + id + "\",\"state\":\"";
-                peer.answerLines(head + "started\"}", head + "done\",\"result\":\"" + id + "\"}");
-            }
-        });
+        return server(
+                peer -> {
+                    while (true) {
+                        Message job = peer.message();
+                        String jobId = String.valueOf(job.field("X-Correlation-Id"));
+                        received.add(jobId);
+                        String head =
+                                "{\"id\":\"" + jobId + "\",\"from\":\"" + id + "\",\"state\":\"";
+                        peer.answerLines(
+                                head + "started\"}", head + "done\",\"result\":\"" + id + "\"}");
+                    }
+                });
     }
 
     private Peer.Server server(Peer.Handler handler) throws IOException {
@@ -102,9 +111,16 @@
     /** Sends a request and returns the reply. */
     Message request(String id) throws IOException {
         try (Peer client = Peer.connect(port)) {
-            return client.send("POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: " + id
-                + "\r\nX-Service-Class: read\r\nX-Time-Left: 4000m\r\nIdempotency-Key: k-" + id
-                + "\r\nContent-Length: 4\r\n\r\nbody").message();
+            return client.send(
+                            "POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
+                                    + id
+                                    + "\r\n"
+                                    + "X-Service-Class: read\r\n"
+                                    + "X-Time-Left: 4000m\r\n"
+                                    + "Idempotency-Key: k-"
+                                    + id
+                                    + "\r\nContent-Length: 4\r\n\r\nbody")
+                    .message();
         }
     }
 
--- a/src/test/java/damsonslip/compatibility/StoredEntries.java
+++ b/src/test/java/damsonslip/compatibility/StoredEntries.java
@@ -20,11 +20,12 @@
     private static final String BATCHES = "damsonslip:batch:" + StoredJobsScenario.SCHEDULER;
     private static final Pattern MILLIS = Pattern.compile("\\b1[0-9]{12}\\b");
     private static final Pattern INSTANT =
-        Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{8}(\\.[0-9]+)?Z");
+            Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{8}(\\.[0-9]+)?Z");
+
     /** A rejection names the time to wait. */
     private static final Pattern REJECTION_DELAY = Pattern.compile("after [0-9]+\\.[0-9]{3} s");
 
-    private StoredEntries() { }
+    private StoredEntries() {}
 
     static void write(Path file, List<List<String>> entries) throws IOException {
         StringBuilder text = new StringBuilder();
@@ -50,8 +51,12 @@
         long shiftMs = System.currentTimeMillis() - recordedMs;
         List<String> moved = new ArrayList<>();
         for (String line : lines.subList(1, lines.size())) {
-            moved.add(MILLIS.matcher(line).replaceAll(
-                found -> Long.toString(Long.parseLong(found.group()) + shiftMs)));
+            moved.add(
+                    MILLIS.matcher(line)
+                            .replaceAll(
+                                    found ->
+                                            Long.toString(
+                                                    Long.parseLong(found.group()) + shiftMs)));
         }
         return parse(moved);
     }
--- a/src/test/java/damsonslip/compatibility/StoredFilesTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredFilesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.kit.Program;
+import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -29,13 +29,14 @@
     private static final Path WRITTEN = Path.of("target/compatibility/stored");
     private static final Pattern MICROS = Pattern.compile("\\b1[0-9]{15}\\b");
     private static final int REQUESTS = 12;
+
     /** The program polls the directory each 100 ms. */
     private static final long SEVERAL_POLLS_MS = 500;
+
     /** So many that each of two workers gets some. */
     private static final int MANY_REQUESTS = 200;
 
-    @TempDir
-    Path temporary;
+    @TempDir Path temporary;
     private SavedDirectory directory;
 
     @BeforeEach
@@ -50,10 +51,13 @@
 
     private void assertWritten(String savedName, String name) throws IOException {
         Files.createDirectories(WRITTEN);
-        Files.copy(directory.path(name), WRITTEN.resolve(savedName),
-            StandardCopyOption.REPLACE_EXISTING);
-        assertEquals(masked(SavedDirectory.saved(savedName)),
-            masked(Files.readString(directory.path(name))));
+        Files.copy(
+                directory.path(name),
+                WRITTEN.resolve(savedName),
+                StandardCopyOption.REPLACE_EXISTING);
+        assertEquals(
+                masked(SavedDirectory.saved(savedName)),
+                masked(Files.readString(directory.path(name))));
     }
 
     private static String masked(String text) {
@@ -70,8 +74,8 @@
     }
 
     private void awaitCommands(Program program) {
-        Program.await("it takes commands", () -> directory.command("READY").startsWith("YES"),
-            program);
+        Program.await(
+                "it takes commands", () -> directory.command("READY").startsWith("YES"), program);
     }
 
     private void assertRequestsGoToTheOtherWorkerOnly(String prefix) throws IOException {
@@ -93,14 +97,14 @@
 
     private boolean bothWorkersServed() {
         return directory.received("worker-a", "known") > 0
-            && directory.received("worker-b", "known") > 0;
+                && directory.received("worker-b", "known") > 0;
     }
 
     @Test
     void writesOverridesInTheirSavedForm() throws Exception {
         awaitCommands(directory.startServing());
-        for (String change : new String[] {"DISABLE worker-a", "DISABLE worker-b",
-            "ENABLE worker-b"}) {
+        for (String change :
+                new String[] {"DISABLE worker-a", "DISABLE worker-b", "ENABLE worker-b"}) {
             String reply = directory.command(change);
             assertTrue(reply.startsWith("YES"), change + ": " + reply);
         }
@@ -121,8 +125,9 @@
         awaitCommands(directory.startServing());
         Path part = Files.writeString(directory.path("part"), SavedDirectory.saved(OVERRIDES));
         Files.move(part, directory.path(OVERRIDES), StandardCopyOption.ATOMIC_MOVE);
-        Program.await("the overrides are applied",
-            () -> directory.command("STATS").contains("router.targets_disabled:1|g"));
+        Program.await(
+                "the overrides are applied",
+                () -> directory.command("STATS").contains("router.targets_disabled:1|g"));
         assertRequestsGoToTheOtherWorkerOnly("request");
     }
 
@@ -133,8 +138,9 @@
         Files.writeString(directory.path(OVERRIDES), overrides);
         awaitCommands(directory.startServing());
         assertTrue(directory.command("DISABLE worker-b").startsWith("YES"));
-        assertEquals(overrides.replace("out worker-a\n", "out worker-a\nout worker-b\n"),
-            Files.readString(directory.path(OVERRIDES)));
+        assertEquals(
+                overrides.replace("out worker-a\n", "out worker-a\nout worker-b\n"),
+                Files.readString(directory.path(OVERRIDES)));
     }
 
     @Test
@@ -171,21 +177,25 @@
         Program program = directory.startServing();
         try (FileChannel successor = lockSavedMark(2, "damsonslip-mark-starting")) {
             Thread.sleep(SEVERAL_POLLS_MS);
-            assertFalse(program.said().contains("processes of this scheduler"),
-                "one that starts is no successor: " + program.said());
+            assertFalse(
+                    program.said().contains("processes of this scheduler"),
+                    "one that starts is no successor: " + program.said());
             successor.position(0);
-            successor.write(ByteBuffer.wrap(
-                Files.readAllBytes(SavedDirectory.SAVED.resolve("damsonslip-mark-serving"))));
-            program.awaitWord("processes of this scheduler: 2, this one is number 0, "
-                + "a successor serves");
+            successor.write(
+                    ByteBuffer.wrap(
+                            Files.readAllBytes(
+                                    SavedDirectory.SAVED.resolve("damsonslip-mark-serving"))));
+            program.awaitWord(
+                    "processes of this scheduler: 2, this one is number 0, "
+                            + "a successor serves");
         }
         program.awaitWord("processes of this scheduler: 1");
     }
 
     @Test
     void removesASavedMarkThatNobodyLocks() throws Exception {
-        Files.copy(SavedDirectory.SAVED.resolve("damsonslip-mark-serving"),
-            directory.path(MARK + 4));
+        Files.copy(
+                SavedDirectory.SAVED.resolve("damsonslip-mark-serving"), directory.path(MARK + 4));
         awaitCommands(directory.startServing());
         assertFalse(Files.exists(directory.path(MARK + 4)));
         assertTrue(Files.exists(directory.path(MARK + 1)));
--- a/src/test/java/damsonslip/compatibility/StoredJobsFormTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsFormTest.java
@@ -15,8 +15,7 @@
     static final Path SAVED = Path.of("src/test/resources/compatibility/stored/jobs.txt");
     private static final Path WRITTEN = Path.of("target/compatibility/stored/jobs.txt");
 
-    @TempDir
-    Path directory;
+    @TempDir Path directory;
 
     @Test
     void writesEveryEntryInItsSavedForm() throws Exception {
--- a/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
@@ -1,8 +1,8 @@
 package damsonslip.compatibility;
 
-import damsonslip.kit.FaktoryPeer;
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.RedisStandIn;
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.RedisStandIn;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -19,10 +19,13 @@
     private static final String WORK = ",\"queue\":\"work\"";
     private static final String IDLE = ",\"queue\":\"idle\"";
     private static final int DEADLINE_S = 600;
+
     /** Shorter than the scheduler needs, as long as no worker fetches the job. */
     private static final double REFUSED_DEADLINE_S = 0.3;
+
     /** Of a job whose deadline passes while the server is down. */
     private static final double FAILED_DEADLINE_S = 1.5;
+
     private static final long DOWN_MS = 1_600;
 
     private final FaktoryPeer producer;
@@ -53,8 +56,13 @@
 
     /** Its deadline passes while the server is down; the next start records that. */
     private static void storeFailedJob(FaktoryServer server) throws Exception {
-        expectOk(server.peer("").push("stored-failed", "list-report", FAILED_DEADLINE_S,
-            ",\"queue\":\"unfetched\""));
+        expectOk(
+                server.peer("")
+                        .push(
+                                "stored-failed",
+                                "list-report",
+                                FAILED_DEADLINE_S,
+                                ",\"queue\":\"unfetched\""));
         server.program().kill();
         server.program().exit();
         Thread.sleep(DOWN_MS);
@@ -81,13 +89,18 @@
     }
 
     private void storeWaitingJobs() throws IOException {
-        String later = Instant.now().plus(1, ChronoUnit.HOURS).truncatedTo(ChronoUnit.MILLIS)
-            .plusMillis(1).toString();
+        String later =
+                Instant.now()
+                        .plus(1, ChronoUnit.HOURS)
+                        .truncatedTo(ChronoUnit.MILLIS)
+                        .plusMillis(1)
+                        .toString();
         push("stored-queued", IDLE + ",\"priority\":7");
         push("stored-scheduled", IDLE + ",\"at\":\"" + later + "\"");
         push("stored-unique", IDLE + ",\"custom\":{\"unique_for\":3600}");
-        push("stored-unique-until-start", IDLE
-            + ",\"custom\":{\"unique_for\":3600,\"unique_until\":\"start\"},\"args\":[2]");
+        push(
+                "stored-unique-until-start",
+                IDLE + ",\"custom\":{\"unique_for\":3600,\"unique_until\":\"start\"},\"args\":[2]");
         push("stored-expiring", IDLE + ",\"custom\":{\"expires_at\":3600}");
         push("stored-paused", ",\"queue\":\"paused\"");
         expectOk(producer.call("QUEUE PAUSE paused"));
@@ -103,13 +116,19 @@
         pushAndFetch("stored-dead-once", WORK + ",\"custom\":{\"class\":\"apply-submit\"}");
         expectOk(worker.fail("stored-dead-once"));
         pushAndFetch("stored-retry", WORK + ",\"retry\":5,\"backtrace\":2");
-        expectOk(worker.call("FAIL {\"jid\":\"stored-retry\",\"errtype\":\"StoredError\","
-            + "\"message\":\"stored message\",\"backtrace\":[\"line 1\",\"line 2\",\"line 3\"]}"));
+        expectOk(
+                worker.call(
+                        "FAIL {\"jid\":\"stored-retry\",\"errtype\":\"StoredError\",\"message\":\"stored"
+                            + " message\",\"backtrace\":[\"line 1\",\"line 2\",\"line 3\"]}"));
     }
 
     private void storeAwaitedJobs() throws IOException {
-        expectOk(producer.push("stored-refused", "list-report", REFUSED_DEADLINE_S,
-            ",\"queue\":\"unfetched\""));
+        expectOk(
+                producer.push(
+                        "stored-refused",
+                        "list-report",
+                        REFUSED_DEADLINE_S,
+                        ",\"queue\":\"unfetched\""));
         FaktoryServer.awaitState(producer, "stored-refused", "failed");
         pushAwaitedAndFetch("stored-refused-after-run", ",\"retry\":0");
         expectOk(worker.fail("stored-refused-after-run"));
@@ -143,9 +162,16 @@
 
     private String newBatch(String description, String more) throws IOException {
         String queue = ",\"args\":[],\"queue\":\"callbacks-" + description + "\"}";
-        return producer.call("BATCH NEW {\"description\":\"" + description + "\"" + more
-            + ",\"success\":{\"jobtype\":\"S\"" + queue + ",\"complete\":{\"jobtype\":\"C\"" + queue
-            + "}");
+        return producer.call(
+                "BATCH NEW {\"description\":\""
+                        + description
+                        + "\""
+                        + more
+                        + ",\"success\":{\"jobtype\":\"S\""
+                        + queue
+                        + ",\"complete\":{\"jobtype\":\"C\""
+                        + queue
+                        + "}");
     }
 
     private void commit(String bid) throws IOException {
--- a/src/test/java/damsonslip/compatibility/StoredJobsTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsTest.java
@@ -6,9 +6,9 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
-import damsonslip.kit.FaktoryPeer;
-import damsonslip.kit.FaktoryServer;
-import damsonslip.kit.RedisStandIn;
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.RedisStandIn;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.List;
@@ -23,24 +23,31 @@
 class StoredJobsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String TYPE_MEMBER = "member";
+
     /** The state of each saved job, in the words of TRACK GET. */
-    private static final Map<String, String> STATES = Map.ofEntries(
-        Map.entry("stored-queued", "enqueued"), Map.entry("stored-unique", "enqueued"),
-        Map.entry("stored-unique-until-start", "enqueued"),
-        Map.entry("stored-expiring", "enqueued"), Map.entry("stored-paused", "enqueued"),
-        Map.entry("stored-open-batch-job", "enqueued"),
-        Map.entry("stored-child-batch-job", "enqueued"),
-        Map.entry("stored-scheduled", "enqueued"), Map.entry("stored-retry", "failed"),
-        Map.entry("stored-dead", "dead"), Map.entry("stored-dead-once", "dead"),
-        Map.entry("stored-reserved", "working"),
-        Map.entry("stored-reserved-awaited", "enqueued"),
-        Map.entry("stored-refused-after-run", "failed"),
-        Map.entry("stored-success", "success"), Map.entry("stored-discarded", "discarded"),
-        Map.entry("stored-complete-batch-job", "success"),
-        Map.entry("stored-failed", "failed"), Map.entry("stored-refused", "failed"));
-
-    @TempDir
-    Path directory;
+    private static final Map<String, String> STATES =
+            Map.ofEntries(
+                    Map.entry("stored-queued", "enqueued"),
+                    Map.entry("stored-unique", "enqueued"),
+                    Map.entry("stored-unique-until-start", "enqueued"),
+                    Map.entry("stored-expiring", "enqueued"),
+                    Map.entry("stored-paused", "enqueued"),
+                    Map.entry("stored-open-batch-job", "enqueued"),
+                    Map.entry("stored-child-batch-job", "enqueued"),
+                    Map.entry("stored-scheduled", "enqueued"),
+                    Map.entry("stored-retry", "failed"),
+                    Map.entry("stored-dead", "dead"),
+                    Map.entry("stored-dead-once", "dead"),
+                    Map.entry("stored-reserved", "working"),
+                    Map.entry("stored-reserved-awaited", "enqueued"),
+                    Map.entry("stored-refused-after-run", "failed"),
+                    Map.entry("stored-success", "success"),
+                    Map.entry("stored-discarded", "discarded"),
+                    Map.entry("stored-complete-batch-job", "success"),
+                    Map.entry("stored-failed", "failed"),
+                    Map.entry("stored-refused", "failed"));
+
+    @TempDir Path directory;
     private List<List<String>> saved;
     private FaktoryServer server;
     private FaktoryPeer producer;
@@ -83,8 +90,9 @@
     @Test
     void reportsWhyJobsEnded() throws IOException {
         assertEquals("failed, with no retry; E: m", description("stored-discarded"));
-        assertEquals("it may have run and its class must not run twice; E: m",
-            description("stored-dead-once"));
+        assertEquals(
+                "it may have run and its class must not run twice; E: m",
+                description("stored-dead-once"));
         assertTrue(description("stored-refused").startsWith("throttled, retry after"));
         assertEquals("out of time", description("stored-failed"));
     }
@@ -96,8 +104,14 @@
     @Test
     void handsOutQueuedJobsByPriorityAndArrival() throws IOException {
         FaktoryPeer worker = server.peer("w2");
-        for (String jid : List.of("stored-queued", "stored-unique", "stored-unique-until-start",
-                "stored-expiring", "stored-open-batch-job", "stored-child-batch-job")) {
+        for (String jid :
+                List.of(
+                        "stored-queued",
+                        "stored-unique",
+                        "stored-unique-until-start",
+                        "stored-expiring",
+                        "stored-open-batch-job",
+                        "stored-child-batch-job")) {
             JsonNode job = fetch(worker, "idle");
             assertEquals(jid, job.path("jid").asText());
             assertEquals("t", job.path("jobtype").asText());
@@ -200,8 +214,9 @@
         assertEquals(batch("open"), status("child").path("parent_bid").asText());
     }
 
-    private void assertBatch(String description, int total, int pending, String complete,
-                             String success) throws IOException {
+    private void assertBatch(
+            String description, int total, int pending, String complete, String success)
+            throws IOException {
         JsonNode status = status(description);
         assertEquals(description, status.path("description").asText());
         assertEquals(total, status.path("total").asInt(), status.toString());
@@ -233,8 +248,11 @@
     @Test
     void endsBatchesThatWereOpenWithTheirCallbacks() throws IOException {
         FaktoryPeer worker = server.peer("w2");
-        assertEquals("+OK", producer.plain("later-batch-job",
-            ",\"queue\":\"late\",\"custom\":{\"bid\":\"" + batch("open") + "\"}"));
+        assertEquals(
+                "+OK",
+                producer.plain(
+                        "later-batch-job",
+                        ",\"queue\":\"late\",\"custom\":{\"bid\":\"" + batch("open") + "\"}"));
         assertEquals("+OK", producer.call("BATCH COMMIT " + batch("open")));
         fetchUntil(worker, "stored-child-batch-job");
         assertEquals("+OK", worker.ack(worker.fetch("late", 2_000)));
--- a/src/test/java/damsonslip/testkit/RedisStandIn.java
+++ b/src/test/java/damsonslip/testkit/RedisStandIn.java
@@ -55,15 +55,19 @@
     }
 
     /**
-     * Everything in the store, an entry a list: its type, its key and its value, or the member of a set, or the field of a
-     * hash and its value.
+     * Everything in the store, an entry a list: its type, its key and its value, or the member of a
+     * set, or the field of a hash and its value.
      */
     public synchronized List<List<String>> entries() {
         List<List<String>> entries = new ArrayList<>();
         texts.forEach((key, value) -> entries.add(List.of(TEXT, key, value)));
-        sets.forEach((key, members) -> members.forEach(member -> entries.add(List.of(MEMBER, key, member))));
-        hashes.forEach((key, fields) -> fields.forEach((field, value) ->
-            entries.add(List.of(FIELD, key, field, value))));
+        sets.forEach(
+                (key, members) ->
+                        members.forEach(member -> entries.add(List.of(MEMBER, key, member))));
+        hashes.forEach(
+                (key, fields) ->
+                        fields.forEach(
+                                (field, value) -> entries.add(List.of(FIELD, key, field, value))));
         return entries;
     }
 
@@ -74,7 +78,9 @@
             switch (entry.get(0)) {
                 case TEXT -> texts.put(key, entry.get(2));
                 case MEMBER -> sets.computeIfAbsent(key, k -> new TreeSet<>()).add(entry.get(2));
-                case FIELD -> hashes.computeIfAbsent(key, k -> new TreeMap<>()).put(entry.get(2), entry.get(3));
+                case FIELD ->
+                        hashes.computeIfAbsent(key, k -> new TreeMap<>())
+                                .put(entry.get(2), entry.get(3));
                 default -> throw new IllegalArgumentException("not an entry: " + entry);
             }
         }
