--- a/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
+++ b/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
@@ -34,6 +34,33 @@
             "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\","
                     + "\"settings\":{\"instances\":1,\"lanes\":[{\"name\":\"read\"}]}}";
 
+    private static final List<String> WRONG_PLATFORM_FILES =
+            List.of(
+                    "",
+                    "{",
+                    "[]",
+                    "{}",
+                    "nonsense",
+                    GOOD.replace("\"listen\":\"127.0.0.1:1\",", ""),
+                    GOOD.replace("\"discovery\":\"127.0.0.1:1\",", ""),
+                    GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
+                    GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
+                    GOOD.replace("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
+                    GOOD.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
+                    GOOD.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
+                    GOOD.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
+                    GOOD.replace("\"settings\"", "\"other\""),
+                    GOOD.replace("\"instances\":1,", ""),
+                    GOOD.replace("\"instances\":1", "\"instances\":\"one\""),
+                    GOOD.replace("\"instances\":1", "\"instances\":0"),
+                    GOOD.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
+                    GOOD.replace("\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
+                    GOOD.replace(
+                            "\"instances\":1", "\"instances\":1,\"reporting\":{\"how\":\"other\"}"),
+                    GOOD.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
+                    GOOD.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
+                    GOOD.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""));
+
     @TempDir Path dir;
 
     /** The exit code and what was written apart from log lines, which begin with a time. */
@@ -59,50 +86,21 @@
     }
 
     @Test
-    void tellsWhatIsWrongWithThePlatformsFile() throws Exception {
+    void reportsErrorsOfThePlatformsFile() throws Exception {
         Recording recording =
                 new Recording("errors-platform")
                         .masking("config: " + dir + "/[^:]*:", "config: <file>:");
         recording.add("no file is named", end(new Program(null, NO_ADDRESSES, List.of(), "serve")));
         recording.add("file missing", platform(dir.resolve("missing.json")));
         recording.add("a folder", platform(Files.createDirectory(dir.resolve("folder"))));
-        for (String text :
-                List.of(
-                        "",
-                        "{",
-                        "[]",
-                        "{}",
-                        "nonsense",
-                        GOOD.replace("\"listen\":\"127.0.0.1:1\",", ""),
-                        GOOD.replace("\"discovery\":\"127.0.0.1:1\",", ""),
-                        GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
-                        GOOD.replace(
-                                "\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
-                        GOOD.replace(
-                                "\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
-                        GOOD.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
-                        GOOD.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
-                        GOOD.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
-                        GOOD.replace("\"settings\"", "\"other\""),
-                        GOOD.replace("\"instances\":1,", ""),
-                        GOOD.replace("\"instances\":1", "\"instances\":\"one\""),
-                        GOOD.replace("\"instances\":1", "\"instances\":0"),
-                        GOOD.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
-                        GOOD.replace(
-                                "\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
-                        GOOD.replace(
-                                "\"instances\":1",
-                                "\"instances\":1,\"reporting\":{\"how\":\"other\"}"),
-                        GOOD.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
-                        GOOD.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
-                        GOOD.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""))) {
+        for (String text : WRONG_PLATFORM_FILES) {
             recording.add(text, platform(Program.file(dir, text)));
         }
         recording.verify();
     }
 
     @Test
-    void tellsWhichAddressIsInUse() throws Exception {
+    void reportsAnAddressInUse() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             Recording recording =
@@ -139,7 +137,7 @@
     }
 
     @Test
-    void tellsWhatIsWrongWithFaktorysFile() throws Exception {
+    void reportsErrorsOfTheFaktoryFile() throws Exception {
         Recording recording =
                 new Recording("errors-faktory")
                         .masking("nowhere:[0-9]+", "nowhere:<port>")
@@ -179,7 +177,7 @@
     }
 
     @Test
-    void tellsHowItIsCalled() throws Exception {
+    void reportsUsage() throws Exception {
         Recording recording = new Recording("errors-command-line");
         for (String line :
                 List.of(
--- a/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
+++ b/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
@@ -14,6 +14,43 @@
 class FaktoryWireTest {
     private static final String JOB =
             "PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1],\"queue\":\"default\"}";
+
+    private static final String WITH_DEADLINE =
+            ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}";
+
+    private static final List<String> WRONG_COMMANDS =
+            List.of(
+                    "PUSH {",
+                    "PUSH",
+                    "PUSH []",
+                    "PUSHB {}",
+                    "PUSH {}",
+                    "JUMP",
+                    "push {}",
+                    JOB.replace("job-00001", "short"),
+                    JOB.replace("job-00001", "job 00001"),
+                    JOB.replace("\"jobtype\":\"t\",", ""),
+                    JOB.replace("[1]", "1"),
+                    JOB.replace("\"default\"", "\"no name\""),
+                    JOB.replace("}", ",\"at\":\"soon\"}"),
+                    JOB.replace("}", ",\"custom\":{\"class\":\"no-such\"}}"),
+                    JOB.replace("}", ",\"custom\":{\"deadline\":\"soon\"}}"),
+                    JOB.replace("}", ",\"custom\":{\"unique_until\":\"later\",\"unique_for\":5}}"),
+                    JOB.replace("}", ",\"custom\":{\"bid\":\"b-none\"}}"),
+                    "FETCH default",
+                    "ACK {\"jid\":\"job-00001\"}",
+                    "ACK {}",
+                    "FAIL {}",
+                    "BEAT {\"wid\":\"w9\"}",
+                    "TRACK",
+                    "TRACK JUMP x",
+                    "TRACK SET {}",
+                    "QUEUE PAUSE",
+                    "BATCH",
+                    "MUTATE {}",
+                    JOB.replace("}", ",\"custom\":{\"unique_for\":60}}"),
+                    JOB.replace("00001", "00002").replace("}", ",\"custom\":{\"unique_for\":60}}"));
+
     private static final String HELLO = "HELLO {\"v\":2,\"wid\":\"\"}";
 
     @TempDir Path dir;
@@ -152,40 +189,7 @@
     void tellsCommonErrors() throws Exception {
         start("faktory-errors", "");
         Peer producer = greeted("");
-        for (String wrong :
-                List.of(
-                        "PUSH {",
-                        "PUSH",
-                        "PUSH []",
-                        "PUSHB {}",
-                        "PUSH {}",
-                        "JUMP",
-                        "push {}",
-                        JOB.replace("job-00001", "short"),
-                        JOB.replace("job-00001", "job 00001"),
-                        JOB.replace("\"jobtype\":\"t\",", ""),
-                        JOB.replace("[1]", "1"),
-                        JOB.replace("\"default\"", "\"no name\""),
-                        JOB.replace("}", ",\"at\":\"soon\"}"),
-                        JOB.replace("}", ",\"custom\":{\"class\":\"no-such\"}}"),
-                        JOB.replace("}", ",\"custom\":{\"deadline\":\"soon\"}}"),
-                        JOB.replace(
-                                "}", ",\"custom\":{\"unique_until\":\"later\",\"unique_for\":5}}"),
-                        JOB.replace("}", ",\"custom\":{\"bid\":\"b-none\"}}"),
-                        "FETCH default",
-                        "ACK {\"jid\":\"job-00001\"}",
-                        "ACK {}",
-                        "FAIL {}",
-                        "BEAT {\"wid\":\"w9\"}",
-                        "TRACK",
-                        "TRACK JUMP x",
-                        "TRACK SET {}",
-                        "QUEUE PAUSE",
-                        "BATCH",
-                        "MUTATE {}",
-                        JOB.replace("}", ",\"custom\":{\"unique_for\":60}}"),
-                        JOB.replace("00001", "00002")
-                                .replace("}", ",\"custom\":{\"unique_for\":60}}"))) {
+        for (String wrong : WRONG_COMMANDS) {
             say(producer, wrong);
         }
         recording.verify();
@@ -202,9 +206,7 @@
                     RawText.line(
                             producer.send(
                                     JOB.replace("job-00001", "job-000" + i)
-                                                    .replace(
-                                                            "}",
-                                                            ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}")
+                                                    .replace("}", WITH_DEADLINE)
                                             + "\r\n"));
         }
         recording.add("throttled", reply).verify();
--- a/src/test/java/damsonslip/compatibility/PlatformProgram.java
+++ b/src/test/java/damsonslip/compatibility/PlatformProgram.java
@@ -97,7 +97,8 @@
                         + id
                         + "\",\"hostPort\":\"127.0.0.1:"
                         + server.port()
-                        + "\",\"zone\":\"z\",\"machineType\":\"k\",\"cell\":0,\"lifecycle\":\"ready\","
+                        + "\",\"zone\":\"z\",\"machineType\":\"k\",\"cell\":0,"
+                        + "\"lifecycle\":\"ready\","
                         + "\"weight\":1.0,\"startedAtMs\":0}");
         return this;
     }
@@ -168,7 +169,8 @@
                 + ","
                 + lane("submit", "once")
                 + "],\"limits\":{\"send_cap\":5,\"may_cancel\":true,"
-                + "\"conn_idle_s\":20,\"dial_timeout_s\":0.25},\"guarantees\":{\"drain_grace_s\":0.5},"
+                + "\"conn_idle_s\":20,\"dial_timeout_s\":0.25},"
+                + "\"guarantees\":{\"drain_grace_s\":0.5},"
                 + "\"specifics\":{\"tells_start\":true}}}";
     }
 
--- a/src/test/java/damsonslip/compatibility/PlatformWireTest.java
+++ b/src/test/java/damsonslip/compatibility/PlatformWireTest.java
@@ -234,7 +234,9 @@
                                                 "\"may_cancel\":true,\"may_probe\":true")
                                         .replace(
                                                 "\"lanes\"",
-                                                "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
+                                                "\"reporting\":{\"how\":\"pull\","
+                                                        + "\"fields\":[\"x0\"]},"
+                                                        + "\"lanes\""));
         Program.await("two probes", () -> platform.workerRequests.size() >= 2);
         recording("platform-probe")
                 .add("the first", platform.workerRequests.get(0))
--- a/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
@@ -118,8 +118,9 @@
         pushAndFetch("stored-retry", WORK + ",\"retry\":5,\"backtrace\":2");
         expectOk(
                 worker.call(
-                        "FAIL {\"jid\":\"stored-retry\",\"errtype\":\"StoredError\",\"message\":\"stored"
-                            + " message\",\"backtrace\":[\"line 1\",\"line 2\",\"line 3\"]}"));
+                        "FAIL {\"jid\":\"stored-retry\",\"errtype\":\"StoredError\","
+                                + "\"message\":\"stored"
+                                + " message\",\"backtrace\":[\"line 1\",\"line 2\",\"line 3\"]}"));
     }
 
     private void storeAwaitedJobs() throws IOException {
