--- a/src/main/java/damsonslip/tools/lab/Heap.java
+++ b/src/main/java/damsonslip/tools/lab/Heap.java
@@ -17,12 +17,16 @@
      * own buffers exist.
      */
     static double retainedKb(Supplier<?> make) {
-        make.get();
+        Object first = make.get();
+        Reference.reachabilityFence(first);
+        first = null;
         long before = used();
-        Object kept = make.get();
-        long after = used();
-        Reference.reachabilityFence(kept);
-        return Math.max(0, after - before) / 1024.0;
+        Object retained = make.get();
+        try {
+            return Math.max(0, used() - before) / 1024.0;
+        } finally {
+            Reference.reachabilityFence(retained);
+        }
     }
 
     private static long used() {
