--- a/src/test/java/damsonslip/DeployTest.java
+++ b/src/test/java/damsonslip/DeployTest.java
@@ -20,28 +20,51 @@
 class DeployTest {
     private static final Path SOURCES = Path.of("src/main/java/damsonslip");
 
-    /** Commands of their own, which no scheduler runs. */
-    private static final Set<String> TOOLS = Set.of("tools");
+    /** Commands that no scheduler runs, and the decisions, whose files are named one by one. */
+    private static final Set<String> NOT_IN_NODE = Set.of("tools", "policy");
 
     @Test
-    void policyAndNodeNameEverySourceOfTheScheduler() throws IOException {
-        Set<String> named =
-                Pattern.compile("\"src/main/java/damsonslip/([^\"]+)\"")
-                        .matcher(Files.readString(Path.of("deploy/balancer.toml")))
-                        .results()
-                        .map(found -> found.group(1))
-                        .collect(Collectors.toCollection(TreeSet::new));
-        try (Stream<Path> there = Files.list(SOURCES)) {
-            assertEquals(
-                    there.map(path -> path.getFileName().toString())
-                            .filter(name -> !TOOLS.contains(name))
-                            .collect(Collectors.toCollection(TreeSet::new)),
-                    named);
+    void policyNamesEveryFileThatDecides() throws IOException {
+        try (Stream<Path> files = Files.list(SOURCES.resolve("policy"))) {
+            assertEquals(names(files.filter(Files::isRegularFile)), named("policy"));
         }
     }
 
     @Test
-    void theSchedulerIsOneProcessThatTheShellBecomes() throws IOException {
+    void nodeNamesEveryFolderOfTheScheduler() throws IOException {
+        try (Stream<Path> folders = Files.list(SOURCES)) {
+            TreeSet<String> expected =
+                    names(folders.filter(path -> !NOT_IN_NODE.contains(name(path))));
+            expected.add("policy/api");
+            assertEquals(expected, named("node"));
+        }
+    }
+
+    private static String name(Path path) {
+        return path.getFileName().toString();
+    }
+
+    private static TreeSet<String> names(Stream<Path> paths) {
+        return paths.map(path -> SOURCES.relativize(path).toString())
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    /** The paths below the sources that this key of the deploy file lists. */
+    private static TreeSet<String> named(String key) throws IOException {
+        String line =
+                Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                        .filter(each -> each.startsWith(key + " = "))
+                        .findFirst()
+                        .orElseThrow();
+        return Pattern.compile("\"src/main/java/damsonslip/([^\"]+)\"")
+                .matcher(line)
+                .results()
+                .map(found -> found.group(1))
+                .collect(Collectors.toCollection(TreeSet::new));
+    }
+
+    @Test
+    void runExecutesOneProcess() throws IOException {
         String run =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(line -> line.startsWith("run = "))
@@ -56,7 +79,7 @@
      * calendars of the world.
      */
     @Test
-    void startsMakeNoCodeAndLoadNoLocales() throws IOException {
+    void startsGenerateNoCodeAndLoadNoLocales() throws IOException {
         try (Stream<Path> classes = Files.walk(Path.of("target/classes"))) {
             for (Path path : classes.filter(file -> file.toString().endsWith(".class")).toList()) {
                 String code = Files.readString(path, StandardCharsets.ISO_8859_1);
