--- /dev/null
+++ b/src/main/java/damsonslip/policy/AdmissionControl.java
@@ -0,0 +1,119 @@
+package damsonslip.policy;
+
+/**
+ * Admits or rejects jobs as they arrive, by their tenant's quota and their class's threshold, and
+ * sends admitted ones at once if a worker has room.
+ */
+final class AdmissionControl {
+    /**
+     * Jobs within quotas may exceed the threshold's share by so many of its square roots. Guards
+     * against shares of a few jobs, which by themselves would reject half of what there is room
+     * for.
+     */
+    private static final double THRESHOLD_DEVIATIONS = 2;
+
+    /** The excess is allowed in full while this share of the pool is free, and shrinks below. */
+    private static final double EXCESS_PER_FREE_SHARE = 2;
+
+    private final DecisionContext context;
+    private final TenantQuotas quotas;
+    private final WorkerAvailability availability;
+    private final CapacityEstimator capacity;
+    private final WorkerSelector selector;
+    private final SlotBorrowing borrowing;
+    private final CandidateProbing candidates;
+    private final QueueDispatcher queues;
+    private final AttemptSender sender;
+    private final JobCompletion completion;
+    private int overQuota;
+
+    AdmissionControl(
+            DecisionContext context,
+            TenantQuotas quotas,
+            WorkerAvailability availability,
+            CapacityEstimator capacity,
+            WorkerSelector selector,
+            SlotBorrowing borrowing,
+            CandidateProbing candidates,
+            QueueDispatcher queues,
+            AttemptSender sender,
+            JobCompletion completion) {
+        this.context = context;
+        this.quotas = quotas;
+        this.availability = availability;
+        this.capacity = capacity;
+        this.selector = selector;
+        this.borrowing = borrowing;
+        this.candidates = candidates;
+        this.queues = queues;
+        this.sender = sender;
+        this.completion = completion;
+    }
+
+    /** Sends, queues or answers a job that has just arrived. */
+    void admit(Job job) {
+        WorkerPool pool = job.homePool();
+        boolean withinQuota = quotas.tryAcquire(job.tenant(), context.settings(), context.nowUs());
+        Worker worker =
+                pool.queue().isEmpty() || job.hasAffinity()
+                        ? selector.select(pool, job, false)
+                        : null;
+        boolean slotFree = worker != null && hasFreeSlots(worker, job);
+        if (!withinQuota && !isSpare(pool, slotFree)) {
+            overQuota++;
+            completion.answerUnserved(job);
+            return;
+        }
+        pool.arrivalRate().countArrival();
+        if (!availability.mayWait()) {
+            completion.answerUnserved(job);
+        } else if (!slotFree && exceedsThreshold(pool)) {
+            borrowOrReject(job);
+        } else if (worker != null && !candidates.isNeeded(job)) {
+            sender.send(job, worker);
+        } else {
+            enqueue(job);
+        }
+    }
+
+    /** For a job with an affinity key all schedulers choose alike, so that only a report counts. */
+    private boolean hasFreeSlots(Worker worker, Job job) {
+        boolean known = !job.hasAffinity() || worker.load().hasReport();
+        return known && capacity.freeSlots(worker) >= job.slots();
+    }
+
+    private boolean isSpare(WorkerPool pool, boolean slotFree) {
+        return slotFree && capacity.freeShare(pool) >= SlotBorrowing.SPARE_SHARE;
+    }
+
+    /** In overload all schedulers would use the allowed excess, so it shrinks as the pool fills. */
+    private boolean exceedsThreshold(WorkerPool pool) {
+        double free = Math.min(1, EXCESS_PER_FREE_SHARE * capacity.freeShare(pool));
+        double share = pool.admissionShare();
+        return pool.jobsPresent() > share + THRESHOLD_DEVIATIONS * Math.sqrt(share) * free;
+    }
+
+    private void borrowOrReject(Job job) {
+        Worker worker = job.hasAffinity() ? null : borrowing.borrow(job);
+        if (worker != null) {
+            sender.send(job, worker);
+        } else {
+            completion.answerUnserved(job);
+        }
+    }
+
+    private void enqueue(Job job) {
+        AdmissionQueue queue = job.homePool().queue();
+        queue.add(job);
+        if (candidates.isNeeded(job)) {
+            // its candidates may be others than the workers that were full
+            queue.setBlocked(false);
+        }
+        queues.dispatch(job.homePool());
+    }
+
+    /** How many jobs were rejected because of their tenant's quota. */
+    int overQuota() {
+        return overQuota;
+    }
+}
--- a/src/main/java/damsonslip/policy/AdmissionThreshold.java
+++ b/src/main/java/damsonslip/policy/AdmissionThreshold.java
@@ -1,67 +1,127 @@
 package damsonslip.policy;
 
-/** How many jobs of a class may be present at once: the paper's search by revenue. */
+/**
+ * Searches how many jobs of a class may be present at once, by revenue in an M/M/n/K queue.
+ *
+ * <p>The threshold K rises while the revenue {@code V(K) = lambda * sum of p_j * c * P(W_j <= q)}
+ * over {@code j < K} grows by more than epsilon, a part of {@code lambda * c}. There p_j is the
+ * probability of j jobs present, W_j the response time of a job that finds j others, q the latency
+ * objective and c the value of a job in time. Each step takes constant time.
+ *
+ * <p>Rates and times share one unit of time, here the second. An instance is the state of one
+ * search.
+ */
 final class AdmissionThreshold {
-    /**
-     * The threshold search stops when a step brings less than this part of what all jobs are worth.
-     */
+    /** The search stops when a step adds less than this part of what all jobs are worth. */
     static final double EPSILON = 1e-4;
 
-    /**
-     * No threshold above this many jobs for each slot: a queue this long is late whatever else
-     * holds.
-     */
-    private static final int MOST_PER_SLOT = 8;
+    /** A queue longer than this many jobs for each slot is late whatever else holds. */
+    private static final int MAX_JOBS_PER_SLOT = 8;
+
+    /** The probabilities are rescaled above this sum, so that they stay finite. */
+    private static final double RESCALE_ABOVE = 1e200;
+
+    private final int slots;
+    private final double arrivalRate;
+    private final double serviceRate;
+    private final double objective;
 
-    private AdmissionThreshold() {}
+    /** P(W_j <= q) while a slot is free, that is j < n. */
+    private final double inTimeWithoutQueue;
+
+    /** Logarithm of the Poisson probability of i jobs done within q, i = j - n + 1. */
+    private double logPoisson;
+
+    /** P(Erlang(i, n mu) > q): the slot comes free only after the objective. */
+    private double slotFreeTooLate;
+
+    /** P(Erlang(i, n mu) <= q, but the job itself ends after q). */
+    private double slotFreeButLate;
+
+    /** p_j, neither normalised nor on a fixed scale. */
+    private double probability = 1;
+
+    private double probabilitySum = 1;
+    private double revenueSum;
+
+    private AdmissionThreshold(
+            int slots, double arrivalRate, double serviceRate, double objective) {
+        this.slots = slots;
+        this.arrivalRate = arrivalRate;
+        this.serviceRate = serviceRate;
+        this.objective = objective;
+        this.inTimeWithoutQueue = -Math.expm1(-serviceRate * objective);
+        this.logPoisson = -slots * serviceRate * objective;
+        this.slotFreeTooLate = Math.exp(logPoisson);
+        this.slotFreeButLate = Math.exp(-serviceRate * objective);
+        this.revenueSum = inTimeWithoutQueue;
+    }
 
     /**
-     * The paper's search: K rises while V(K) = lambda sum_{j<K} p_j (c - c P(W_j > q)) grows by
-     * more than epsilon (a part of lambda c), in M/M/n/K with the response-time measure. O(1) a
-     * step.
+     * Returns the threshold K, at least 1.
+     *
+     * @param slots number n of slots that serve the class
+     * @param arrivalRate lambda, jobs a second
+     * @param serviceRate mu, jobs a second and slot
+     * @param objective q, seconds
+     * @param jobValue c, what a job in time is worth
      */
-    static int search(int n, double lambda, double mu, double q, double c, double epsilon) {
-        if (n < 1 || lambda <= 0) {
-            return Math.max(1, n);
+    static int search(
+            int slots,
+            double arrivalRate,
+            double serviceRate,
+            double objective,
+            double jobValue,
+            double epsilon) {
+        if (slots < 1 || arrivalRate <= 0) {
+            return Math.max(1, slots);
         }
-        double servedInTime = -Math.expm1(-mu * q); // P(W_j <= q) while j < n
-        double logPoisson = -n * mu * q; // log of e^(-n mu q) (n mu q)^k / k!, k jobs done in q
-        double below = Math.exp(logPoisson); // P(Erlang(k, n mu) > q), k = j - n + 1
-        double mixed = Math.exp(-mu * q); // P(Erlang(k) <= q, and the job's own time ends after q)
-        double weight = 1; // p_j, unnormalised and rescaled
-        double sum = 1;
-        double earned = servedInTime;
+        AdmissionThreshold search =
+                new AdmissionThreshold(slots, arrivalRate, serviceRate, objective);
         double best = -1;
-        int most = MOST_PER_SLOT * n + 1;
-        for (int k = 1; k <= most; k++) {
-            // here sum = p_0 + .. + p_{k-1} and earned goes over the same j; p_k completes the norm
-            double next = weight * lambda / (mu * Math.min(k, n));
-            double v = lambda * c * earned / (sum + next);
-            if (v - best <= epsilon * lambda * c) {
-                return Math.max(1, k - 1);
-            }
-            best = v;
-            weight = next;
-            sum += weight;
-            double inTime = servedInTime;
-            if (k >= n) {
-                int ahead = k - n + 1;
-                double poisson = Math.exp(logPoisson);
-                mixed =
-                        n == 1
-                                ? poisson * mu * q / ahead
-                                : Math.max(0, (mixed - poisson) * n / (n - 1));
-                inTime = Math.max(0, 1 - below - mixed);
-                logPoisson += Math.log(n * mu * q / ahead);
-                below += Math.exp(logPoisson);
-            }
-            earned += weight * inTime;
-            if (sum > 1e200) {
-                weight /= sum;
-                earned /= sum;
-                sum = 1;
+        int max = MAX_JOBS_PER_SLOT * slots + 1;
+        for (int threshold = 1; threshold <= max; threshold++) {
+            double next = search.nextProbability(threshold);
+            double revenue =
+                    arrivalRate * jobValue * search.revenueSum / (search.probabilitySum + next);
+            if (revenue - best <= epsilon * arrivalRate * jobValue) {
+                return Math.max(1, threshold - 1);
             }
+            best = revenue;
+            search.advance(threshold, next);
+        }
+        return max;
+    }
+
+    private double nextProbability(int present) {
+        return probability * arrivalRate / (serviceRate * Math.min(present, slots));
+    }
+
+    private void advance(int present, double nextProbability) {
+        probability = nextProbability;
+        probabilitySum += probability;
+        revenueSum += probability * inTimeProbability(present);
+        if (probabilitySum > RESCALE_ABOVE) {
+            probability /= probabilitySum;
+            revenueSum /= probabilitySum;
+            probabilitySum = 1;
+        }
+    }
+
+    /** P(W_j <= q) for the next j; has to be called once for each, in rising order. */
+    private double inTimeProbability(int present) {
+        if (present < slots) {
+            return inTimeWithoutQueue;
         }
-        return most;
+        int ahead = present - slots + 1;
+        double poisson = Math.exp(logPoisson);
+        slotFreeButLate =
+                slots == 1
+                        ? poisson * serviceRate * objective / ahead
+                        : Math.max(0, (slotFreeButLate - poisson) * slots / (slots - 1));
+        double inTime = Math.max(0, 1 - slotFreeTooLate - slotFreeButLate);
+        logPoisson += Math.log(slots * serviceRate * objective / ahead);
+        slotFreeTooLate += Math.exp(logPoisson);
+        return inTime;
     }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/policy/DecisionContext.java
@@ -0,0 +1,67 @@
+package damsonslip.policy;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.Settings;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * What all decisions on one event share: its time, the settings in force, the random numbers, and
+ * the list that actions are appended to.
+ *
+ * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
+ */
+final class DecisionContext {
+    private final SplittableRandom random;
+    private Settings settings;
+    private long nowUs = Long.MIN_VALUE;
+    private List<Action> actions;
+
+    DecisionContext(Settings settings, long seed) {
+        this.settings = settings;
+        this.random = new SplittableRandom(seed);
+    }
+
+    /** Starts to handle an event, whose actions go to this list. */
+    void begin(long eventUs, List<Action> eventActions) {
+        nowUs = eventUs;
+        actions = eventActions;
+    }
+
+    /** Moves the time forward without an event. */
+    void advanceTo(long timeUs) {
+        nowUs = Math.max(nowUs, timeUs);
+    }
+
+    long nowUs() {
+        return nowUs;
+    }
+
+    Settings settings() {
+        return settings;
+    }
+
+    void replaceSettings(Settings newSettings) {
+        settings = newSettings;
+    }
+
+    SplittableRandom random() {
+        return random;
+    }
+
+    /** Appends an action. */
+    void emit(Action action) {
+        actions.add(action);
+    }
+
+    /** Appends a timer that is due after this time. */
+    void setTimerIn(long delayUs, String label) {
+        setTimerAt(nowUs + delayUs, label);
+    }
+
+    /** Appends a timer that is due at this time. */
+    void setTimerAt(long timeUs, String label) {
+        actions.add(new SetTimer(timeUs, label));
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/JobAttempt.java
@@ -0,0 +1,59 @@
+package damsonslip.policy;
+
+/** One attempt to run a job at a worker. Times are microseconds of the events' clock. */
+final class JobAttempt {
+    private static final long NOT_STARTED = 0;
+
+    private final Job job;
+    private final Worker worker;
+    private final long sentUs;
+    private long startedUs = NOT_STARTED;
+    private boolean open = true;
+
+    /** Creates an attempt that is sent at this time. */
+    JobAttempt(Job job, Worker worker, long sentUs) {
+        this.job = job;
+        this.worker = worker;
+        this.sentUs = sentUs;
+    }
+
+    Job job() {
+        return job;
+    }
+
+    Worker worker() {
+        return worker;
+    }
+
+    long sentUs() {
+        return sentUs;
+    }
+
+    /** Whether the worker has said that the job started. */
+    boolean isStarted() {
+        return startedUs != NOT_STARTED;
+    }
+
+    void markStarted(long nowUs) {
+        startedUs = nowUs;
+    }
+
+    /** When it started, as far as is known: else when it was sent. */
+    long runningSinceUs() {
+        return isStarted() ? startedUs : sentUs;
+    }
+
+    /** Whether it was sent before this time and is not known to have started. */
+    boolean isWaitingSince(long timeUs) {
+        return !isStarted() && sentUs < timeUs;
+    }
+
+    /** Whether it has not ended. */
+    boolean isOpen() {
+        return open;
+    }
+
+    void close() {
+        open = false;
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/OutlierDetector.java
@@ -0,0 +1,148 @@
+package damsonslip.policy;
+
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.LoadReport;
+
+/**
+ * Detects workers that fail, are silent or are slow, and pauses those that fail, with exponential
+ * backoff and jitter.
+ */
+final class OutlierDetector {
+    /** A worker that answered 'full' gets nothing for about this long, unless it reports room. */
+    private static final long FULL_PAUSE_US = 60_000;
+
+    /** First pause after a failure; doubled with each one in a row. */
+    private static final long FAILURE_PAUSE_US = 250_000;
+
+    private static final int MAX_PAUSE_DOUBLINGS = 5;
+
+    /** A worker that has answered this recently is alive, whatever happens to one connection. */
+    private static final long ALIVE_US = 500_000;
+
+    /** A job that is not idempotent is sent to an outlier only this long after its pause. */
+    private static final long DISTRUST_US = 4_000_000;
+
+    /** A worker with this many failures in a row is an outlier. */
+    private static final int OUTLIER_FAILURES = 2;
+
+    /** A worker that reports more errors a second than one now and then is failing. */
+    private static final double MAX_ERRORS_PER_SECOND = 1;
+
+    /** So many failed jobs in a row may be the jobs' own fault at a worker that fetches jobs. */
+    private static final int MAX_FAILED_JOBS = 3;
+
+    /** A worker is silent if a job is out for this many mean run times and nothing came back. */
+    private static final double SILENT_RUN_TIMES = 4;
+
+    /** A worker is slow if its jobs take this many times as long as usual. */
+    private static final double SLOW_RUN_TIME_RATIO = 2.2;
+
+    private final DecisionContext context;
+    private final WorkerRegistry registry;
+
+    OutlierDetector(DecisionContext context, WorkerRegistry registry) {
+        this.context = context;
+        this.registry = registry;
+    }
+
+    /** Takes in a load report: the errors that it tells of count, whoever met them. */
+    void acceptReport(Worker worker, LoadReport report) {
+        WorkerHealth health = worker.health();
+        if (report.totalSlots() > 0) {
+            // a worker that fetches jobs is alive, however long it is at one
+            health.alive(context.nowUs());
+        }
+        boolean failing = report.errorsPerSecond() > MAX_ERRORS_PER_SECOND;
+        health.reportErrors(failing);
+        if (failing) {
+            // as an outlier: a job that is not idempotent is not the way to find out
+            health.assumeFailure();
+            recordFailure(worker);
+        } else if (report.freeSlots() >= 1) {
+            health.resumeUnlessFailed();
+        }
+    }
+
+    /** Takes in the end of an attempt. */
+    void attemptEnded(Worker worker, AttemptOutcome outcome) {
+        switch (outcome) {
+            case SERVED -> worker.health().served();
+            case FULL -> pauseFull(worker);
+            // an error counts: a worker that fails each job at once looks free and would draw all
+            case ERROR -> jobFailed(worker);
+            case NOT_CONNECTED, TIMED_OUT -> {
+                recordFailure(worker);
+                worker.lease().connectionFailed(context.nowUs());
+            }
+            case RESET -> connectionReset(worker);
+            case CANCELLED, NEVER_SENT -> {}
+        }
+    }
+
+    private void pauseFull(Worker worker) {
+        long pauseUs = FULL_PAUSE_US / 2 + context.random().nextLong(FULL_PAUSE_US);
+        worker.health().pauseAtLeastUntil(context.nowUs() + pauseUs);
+    }
+
+    /** A worker that fetches jobs says only that this one failed, and fetches the next. */
+    private void jobFailed(Worker worker) {
+        boolean ofWorker =
+                !worker.load().statesTotalSlots()
+                        || worker.health().countFailedJob() > MAX_FAILED_JOBS;
+        if (ofWorker) {
+            recordFailure(worker);
+        }
+    }
+
+    /** A lost connection says little about a worker that has just answered on others. */
+    private void connectionReset(Worker worker) {
+        worker.lease().connectionFailed(context.nowUs());
+        WorkerHealth health = worker.health();
+        boolean alive = context.nowUs() - health.lastAliveUs() <= ALIVE_US;
+        if (!alive || health.consecutiveFailures() > 0) {
+            recordFailure(worker);
+        }
+    }
+
+    /** Counts a failure and pauses the worker; what fails during a pause is the same failure. */
+    void recordFailure(Worker worker) {
+        WorkerHealth health = worker.health();
+        if (!health.isPaused(context.nowUs())) {
+            int doublings = Math.min(health.countFailure(), MAX_PAUSE_DOUBLINGS);
+            long pauseUs = FAILURE_PAUSE_US << doublings;
+            health.pauseUntil(context.nowUs() + pauseUs / 2 + context.random().nextLong(pauseUs));
+        }
+    }
+
+    /** Whether a worker takes jobs and answers none. */
+    boolean isSilent(Worker worker) {
+        if (worker.outstanding().isEmpty()) {
+            return false;
+        }
+        JobAttempt first = worker.outstanding().get(0);
+        double runTimeUs = first.job().homePool().runTimes().meanUs();
+        return worker.health().lastAliveUs() <= first.sentUs()
+                && context.nowUs() - first.sentUs() > SILENT_RUN_TIMES * runTimeUs;
+    }
+
+    /** Whether jobs take much longer at a worker than elsewhere. */
+    boolean isSlow(Worker worker) {
+        return worker.runTimeRatio().at(context.nowUs()) > SLOW_RUN_TIME_RATIO;
+    }
+
+    /**
+     * Whether a job may be risked at a worker: outliers get idempotent ones, if there are others.
+     */
+    boolean trusts(Worker worker, Job job) {
+        return !isOutlier(worker)
+                || job.hasIdempotency(Idempotency.IDEMPOTENT)
+                || context.nowUs() > worker.health().pausedUntilUs() + DISTRUST_US
+                || registry.all().stream()
+                        .noneMatch(other -> other.isRunning() && !isOutlier(other));
+    }
+
+    private static boolean isOutlier(Worker worker) {
+        return worker.health().consecutiveFailures() >= OUTLIER_FAILURES;
+    }
+}
--- a/src/main/java/damsonslip/policy/PolicySnapshot.java
+++ b/src/main/java/damsonslip/policy/PolicySnapshot.java
@@ -1,55 +1,100 @@
 package damsonslip.policy;
 
-import damsonslip.policy.FleetState.Pool;
 import damsonslip.policy.api.PoolState;
+import damsonslip.policy.api.WorkerState;
+import java.util.Arrays;
 import java.util.List;
-import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
-/**
- * What {@link SchedulingPolicy} knows, put so that people can read it; nothing is decided by it.
- */
+/** Shows the state of the policy to people; nothing is decided by it. */
 final class PolicySnapshot {
-    private PolicySnapshot() {}
-
-    static List<PoolState> pools(Pool[] pools, ToDoubleFunction<Pool> free) {
-        return IntStream.range(0, pools.length)
-                .mapToObj(
-                        i -> {
-                            Pool p = pools[i];
-                            return new PoolState(
-                                    i,
-                                    p.members.size(),
-                                    p.slots,
-                                    p.rate,
-                                    p.time,
-                                    free.applyAsDouble(p),
-                                    p.present,
-                                    (int) p.hold.stream().filter(job -> job.held).count(),
-                                    p.share);
-                        })
-                .toList();
+    private static final int MICROS_PER_MILLI = 1000;
+
+    private final DecisionContext context;
+    private final WorkerRegistry registry;
+    private final WorkerPools pools;
+    private final CapacityEstimator capacity;
+    private final SlowStartBudget slowStart;
+
+    PolicySnapshot(
+            DecisionContext context,
+            WorkerRegistry registry,
+            WorkerPools pools,
+            CapacityEstimator capacity,
+            SlowStartBudget slowStart) {
+        this.context = context;
+        this.registry = registry;
+        this.pools = pools;
+        this.capacity = capacity;
+        this.slowStart = slowStart;
+    }
+
+    /** The pools by class. */
+    List<PoolState> pools() {
+        return IntStream.range(0, pools.all().length).mapToObj(this::poolState).toList();
+    }
+
+    private PoolState poolState(int jobClass) {
+        WorkerPool pool = pools.ofClass(jobClass);
+        return new PoolState(
+                jobClass,
+                pool.members().size(),
+                pool.slots(),
+                pool.arrivalRate().perSecond(),
+                pool.runTimes().meanUs(),
+                capacity.freeShare(pool),
+                pool.jobsPresent(),
+                pool.queue().waitingJobs(),
+                pool.admissionShare());
     }
 
-    /** The pools on one line, for the log. */
-    static String line(Pool[] pools, ToDoubleFunction<Pool> free) {
-        StringBuilder text = new StringBuilder("pools");
-        for (Pool p : pools) {
-            text.append(
-                    " [slots "
-                            + (int) p.slots
-                            + " rate "
-                            + (int) p.rate
-                            + " ms "
-                            + (int) (p.time / 1000)
-                            + " share "
-                            + p.share
-                            + " in "
-                            + p.present
-                            + " free% "
-                            + (int) (100 * free.applyAsDouble(p))
-                            + "]");
+    /** The workers by id. */
+    List<WorkerState> workers() {
+        return registry.all().stream().map(this::workerState).toList();
+    }
+
+    private WorkerState workerState(Worker worker) {
+        boolean warmingUp = slowStart.isWarmingUp(worker);
+        return new WorkerState(
+                worker.id(),
+                worker.zone(),
+                worker.kind(),
+                worker.isRunning(),
+                warmingUp,
+                worker.health().isPaused(context.nowUs()),
+                worker.outstanding().size(),
+                capacity.freeSlots(worker),
+                pools.classOf(worker.pool()),
+                warmingUp ? slowStart.shareUs(worker) : 0);
+    }
+
+    /** One line for the log, whose names the fleet report reads. */
+    String logLine(Counts counts, SlotEstimates slots) {
+        StringBuilder line = new StringBuilder("pools");
+        for (WorkerPool pool : pools.all()) {
+            line.append(" [slots ").append((int) pool.slots());
+            line.append(" rate ").append((int) pool.arrivalRate().perSecond());
+            line.append(" ms ").append((int) (pool.runTimes().meanUs() / MICROS_PER_MILLI));
+            line.append(" share ").append(pool.admissionShare());
+            line.append(" in ").append(pool.jobsPresent());
+            line.append(" free% ").append((int) (100 * capacity.freeShare(pool)));
+            line.append("]");
         }
-        return text.toString();
+        line.append(" borrowed ").append(counts.borrowed());
+        line.append(" moved ").append(counts.migrated());
+        line.append(" beyond quota ").append(counts.overQuota());
+        line.append(" turned away ").append(counts.unserved());
+        line.append(" slots ").append(Arrays.toString(slots.toArray()));
+        return line.toString();
     }
+
+    /**
+     * Counts of jobs since the start.
+     *
+     * @param borrowed sent to another class's pool
+     * @param migrated sent anew because an attempt did not start
+     * @param overQuota rejected because of a tenant's quota
+     * @param unserved rejected or failed
+     */
+    record Counts(int borrowed, int migrated, int overQuota, int unserved) {}
 }
--- /dev/null
+++ b/src/main/java/damsonslip/policy/ProbeRounds.java
@@ -0,0 +1,86 @@
+package damsonslip.policy;
+
+import damsonslip.policy.api.Limits;
+import damsonslip.policy.api.LoadReporting;
+import java.util.List;
+
+/**
+ * Probes all workers in turn for their load, where only probes report it. The rate follows from
+ * what a probe costs.
+ */
+final class ProbeRounds {
+    /** Time between two batches of probes. */
+    private static final long BATCH_INTERVAL_US = 20_000;
+
+    /** Probes may cost this many points of service for each job. */
+    private static final double POINTS_PER_JOB = 0.003;
+
+    private static final double MAX_PROBES_PER_JOB = 2;
+
+    /** Each worker is probed this often at the most. */
+    private static final long MIN_WORKER_INTERVAL_US = 400_000;
+
+    /** Probes are counted by at least this many own jobs a second. */
+    private static final double MIN_JOBS_PER_SECOND = 2;
+
+    private static final double MAX_BATCH = 20;
+
+    /** Keeps a price of 0 from being divided by. */
+    private static final double SMALLEST_PRICE = 1e-6;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private final DecisionContext context;
+    private final ProbeSender sender;
+    private final SlowStartBudget slowStart;
+    private List<Worker> workers = List.of();
+    private int next;
+    private double allowance;
+
+    ProbeRounds(DecisionContext context, ProbeSender sender, SlowStartBudget slowStart) {
+        this.context = context;
+        this.sender = sender;
+        this.slowStart = slowStart;
+    }
+
+    /** Schedules the first batch, where load is reported by probes. */
+    void start() {
+        boolean byProbe = context.settings().loadReporting() == LoadReporting.BY_PROBE;
+        if (byProbe && context.settings().limits().mayProbe()) {
+            long delayUs = context.random().nextLong(BATCH_INTERVAL_US) + 1;
+            context.setTimerIn(delayUs, TimerLabels.PROBE);
+        }
+    }
+
+    /** Sets the workers that are probed in turn. */
+    void cover(List<Worker> running) {
+        workers = running;
+    }
+
+    /**
+     * Probes the next workers and schedules the next batch.
+     *
+     * @param jobsPerSecond own jobs
+     */
+    void probeBatch(double jobsPerSecond) {
+        double perSecond = probesPerSecond(jobsPerSecond);
+        double earned = perSecond * BATCH_INTERVAL_US / MICROS_PER_SECOND;
+        allowance = Math.min(allowance + earned, MAX_BATCH);
+        for (int i = 0; i < workers.size() && allowance >= 1; i++) {
+            Worker worker = workers.get(next++ % workers.size());
+            if (worker.isRunning() && slowStart.trySpendProbe(worker)) {
+                allowance--;
+                sender.send(worker);
+            }
+        }
+        context.setTimerIn(BATCH_INTERVAL_US, TimerLabels.PROBE);
+    }
+
+    private double probesPerSecond(double jobsPerSecond) {
+        Limits limits = context.settings().limits();
+        double affordable = POINTS_PER_JOB / Math.max(SMALLEST_PRICE, limits.probePrice());
+        double perJob = Math.min(MAX_PROBES_PER_JOB, affordable);
+        double useful = workers.size() * MICROS_PER_SECOND / MIN_WORKER_INTERVAL_US;
+        return Math.min(useful, Math.max(jobsPerSecond, MIN_JOBS_PER_SECOND) * perJob);
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/QueueDispatcher.java
@@ -0,0 +1,147 @@
+package damsonslip.policy;
+
+import java.util.ArrayList;
+import java.util.List;
+
+/** Sends the jobs of the admission queues, in order, to workers with room. */
+final class QueueDispatcher {
+    /** Queues are tried again this often, for room that no event has reported. */
+    private static final long SWEEP_INTERVAL_US = 20_000;
+
+    /** Jobs that stay at the head of a queue while later ones are tried. */
+    private static final int MAX_PASSED_OVER = 16;
+
+    /** A job waits this part of its spare time for its own pool before it borrows a worker. */
+    private static final double BORROW_AFTER_PART = 0.15;
+
+    private final DecisionContext context;
+    private final WorkerPools pools;
+    private final WorkerAvailability availability;
+    private final IdempotencyRules idempotency;
+    private final WorkerSelector selector;
+    private final SlotBorrowing borrowing;
+    private final CandidateProbing candidates;
+    private final LeaseProbing leases;
+    private final AttemptSender sender;
+    private final JobCompletion completion;
+    private boolean sweepScheduled;
+
+    QueueDispatcher(
+            DecisionContext context,
+            WorkerPools pools,
+            WorkerAvailability availability,
+            IdempotencyRules idempotency,
+            WorkerSelector selector,
+            SlotBorrowing borrowing,
+            CandidateProbing candidates,
+            LeaseProbing leases,
+            AttemptSender sender,
+            JobCompletion completion) {
+        this.context = context;
+        this.pools = pools;
+        this.availability = availability;
+        this.idempotency = idempotency;
+        this.selector = selector;
+        this.borrowing = borrowing;
+        this.candidates = candidates;
+        this.leases = leases;
+        this.sender = sender;
+        this.completion = completion;
+    }
+
+    /** The timer for another attempt at all queues is due. */
+    void sweep() {
+        sweepScheduled = false;
+        for (WorkerPool pool : pools.all()) {
+            slotsFreed(pool);
+        }
+    }
+
+    /** Something has changed by which jobs of this pool, if it is not null, may be placed. */
+    void slotsFreed(WorkerPool pool) {
+        if (pool != null) {
+            pool.queue().setBlocked(false);
+            dispatch(pool);
+        }
+    }
+
+    /** Sends what can be placed of every queue that is not blocked. */
+    void dispatchAll() {
+        for (WorkerPool pool : pools.all()) {
+            dispatch(pool);
+        }
+    }
+
+    /** Sends what can be placed of this pool's queue unless it is blocked. */
+    void dispatch(WorkerPool pool) {
+        AdmissionQueue queue = pool.queue();
+        if (queue.isBlocked()) {
+            return;
+        }
+        List<Job> waiting = new ArrayList<>(0);
+        while (!queue.isEmpty() && waiting.size() <= MAX_PASSED_OVER) {
+            Job job = queue.poll();
+            if (job.isQueued() && staysQueued(job)) {
+                waiting.add(job);
+            }
+        }
+        queue.putBack(waiting);
+        queue.setBlocked(!waiting.isEmpty());
+        scheduleSweep();
+    }
+
+    private void scheduleSweep() {
+        if (!sweepScheduled && !pools.areQueuesEmpty()) {
+            sweepScheduled = true;
+            context.setTimerIn(SWEEP_INTERVAL_US, TimerLabels.SWEEP);
+        }
+    }
+
+    /** Sends or answers a job, or returns true if it has to wait. */
+    private boolean staysQueued(Job job) {
+        if (candidates.awaitsCandidates(job)) {
+            return true;
+        }
+        boolean maySend = idempotency.maySend(job);
+        Worker worker = maySend ? place(job) : null;
+        if (worker != null) {
+            job.setQueued(false);
+            sender.send(job, worker);
+            return false;
+        }
+        if (!maySend || !availability.mayWait() || makesOthersLate(job)) {
+            completion.answerUnserved(job);
+            return false;
+        }
+        leases.probeFor(job);
+        return true;
+    }
+
+    /** If late jobs kept their place in the queue, all behind them would be just too late, too. */
+    private boolean makesOthersLate(Job job) {
+        return job.attempts().isEmpty()
+                && !job.homePool().queue().isEmpty()
+                && job.isLate(context.nowUs());
+    }
+
+    private Worker place(Job job) {
+        if (idempotency.mustStayInScope(job)) {
+            return selector.selectInScope(job);
+        }
+        boolean waited = job.waitedUs(context.nowUs()) >= patienceUs(job);
+        Worker candidate = selector.selectProbedCandidate(job);
+        if (candidate != null) {
+            return candidate;
+        }
+        Worker worker = selector.select(job.homePool(), job, waited);
+        return worker == null && waited ? borrowing.borrow(job) : worker;
+    }
+
+    /** How long a job waits for its own workers alone. */
+    private static double patienceUs(Job job) {
+        WorkerPool pool = job.homePool();
+        return job.hasAffinity()
+                ? Job.LATE_SHARE * pool.slackUs()
+                : BORROW_AFTER_PART * (pool.objectiveUs() - pool.runTimes().meanUs());
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/SlotBorrowing.java
@@ -0,0 +1,65 @@
+package damsonslip.policy;
+
+/** Sends jobs to workers of other classes' pools. */
+final class SlotBorrowing {
+    /** A pool lends slots, and admits jobs over their quotas, while this share of it is free. */
+    static final double SPARE_SHARE = 0.45;
+
+    private final DecisionContext context;
+    private final WorkerPools pools;
+    private final CapacityEstimator capacity;
+    private final WorkerEligibility eligibility;
+    private final WorkerSelector selector;
+    private int borrowed;
+
+    SlotBorrowing(
+            DecisionContext context,
+            WorkerPools pools,
+            CapacityEstimator capacity,
+            WorkerEligibility eligibility,
+            WorkerSelector selector) {
+        this.context = context;
+        this.pools = pools;
+        this.capacity = capacity;
+        this.eligibility = eligibility;
+        this.selector = selector;
+    }
+
+    /**
+     * Selects a worker of a pool that earns less or has spare slots, or of any if no worker of the
+     * job's own is eligible; or null.
+     */
+    Worker borrow(Job job) {
+        WorkerPool home = job.homePool();
+        boolean notEligibleAtHome =
+                job.restrictsWorkers() && home.members().stream().noneMatch(job::isEligible);
+        double spareShare = isLostAtHome(job) ? 0 : SPARE_SHARE;
+        for (WorkerPool lender : pools.all()) {
+            if (lender != home && (notEligibleAtHome || lends(lender, home, spareShare))) {
+                Worker worker = selector.select(lender, job, true);
+                if (worker != null) {
+                    borrowed++;
+                    return worker;
+                }
+            }
+        }
+        return null;
+    }
+
+    /** Whether the job would be rejected or late at home: no job is while a slot is free. */
+    private boolean isLostAtHome(Job job) {
+        return job.isLate(context.nowUs())
+                || job.homePool().members().stream()
+                        .noneMatch(worker -> eligibility.mayTake(worker, job));
+    }
+
+    private boolean lends(WorkerPool lender, WorkerPool borrower, double spareShare) {
+        boolean spare = lender.queue().isEmpty() && capacity.freeShare(lender) >= spareShare;
+        return spare || borrower.valueOfSlot() > lender.valueOfSlot();
+    }
+
+    /** How many jobs were sent to a borrowed worker. */
+    int borrowed() {
+        return borrowed;
+    }
+}
--- a/src/main/java/damsonslip/policy/SlowStartBudget.java
+++ b/src/main/java/damsonslip/policy/SlowStartBudget.java
@@ -1,79 +1,104 @@
 package damsonslip.policy;
 
-import damsonslip.policy.FleetState.FreeSeen;
-import damsonslip.policy.FleetState.Worker;
+import damsonslip.membership.StartTimes;
 import damsonslip.policy.api.Guarantees;
-import damsonslip.policy.api.Settings;
 import damsonslip.policy.api.SlowStartLoad;
 
 /**
- * What a cold worker may be sent (rule 4, slow start). Its budget is cut into windows of the stated
- * length. Each dispatcher spends its even part of a part of it; where that does not hold one job,
- * dispatchers take turns, by number, with what their turn holds. What is not spent is lost, so
- * buckets start empty and no burst builds up.
+ * Bounds the work that a worker is sent while it warms up (rule 4, slow start).
  *
- * <p>Decides from what {@link Worker} holds; times are those of the events. Not safe for use by
- * several threads.
+ * <p>The budget is cut into windows. Each scheduler spends an even share of it in each; where a
+ * share does not hold one job, the schedulers take turns by number, each with the shares of all
+ * windows until its next turn. What is not spent is lost, so that no burst builds up.
+ *
+ * <p>Costs and budgets are microseconds of slots; times are microseconds of the events' clock.
  */
 final class SlowStartBudget {
-    /**
-     * Part of the stated budget that is spent: job times are guesses, and windows overlap by two.
-     */
-    private static final double PART = 0.4;
+    /** Work that a new connection or a probe is taken to cost. */
+    static final double CONNECTION_COST_US = 3_000;
+
+    /** Part of the budget that is spent: job times are guesses, and windows overlap by two. */
+    private static final double SPENT_PART = 0.4;
 
-    private final Guarantees rules;
+    private final DecisionContext context;
+    private final Guarantees guarantees;
+    private final SlotEstimates slots;
 
-    SlowStartBudget(Guarantees rules) {
-        this.rules = rules;
+    SlowStartBudget(DecisionContext context, SlotEstimates slots) {
+        this.context = context;
+        this.guarantees = context.settings().guarantees();
+        this.slots = slots;
+    }
+
+    /** Work that a job is taken to cost. */
+    static double costUs(Job job) {
+        return job.homePool().runTimes().meanUs() * job.slots() + CONNECTION_COST_US;
     }
 
     /** Whether the worker has not reached its full capacity yet. */
-    boolean isCold(Worker w, long now) {
-        return rules.slowStartShare() < 1
-                && w.started != Long.MIN_VALUE
-                && now - w.started < rules.slowStartUs();
+    boolean isWarmingUp(Worker worker) {
+        return guarantees.slowStartShare() < 1
+                && worker.startedUs() != StartTimes.LONG_AGO
+                && context.nowUs() - worker.startedUs() < guarantees.slowStartUs();
+    }
+
+    /** The share of its full capacity that a worker that warms up has by now. */
+    double capacityShare(Worker worker) {
+        return guarantees.slowStartShareAt(context.nowUs() - worker.startedUs());
     }
 
     /** Whether work of this cost may be sent there now. */
-    boolean allows(Worker w, double cost, Settings settings, FreeSeen ofKind, long now) {
-        if (!isCold(w, now)) {
+    boolean allows(Worker worker, double costUs) {
+        if (!isWarmingUp(worker)) {
             return true;
         }
-        long turn = turn(w, now);
-        double mine = part(w, settings, ofKind, now);
-        long turns = Math.max(1, (long) Math.ceil(cost / mine));
-        return Math.floorMod(turn + w.salt, turns)
-                        == Math.floorMod((long) settings.schedulerIndex(), turns)
-                && (w.coldTurn == turn ? w.coldSpent : 0) + cost <= mine * turns;
+        long window = window(worker);
+        double shareUs = shareUs(worker);
+        long turns = Math.max(1, (long) Math.ceil(costUs / shareUs));
+        long turn = Math.floorMod(window + worker.slowStartTurnOffset(), turns);
+        long ownTurn = Math.floorMod((long) context.settings().schedulerIndex(), turns);
+        return turn == ownTurn
+                && worker.slowStartWindow().spentUs(window) + costUs <= shareUs * turns;
+    }
+
+    /** Records that work of this cost is sent there. */
+    void spend(Worker worker, double costUs) {
+        long window = isWarmingUp(worker) ? window(worker) : SlowStartWindow.NONE;
+        worker.slowStartWindow().spend(window, costUs);
     }
 
-    /** The part of the budget that is this dispatcher's, in the window at hand. */
-    double part(Worker w, Settings settings, FreeSeen ofKind, long now) {
-        double warmth = rules.slowStartShareAt(turn(w, now) * rules.overloadWindowUs());
-        double all =
-                PART * rules.overloadFactor() * warmth * w.shown(ofKind) * rules.overloadWindowUs();
-        return all / settings.schedulers();
+    /** Spends the cost of a probe if the worker may be sent it now; returns whether. */
+    boolean trySpendProbe(Worker worker) {
+        boolean allowed = allows(worker, CONNECTION_COST_US);
+        if (allowed) {
+            spend(worker, CONNECTION_COST_US);
+        }
+        return allowed;
     }
 
-    private long turn(Worker w, long now) {
-        return Math.floorDiv(now - w.started, rules.overloadWindowUs());
+    /** This scheduler's share of the budget in the window at hand. */
+    double shareUs(Worker worker) {
+        long windowUs = guarantees.overloadWindowUs();
+        double warmth = guarantees.slowStartShareAt(window(worker) * windowUs);
+        double allUs =
+                SPENT_PART
+                        * guarantees.overloadFactor()
+                        * warmth
+                        * slots.provenSlotsOf(worker)
+                        * windowUs;
+        return allUs / context.settings().schedulers();
     }
 
-    /** Work of this cost has been sent there. */
-    void spend(Worker w, double cost, long now) {
-        long turn = isCold(w, now) ? turn(w, now) : -1;
-        w.coldSpent = w.coldTurn == turn ? w.coldSpent + cost : cost;
-        w.coldTurn = turn;
+    private long window(Worker worker) {
+        return Math.floorDiv(context.nowUs() - worker.startedUs(), guarantees.overloadWindowUs());
     }
 
-    /**
-     * What was sent there from here in the window, and what it bears there from all, in requests of
-     * this length.
-     */
-    SlowStartLoad load(Worker w, Settings settings, FreeSeen ofKind, double requestUs, long now) {
-        double spent = w.coldTurn == turn(w, now) ? w.coldSpent : 0;
+    /** What was sent there from here in the window at hand, and what it bears from all. */
+    SlowStartLoad load(Worker worker, WorkerPool pool) {
+        double requestUs = pool.runTimes().meanUs() + CONNECTION_COST_US;
+        double spentUs = worker.slowStartWindow().spentUs(window(worker));
+        int schedulers = context.settings().schedulers();
         return new SlowStartLoad(
-                spent / requestUs,
-                part(w, settings, ofKind, now) / PART * settings.schedulers() / requestUs);
+                spentUs / requestUs, shareUs(worker) / SPENT_PART * schedulers / requestUs);
     }
 }
--- a/src/main/java/damsonslip/policy/TenantQuotas.java
+++ b/src/main/java/damsonslip/policy/TenantQuotas.java
@@ -4,75 +4,87 @@
 import java.util.Arrays;
 
 /**
- * Which jobs lie within their tenant's quota, of which each dispatcher judges its own part. Guards
- * against one tenant's excess crowding out those within theirs.
+ * Decides which jobs are within their tenant's quota, by one token bucket for each tenant. Every
+ * scheduler enforces its own part of a quota.
  *
- * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
+ * <p>Guards against one tenant's excess crowding out jobs within the others' quotas. Times are
+ * microseconds of the events' clock. Not safe for use by several threads.
  */
 final class TenantQuotas {
-    /**
-     * A tenant may run ahead of its quota by this many seconds of it, and by this many jobs at the
-     * least.
-     */
-    private static final double BURST_S = 4.0;
+    /** A bucket holds this many seconds of its quota. */
+    private static final double BURST_SECONDS = 4.0;
+
+    /** A bucket holds at least this many jobs. */
+    private static final double MIN_BURST_JOBS = 2;
+
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private static final double LEAST_BURST = 2;
-    private static final double SECOND = 1e6;
-    private static final double SMALL = 1e-9;
+    /** Keeps a quota of 0 from being divided by. */
+    private static final double SMALLEST_QUOTA = 1e-9;
 
-    private final double[] level;
-    private final double[] rate;
+    private final double[] tokens;
+    private final double[] arrivalRates;
     private final int[] arrivals;
-    private double busier = 1;
-    private long levelAt;
+    private double trafficFactor = 1;
+    private long filledAtUs;
 
     TenantQuotas(int tenants) {
-        this.level = new double[tenants];
-        this.rate = new double[tenants];
+        this.tokens = new double[tenants];
+        this.arrivalRates = new double[tenants];
         this.arrivals = new int[tenants];
     }
 
-    /** Quotas run from now on. */
-    void begin(long nowUs) {
-        levelAt = nowUs;
+    /** Starts to fill the buckets. */
+    void start(long nowUs) {
+        filledAtUs = nowUs;
     }
 
-    /** Takes in the arrivals of so many seconds, by which the newest count with this weight. */
-    void measure(double seconds, double weight, Settings settings) {
-        for (int t = 0; t < rate.length; t++) {
-            rate[t] += weight * (arrivals[t] / seconds - rate[t]);
-            arrivals[t] = 0;
+    /** Updates the tenants' arrival rates by the arrivals of an interval. */
+    void measure(MeasurementInterval interval, Settings settings) {
+        for (int tenant = 0; tenant < arrivalRates.length; tenant++) {
+            double measured = arrivals[tenant] / interval.seconds();
+            arrivalRates[tenant] += interval.weight() * (measured - arrivalRates[tenant]);
+            arrivals[tenant] = 0;
         }
-        busier = busier(settings);
+        trafficFactor = trafficFactor(settings);
     }
 
     /**
-     * How much more traffic than an even part this dispatcher has, by its middle tenant, so that it
-     * does not take its tenants to be beyond their quotas only because it is busy.
+     * Returns how many times an even part of the traffic this scheduler has, by its median tenant
+     * and at least 1: a busy scheduler alone does not put its tenants over their quotas.
      */
-    private double busier(Settings settings) {
-        double[] used = rate.clone();
+    private double trafficFactor(Settings settings) {
+        double[] usage = arrivalRates.clone();
         Arrays.setAll(
-                used,
-                t -> used[t] * settings.schedulers() / (settings.tenantQuotas().get(t) + SMALL));
-        Arrays.sort(used);
-        return used.length < 2 ? 1 : Math.max(1, used[(used.length - 1) / 2]);
+                usage,
+                tenant ->
+                        usage[tenant]
+                                * settings.schedulers()
+                                / (settings.tenantQuotas().get(tenant) + SMALLEST_QUOTA));
+        Arrays.sort(usage);
+        return usage.length < 2 ? 1 : Math.max(1, usage[(usage.length - 1) / 2]);
     }
 
-    /** Counts a job of this tenant; tells whether it lies within its quota. */
-    boolean takes(int tenant, Settings settings, long nowUs) {
-        if (level.length == 0) {
+    /** Counts a job of this tenant and returns whether it is within the quota. */
+    boolean tryAcquire(int tenant, Settings settings, long nowUs) {
+        if (tokens.length == 0) {
             return true;
         }
         arrivals[tenant]++;
-        double seconds = (nowUs - levelAt) / SECOND;
-        levelAt = nowUs;
-        for (int t = 0; t < level.length; t++) {
-            double part = settings.tenantQuotas().get(t) / settings.schedulers() * busier;
-            level[t] = Math.min(level[t] + seconds * part, Math.max(LEAST_BURST, BURST_S * part));
-        }
-        boolean within = level[tenant] >= 1;
-        level[tenant] -= within ? 1 : 0;
+        fill(settings, nowUs);
+        boolean within = tokens[tenant] >= 1;
+        tokens[tenant] -= within ? 1 : 0;
         return within;
     }
+
+    private void fill(Settings settings, long nowUs) {
+        double seconds = (nowUs - filledAtUs) / MICROS_PER_SECOND;
+        filledAtUs = nowUs;
+        for (int tenant = 0; tenant < tokens.length; tenant++) {
+            double rate =
+                    settings.tenantQuotas().get(tenant) / settings.schedulers() * trafficFactor;
+            double capacity = Math.max(MIN_BURST_JOBS, BURST_SECONDS * rate);
+            tokens[tenant] = Math.min(tokens[tenant] + seconds * rate, capacity);
+        }
+    }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/policy/WorkerEligibility.java
@@ -0,0 +1,40 @@
+package damsonslip.policy;
+
+/** Whether a worker may be sent a job, whatever its load. */
+final class WorkerEligibility {
+    private final DecisionContext context;
+    private final WorkerAvailability availability;
+    private final OutlierDetector outliers;
+    private final SlowStartBudget slowStart;
+
+    WorkerEligibility(
+            DecisionContext context,
+            WorkerAvailability availability,
+            OutlierDetector outliers,
+            SlowStartBudget slowStart) {
+        this.context = context;
+        this.availability = availability;
+        this.outliers = outliers;
+        this.slowStart = slowStart;
+    }
+
+    /** Whether the job may be sent there now. */
+    boolean mayTake(Worker worker, Job job) {
+        return availability.mayUse(worker) && couldTake(worker, job);
+    }
+
+    /** Whether the job could be sent there now if the worker list or a lease allowed it. */
+    boolean couldTake(Worker worker, Job job) {
+        return worker.isRunning()
+                && !worker.health().isPaused(context.nowUs())
+                && isOfKind(worker, job.jobClass().workerKind())
+                && !outliers.isSilent(worker)
+                && job.isEligible(worker)
+                && outliers.trusts(worker, job)
+                && slowStart.allows(worker, SlowStartBudget.costUs(job));
+    }
+
+    private static boolean isOfKind(Worker worker, int kind) {
+        return kind < 0 || kind == worker.kind();
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -0,0 +1,97 @@
+package damsonslip.policy;
+
+import damsonslip.membership.DiscoveryWatch;
+import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.policy.api.DiscoveryAddressChanged;
+import damsonslip.policy.api.SchedulersChanged;
+import damsonslip.policy.api.WatchWorkerList;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+
+/**
+ * Calls discovery for the worker list: translates events into calls of the {@link DiscoveryWatch},
+ * and its times into timers.
+ */
+final class WorkerListWatch {
+    private final DecisionContext context;
+    private final DiscoveryWatch discovery;
+
+    WorkerListWatch(DecisionContext context) {
+        this.context = context;
+        this.discovery =
+                new DiscoveryWatch(
+                        context.settings().schedulers(),
+                        context.settings().schedulerIndex(),
+                        context.settings().guarantees().maxPollIntervalUs(),
+                        context.settings().guarantees().drainGraceUs());
+    }
+
+    /** The state of discovery, for others to read. */
+    DiscoveryWatch discovery() {
+        return discovery;
+    }
+
+    /** Schedules the first call. */
+    void start() {
+        if (context.settings().pollsWorkerList()) {
+            long callUs = discovery.start(context.nowUs(), context.random().nextDouble());
+            context.setTimerAt(callUs, TimerLabels.LIST);
+        }
+    }
+
+    /** Calls discovery. */
+    void call() {
+        discovery.called(context.nowUs());
+        context.emit(new WatchWorkerList());
+    }
+
+    /** A call or a watch has ended, which the update reports. */
+    void ended(WorkerListUpdate update) {
+        WorkerListChange end = update.change();
+        long nowUs = context.nowUs();
+        if (end == WorkerListChange.NOT_CALLED && !context.settings().pollsWorkerList()) {
+            discovery.unread(nowUs);
+            return;
+        }
+        long lastReceivedUs = Math.min(nowUs, update.lastReceivedUs());
+        double random = context.random().nextDouble();
+        long nextCallUs = discovery.lost(loss(end), lastReceivedUs, nowUs, random);
+        context.setTimerAt(nextCallUs, TimerLabels.LIST);
+    }
+
+    /** A list, or a change of one, has been received. */
+    void received(WorkerListUpdate update) {
+        if (update.change().isFromDiscovery()) {
+            discovery.received();
+        } else if (update.change() == WorkerListChange.KEPT
+                && update.lastReceivedUs() != Long.MAX_VALUE) {
+            discovery.launched(update.lastReceivedUs());
+        }
+    }
+
+    /** The configured address of discovery has changed, or could not be read. */
+    void addressChanged(DiscoveryAddressChanged change) {
+        switch (change.state()) {
+            case UNREAD -> discovery.configurationUnread(change.reloadRequestedUs());
+            case READ -> discovery.configurationRead();
+            case MOVED -> discovery.moved(change.reloadRequestedUs());
+            case HEARD -> discovery.heardWhereItMoved();
+        }
+    }
+
+    /** The number of schedulers that share the calls has changed. */
+    void schedulersChanged(SchedulersChanged change) {
+        discovery.divide(change.schedulers(), change.schedulerIndex());
+    }
+
+    private static Loss loss(WorkerListChange end) {
+        return switch (end) {
+            case FAILED -> Loss.FAILED;
+            case UNREACHABLE -> Loss.UNREACHABLE;
+            case SILENT -> Loss.SILENT;
+            case NOT_CALLED -> Loss.NOT_CALLED;
+            case CHANGES, COMPLETE, KEPT, OVERRIDES ->
+                    throw new IllegalArgumentException("not the end of a call: " + end);
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/policy/WorkerRegistry.java
@@ -0,0 +1,104 @@
+package damsonslip.policy;
+
+import damsonslip.membership.StartTimes;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import java.util.Collection;
+import java.util.Iterator;
+import java.util.List;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/** The workers by id, as the worker list names them (rule 3). */
+final class WorkerRegistry {
+    /** A worker that has stopped is remembered for this long, as it may come back. */
+    private static final long RETENTION_US = 600_000_000;
+
+    private final DecisionContext context;
+    private final StartTimes startTimes = new StartTimes();
+    private final TreeMap<String, Worker> workers = new TreeMap<>();
+
+    WorkerRegistry(DecisionContext context) {
+        this.context = context;
+    }
+
+    /** Returns the worker with this id, or null. */
+    Worker find(String id) {
+        return workers.get(id);
+    }
+
+    /** All known workers, in the order of their ids. */
+    Collection<Worker> all() {
+        return workers.values();
+    }
+
+    /** The running workers, in the order of their ids. */
+    List<Worker> running() {
+        return workers.values().stream().filter(Worker::isRunning).toList();
+    }
+
+    /** Takes in a list or a change of one; returns whether a worker started or stopped to run. */
+    boolean apply(WorkerListUpdate update) {
+        WorkerListChange change = update.change();
+        boolean changed = change.isComplete() && stopAll();
+        long correctionUs = startTimes.correctionUs();
+        boolean startsObserved = change.isFromDiscovery() && startTimes.seesStarts();
+        for (WorkerEntry entry : update.workers()) {
+            changed |= apply(entry, startsObserved);
+        }
+        startTimes.listed(change.isFromDiscovery(), context.nowUs());
+        if (correctionUs != startTimes.correctionUs()) {
+            correctStarts();
+        }
+        return changed;
+    }
+
+    private boolean stopAll() {
+        boolean changed = false;
+        for (Worker worker : workers.values()) {
+            changed |= worker.isRunning();
+            worker.stopped();
+        }
+        return changed;
+    }
+
+    private boolean apply(WorkerEntry entry, boolean startsObserved) {
+        Worker worker = workers.computeIfAbsent(entry.id(), Worker::new);
+        boolean wasRunning = worker.isRunning();
+        long nowUs = context.nowUs();
+        worker.update(entry, nowUs);
+        long listedStart = entry.startedUs();
+        if (worker.listedStart() != listedStart) {
+            long startedUs =
+                    startsObserved
+                            ? startTimes.seen(listedStart, nowUs)
+                            : startTimes.told(listedStart, nowUs);
+            worker.restarted(listedStart, startedUs, startsObserved);
+        }
+        return wasRunning != worker.isRunning();
+    }
+
+    private void correctStarts() {
+        for (Worker worker : workers.values()) {
+            if (!worker.isStartObserved()) {
+                worker.correctStart(startTimes.told(worker.listedStart(), context.nowUs()));
+            }
+        }
+    }
+
+    /** Removes workers that stopped long ago and have no attempts outstanding. */
+    void removeLongStopped(Consumer<Worker> onRemoval) {
+        long nowUs = context.nowUs();
+        for (Iterator<Worker> all = workers.values().iterator(); all.hasNext(); ) {
+            Worker worker = all.next();
+            if (worker.isRunning()) {
+                worker.seenRunning(nowUs);
+            } else if (worker.outstanding().isEmpty()
+                    && nowUs - worker.lastRunningUs() > RETENTION_US) {
+                all.remove();
+                onRemoval.accept(worker);
+            }
+        }
+    }
+}
