--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -1,7 +1,7 @@
 package damsonslip.engine;
 
-import damsonslip.engine.invariants.RepeatGuard.Earlier;
-import damsonslip.engine.invariants.RepeatGuard.Place;
+import damsonslip.engine.invariants.RetryGuard.EarlierAttempt;
+import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
 import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.LoadReport;
 
@@ -19,12 +19,12 @@
     /** How it ended; null while it is open. */
     AttemptOutcome outcome;
 
-    private final Place place;
+    private final WorkerLocation place;
 
     Attempt(
             RequestContext exchange,
             int number,
-            Place place,
+            WorkerLocation place,
             long sentUs,
             long beginsByUs,
             long endsByUs) {
@@ -91,8 +91,8 @@
     }
 
     /** The same for the guard of further attempts. */
-    Earlier earlier() {
-        return new Earlier(place, sentUs, open, !open && outcome.provesNotRun());
+    EarlierAttempt earlier() {
+        return new EarlierAttempt(place, sentUs, open, !open && outcome.provesNotRun());
     }
 
     /** Whether its end is still awaited. */
--- a/src/main/java/damsonslip/engine/RequestTrace.java
+++ b/src/main/java/damsonslip/engine/RequestTrace.java
@@ -44,7 +44,8 @@
     void settings(Settings s, long nowUs) {
         if (on) {
             LOG.debug(
-                    "settings dispatchers={} number={} zone={} atUs={} coldUs={} fallUs={} fallMultiple={}",
+                    "settings dispatchers={} number={} zone={} atUs={} coldUs={} fallUs={}"
+                        + " fallMultiple={}",
                     s.schedulers(),
                     s.schedulerIndex(),
                     s.zone(),
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -4,9 +4,9 @@
 import damsonslip.engine.EventLog.Kind;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.invariants.InvariantMonitor;
-import damsonslip.engine.invariants.RepeatGuard;
-import damsonslip.engine.invariants.RepeatGuard.Earlier;
-import damsonslip.engine.invariants.RepeatGuard.Place;
+import damsonslip.engine.invariants.RetryGuard;
+import damsonslip.engine.invariants.RetryGuard.EarlierAttempt;
+import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
 import damsonslip.engine.invariants.SendGuard;
 import damsonslip.engine.invariants.Violation;
 import damsonslip.membership.overrides.WorkerOverrides;
@@ -169,7 +169,7 @@
                 events.newest(EVENTS_OF_A_VIOLATION, violation.job()));
     }
 
-    private static List<Earlier> earlier(RequestContext exchange) {
+    private static List<EarlierAttempt> earlier(RequestContext exchange) {
         return exchange.executions.stream().map(Attempt::earlier).toList();
     }
 
@@ -177,11 +177,11 @@
         return settings.classes().get(query.jobClass());
     }
 
-    private Place place(String worker) {
+    private WorkerLocation place(String worker) {
         WorkerEntry listed = bans.listed(worker);
         return listed == null
-                ? new Place(worker, 0, 0)
-                : new Place(worker, listed.zone(), listed.cell());
+                ? new WorkerLocation(worker, 0, 0)
+                : new WorkerLocation(worker, listed.zone(), listed.cell());
     }
 
     /**
@@ -316,7 +316,7 @@
         monitor.permits(CloseGuard.checkAnswer(query.id(), loop.now(), query.deadlineUs()));
         if (answer.kind() == Response.Kind.THROTTLED) {
             monitor.permits(
-                    RepeatGuard.checkRefusal(query.id(), classOf(query), earlier(exchange)));
+                    RetryGuard.checkRejection(query.id(), classOf(query), earlier(exchange)));
         }
         answers[query.jobClass()][answer.kind().ordinal()]++;
         trace.answered(query, answer);
@@ -534,10 +534,10 @@
         long now = loop.now();
         long deadline = exchange.query().deadlineUs();
         long endsBy = send.timeoutUs() > 0 ? Math.min(deadline, now + send.timeoutUs()) : deadline;
-        Place place = place(send.worker());
+        WorkerLocation place = place(send.worker());
         boolean permitted =
                 monitor.permits(
-                        RepeatGuard.check(
+                        RetryGuard.check(
                                 send.job(),
                                 classOf(exchange.query()),
                                 place,
--- a/src/main/java/damsonslip/engine/invariants/RepeatGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RetryGuard.java
@@ -7,12 +7,12 @@
 import java.util.Optional;
 
 /** Checks a further attempt, and a refusal, against what became of the attempts before. */
-public final class RepeatGuard {
+public final class RetryGuard {
     /** Every time limit on sockets is this much longer (PROTOCOL). */
     private static final long SOCKET_SLACK_US = 50_000;
 
     /** Where a worker belongs. */
-    public record Place(String worker, int zone, int cell) {}
+    public record WorkerLocation(String worker, int zone, int cell) {}
 
     /**
      * An attempt of the same request.
@@ -21,21 +21,27 @@
      * @param isOut whether its end is still awaited
      * @param provenNotRun whether its end proves that it never ran
      */
-    public record Earlier(Place place, long sentUs, boolean isOut, boolean provenNotRun) {
+    public record EarlierAttempt(
+            WorkerLocation place, long sentUs, boolean isOut, boolean provenNotRun) {
         private boolean mayHaveRun() {
             return !provenNotRun;
         }
     }
 
-    private RepeatGuard() {}
+    private RetryGuard() {}
 
     /** Gives the rule that an attempt there would break now. */
     public static Optional<Violation> check(
-            String job, JobClass of, Place place, List<Earlier> before, long nowUs) {
-        if (before.stream().anyMatch(Earlier::isOut)) {
+            String job,
+            JobClass of,
+            WorkerLocation place,
+            List<EarlierAttempt> before,
+            long nowUs) {
+        if (before.stream().anyMatch(EarlierAttempt::isOut)) {
             return violation(Invariant.NO_SECOND_COPY, job, place, "one is out");
         }
-        Optional<Earlier> first = before.stream().filter(Earlier::mayHaveRun).findFirst();
+        Optional<EarlierAttempt> first =
+                before.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
         if (first.isEmpty() || of.idempotency() == Idempotency.IDEMPOTENT) {
             return Optional.empty();
         }
@@ -61,12 +67,14 @@
      * Gives the rule that a refusal would break: it promises that the request had no effect, or
      * that a repeat has none.
      */
-    public static Optional<Violation> checkRefusal(String job, JobClass of, List<Earlier> before) {
+    public static Optional<Violation> checkRejection(
+            String job, JobClass of, List<EarlierAttempt> before) {
         boolean harmless =
                 of.idempotency() == Idempotency.IDEMPOTENT
                         || of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                                 && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
-        Optional<Earlier> run = before.stream().filter(Earlier::mayHaveRun).findFirst();
+        Optional<EarlierAttempt> run =
+                before.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
         return harmless || run.isEmpty()
                 ? Optional.empty()
                 : violation(
@@ -76,7 +84,8 @@
                         "it may have run there");
     }
 
-    private static boolean isInGroup(IdempotencyScope group, Place one, Place other) {
+    private static boolean isInGroup(
+            IdempotencyScope group, WorkerLocation one, WorkerLocation other) {
         return switch (group) {
             case ALL_WORKERS -> true;
             case ZONE -> one.zone() == other.zone();
@@ -85,7 +94,7 @@
     }
 
     private static Optional<Violation> violation(
-            Invariant invariant, String job, Place place, String detail) {
+            Invariant invariant, String job, WorkerLocation place, String detail) {
         return Optional.of(new Violation(invariant, job, place.worker(), detail));
     }
 }
--- a/src/test/java/damsonslip/engine/invariants/GuardsTest.java
+++ b/src/test/java/damsonslip/engine/invariants/GuardsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.engine.invariants.InvariantMonitor.Mode;
-import damsonslip.engine.invariants.RepeatGuard.Earlier;
-import damsonslip.engine.invariants.RepeatGuard.Place;
+import damsonslip.engine.invariants.RetryGuard.EarlierAttempt;
+import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
 import damsonslip.policy.api.Idempotency;
 import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
@@ -20,9 +20,9 @@
 class GuardsTest {
     private static final long MS = 1_000;
     private static final long NOW = 50_000 * MS;
-    private static final Place HERE = new Place("a", 0, 0);
-    private static final Place SAME_ZONE = new Place("b", 0, 1);
-    private static final Place OTHER_ZONE = new Place("c", 1, 2);
+    private static final WorkerLocation HERE = new WorkerLocation("a", 0, 0);
+    private static final WorkerLocation SAME_ZONE = new WorkerLocation("b", 0, 1);
+    private static final WorkerLocation OTHER_ZONE = new WorkerLocation("c", 1, 2);
 
     private static Optional<Violation> send(
             long drainingSinceUs, boolean waits, long leftUs, long toldUs, SlowStartLoad cold) {
@@ -78,12 +78,13 @@
         return new JobClass(0, 0, 1, effect, group, 1_000 * MS, -1);
     }
 
-    private static Earlier earlier(long agoUs, boolean isOut, boolean provenNotRun) {
-        return new Earlier(HERE, NOW - agoUs, isOut, provenNotRun);
+    private static EarlierAttempt earlier(long agoUs, boolean isOut, boolean provenNotRun) {
+        return new EarlierAttempt(HERE, NOW - agoUs, isOut, provenNotRun);
     }
 
-    private static Optional<Violation> repeat(JobClass of, Place place, Earlier... before) {
-        return RepeatGuard.check("q", of, place, List.of(before), NOW);
+    private static Optional<Violation> repeat(
+            JobClass of, WorkerLocation place, EarlierAttempt... before) {
+        return RetryGuard.check("q", of, place, List.of(before), NOW);
     }
 
     @Test
@@ -128,23 +129,23 @@
 
     @Test
     void refusesOnlyWhatMayBeTriedAgain() {
-        List<Earlier> run = List.of(earlier(MS, false, false));
+        List<EarlierAttempt> run = List.of(earlier(MS, false, false));
         assertBreaks(
                 Invariant.NO_REFUSAL_AFTER_A_RUN,
-                RepeatGuard.checkRefusal(
+                RetryGuard.checkRejection(
                         "q", of(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS), run));
         assertBreaks(
                 Invariant.NO_REFUSAL_AFTER_A_RUN,
-                RepeatGuard.checkRefusal(
+                RetryGuard.checkRejection(
                         "q", of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ZONE), run));
         assertTrue(
-                RepeatGuard.checkRefusal(
+                RetryGuard.checkRejection(
                                 "q",
                                 of(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ALL_WORKERS),
                                 run)
                         .isEmpty());
         assertTrue(
-                RepeatGuard.checkRefusal(
+                RetryGuard.checkRejection(
                                 "q", of(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS), run)
                         .isEmpty());
     }
