--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -4,110 +4,178 @@
 import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
 import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.LoadReport;
-
-/** One attempt to have a query done by a worker. */
+import java.util.EnumMap;
+import java.util.EnumSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * One attempt to have a request served by a worker.
+ *
+ * <p>Used on the {@link EventLoop} only; times are in microseconds on its clock.
+ */
 public final class Attempt {
-    final RequestContext exchange;
-    final int number;
-    private final String worker;
+    /** How far the attempt has come, as far as the engine knows. */
+    enum State {
+        /** Handed to the {@link WorkerGateway}. */
+        SENT,
+        /** The worker has reported that it runs the request. */
+        RUNNING,
+        /** Ended with an outcome; later reports do not count. */
+        ENDED;
+
+        /** A worker may report more than once that it runs a request. */
+        private static final Map<State, Set<State>> SUCCESSORS =
+                new EnumMap<>(
+                        Map.of(
+                                SENT, EnumSet.of(RUNNING, ENDED),
+                                RUNNING, EnumSet.of(RUNNING, ENDED),
+                                ENDED, EnumSet.noneOf(State.class)));
+
+        boolean canMoveTo(State next) {
+            return SUCCESSORS.get(this).contains(next);
+        }
+    }
+
+    private final RequestContext context;
+    private final int number;
+    private final WorkerLocation location;
     private final long sentUs;
-    private final long endsByUs;
-    private final long beginsByUs;
-    EventLoop.Timer timeout;
-    boolean open = true;
-
-    /** How it ended; null while it is open. */
-    AttemptOutcome outcome;
-
-    private final WorkerLocation place;
-
-    Attempt(
-            RequestContext exchange,
-            int number,
-            WorkerLocation place,
-            long sentUs,
-            long beginsByUs,
-            long endsByUs) {
-        this.exchange = exchange;
-        this.number = number;
-        this.place = place;
-        this.worker = place.worker();
+    private final long startByUs;
+    private final long timeoutAtUs;
+    private EventLoop.Timer timeout;
+    private State state = State.SENT;
+
+    /** Null until the attempt has ended. */
+    private AttemptOutcome outcome;
+
+    /**
+     * Creates the next attempt of a request.
+     *
+     * @param timeoutAtUs when the scheduler stops waiting for it
+     */
+    Attempt(RequestContext context, WorkerLocation location, long sentUs, long timeoutAtUs) {
+        this.context = context;
+        this.number = context.attempts().size();
+        this.location = location;
         this.sentUs = sentUs;
-        this.beginsByUs = beginsByUs;
-        this.endsByUs = endsByUs;
+        this.startByUs = context.retryUntilUs();
+        this.timeoutAtUs = timeoutAtUs;
     }
 
+    /** Returns the request that is attempted. */
     public Request query() {
-        return exchange.query();
+        return context.query();
+    }
+
+    RequestContext context() {
+        return context;
     }
 
-    /** How many executions of the same query came before. */
+    /** Returns how many attempts of the same request were made before this one. */
     public int number() {
         return number;
     }
 
+    /** Returns the id of the worker that the attempt goes to. */
     public String worker() {
-        return worker;
+        return location.worker();
     }
 
+    /** Returns when the decision module sent the attempt. */
     public long sentUs() {
         return sentUs;
     }
 
     /**
-     * Whether it may still be written to its worker. Guards what was decided some time ago, before
-     * a connection came up: its client may have gone since, or the time in which its worker would
-     * know it for a repeat has passed. The client's connection is read for that, since its close
-     * may wait there behind a long turn of the loop.
+     * Whether the attempt may still be written to its worker. Asked when a connection that the
+     * attempt had to wait for is ready: the client may have disconnected since, or the time in
+     * which workers recognize a repetition may have passed. Reads pending input of the client's
+     * connection, because a close may be queued there while the loop is busy.
      */
     public boolean mayBegin(long nowUs) {
-        return open && nowUs < beginsByUs && exchange.isAwaited() && open;
+        // reading the client's input may end this attempt, hence the second look at its state
+        return open() && nowUs < startByUs && context.isAwaited() && open();
     }
 
     /**
-     * Whether its client still waits, by all that has come from it; if not, its end may have been
-     * told in the call.
+     * Whether the client still waits. Reads pending input of its connection first, so the attempt
+     * may have ended when this call returns.
      */
     public boolean isAwaited() {
-        return exchange.isAwaited();
+        return context.isAwaited();
     }
 
     /**
-     * How long the request is reckoned to take until its last byte has come, by earlier executions
-     * that were given up while it was written; a worker is told of so much less time.
+     * Returns how long the upload of the request is expected to take, in microseconds, from earlier
+     * attempts that were given up while they were written. The time limit that a worker is given is
+     * shortened by it.
      */
     public long expectedUploadUs() {
-        return exchange.slowestUploadUs;
+        return context.expectedUploadUs();
     }
 
-    /** A worker would have taken so long to take the whole request. */
-    public void uploadTakes(long us) {
-        exchange.slowestUploadUs = Math.max(exchange.slowestUploadUs, us);
+    /** Records how long the upload to a worker would have taken, in microseconds. */
+    public void uploadTakes(long uploadUs) {
+        context.recordUploadTime(uploadUs);
     }
 
-    /** When the scheduler stops waiting for it. */
+    /** Returns when the scheduler stops waiting for the attempt. */
     public long endsByUs() {
-        return endsByUs;
+        return timeoutAtUs;
     }
 
-    /** The same for the guard of further attempts. */
-    EarlierAttempt earlier() {
-        return new EarlierAttempt(place, sentUs, open, !open && outcome.provesNotRun());
+    /** Whether the end of the attempt is still awaited. */
+    public boolean open() {
+        return state != State.ENDED;
     }
 
-    /** Whether its end is still awaited. */
-    public boolean open() {
-        return open;
+    State state() {
+        return state;
+    }
+
+    /** Sets the timer that fires when the scheduler stops waiting. */
+    void startTimeout(EventLoop.Timer timer) {
+        timeout = timer;
+    }
+
+    /** Records that the worker runs the request; returns false if the attempt has ended. */
+    boolean markRunning() {
+        return moveTo(State.RUNNING);
+    }
+
+    /** Ends the attempt and cancels its timeout; returns false if it had ended before. */
+    boolean end(AttemptOutcome how) {
+        if (!moveTo(State.ENDED)) {
+            return false;
+        }
+        outcome = how;
+        timeout.cancel();
+        return true;
+    }
+
+    private boolean moveTo(State next) {
+        if (!state.canMoveTo(next)) {
+            return false;
+        }
+        state = next;
+        return true;
+    }
+
+    /** Returns what the guard of further attempts needs to know about this one. */
+    EarlierAttempt asEarlierAttempt() {
+        return new EarlierAttempt(location, sentUs, open(), !open() && outcome.provesNotRun());
     }
 
     /**
-     * How an execution ended.
+     * How an attempt ended.
      *
-     * @param outcome what is proved by it
-     * @param report the worker's load, or null
-     * @param result what the worker gave, where it served
+     * @param outcome what the end proves about the execution of the request
+     * @param report the worker's load report; null if it sent none
+     * @param result what the worker returned, if it served the request; null otherwise
      */
     public record End(AttemptOutcome outcome, LoadReport report, String result) {
+        /** Returns an end without load report and result. */
         public static End of(AttemptOutcome outcome) {
             return new End(outcome, null, null);
         }
--- a/src/main/java/damsonslip/engine/RequestContext.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -1,72 +1,153 @@
 package damsonslip.engine;
 
 import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.EnumSet;
 import java.util.List;
+import java.util.Map;
+import java.util.Set;
 import java.util.function.BiConsumer;
 
 /**
- * A query, its executions and its one final answer: the only place where the client side and the
- * server side of the program meet.
+ * The state of one accepted request: its attempts and its single final response. It connects the
+ * client side of the program with the worker side, which do not know each other.
+ *
+ * <p>Used on the {@link EventLoop} only.
  */
 public final class RequestContext {
-    private final Request query;
-    private final ResponseListener listener;
-    private final BiConsumer<RequestContext, Response> counting;
-    final List<Attempt> executions = new ArrayList<>(1);
-    int outstanding;
+    /** What the client of the request can still expect. */
+    enum State {
+        /** The client waits for the final response. */
+        OPEN,
+        /** The final response was given. */
+        ANSWERED,
+        /** The client disconnected before the final response. */
+        ABANDONED;
 
-    /** When repeats are last known for such, counted from the first execution that may have run. */
-    long repeatsUntilUs = Long.MAX_VALUE;
+        private static final Map<State, Set<State>> SUCCESSORS =
+                new EnumMap<>(
+                        Map.of(
+                                OPEN, EnumSet.of(ANSWERED, ABANDONED),
+                                ANSWERED, EnumSet.noneOf(State.class),
+                                ABANDONED, EnumSet.noneOf(State.class)));
 
-    /** How long the slowest worker so far would have taken to take the whole request. */
-    long slowestUploadUs;
+        boolean canMoveTo(State next) {
+            return SUCCESSORS.get(this).contains(next);
+        }
+    }
 
-    private boolean closed;
+    private final Request request;
+    private final ResponseListener listener;
+    private final BiConsumer<RequestContext, Response> responseObserver;
+    private final List<Attempt> attempts = new ArrayList<>(1);
+    private State state = State.OPEN;
+    private int openAttempts;
+    private long retryUntilUs = Long.MAX_VALUE;
+    private long expectedUploadUs;
 
+    /**
+     * Creates the context of a request that was just accepted.
+     *
+     * @param responseObserver called with the final response before the listener
+     */
     RequestContext(
-            Request query,
+            Request request,
             ResponseListener listener,
-            BiConsumer<RequestContext, Response> counting) {
-        this.query = query;
+            BiConsumer<RequestContext, Response> responseObserver) {
+        this.request = request;
         this.listener = listener;
-        this.counting = counting;
+        this.responseObserver = responseObserver;
     }
 
+    /** Returns the request as the client sent it. */
     public Request query() {
-        return query;
+        return request;
     }
 
-    /** Whether the final answer is given, or the client has gone. */
+    /** Whether the final response was given or the client has disconnected. */
     public boolean closed() {
-        return closed;
+        return state != State.OPEN;
+    }
+
+    State state() {
+        return state;
+    }
+
+    /** Returns all attempts in the order in which they were made. */
+    List<Attempt> attempts() {
+        return attempts;
+    }
+
+    /** Adds an attempt, which counts as open until {@link #attemptEnded}. */
+    void add(Attempt attempt) {
+        attempts.add(attempt);
+        openAttempts++;
+    }
+
+    /** Records that one of the open attempts has ended. */
+    void attemptEnded() {
+        openAttempts--;
+    }
+
+    /** Whether nothing more can happen to the request: it is closed and no attempt is open. */
+    boolean isFinished() {
+        return closed() && openAttempts == 0;
     }
 
     /**
-     * Whether the client still waits, by all that has come from it until now; its departure may be
-     * told in the call.
+     * Until when a further attempt may start, on the loop's clock: later, workers would not
+     * recognize it as a repetition. {@link Long#MAX_VALUE} while no attempt limits it.
+     */
+    long retryUntilUs() {
+        return retryUntilUs;
+    }
+
+    /** Limits further attempts to those that start before this time. */
+    void limitRetriesTo(long untilUs) {
+        retryUntilUs = Math.min(retryUntilUs, untilUs);
+    }
+
+    /** The longest upload that an earlier attempt would have needed, in microseconds; 0 if none. */
+    long expectedUploadUs() {
+        return expectedUploadUs;
+    }
+
+    /** Records how long an upload that was given up would have taken. */
+    void recordUploadTime(long uploadUs) {
+        expectedUploadUs = Math.max(expectedUploadUs, uploadUs);
+    }
+
+    /**
+     * Whether the client still waits. Reads pending input of its connection first, so this call may
+     * itself report that the client has disconnected.
      */
     boolean isAwaited() {
-        if (!closed) {
+        if (!closed()) {
             listener.readPending();
         }
-        return !closed;
+        return !closed();
     }
 
-    /** Gives the final answer; tells false, and does nothing, if there is one already. */
-    boolean finish(Response answer) {
-        if (closed) {
+    /** Gives the final response; returns false without any effect if the request is closed. */
+    boolean answer(Response response) {
+        if (!moveTo(State.ANSWERED)) {
             return false;
         }
-        closed = true;
-        counting.accept(this, answer);
-        listener.answer(answer);
+        responseObserver.accept(this, response);
+        listener.answer(response);
         return true;
     }
 
-    /** The client has gone: nothing is owed any more. */
+    /** Records that the client has disconnected; returns false if the request was closed before. */
     boolean abandon() {
-        boolean was = closed;
-        closed = true;
-        return !was;
+        return moveTo(State.ABANDONED);
+    }
+
+    private boolean moveTo(State next) {
+        if (!state.canMoveTo(next)) {
+            return false;
+        }
+        state = next;
+        return true;
     }
 }
--- a/src/main/java/damsonslip/engine/Response.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -1,23 +1,30 @@
 package damsonslip.engine;
 
 /**
- * The one final answer to a query.
+ * The single final response to a request.
  *
- * @param kind how it went
- * @param result what a worker gave, where served
- * @param retryAfterUs when trying again makes sense, where throttled; 0 tells nothing
- * @param late whether the query failed because its time ran out
+ * @param kind whether the request was served
+ * @param result what the worker returned, if served; empty otherwise
+ * @param retryAfterUs if throttled, after how many microseconds a retry makes sense; {@link
+ *     #NO_RETRY_AFTER} if unknown
+ * @param late if failed, whether the deadline was the reason
  */
 public record Response(Kind kind, String result, long retryAfterUs, boolean late) {
-    /** How a query may end. */
+    /** Stands for an unknown time in {@link #retryAfterUs}. */
+    public static final long NO_RETRY_AFTER = 0;
+
+    /** How a request ends. */
     public enum Kind {
+        /** A worker has served it. */
         SERVED,
+        /** It was rejected because of overload; a retry does no harm. */
         THROTTLED,
+        /** It could not be served before its deadline, or not at all. */
         FAILED
     }
 
     static Response served(String result) {
-        return new Response(Kind.SERVED, result, 0, false);
+        return new Response(Kind.SERVED, result, NO_RETRY_AFTER, false);
     }
 
     static Response throttled(long retryAfterUs) {
@@ -25,6 +32,6 @@
     }
 
     static Response failed(boolean late) {
-        return new Response(Kind.FAILED, "", 0, late);
+        return new Response(Kind.FAILED, "", NO_RETRY_AFTER, late);
     }
 }
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -1,591 +1,292 @@
 package damsonslip.engine;
 
-import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLog.Kind;
-import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.invariants.InvariantMonitor;
-import damsonslip.engine.invariants.RetryGuard;
-import damsonslip.engine.invariants.RetryGuard.EarlierAttempt;
-import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
-import damsonslip.engine.invariants.SendGuard;
-import damsonslip.engine.invariants.Violation;
 import damsonslip.membership.overrides.WorkerOverrides;
 import damsonslip.membership.peers.PeerProcesses;
 import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
-import damsonslip.policy.api.AttemptEnded;
-import damsonslip.policy.api.AttemptOutcome;
-import damsonslip.policy.api.AttemptStarted;
-import damsonslip.policy.api.Cancel;
-import damsonslip.policy.api.ClientDisconnected;
 import damsonslip.policy.api.ConnectionLost;
 import damsonslip.policy.api.DiscoveryAddressChanged;
 import damsonslip.policy.api.DiscoveryAddressState;
-import damsonslip.policy.api.Event;
-import damsonslip.policy.api.Fail;
-import damsonslip.policy.api.Idempotency;
-import damsonslip.policy.api.JobArrived;
-import damsonslip.policy.api.JobClass;
 import damsonslip.policy.api.LoadReport;
-import damsonslip.policy.api.Log;
 import damsonslip.policy.api.PoolState;
 import damsonslip.policy.api.ProbeEnded;
 import damsonslip.policy.api.ProbeResult;
-import damsonslip.policy.api.ProbeWorker;
-import damsonslip.policy.api.Reject;
 import damsonslip.policy.api.SchedulersChanged;
-import damsonslip.policy.api.Send;
-import damsonslip.policy.api.SetTimer;
 import damsonslip.policy.api.Settings;
-import damsonslip.policy.api.SlowStartLoad;
-import damsonslip.policy.api.TimerDue;
-import damsonslip.policy.api.WatchWorkerList;
 import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerListChange;
-import damsonslip.policy.api.WorkerListUpdate;
 import damsonslip.policy.api.WorkerState;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
 /**
- * Tells the decisions what happens and carries out what they say. Every method is called on the
- * {@link EventLoop}.
+ * The scheduler behind a front: accepts requests, reports what happens to the decision module, and
+ * executes its actions through a {@link WorkerGateway}.
+ *
+ * <p>This class only connects the parts of the engine: {@link OpenRequests}, {@link
+ * AttemptManager}, {@link WorkerList}, {@link PolicyDispatcher}, {@link ActionExecutor} and {@link
+ * EngineGuards}. All methods are called on the {@link EventLoop}; times are in microseconds on its
+ * clock.
  */
 public final class SchedulerEngine {
-    private static final Logger LOG = LoggerFactory.getLogger(SchedulerEngine.class);
-
-    /**
-     * No more queries than this are held at once; what comes beyond is throttled before the module
-     * sees it.
-     */
+    /** Requests beyond this number of open ones are rejected without asking the module. */
     public static final int MOST_OPEN = 2_000;
 
-    /** A repeat is begun this much before its window ends: it counts when it has arrived whole. */
-    private static final long ARRIVES_US = 20_000;
-
-    /** A trace tells how things stand this often: the seconds that a fleet's logs are summed by. */
-    private static final long TRACE_US = 1_000_000;
-
-    /**
-     * What becomes of an action that breaks a rule: {@code report} or, in tests, {@code refuse}.
-     */
-    private static final String INVARIANTS = "damsonslip.invariants";
-
-    /** Events that are written behind a violation. */
-    private static final int EVENTS_OF_A_VIOLATION = 16;
-
     private final EventLoop loop;
-    private final Counters counters;
-    private final SchedulingPolicy rules;
     private final Settings settings;
-    private final EventLog events = new EventLog();
-    private final InvariantMonitor monitor;
+    private final SchedulingPolicy policy;
+    private final EventLog eventLog = new EventLog();
+    private final EngineGuards guards;
+    private final EngineStatistics statistics;
     private final RequestTrace trace;
-    private final Map<String, RequestContext> exchanges = new HashMap<>();
-    private final WorkerOverrides bans = new WorkerOverrides();
+    private final StateTrace stateTrace;
+    private final PolicyDispatcher dispatcher;
+    private final WorkerList workerList;
+    private final OpenRequests requests;
+    private final AttemptManager attempts;
+    private final ActionExecutor executor;
 
-    /** Answers by class and kind. */
-    private final long[][] answers;
-
-    private final ArrayDeque<Event> waiting = new ArrayDeque<>();
-    private WorkerGateway workers;
-    private boolean handling;
-    private int open;
+    /** Null until {@link #begin}. */
+    private WorkerGateway gateway;
 
+    /**
+     * Creates an engine without workers; call {@link #begin} before anything else.
+     *
+     * @param seed seeds the random choices of the decision module
+     */
     public SchedulerEngine(Settings settings, long seed, EventLoop loop, Counters counters) {
         this.loop = loop;
-        this.counters = counters;
-        this.rules = new SchedulingPolicy(settings, seed);
         this.settings = settings;
-        this.trace = new RequestTrace(events, loop);
-        this.monitor =
-                new InvariantMonitor(
-                        InvariantMonitor.Mode.valueOf(
-                                System.getProperty(INVARIANTS, "report").toUpperCase(Locale.ROOT)),
-                        this::violated);
-        trace.settings(settings, loop.now());
-        this.answers = new long[settings.classes().size()][Response.Kind.values().length];
-    }
-
-    /** So many processes are this one scheduler now; each counts as a scheduler of its own. */
-    public void divided(PeerProcesses kin) {
-        tell(
-                new SchedulersChanged(
-                        settings.schedulers() * kin.processes(),
-                        settings.schedulerIndex() * kin.processes() + kin.index()));
+        this.policy = new SchedulingPolicy(settings, seed);
+        this.trace = new RequestTrace(eventLog, loop);
+        this.stateTrace = new StateTrace(loop, counters, policy);
+        this.guards = new EngineGuards(loop, policy, settings, eventLog, counters);
+        this.statistics = new EngineStatistics(counters, settings.classes().size());
+        this.dispatcher = new PolicyDispatcher(policy, loop, this::execute);
+        this.workerList = new WorkerList(loop, counters, trace, dispatcher::deliver);
+        this.requests = new OpenRequests(loop, statistics, trace, guards, dispatcher::deliver);
+        this.attempts =
+                new AttemptManager(
+                        loop,
+                        settings,
+                        statistics,
+                        trace,
+                        guards,
+                        dispatcher::deliver,
+                        this::gateway,
+                        workerList,
+                        requests);
+        this.executor =
+                new ActionExecutor(
+                        loop,
+                        counters,
+                        trace,
+                        dispatcher::deliver,
+                        this::gateway,
+                        requests,
+                        attempts);
+        stateTrace.settings(settings);
+    }
+
+    private void execute(Action action) {
+        executor.execute(action);
+    }
+
+    private WorkerGateway gateway() {
+        return gateway;
     }
 
-    /** Whether there is a list of workers to decide by. */
-    public boolean isBegun() {
-        return workers != null;
-    }
-
-    /** Begins with the list of workers that was kept; before anything else is told. */
-    public void begin(WorkerGateway side, List<WorkerEntry> kept) {
-        workers = side;
-        trace.listed(WorkerListChange.KEPT, kept);
-        tell(
-                new WorkerListUpdate(
-                        WorkerListChange.KEPT,
-                        bans.apply(WorkerListChange.KEPT, kept, loop.now()),
-                        loop.startedUs()));
-        if (trace.on()) {
-            stands();
-        }
+    /**
+     * Starts with the worker list that an earlier process has cached.
+     *
+     * @param workers the gateway to the workers
+     * @param cached the cached list; empty if there is none
+     */
+    public void begin(WorkerGateway workers, List<WorkerEntry> cached) {
+        gateway = workers;
+        workerList.load(cached);
+        stateTrace.start();
     }
 
-    private void stands() {
-        trace.stands(counters, rules.pools(), rules.workers(loop.now()));
-        loop.in(TRACE_US, this::stands);
+    /** Whether {@link #begin} was called, so that there is a worker list to decide by. */
+    public boolean isBegun() {
+        return workerList.isLoaded();
     }
 
-    // ---- the guards of the rules
+    /** Divides this scheduler's capacity anew when processes of it have started or ended. */
+    public void divided(PeerProcesses peers) {
+        dispatcher.deliver(
+                new SchedulersChanged(
+                        settings.schedulers() * peers.processes(),
+                        settings.schedulerIndex() * peers.processes() + peers.index()));
+    }
 
-    /** Counts violations, and says whether what would be one may go on. */
+    /** Returns the monitor that counts violations of the operators' rules. */
     public InvariantMonitor monitor() {
-        return monitor;
+        return guards.monitor();
     }
 
-    /** The newest events. */
+    /** Returns the log of the newest events. */
     public EventLog events() {
-        return events;
-    }
-
-    private void violated(Violation violation) {
-        counters.add(Count.INVARIANTS_VIOLATED);
-        LOG.error(
-                "event=invariant_violated invariant={} job={} worker={} detail=\"{}\" events={}",
-                violation.invariant(),
-                violation.job(),
-                violation.worker(),
-                violation.detail(),
-                events.newest(EVENTS_OF_A_VIOLATION, violation.job()));
+        return eventLog;
     }
 
-    private static List<EarlierAttempt> earlier(RequestContext exchange) {
-        return exchange.executions.stream().map(Attempt::earlier).toList();
-    }
-
-    private JobClass classOf(Request query) {
-        return settings.classes().get(query.jobClass());
-    }
-
-    private WorkerLocation place(String worker) {
-        WorkerEntry listed = bans.listed(worker);
-        return listed == null
-                ? new WorkerLocation(worker, 0, 0)
-                : new WorkerLocation(worker, listed.zone(), listed.cell());
-    }
-
-    /**
-     * Whether an attempt may begin that is told this much time, at a worker that drains since then.
-     */
-    public boolean permitsSend(Attempt execution, long toldUs, long drainingSinceUs) {
-        Request query = execution.query();
-        SlowStartLoad cold = rules.coldLoad(execution.worker(), query.jobClass());
-        return monitor.permits(
-                SendGuard.check(
-                        new SendGuard.Facts(
-                                query.id(),
-                                execution.worker(),
-                                loop.now(),
-                                drainingSinceUs,
-                                settings.guarantees().drainGraceUs(),
-                                !execution.exchange.closed(),
-                                query.earliestDeadlineUs(),
-                                toldUs,
-                                cold)));
-    }
-
-    // ---- for operators
-
+    /** Returns the state of each worker pool. */
     public List<PoolState> pools() {
-        return rules.pools();
+        return policy.pools();
     }
 
+    /** Returns the state of each worker. */
     public List<WorkerState> workers() {
-        return rules.workers(loop.now());
+        return policy.workers(loop.now());
     }
 
-    /** How many classes there are. */
+    /** Returns the number of request classes. */
     public int classes() {
-        return answers.length;
+        return statistics.classCount();
     }
 
-    /** How many queries of a class have ended like this. */
+    /** Returns how many requests of a class got a final response of this kind. */
     public long answers(int jobClass, Response.Kind kind) {
-        return answers[jobClass][kind.ordinal()];
+        return statistics.responseCount(jobClass, kind);
     }
 
-    /** The workers that the list holds now. */
-    public Set<String> targets() {
-        return bans.listedWorkers();
-    }
-
-    /** Keeps new jobs from a worker until {@link #enable}; gives false if no list has named it. */
-    public boolean disable(String id) {
-        if (!bans.isKnown(id)) {
-            return false;
-        }
-        told(bans.disable(id));
-        workers.drain(id);
-        return true;
+    /** Returns the number of requests that still lack their final response. */
+    public int open() {
+        return requests.openCount();
     }
 
-    /** Uses a worker again, as one that has just started; gives false if no list has named it. */
-    public boolean enable(String id) {
-        if (!bans.isKnown(id)) {
-            return false;
-        }
-        told(bans.enable(id, loop.now()));
-        return true;
+    /** Whether the id belongs to a request that is open or has an open attempt. */
+    public boolean holds(String id) {
+        return requests.contains(id);
     }
 
     /**
-     * Whether an operator has taken the worker out: nothing more is written to it, decided or not.
+     * Accepts a request; the listener may get the response before this returns.
+     *
+     * @param request a request whose id is not in use, see {@link #holds}
      */
-    public boolean bars(String id) {
-        return bans.isDisabled(id);
+    public RequestContext take(Request request, ResponseListener listener) {
+        return requests.submit(request, listener);
     }
 
-    /** The bans as a text that {@link #takeOver} reads in another process. */
-    public String bans() {
-        return bans.serialize(loop.now());
-    }
-
-    /** Bans that another process has kept hold here too. */
-    public void takeOver(String text) throws WorkerOverrides.MalformedException {
-        told(bans.restore(text));
-    }
-
-    private void told(List<WorkerEntry> changed) {
-        if (!changed.isEmpty() && workers != null) {
-            tell(new WorkerListUpdate(WorkerListChange.OVERRIDES, changed));
+    /** Closes a request whose client has disconnected; does nothing if it is closed. */
+    public void gone(RequestContext context) {
+        if (requests.abandon(context)) {
+            attempts.withdrawUnsent(context);
+            requests.removeIfFinished(context);
         }
     }
 
-    /** Queries that still lack their final answer. */
-    public int open() {
-        return open;
-    }
-
-    /** Whether an id belongs to a query that is still held. */
-    public boolean holds(String id) {
-        return exchanges.containsKey(id);
-    }
-
-    // ---- the client side
-
-    /** Takes a query in, whose id {@link #holds} must not know. */
-    public RequestContext take(Request query, ResponseListener listener) {
-        counters.add(Count.QUERIES_TAKEN);
-        trace.taken(query);
-        RequestContext exchange = new RequestContext(query, listener, this::count);
-        open++;
-        if (open > MOST_OPEN) {
-            exchange.finish(
-                    Response.throttled(
-                            0)); // the module was not asked, so there is no figure to give
-            return exchange;
-        }
-        exchanges.put(query.id(), exchange);
-        tell(
-                new JobArrived(
-                        query.id(),
-                        query.jobClass(),
-                        query.tenant(),
-                        query.subject(),
-                        query.deadlineUs(),
-                        query.slots(),
-                        query.memory(),
-                        query.mostRuns(),
-                        query.fits()));
-        return exchange;
-    }
-
-    private void count(RequestContext exchange, Response answer) {
-        Request query = exchange.query();
-        open--;
-        monitor.permits(CloseGuard.checkAnswer(query.id(), loop.now(), query.deadlineUs()));
-        if (answer.kind() == Response.Kind.THROTTLED) {
-            monitor.permits(
-                    RetryGuard.checkRejection(query.id(), classOf(query), earlier(exchange)));
-        }
-        answers[query.jobClass()][answer.kind().ordinal()]++;
-        trace.answered(query, answer);
-        counters.add(
-                switch (answer.kind()) {
-                    case SERVED -> Count.ANSWERS_SERVED;
-                    case THROTTLED -> Count.ANSWERS_THROTTLED;
-                    case FAILED -> Count.ANSWERS_FAILED;
-                });
-    }
-
-    /** The client has gone. */
-    public void gone(RequestContext exchange) {
-        if (exchange.abandon()) {
-            open--;
-            counters.add(Count.QUERIES_GONE);
-            events.add(loop.now(), Kind.DEPARTED, exchange.query().id(), "", 0);
-            tell(new ClientDisconnected(exchange.query().id()));
-            withdraw(exchange);
-            forget(exchange);
-        }
+    /** Has every open request answered now, as if its deadline were reached. */
+    public void answerAll() {
+        requests.answerAllOpen();
     }
 
-    /**
-     * What is still being written would come whole after its client's departure, also where calling
-     * off is not allowed.
-     */
-    private void withdraw(RequestContext exchange) {
-        for (Attempt execution : List.copyOf(exchange.executions)) {
-            if (execution.open && workers.withdraw(execution)) {
-                ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
-            }
-        }
+    /** Whether the worker may be sent to, by discovery's last list or its own health checks. */
+    public boolean mayUse(String worker) {
+        return policy.mayUse(worker, loop.now());
     }
 
     /**
-     * No query can be waited for any longer: whatever is open gets its final answer, as at its
-     * deadline.
+     * Whether the first byte of an attempt may be written now, by the invariants.
+     *
+     * @param timeLimitUs the time limit that the worker is given
+     * @param drainingSinceUs when the worker was reported as draining or removed; {@link
+     *     Long#MAX_VALUE} if it runs
      */
-    public void answerAll() {
-        exchanges.values().stream()
-                .filter(exchange -> !exchange.closed())
-                .map(exchange -> exchange.query().id())
-                .toList()
-                .forEach(id -> tell(new TimerDue(SchedulingPolicy.lastLabel(id))));
+    public boolean permitsSend(Attempt attempt, long timeLimitUs, long drainingSinceUs) {
+        return guards.permitsSend(attempt, timeLimitUs, drainingSinceUs);
     }
 
-    // ---- the server side
-
-    public void started(Attempt execution) {
-        if (execution.open) {
-            trace.started(execution);
-            tell(new AttemptStarted(execution.query().id(), execution.number));
-        }
+    /** Records that the worker runs the request; does nothing if the attempt has ended. */
+    public void started(Attempt attempt) {
+        attempts.started(attempt);
     }
 
-    /** An execution has ended; only the first end counts. */
-    public void ended(Attempt execution, Attempt.End end) {
-        if (!execution.open) {
-            return;
-        }
-        execution.open = false;
-        execution.outcome = end.outcome();
-        trace.ended(execution, end.outcome());
-        execution.timeout.cancel();
-        RequestContext exchange = execution.exchange;
-        exchange.outstanding--;
-        JobClass of = classOf(execution.query());
-        if (of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !end.outcome().provesNotRun()) {
-            exchange.repeatsUntilUs =
-                    Math.min(
-                            exchange.repeatsUntilUs,
-                            execution.sentUs() + of.idempotencyWindowUs() - ARRIVES_US);
-        }
-        counters.add(
-                switch (end.outcome()) {
-                    case SERVED -> Count.EXECUTIONS_SERVED;
-                    case ERROR -> Count.EXECUTIONS_ERROR;
-                    case FULL -> Count.EXECUTIONS_FULL;
-                    case TIMED_OUT -> Count.EXECUTIONS_TIMED_OUT;
-                    case NOT_CONNECTED -> Count.EXECUTIONS_NOT_CONNECTED;
-                    case RESET -> Count.EXECUTIONS_RESET;
-                    case CANCELLED -> Count.EXECUTIONS_CANCELLED;
-                    case NEVER_SENT -> Count.EXECUTIONS_NEVER_SENT;
-                });
-        if (end.outcome() == AttemptOutcome.SERVED) {
-            exchange.finish(Response.served(end.result()));
-        }
-        tell(
-                new AttemptEnded(
-                        execution.query().id(),
-                        execution.number,
-                        end.outcome(),
-                        exchange.closed(),
-                        end.report()));
-        forget(exchange);
+    /** Records the end of an attempt; only the first end counts. */
+    public void ended(Attempt attempt, Attempt.End end) {
+        attempts.ended(attempt, end);
     }
 
-    /** Discovery has sent its list or changes to it. */
-    public void listed(WorkerListChange mode, List<WorkerEntry> list) {
-        counters.add(Count.LIST_UPDATES);
-        trace.listed(mode, list);
-        tell(new WorkerListUpdate(mode, bans.apply(mode, list, loop.now())));
+    /** Returns the ids of the workers on discovery's list. */
+    public Set<String> targets() {
+        return workerList.listedWorkers();
     }
 
-    /** News of discovery's address after a reload that was asked for at that time. */
-    public void discoveryAddress(DiscoveryAddressState news, long sinceUs) {
-        events.add(
-                loop.now(), Kind.LISTED, "", "address " + news.name().toLowerCase(Locale.ROOT), 0);
-        tell(new DiscoveryAddressChanged(news, sinceUs));
+    /** Applies a worker list, or changes to it, from discovery. */
+    public void listed(WorkerListChange change, List<WorkerEntry> list) {
+        workerList.update(change, list);
     }
 
     /**
-     * A call to discovery or the watch on it has ended.
+     * Records that a call to discovery or the watch on it has ended.
      *
-     * @param heardUs when something was last read from it
+     * @param lastReadUs when something was last read from discovery
      */
-    public void listLost(WorkerListChange mode, long heardUs) {
-        counters.add(Count.LIST_FAILURES);
-        trace.listed(mode, List.of());
-        tell(new WorkerListUpdate(mode, List.of(), heardUs));
+    public void listLost(WorkerListChange failure, long lastReadUs) {
+        workerList.updateFailed(failure, lastReadUs);
     }
 
     /**
-     * Whether discovery's last list, or the worker's own answer to a probe, still allows to send to
-     * it.
+     * Records how far a change of discovery's address has come.
+     *
+     * @param sinceUs when the operator asked for the reload
      */
-    public boolean mayUse(String worker) {
-        return rules.mayUse(worker, loop.now());
+    public void discoveryAddress(DiscoveryAddressState state, long sinceUs) {
+        String detail = "address " + state.name().toLowerCase(Locale.ROOT);
+        eventLog.add(loop.now(), Kind.LISTED, "", detail, 0);
+        dispatcher.deliver(new DiscoveryAddressChanged(state, sinceUs));
     }
 
-    /** A connection to the worker, on which nothing was under way, has ended, and not from here. */
+    /** Records that the peer has closed an idle connection to a worker. */
     public void connectionLost(String worker) {
-        tell(new ConnectionLost(worker));
-    }
-
-    public void probed(String worker, ProbeResult result, LoadReport report) {
-        trace.probed(worker, result);
-        tell(new ProbeEnded(worker, result, report));
-    }
-
-    // ---- decisions
-
-    /**
-     * Hands events to the module one by one. Carrying out an action may lead to a further event at
-     * once, which has to wait until the actions of the one at hand are done.
-     */
-    private void tell(Event event) {
-        waiting.add(event);
-        if (handling) {
-            return;
-        }
-        handling = true;
-        try {
-            List<Action> actions = new ArrayList<>();
-            for (Event next = waiting.poll(); next != null; next = waiting.poll()) {
-                actions.clear();
-                rules.handle(loop.now(), next, actions);
-                for (Action action : actions) {
-                    carryOutOrReport(action);
-                }
-            }
-        } finally {
-            handling = false;
-        }
+        dispatcher.deliver(new ConnectionLost(worker));
     }
 
     /**
-     * Guards the actions behind one that fails, such as the timer by which its request gets an
-     * answer.
+     * Records the result of a health check.
+     *
+     * @param report the worker's load report; null if it sent none
      */
-    private void carryOutOrReport(Action action) {
-        try {
-            carryOut(action);
-        } catch (RuntimeException e) {
-            counters.add(Count.ACTIONS_FAILED);
-            LOG.error("event=action_failed action={}", action, e);
-        }
-    }
-
-    private void carryOut(Action action) {
-        if (action instanceof Send send) {
-            send(send);
-        } else if (action instanceof Cancel cancel) {
-            cancel(exchanges.get(cancel.job()), cancel.attempt());
-        } else if (action instanceof Reject refuse) {
-            finish(refuse.job(), Response.throttled(refuse.retryAfterUs()));
-        } else if (action instanceof Fail fail) {
-            RequestContext exchange = exchanges.get(fail.job());
-            finish(fail.job(), Response.failed(exchange != null && late(exchange)));
-        } else if (action instanceof ProbeWorker probe) {
-            counters.add(Count.PROBES_SENT);
-            workers.probe(probe.worker(), probe.connectedBeforeUs());
-        } else if (action instanceof SetTimer timer) {
-            loop.at(timer.atUs(), () -> tell(new TimerDue(timer.label())));
-        } else if (action instanceof WatchWorkerList) {
-            trace.asked();
-            workers.watch();
-        } else if (action instanceof Log log) {
-            LOG.info(log.text());
-        }
-    }
-
-    private boolean late(RequestContext exchange) {
-        return loop.now() + 50_000 > exchange.query().deadlineUs();
+    public void probed(String worker, ProbeResult result, LoadReport report) {
+        trace.probed(worker, result);
+        dispatcher.deliver(new ProbeEnded(worker, result, report));
     }
 
-    private void send(Send send) {
-        RequestContext exchange = exchanges.get(send.job());
-        if (exchange == null) { // closed while the module decided: it is still owed an end
-            tell(new AttemptEnded(send.job(), 0, AttemptOutcome.NEVER_SENT, true, null));
-            return;
-        }
-        counters.add(Count.EXECUTIONS_SENT);
-        long now = loop.now();
-        long deadline = exchange.query().deadlineUs();
-        long endsBy = send.timeoutUs() > 0 ? Math.min(deadline, now + send.timeoutUs()) : deadline;
-        WorkerLocation place = place(send.worker());
-        boolean permitted =
-                monitor.permits(
-                        RetryGuard.check(
-                                send.job(),
-                                classOf(exchange.query()),
-                                place,
-                                earlier(exchange),
-                                now));
-        Attempt execution =
-                new Attempt(
-                        exchange,
-                        exchange.executions.size(),
-                        place,
-                        now,
-                        exchange.repeatsUntilUs,
-                        endsBy);
-        exchange.executions.add(execution);
-        trace.sent(execution);
-        exchange.outstanding++;
-        execution.timeout = loop.at(endsBy, () -> stop(execution, AttemptOutcome.TIMED_OUT));
-        if (exchange.closed() || !permitted) {
-            ended(execution, Attempt.End.of(AttemptOutcome.NEVER_SENT));
-        } else {
-            workers.start(execution);
+    /** Sends a worker no new requests until {@link #enable}; returns false if it is unknown. */
+    public boolean disable(String worker) {
+        if (!workerList.disable(worker)) {
+            return false;
         }
+        gateway.drain(worker);
+        return true;
     }
 
-    private void cancel(RequestContext exchange, int number) {
-        if (exchange != null && number < exchange.executions.size()) {
-            stop(exchange.executions.get(number), AttemptOutcome.CANCELLED);
-        }
+    /** Uses a worker again, as one that has just started; returns false if it is unknown. */
+    public boolean enable(String worker) {
+        return workerList.enable(worker);
     }
 
-    private void stop(Attempt execution, AttemptOutcome outcome) {
-        if (execution.open) {
-            workers.cancel(execution);
-            ended(execution, Attempt.End.of(outcome));
-        }
+    /** Whether an operator has disabled the worker, so that nothing more may be written to it. */
+    public boolean bars(String worker) {
+        return workerList.isDisabled(worker);
     }
 
-    private void finish(String id, Response answer) {
-        RequestContext exchange = exchanges.get(id);
-        if (exchange != null) {
-            exchange.finish(answer);
-            forget(exchange);
-        }
+    /** Returns the overrides as text for {@link #takeOver} in another process. */
+    public String bans() {
+        return workerList.overridesText();
     }
 
-    private void forget(RequestContext exchange) {
-        if (exchange.closed() && exchange.outstanding == 0) {
-            exchanges.remove(exchange.query().id());
-        }
+    /**
+     * Replaces the overrides by those of another process.
+     *
+     * @throws WorkerOverrides.MalformedException if the text is incomplete or of another version
+     */
+    public void takeOver(String text) throws WorkerOverrides.MalformedException {
+        workerList.restoreOverrides(text);
     }
 }
