--- a/src/main/java/damsonslip/engine/Counters.java
+++ b/src/main/java/damsonslip/engine/Counters.java
@@ -1,12 +1,21 @@
 package damsonslip.engine;
 
+import java.util.EnumMap;
 import java.util.Locale;
-import java.util.concurrent.atomic.AtomicLongArray;
+import java.util.Map;
+import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BiConsumer;
 
-/** What the program has taken in, sent and answered since its start. */
+/**
+ * Counts what the program has accepted, sent and answered since its start.
+ *
+ * <p>Thread-safe.
+ */
 public final class Counters {
-    /** Each thing that is counted. */
+    /**
+     * What is counted. Operators see the names in lower case at the console and in the log, and
+     * tools read them there, so they stay as they are.
+     */
     public enum Count {
         QUERIES_TAKEN,
         QUERIES_BAD,
@@ -50,30 +59,40 @@
         TASKS_FAILED
     }
 
-    private final AtomicLongArray counts = new AtomicLongArray(Count.values().length);
+    private final Map<Count, AtomicLong> counts = new EnumMap<>(Count.class);
 
+    /** Creates counters that are all zero. */
+    public Counters() {
+        for (Count count : Count.values()) {
+            counts.put(count, new AtomicLong());
+        }
+    }
+
+    /** Adds one to a counter. */
     public void add(Count count) {
-        counts.incrementAndGet(count.ordinal());
+        counts.get(count).incrementAndGet();
     }
 
+    /** Returns the value of a counter. */
     public long get(Count count) {
-        return counts.get(count.ordinal());
+        return counts.get(count).get();
     }
 
-    /** Tells every count that is not nought. */
-    public void each(BiConsumer<String, Long> taker) {
+    /** Passes name and value of every counter that is not zero to the consumer. */
+    public void each(BiConsumer<String, Long> consumer) {
         for (Count count : Count.values()) {
-            if (get(count) > 0) {
-                taker.accept(count.name().toLowerCase(Locale.ROOT), get(count));
+            long value = get(count);
+            if (value > 0) {
+                consumer.accept(count.name().toLowerCase(Locale.ROOT), value);
             }
         }
     }
 
-    /** One line of {@code name=value}, without what never happened. */
+    /** Returns one line of {@code name=value} with all counters that are not zero. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("counters");
-        each((name, count) -> text.append(' ').append(name).append('=').append(count));
+        each((name, value) -> text.append(' ').append(name).append('=').append(value));
         return text.toString();
     }
 }
--- a/src/main/java/damsonslip/engine/EventLog.java
+++ b/src/main/java/damsonslip/engine/EventLog.java
@@ -5,42 +5,51 @@
 import java.util.Locale;
 
 /**
- * The newest events with their ids, kept in memory: read at the console, and written to the log
- * behind a violation, where what led to it counts. A line for each event would cost more than the
- * event. Used on the loop.
+ * Keeps the newest events in memory. They are shown at the console, and logged with a violation of
+ * an invariant, where the events that led to it matter. Logging a line for each event would cost
+ * more than the event itself.
+ *
+ * <p>Used on the {@link EventLoop} only.
  */
 public final class EventLog {
-    /** What happens to a request, a connection or the list. */
+    /**
+     * What happened to a request, a connection or the worker list. Operators see the names in lower
+     * case at the console and in the log, so they stay as they are.
+     */
     public enum Kind {
-        /** A client's request was read whole and taken in. */
+        /** A request was read completely and accepted. */
         TAKEN,
-        /** The module has sent it to a worker. */
+        /** The decision module has sent it to a worker. */
         SENT,
-        /** Its last byte has left. */
+        /** Its last byte was written. */
         WRITTEN,
-        /** The worker has begun it. */
+        /** The worker has reported that it runs it. */
         STARTED,
         /** An attempt has ended. */
         ENDED,
-        /** The final answer was given. */
+        /** The final response was given. */
         ANSWERED,
-        /** The client left before it had one. */
+        /** The client disconnected before the final response. */
         DEPARTED,
-        /** A message that could not be served. */
+        /** A message of a client was rejected as invalid. */
         REFUSED_AS_BAD,
         /** A client's connection has ended. */
         CLIENT_CLOSED,
-        /** Discovery has told of workers. */
+        /** Discovery has sent workers, or its address has changed. */
         LISTED,
-        /** A worker was told to drain or to have gone. */
+        /** A worker was listed as draining or removed. */
         DRAIN_TOLD,
         /** A call to discovery or the watch on it has ended. */
         LIST_LOST,
-        /** The program has moved to another phase. */
+        /** The program has moved to another phase of its life. */
         PHASE
     }
 
-    /** One event; the detail is what the kind needs: a worker, an outcome, a reason. */
+    /**
+     * One event.
+     *
+     * @param detail what the kind needs: a worker, an outcome, a reason
+     */
     private record Entry(long atUs, Kind kind, String id, Object detail, long figure) {
         @Override
         public String toString() {
@@ -50,25 +59,43 @@
         }
     }
 
-    private static final int SIZE = 1_024;
+    private static final int CAPACITY = 1_024;
 
-    private final Entry[] entries = new Entry[SIZE];
-    private long count;
+    /** A ring: the entry with sequence number n is at index n modulo the capacity. */
+    private final Entry[] entries = new Entry[CAPACITY];
 
-    /** Notes an event down; the oldest one goes. */
+    private long nextSequence;
+
+    /**
+     * Adds an event; the oldest one is dropped if the log is full.
+     *
+     * @param id the request's or worker's id; may be empty
+     * @param figure a number whose meaning depends on the kind
+     */
     public void add(long atUs, Kind kind, String id, Object detail, long figure) {
-        entries[(int) (count++ % SIZE)] = new Entry(atUs, kind, id, detail, figure);
+        entries[index(nextSequence)] = new Entry(atUs, kind, id, detail, figure);
+        nextSequence++;
     }
 
-    /** The newest events, the oldest of them first; those of this id alone, unless it is empty. */
-    public List<String> newest(int most, String id) {
+    /**
+     * Returns the newest events as text, the oldest of them first.
+     *
+     * @param limit how many at most
+     * @param id only events with this id are returned, unless it is empty
+     */
+    public List<String> newest(int limit, String id) {
         List<String> found = new ArrayList<>();
-        for (long i = count - 1; i >= Math.max(0, count - SIZE) && found.size() < most; i--) {
-            Entry entry = entries[(int) (i % SIZE)];
+        long oldest = Math.max(0, nextSequence - CAPACITY);
+        for (long i = nextSequence - 1; i >= oldest && found.size() < limit; i--) {
+            Entry entry = entries[index(i)];
             if (id.isEmpty() || entry.id().equals(id)) {
                 found.add(0, entry.toString());
             }
         }
         return found;
     }
+
+    private static int index(long sequence) {
+        return (int) (sequence % CAPACITY);
+    }
 }
--- a/src/main/java/damsonslip/engine/EventLoop.java
+++ b/src/main/java/damsonslip/engine/EventLoop.java
@@ -1,108 +1,121 @@
 package damsonslip.engine;
 
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread on which everything is decided, and its clock: microseconds since 1970 that never
- * go backwards. State that is touched only from here needs no locks.
+ * The single thread on which all decisions are made, with its clock. State that is used only on
+ * this thread needs no locks.
+ *
+ * <p>The clock gives microseconds since the Unix epoch and never goes backwards: it follows the
+ * system's monotonic clock from the moment at which the loop was created.
+ *
+ * <p>Thread-safe, except for {@link #waits}.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-    private final long epochUs = System.currentTimeMillis() * 1000;
-    private final long nanosAtEpoch = System.nanoTime();
+    private static final String THREAD_NAME = "damsonslip";
+
+    private final long startedUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
+    private final long startedNanoTime = System.nanoTime();
     private final ScheduledThreadPoolExecutor thread =
-            new ScheduledThreadPoolExecutor(
-                    1,
-                    task -> {
-                        Thread t = new Thread(task, "damsonslip");
-                        t.setDaemon(false);
-                        return t;
-                    });
+            new ScheduledThreadPoolExecutor(1, EventLoop::newThread);
+    private final LoopLatency latency = new LoopLatency();
+    private volatile Runnable failureListener = () -> {};
 
-    private final LoopLatency waits = new LoopLatency();
-    private volatile Runnable taskFailed = () -> {};
+    /** A task that is scheduled. */
+    public interface Timer {
+        /** Keeps the task from being run; without effect if it was run already. */
+        void cancel();
+    }
 
+    /** Creates a loop; its thread starts with the first task and keeps the process alive. */
     public EventLoop() {
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, THREAD_NAME);
+        thread.setDaemon(false);
+        return thread;
+    }
+
+    /** Returns the current time in microseconds since the Unix epoch. */
     public long now() {
         return timeOf(System.nanoTime());
     }
 
-    /** When this clock was begun, at the start of the program. */
+    /** Returns the time at which the loop was created. */
     public long startedUs() {
-        return epochUs;
+        return startedUs;
     }
 
-    /** What {@link #now} gave at that time of {@link System#nanoTime}. */
+    /** Returns the time on this clock at a given value of {@link System#nanoTime}. */
     public long timeOf(long nanoTime) {
-        return epochUs + (nanoTime - nanosAtEpoch) / 1000;
+        return startedUs + TimeUnit.NANOSECONDS.toMicros(nanoTime - startedNanoTime);
     }
 
+    /** Runs a task on the loop as soon as possible; does nothing after {@link #stop}. */
     public void execute(Runnable task) {
         if (!thread.isShutdown()) {
             thread.execute(guarded(task, System.nanoTime()));
         }
     }
 
-    /** A timer that can be called off; a time that has passed means as soon as possible. */
+    /**
+     * Runs a task at a time, or as soon as possible if that has passed; does nothing after {@link
+     * #stop}.
+     */
     public Timer at(long timeUs, Runnable task) {
         if (thread.isShutdown()) {
             return () -> {};
         }
-        long inUs = Math.max(0, timeUs - now());
-        var set =
-                thread.schedule(
-                        guarded(task, System.nanoTime() + inUs * 1000),
-                        inUs,
-                        TimeUnit.MICROSECONDS);
-        return () -> set.cancel(false);
+        long delayUs = Math.max(0, timeUs - now());
+        long dueNanoTime = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(delayUs);
+        ScheduledFuture<?> scheduled =
+                thread.schedule(guarded(task, dueNanoTime), delayUs, TimeUnit.MICROSECONDS);
+        return () -> scheduled.cancel(false);
     }
 
-    public Timer in(long us, Runnable task) {
-        return at(now() + us, task);
+    /** Runs a task after a delay in microseconds; does nothing after {@link #stop}. */
+    public Timer in(long delayUs, Runnable task) {
+        return at(now() + delayUs, task);
     }
 
-    /** Has this told of each task that fails. */
+    /** Sets the listener that is called on the loop for each task that fails. */
     public void onTaskFailed(Runnable listener) {
-        taskFailed = listener;
+        failureListener = listener;
     }
 
-    /** How long tasks have waited for their turn; read on the loop. */
+    /** Returns how long tasks have waited for the thread; read on the loop. */
     public LoopLatency waits() {
-        return waits;
+        return latency;
     }
 
-    /** The thread itself, for a library that keeps its own timers. */
+    /** Returns the underlying executor, for a library that needs one for its own timers. */
     public ScheduledThreadPoolExecutor executor() {
         return thread;
     }
 
+    /** Stops the loop after the tasks that are ready to run; scheduled ones are dropped. */
     public void stop() {
         thread.shutdown();
     }
 
-    /** Guards against one faulty event taking the thread, and with it every other query, down. */
-    private Runnable guarded(Runnable task, long dueNs) {
+    /** Keeps a failing task from ending the thread, and with it every other request. */
+    private Runnable guarded(Runnable task, long dueNanoTime) {
         return () -> {
             try {
-                waits.add((System.nanoTime() - dueNs) / 1000);
+                latency.add(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanoTime));
                 task.run();
-            } catch (RuntimeException
-                    | Error e) { // an Error would be kept by the pool, and nobody would hear of it
+            } catch (RuntimeException | Error e) { // the executor would swallow an Error silently
                 LOG.error("event=task_failed a task failed and was dropped", e);
-                taskFailed.run();
+                failureListener.run();
             }
         };
     }
-
-    /** A timer that was set. */
-    public interface Timer {
-        void cancel();
-    }
 }
--- a/src/main/java/damsonslip/engine/Frontend.java
+++ b/src/main/java/damsonslip/engine/Frontend.java
@@ -4,48 +4,52 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What speaks to clients and workers: one of these is put round the core. */
+/**
+ * A front of the scheduler: speaks one protocol with clients and workers and drives a {@link
+ * SchedulerEngine}. The command line starts and ends it; the admin package observes it.
+ */
 public interface Frontend {
     /**
-     * Begins to serve; what is wrong with its configuration is told before anything is taken in.
+     * Starts to serve. Errors of the configuration are reported before anything is accepted.
+     *
+     * @throws ConfigurationException if the settings cannot be used
+     * @throws IOException if a port or a file cannot be opened
      */
     void start() throws ConfigurationException, IOException;
 
-    /**
-     * Begins to leave in good order; {@link LifecyclePhase.State#ENDED} tells when that is done.
-     */
+    /** Starts a graceful shutdown, which is complete in {@link LifecyclePhase.State#ENDED}. */
     void leave();
 
     /**
-     * The operator has replaced the settings; called on a thread of its own. What can change while
-     * serving does; settings that cannot be used are told of and change nothing.
+     * Applies changed settings as far as that is possible while serving. Settings that cannot be
+     * used are logged and change nothing. Called on a thread of its own.
      *
-     * @param signalNs when the operator asked for it, by {@link System#nanoTime}
+     * @param signalNs when the operator asked for the reload, by {@link System#nanoTime}
      */
     void reload(long signalNs);
 
     /**
-     * Sends clients away until {@link #undrain}; tells false where the front cannot. Called on the
-     * loop.
+     * Starts to send clients away until {@link #undrain}; returns false if the front cannot. Called
+     * on the loop.
      */
     default boolean drain() {
         return false;
     }
 
-    /** Takes clients again; called on the loop. */
+    /** Accepts clients again after {@link #drain}; called on the loop. */
     default void undrain() {}
 
-    /** Gives up what is held open, once everything has ended. */
+    /** Releases what is still open once the shutdown is complete. */
     default void close() {}
 
-    /** Peers that are slow just now, the next to be let go first; called on the loop. */
+    /** Returns slow peers, those that are disconnected soonest first; called on the loop. */
     default List<SlowPeer> slowPeers() {
         return List.of();
     }
 
-    /** What the program looks like at this moment, for whoever watches it. */
+    /** Returns the engine behind this front. */
     SchedulerEngine driver();
 
-    /** The name of a class, as its users know it. */
+    /** Returns the name of a request class as users know it. */
     String className(int jobClass);
 }
--- a/src/main/java/damsonslip/engine/GracefulShutdown.java
+++ b/src/main/java/damsonslip/engine/GracefulShutdown.java
@@ -4,70 +4,77 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The way out: for a while everything goes on as before, since clients still come; then the door is
- * shut; and once nothing is under way any more, or nobody can be waiting for it, the program ends.
+ * Moves the program through its shutdown. At first it accepts connections as before, since clients
+ * still open them; then the listeners are closed; and once nothing is open any more, or a time
+ * limit has passed, the program ends.
+ *
+ * <p>Used on the {@link EventLoop} only; times are in microseconds.
  */
 public final class GracefulShutdown {
-    private static final long LOOK_US = 20_000;
+    private static final long POLL_INTERVAL_US = 20_000;
 
     private final EventLoop loop;
     private final LifecyclePhase phase;
-    private final long openUs;
-    private final long longestUs;
-    private final BooleanSupplier succeeded;
-    private final Runnable shut;
-    private final BooleanSupplier done;
-    private long endUs;
+    private final long acceptUs;
+    private final long finishUs;
+    private final BooleanSupplier hasSuccessor;
+    private final Runnable closeListeners;
+    private final BooleanSupplier isFinished;
+    private long phaseEndUs;
 
     /**
-     * @param openUs how long the door stays open
-     * @param longestUs how long after that something may still be under way
-     * @param succeeded whether others take what comes, so that the door need not stay open
-     * @param shut shuts the door
-     * @param done whether nothing is under way
+     * Creates a shutdown that starts with {@link #begin}.
+     *
+     * @param acceptUs how long connections are accepted as before
+     * @param finishUs how long after that something may still be open
+     * @param hasSuccessor whether another process accepts the connections, so that this one need
+     *     not
+     * @param closeListeners closes the listeners
+     * @param isFinished whether nothing is open any more
      */
     public GracefulShutdown(
             EventLoop loop,
             LifecyclePhase phase,
-            long openUs,
-            long longestUs,
-            BooleanSupplier succeeded,
-            Runnable shut,
-            BooleanSupplier done) {
+            long acceptUs,
+            long finishUs,
+            BooleanSupplier hasSuccessor,
+            Runnable closeListeners,
+            BooleanSupplier isFinished) {
         this.loop = loop;
         this.phase = phase;
-        this.openUs = openUs;
-        this.longestUs = longestUs;
-        this.succeeded = succeeded;
-        this.shut = shut;
-        this.done = done;
+        this.acceptUs = acceptUs;
+        this.finishUs = finishUs;
+        this.hasSuccessor = hasSuccessor;
+        this.closeListeners = closeListeners;
+        this.isFinished = isFinished;
     }
 
-    /** Called on the loop; a second call changes nothing. */
+    /** Starts the shutdown; does nothing if one was started already. */
     public void begin() {
         if (!phase.atLeast(State.LEAVING)) {
             phase.moveTo(State.LEAVING);
-            endUs = loop.now() + openUs;
-            stayOpen();
+            phaseEndUs = loop.now() + acceptUs;
+            pollWhileAccepting();
         }
     }
 
-    private void stayOpen() {
-        if (loop.now() < endUs && !succeeded.getAsBoolean()) {
-            loop.in(Math.min(LOOK_US, endUs - loop.now()), this::stayOpen);
+    private void pollWhileAccepting() {
+        if (loop.now() < phaseEndUs && !hasSuccessor.getAsBoolean()) {
+            long remainingUs = phaseEndUs - loop.now();
+            loop.in(Math.min(POLL_INTERVAL_US, remainingUs), this::pollWhileAccepting);
             return;
         }
         phase.moveTo(State.FINISHING);
-        endUs = loop.now() + longestUs;
-        shut.run();
-        look();
+        phaseEndUs = loop.now() + finishUs;
+        closeListeners.run();
+        pollUntilFinished();
     }
 
-    private void look() {
-        if (done.getAsBoolean() || loop.now() >= endUs) {
+    private void pollUntilFinished() {
+        if (isFinished.getAsBoolean() || loop.now() >= phaseEndUs) {
             phase.moveTo(State.ENDED);
         } else {
-            loop.in(LOOK_US, this::look);
+            loop.in(POLL_INTERVAL_US, this::pollUntilFinished);
         }
     }
 }
--- a/src/main/java/damsonslip/engine/LifecyclePhase.java
+++ b/src/main/java/damsonslip/engine/LifecyclePhase.java
@@ -2,86 +2,104 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 
 /**
- * Where the program stands between its start and its exit: one object, whose state only moves
- * forward, but for {@link #drain} and {@link #undrain}.
+ * The phase of the program between its start and its exit. It only moves forward, except that
+ * {@link #undrain} reverses {@link #drain}.
+ *
+ * <p>Thread-safe.
  */
 public final class LifecyclePhase {
-    /** The states, in their order. */
+    /**
+     * The phases in their order. Operators see the names in lower case, so they stay as they are.
+     */
     public enum State {
-        /** Reads its settings; takes nothing in. */
+        /** Reads the settings; accepts nothing yet. */
         STARTING,
-        /** Takes queries in. */
+        /** Accepts requests. */
         SERVING,
         /**
-         * Serves, but sends its clients away: not ready, and every answer is its connection's last.
-         * May go back.
+         * Accepts requests but sends clients away: not ready, and each response is the last on its
+         * connection. May return to {@link #SERVING}.
          */
         DRAINED,
-        /**
-         * Told to stop: still takes queries in, and every answer asks the client to go elsewhere.
-         */
+        /** Shutting down: still accepts requests, and each response is the last one as well. */
         LEAVING,
-        /** Takes nothing new; answers what it holds. */
+        /** Accepts nothing more; answers the open requests. */
         FINISHING,
-        /** Everything is answered; the process may end. */
+        /** Every request is answered; the process may exit. */
         ENDED
     }
 
-    private final List<Runnable> watchers = new ArrayList<>();
+    private final List<Runnable> listeners = new ArrayList<>();
     private State state = State.STARTING;
 
+    /** Returns the current phase. */
     public synchronized State state() {
         return state;
     }
 
-    public boolean is(State asked) {
-        return state() == asked;
+    /** Whether this is the current phase. */
+    public boolean is(State expected) {
+        return state() == expected;
     }
 
-    public boolean atLeast(State asked) {
-        return state().compareTo(asked) >= 0;
+    /** Whether this phase, or a later one, is reached. */
+    public boolean atLeast(State expected) {
+        return state().compareTo(expected) >= 0;
     }
 
-    /** Moves on to a later state; a state that is already reached stays. */
+    /** Moves forward to a phase and calls the listeners; does nothing if it is reached already. */
     public void moveTo(State next) {
-        List<Runnable> told;
+        List<Runnable> toNotify;
         synchronized (this) {
             if (next.compareTo(state) <= 0) {
                 return;
             }
             state = next;
             notifyAll();
-            told = List.copyOf(watchers);
+            toNotify = List.copyOf(listeners);
         }
-        told.forEach(Runnable::run);
+        toNotify.forEach(Runnable::run);
     }
 
-    /** From serving to drained; tells whether it is drained now. */
+    /** Moves from serving to drained; returns whether the phase is drained now. */
     public synchronized boolean drain() {
-        state = state == State.SERVING ? State.DRAINED : state;
+        if (state == State.SERVING) {
+            state = State.DRAINED;
+        }
         return state == State.DRAINED;
     }
 
-    /** From drained back to serving; any other state stays. */
+    /** Moves from drained back to serving; does nothing in any other phase. */
     public synchronized void undrain() {
-        state = state == State.DRAINED ? State.SERVING : state;
+        if (state == State.DRAINED) {
+            state = State.SERVING;
+        }
     }
 
-    public synchronized void onChange(Runnable watcher) {
-        watchers.add(watcher);
+    /** Adds a listener that {@link #moveTo} calls on its caller's thread. */
+    public synchronized void onChange(Runnable listener) {
+        listeners.add(listener);
     }
 
-    /** Waits until the state is reached, or gives up. */
-    public synchronized boolean await(State asked, long millis) throws InterruptedException {
-        long end = System.nanoTime() + millis * 1_000_000;
-        while (state.compareTo(asked) < 0) {
-            long left = (end - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
+    /**
+     * Waits until a phase is reached.
+     *
+     * @return false if the timeout in milliseconds has passed before
+     * @throws InterruptedException if the thread is interrupted while it waits
+     */
+    public synchronized boolean await(State expected, long timeoutMillis)
+            throws InterruptedException {
+        long deadlineNanoTime = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        while (state.compareTo(expected) < 0) {
+            long remainingMillis =
+                    TimeUnit.NANOSECONDS.toMillis(deadlineNanoTime - System.nanoTime());
+            if (remainingMillis <= 0) {
                 return false;
             }
-            wait(left);
+            wait(remainingMillis);
         }
         return true;
     }
--- a/src/main/java/damsonslip/engine/LoopLatency.java
+++ b/src/main/java/damsonslip/engine/LoopLatency.java
@@ -4,34 +4,36 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the loop has made things wait: from when a task was handed to it, or was due, until it
- * began.
+ * How long tasks have waited for the {@link EventLoop}: from when a task was handed over, or was
+ * due, until it started.
+ *
+ * <p>Used on the loop only; times are in microseconds.
  */
 public final class LoopLatency {
-    /**
-     * Waits beyond this count as this long; nothing that is still of use to anybody waits longer.
-     */
-    private static final long LONGEST_US = TimeUnit.SECONDS.toMicros(60);
+    /** Longer waits are counted as this long. */
+    private static final long MAX_RECORDED_US = TimeUnit.SECONDS.toMicros(60);
 
-    /** Two digits: a wait is told to one percent, in some 20 KB. */
-    private static final int DIGITS = 2;
+    /** A resolution of one percent, which takes about 20 KB. */
+    private static final int SIGNIFICANT_DIGITS = 2;
 
-    private final Histogram all = new Histogram(LONGEST_US, DIGITS);
+    private final Histogram histogram = new Histogram(MAX_RECORDED_US, SIGNIFICANT_DIGITS);
 
-    void add(long us) {
-        all.recordValue(Math.min(LONGEST_US, Math.max(0, us)));
+    void add(long waitUs) {
+        histogram.recordValue(Math.min(MAX_RECORDED_US, Math.max(0, waitUs)));
     }
 
+    /** Returns the number of tasks. */
     public long count() {
-        return all.getTotalCount();
+        return histogram.getTotalCount();
     }
 
-    /** So many percent have waited for no longer, in microseconds. */
+    /** Returns the wait that this percentage of the tasks did not exceed. */
     public long percentileUs(double percent) {
-        return all.getValueAtPercentile(percent);
+        return histogram.getValueAtPercentile(percent);
     }
 
+    /** Returns the longest wait. */
     public long longestUs() {
-        return all.getMaxValue();
+        return histogram.getMaxValue();
     }
 }
--- a/src/main/java/damsonslip/engine/Request.java
+++ b/src/main/java/damsonslip/engine/Request.java
@@ -3,20 +3,21 @@
 import java.util.function.Predicate;
 
 /**
- * What a client asks for, in the core's words.
+ * A client's request in the engine's terms, whatever the protocol that it came by.
  *
- * @param id the client's id of it, which no other open query has
+ * @param id the client's id of it, unique among the open requests
  * @param jobClass the index of its class
- * @param tenant the index of who it is for; 0 where there are no tenants
- * @param deadlineUs when the client gives up, on the {@link EventLoop}'s clock
- * @param earliestDeadlineUs when the client may have given up already, where the process was held
- *     up and it is not known when the query came; no worker is told of more time than until then
- * @param slots the slots that it takes at a worker
- * @param memory the units of memory that it takes
- * @param subject what it concerns, or null
- * @param mostRuns how often it may run at the most, whatever its class allows
- * @param fits which workers can take it at all, by id; or null if each can
- * @param cargo what the front passes on to a worker; the core does not look into it
+ * @param tenant the index of its tenant; 0 if there are no tenants
+ * @param deadlineUs when the client stops waiting, on the {@link EventLoop}'s clock
+ * @param earliestDeadlineUs the earliest time at which the client may have stopped waiting, if the
+ *     process was delayed and the time of arrival is uncertain; limits the time that a worker is
+ *     given
+ * @param slots how many slots it takes at a worker
+ * @param memory how many units of memory it takes at a worker
+ * @param subject what it concerns; null if nothing in particular
+ * @param mostRuns how often it may be executed at most, whatever its class allows
+ * @param fits which workers, by id, can execute it; null if all can
+ * @param cargo the front's own form of the content, which the engine does not look into
  */
 public record Request(
         String id,
@@ -30,6 +31,6 @@
         int mostRuns,
         Predicate<String> fits,
         Cargo cargo) {
-    /** A front's own form of a query's content. */
+    /** Content in a front's own form. */
     public interface Cargo {}
 }
--- a/src/main/java/damsonslip/engine/ResponseListener.java
+++ b/src/main/java/damsonslip/engine/ResponseListener.java
@@ -1,14 +1,14 @@
 package damsonslip.engine;
 
-/** The client side of one query: a port that a front implements. */
+/** The client side of one request, implemented by a front. Called on the {@link EventLoop}. */
 public interface ResponseListener {
-    /** Takes the final answer; called once at the most, and never after the client has gone. */
-    void answer(Response answer);
+    /** Takes the final response; called at most once, and never after the client disconnected. */
+    void answer(Response response);
 
     /**
-     * Takes in what has come from the client and was not read yet; a departure is told before the
-     * call returns. Guards against a loop that was held up: an attempt must not begin for a client
-     * whose close is there to be read.
+     * Reads the input that is pending on the client's connection, and reports a disconnect before
+     * it returns. An attempt must not start for a client that has disconnected while the loop was
+     * busy.
      */
     default void readPending() {}
 }
--- a/src/main/java/damsonslip/engine/SlowPeer.java
+++ b/src/main/java/damsonslip/engine/SlowPeer.java
@@ -5,20 +5,19 @@
 import java.util.stream.Stream;
 
 /**
- * A peer that something is due from, for people to read.
+ * A peer that makes slow progress, for display to operators.
  *
- * @param what what it is at: reading an answer, taking a request, sending a command
- * @param peer who it is: a worker's id, or where it connects from
- * @param waiting bytes that wait for it, or that it has sent of what it has begun
- * @param rate bytes a second of progress
- * @param leftUs how long it may go on like this without any progress
+ * @param what what it does: reads a response, takes a request, sends a command
+ * @param peer a worker's id, or the address that the peer connects from
+ * @param waiting how many bytes wait for it, or how many it has sent of an incomplete message
+ * @param rate its progress in bytes per second
+ * @param leftUs how long it may stay connected without progress, in microseconds
  */
 public record SlowPeer(String what, String peer, long waiting, double rate, long leftUs) {
-    /** So many fit on a screen. */
-    private static final int SHOWN = 20;
+    private static final int MAX_SHOWN = 20;
 
-    /** The next to be let go first. */
-    public static List<SlowPeer> slowest(Stream<SlowPeer> all) {
-        return all.sorted(Comparator.comparingLong(SlowPeer::leftUs)).limit(SHOWN).toList();
+    /** Returns the peers that are disconnected soonest, as many as fit on a screen. */
+    public static List<SlowPeer> slowest(Stream<SlowPeer> peers) {
+        return peers.sorted(Comparator.comparingLong(SlowPeer::leftUs)).limit(MAX_SHOWN).toList();
     }
 }
--- a/src/main/java/damsonslip/engine/WorkerGateway.java
+++ b/src/main/java/damsonslip/engine/WorkerGateway.java
@@ -1,37 +1,38 @@
 package damsonslip.engine;
 
 /**
- * The server side: a port that a front implements. What comes of it is told to the {@link
- * SchedulerEngine}, from the {@link EventLoop}; each execution that is started ends once, unless it
- * was cancelled.
+ * The worker side of the scheduler, implemented by a front. It reports results to the {@link
+ * SchedulerEngine}: each attempt that was started ends once, unless it was cancelled.
+ *
+ * <p>Called on the {@link EventLoop}.
  */
 public interface WorkerGateway {
-    /** Sends the execution's query to its worker. */
-    void start(Attempt execution);
+    /** Sends the request of an attempt to its worker. */
+    void start(Attempt attempt);
 
-    /** Stops waiting for an execution; nothing is told of it any more. */
-    void cancel(Attempt execution);
+    /** Stops waiting for an attempt; nothing more is reported of it. */
+    void cancel(Attempt attempt);
 
     /**
-     * Gives up an execution whose last byte has not left, so that it provably never runs; tells
-     * whether that was so. Unlike {@link #cancel} it needs no leave from the settings: what has not
-     * come whole is no attempt yet.
+     * Gives up an attempt whose last byte was not written, so that it is never executed; returns
+     * false if it was written. Allowed whatever the settings say about {@link #cancel}, since a
+     * worker does not execute an incomplete request.
      */
-    default boolean withdraw(Attempt execution) {
+    default boolean withdraw(Attempt attempt) {
         return false;
     }
 
     /**
-     * Asks a worker how it is; ends in {@link SchedulerEngine#probed}.
+     * Checks a worker's health; the result goes to {@link SchedulerEngine#probed}.
      *
-     * @param connectedByUs over a connection that came up by then, or over any if this is {@link
-     *     Long#MAX_VALUE}
+     * @param connectedByUs the check uses a connection that was established by then, or any if this
+     *     is {@link Long#MAX_VALUE}
      */
     void probe(String worker, long connectedByUs);
 
-    /** Asks for the list of workers and its changes; ends in {@link SchedulerEngine#listed}. */
+    /** Watches the worker list; it goes to {@link SchedulerEngine#listed}. */
     void watch();
 
-    /** An operator keeps new jobs from a worker; a front that can tells the worker so. */
+    /** Records that an operator has disabled a worker, so that the front can tell the worker. */
     default void drain(String worker) {}
 }
