--- a/src/main/java/damsonslip/engine/invariants/Invariant.java
+++ b/src/main/java/damsonslip/engine/invariants/Invariant.java
@@ -1,41 +1,44 @@
 package damsonslip.engine.invariants;
 
-/** A rule that no action of the program may break, with the page that it follows. */
+/**
+ * A rule that no action of the program may violate, with the operators' page that it follows.
+ * Operators see the names in lower case at the console and in the log, so they stay as they are.
+ */
 public enum Invariant {
-    /** Nothing new goes to a worker past its drain grace (WIRE, "Drain with care"). */
+    /** Nothing new is sent to a draining worker after its grace time (WIRE, "Drain with care"). */
     NO_SEND_PAST_DRAIN_GRACE,
-    /** No attempt begins once its client has gone (STANDING). */
+    /** No attempt starts after its client has disconnected (STANDING). */
     NO_SEND_AFTER_DEPARTURE,
-    /** A worker is told at most what is left to the client, and 0.15 s (STANDING). */
+    /** A worker is given at most the client's remaining time and 0.15 s (STANDING). */
     NO_MORE_TIME_TOLD_THAN_LEFT,
     /**
-     * A cold worker gets no more work than it bears from all schedulers (WIRE, "Fail back with
-     * care"; STANDING).
+     * A worker in slow start gets no more work than it can take from all schedulers (WIRE, "Fail
+     * back with care"; STANDING).
      */
     NO_COLD_WORKER_OVERLOADED,
-    /** No second attempt while one is out (WIRE, second_copies). */
+    /** No attempt starts while another one is open (WIRE, second_copies). */
     NO_SECOND_COPY,
     /**
-     * What must run once is sent again only if it provably never ran (WIRE, "Each effect happens
-     * once").
+     * A request that is not idempotent is sent again only if it provably was never executed (WIRE,
+     * "Each effect happens once").
      */
     NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
     /**
-     * A keyed repeat goes to workers that drop it, within the window (WIRE, "Each effect happens
-     * once").
+     * A request with an idempotency key is repeated only at workers that recognize the key, within
+     * the idempotency window (WIRE, "Each effect happens once").
      */
     NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW,
-    /** A refusal promises that trying again is harmless (WIRE; PROTOCOL). */
+    /** A rejection promises that a retry is harmless (WIRE; PROTOCOL). */
     NO_REFUSAL_AFTER_A_RUN,
-    /** A final answer comes within half a second of the client's time (STANDING). */
+    /** A final response is given at most half a second after the deadline (STANDING). */
     NO_ANSWER_TOO_LATE,
-    /** A request that was read is answered before its connection ends (STANDING). */
+    /** A request that was read is answered before its connection is closed (STANDING). */
     NO_CLOSE_WITHOUT_ANSWER,
     /**
-     * A connection to a worker ends no attempt without a word: its request would wait until its
-     * time is over.
+     * The end of a worker's connection ends the attempt on it; otherwise its request would wait
+     * until its deadline.
      */
     NO_CLOSE_OVER_AN_OPEN_ATTEMPT,
-    /** Nobody is served before the list of workers and the operators' overrides are known. */
+    /** Nothing is accepted before the worker list and the operators' overrides are known. */
     NO_SERVICE_BEFORE_THE_LIST
 }
--- a/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
+++ b/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
@@ -5,19 +5,25 @@
 import java.util.Optional;
 
 /**
- * Counts violations and tells what is to be done about one: in production the action goes on and is
- * reported, since a guard may be wrong; in tests it is refused, so that the fault shows. Not safe
- * for use by several threads.
+ * Counts violations of invariants and decides whether the action may proceed. In production it does
+ * and the violation is reported, since a guard may be wrong; in tests it is refused, so that the
+ * fault shows.
+ *
+ * <p>Not thread-safe.
  */
 public final class InvariantMonitor {
-    /** What becomes of an action that breaks a rule. */
+    /** What happens to an action that violates an invariant. */
     public enum Mode {
+        /** The violation is reported and the action proceeds. */
         REPORT,
+        /** The violation is reported and the action does not proceed. */
         REFUSE
     }
 
-    /** Is told of each violation. */
+    /** Receives each violation. */
+    @FunctionalInterface
     public interface Reporter {
+        /** Reports a violation; called before the decision on the action is returned. */
         void violated(Violation violation);
     }
 
@@ -25,27 +31,29 @@
     private final Reporter reporter;
     private final Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
 
+    /** Creates a monitor that has seen no violation. */
     public InvariantMonitor(Mode mode, Reporter reporter) {
         this.mode = mode;
         this.reporter = reporter;
     }
 
-    /** Takes a guard's word in; tells whether the action may go on. */
-    public boolean permits(Optional<Violation> found) {
-        if (found.isEmpty()) {
+    /** Records the result of a guard; returns whether the action may proceed. */
+    public boolean permits(Optional<Violation> result) {
+        if (result.isEmpty()) {
             return true;
         }
-        counts.merge(found.get().invariant(), 1L, Long::sum);
-        reporter.violated(found.get());
+        Violation violation = result.get();
+        counts.merge(violation.invariant(), 1L, Long::sum);
+        reporter.violated(violation);
         return mode == Mode.REPORT;
     }
 
-    /** How often a rule was broken, or would have been. */
+    /** Returns how many actions have violated, or would have violated, an invariant. */
     public long count(Invariant invariant) {
         return counts.getOrDefault(invariant, 0L);
     }
 
-    /** All violations. */
+    /** Returns the number of violations of all invariants. */
     public long total() {
         return counts.values().stream().mapToLong(Long::longValue).sum();
     }
--- a/src/main/java/damsonslip/engine/invariants/RetryGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RetryGuard.java
@@ -1,28 +1,28 @@
 package damsonslip.engine.invariants;
 
-import damsonslip.policy.api.Idempotency;
 import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import java.util.List;
 import java.util.Optional;
 
-/** Checks a further attempt, and a refusal, against what became of the attempts before. */
+/** Checks a retry, and a rejection, against the outcome of the earlier attempts. */
 public final class RetryGuard {
-    /** Every time limit on sockets is this much longer (PROTOCOL). */
+    /** Added to every time limit on sockets (PROTOCOL). */
     private static final long SOCKET_SLACK_US = 50_000;
 
-    /** Where a worker belongs. */
+    /** A worker, with its zone and its cell. */
     public record WorkerLocation(String worker, int zone, int cell) {}
 
     /**
-     * An attempt of the same request.
+     * An earlier attempt of the same request.
      *
+     * @param location where it was sent
      * @param sentUs when it was sent
-     * @param isOut whether its end is still awaited
-     * @param provenNotRun whether its end proves that it never ran
+     * @param isOpen whether its end is still awaited
+     * @param provenNotRun whether its end proves that it was never executed
      */
     public record EarlierAttempt(
-            WorkerLocation place, long sentUs, boolean isOut, boolean provenNotRun) {
+            WorkerLocation location, long sentUs, boolean isOpen, boolean provenNotRun) {
         private boolean mayHaveRun() {
             return !provenNotRun;
         }
@@ -30,63 +30,87 @@
 
     private RetryGuard() {}
 
-    /** Gives the rule that an attempt there would break now. */
+    /** Returns the invariant that an attempt at this worker would violate now. */
     public static Optional<Violation> check(
             String job,
-            JobClass of,
-            WorkerLocation place,
-            List<EarlierAttempt> before,
+            JobClass jobClass,
+            WorkerLocation location,
+            List<EarlierAttempt> earlier,
             long nowUs) {
-        if (before.stream().anyMatch(EarlierAttempt::isOut)) {
-            return violation(Invariant.NO_SECOND_COPY, job, place, "one is out");
+        if (earlier.stream().anyMatch(EarlierAttempt::isOpen)) {
+            return violation(Invariant.NO_SECOND_COPY, job, location, "an attempt is open");
         }
-        Optional<EarlierAttempt> first =
-                before.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
-        if (first.isEmpty() || of.idempotency() == Idempotency.IDEMPOTENT) {
+        Optional<EarlierAttempt> firstRun = firstThatMayHaveRun(earlier);
+        if (firstRun.isEmpty()) {
             return Optional.empty();
         }
-        if (of.idempotency() == Idempotency.NOT_IDEMPOTENT) {
-            return violation(
-                    Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
-                    job,
-                    place,
-                    "it may have run at " + first.get().place());
-        }
-        boolean late = nowUs > first.get().sentUs() + of.idempotencyWindowUs() + SOCKET_SLACK_US;
-        if (late || !isInGroup(of.idempotencyScope(), first.get().place(), place)) {
-            return violation(
-                    Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW,
-                    job,
-                    place,
-                    (nowUs - first.get().sentUs()) + " us after " + first.get().place());
+        return switch (jobClass.idempotency()) {
+            case IDEMPOTENT -> Optional.empty();
+            case NOT_IDEMPOTENT ->
+                    violation(
+                            Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                            job,
+                            location,
+                            "it may have run at " + firstRun.get().location());
+            case IDEMPOTENT_WITH_KEY ->
+                    checkKeyedRetry(job, jobClass, location, firstRun.get(), nowUs);
+        };
+    }
+
+    private static Optional<Violation> checkKeyedRetry(
+            String job,
+            JobClass jobClass,
+            WorkerLocation location,
+            EarlierAttempt firstRun,
+            long nowUs) {
+        long windowEndUs = firstRun.sentUs() + jobClass.idempotencyWindowUs() + SOCKET_SLACK_US;
+        if (nowUs <= windowEndUs
+                && sharesKeys(jobClass.idempotencyScope(), firstRun.location(), location)) {
+            return Optional.empty();
         }
-        return Optional.empty();
+        return violation(
+                Invariant.NO_KEYED_REPEAT_OUTSIDE_GROUP_OR_WINDOW,
+                job,
+                location,
+                (nowUs - firstRun.sentUs()) + " us after " + firstRun.location());
     }
 
     /**
-     * Gives the rule that a refusal would break: it promises that the request had no effect, or
-     * that a repeat has none.
+     * Returns the invariant that a rejection would violate: it promises that the request had no
+     * effect, or that a repetition has none.
      */
     public static Optional<Violation> checkRejection(
-            String job, JobClass of, List<EarlierAttempt> before) {
-        boolean harmless =
-                of.idempotency() == Idempotency.IDEMPOTENT
-                        || of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                                && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
-        Optional<EarlierAttempt> run =
-                before.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
-        return harmless || run.isEmpty()
-                ? Optional.empty()
-                : violation(
-                        Invariant.NO_REFUSAL_AFTER_A_RUN,
-                        job,
-                        run.get().place(),
-                        "it may have run there");
+            String job, JobClass jobClass, List<EarlierAttempt> earlier) {
+        if (isSafeToRepeatAnywhere(jobClass)) {
+            return Optional.empty();
+        }
+        Optional<EarlierAttempt> firstRun = firstThatMayHaveRun(earlier);
+        if (firstRun.isEmpty()) {
+            return Optional.empty();
+        }
+        return violation(
+                Invariant.NO_REFUSAL_AFTER_A_RUN,
+                job,
+                firstRun.get().location(),
+                "it may have run there");
+    }
+
+    private static boolean isSafeToRepeatAnywhere(JobClass jobClass) {
+        return switch (jobClass.idempotency()) {
+            case IDEMPOTENT -> true;
+            case NOT_IDEMPOTENT -> false;
+            case IDEMPOTENT_WITH_KEY -> jobClass.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
+        };
+    }
+
+    private static Optional<EarlierAttempt> firstThatMayHaveRun(List<EarlierAttempt> earlier) {
+        return earlier.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
     }
 
-    private static boolean isInGroup(
-            IdempotencyScope group, WorkerLocation one, WorkerLocation other) {
-        return switch (group) {
+    /** Whether the other worker recognizes idempotency keys that this one has seen. */
+    private static boolean sharesKeys(
+            IdempotencyScope scope, WorkerLocation one, WorkerLocation other) {
+        return switch (scope) {
             case ALL_WORKERS -> true;
             case ZONE -> one.zone() == other.zone();
             case CELL -> one.cell() == other.cell();
@@ -94,7 +118,7 @@
     }
 
     private static Optional<Violation> violation(
-            Invariant invariant, String job, WorkerLocation place, String detail) {
-        return Optional.of(new Violation(invariant, job, place.worker(), detail));
+            Invariant invariant, String job, WorkerLocation location, String detail) {
+        return Optional.of(new Violation(invariant, job, location.worker(), detail));
     }
 }
--- a/src/main/java/damsonslip/engine/invariants/SendGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/SendGuard.java
@@ -3,27 +3,27 @@
 import damsonslip.policy.api.SlowStartLoad;
 import java.util.Optional;
 
-/** Checks an attempt in the moment in which its first byte is about to leave. */
+/** Checks an attempt at the moment at which its first byte is about to be written. */
 public final class SendGuard {
-    /** A worker may be told so much more than its client has left (STANDING). */
-    private static final long TOLD_SLACK_US = 150_000;
+    /** A worker may be given this much more than its client's remaining time (STANDING). */
+    private static final long TIME_LIMIT_SLACK_US = 150_000;
 
-    /** Below this number of requests chance counts for more (STANDING). */
-    private static final double FEW = 30;
+    /** Below this number of requests the tolerance is three standard deviations, not two. */
+    private static final double SMALL_SAMPLE = 30;
 
     /**
-     * What is known of the attempt.
+     * What is known about the attempt.
      *
      * @param job the request's id
-     * @param worker where it goes
-     * @param nowUs the time
-     * @param drainingSinceUs when it was told that the worker drains or has gone; {@link
+     * @param worker where it is sent
+     * @param nowUs the current time
+     * @param drainingSinceUs when the worker was reported as draining or removed; {@link
      *     Long#MAX_VALUE} if it runs
      * @param drainGraceUs how long after that it may still be sent to
-     * @param clientWaits whether the client has neither left nor been answered
-     * @param clientEndsUs when the client gives up, at the earliest
-     * @param toldUs the time that the worker is told is left
-     * @param cold the worker's load while it is cold; null if it is warm
+     * @param clientWaits whether the client has neither disconnected nor been answered
+     * @param clientDeadlineUs when the client stops waiting, at the earliest
+     * @param timeLimitUs the time limit that the worker is given
+     * @param slowStartLoad the worker's load while it is in slow start; null if it is warm
      */
     public record Facts(
             String job,
@@ -32,47 +32,53 @@
             long drainingSinceUs,
             long drainGraceUs,
             boolean clientWaits,
-            long clientEndsUs,
-            long toldUs,
-            SlowStartLoad cold) {}
+            long clientDeadlineUs,
+            long timeLimitUs,
+            SlowStartLoad slowStartLoad) {
+        private long drainingForUs() {
+            return drainingSinceUs == Long.MAX_VALUE ? 0 : nowUs - drainingSinceUs;
+        }
+
+        private long remainingUs() {
+            return clientDeadlineUs - nowUs;
+        }
+    }
 
     private SendGuard() {}
 
-    /** Gives the first rule that this attempt would break. */
+    /** Returns the first invariant that this attempt would violate. */
     public static Optional<Violation> check(Facts facts) {
         if (!facts.clientWaits()) {
             return violation(
                     Invariant.NO_SEND_AFTER_DEPARTURE,
                     facts,
-                    "the client has left or was answered");
+                    "the client has disconnected or was answered");
         }
-        long drainedUs =
-                facts.drainingSinceUs() == Long.MAX_VALUE
-                        ? 0
-                        : facts.nowUs() - facts.drainingSinceUs();
-        if (drainedUs > facts.drainGraceUs()) {
+        if (facts.drainingForUs() > facts.drainGraceUs()) {
             return violation(
                     Invariant.NO_SEND_PAST_DRAIN_GRACE,
                     facts,
-                    "told " + drainedUs + " us ago, grace " + facts.drainGraceUs());
+                    "draining for " + facts.drainingForUs() + " us, grace " + facts.drainGraceUs());
         }
-        long leftUs = facts.clientEndsUs() - facts.nowUs();
-        if (facts.toldUs() > Math.max(0, leftUs) + TOLD_SLACK_US) {
+        if (facts.timeLimitUs() > Math.max(0, facts.remainingUs()) + TIME_LIMIT_SLACK_US) {
             return violation(
                     Invariant.NO_MORE_TIME_TOLD_THAN_LEFT,
                     facts,
-                    "told " + facts.toldUs() + " us of " + leftUs);
+                    "limit " + facts.timeLimitUs() + " us, remaining " + facts.remainingUs());
         }
-        if (facts.cold() != null && isTooMuch(facts.cold())) {
-            return violation(Invariant.NO_COLD_WORKER_OVERLOADED, facts, facts.cold().toString());
+        if (facts.slowStartLoad() != null && isOverloaded(facts.slowStartLoad())) {
+            return violation(
+                    Invariant.NO_COLD_WORKER_OVERLOADED, facts, facts.slowStartLoad().toString());
         }
         return Optional.empty();
     }
 
-    private static boolean isTooMuch(SlowStartLoad cold) {
-        double n = cold.capacity();
-        double chance = n < FEW ? 3 * Math.sqrt(n) + 3 : 2 * Math.sqrt(n) + 2;
-        return cold.requests() > n + chance;
+    /** Arrivals are random, so some more requests than the capacity are tolerated (STANDING). */
+    private static boolean isOverloaded(SlowStartLoad load) {
+        double capacity = load.capacity();
+        double deviation = Math.sqrt(capacity);
+        double tolerance = capacity < SMALL_SAMPLE ? 3 * deviation + 3 : 2 * deviation + 2;
+        return load.requests() > capacity + tolerance;
     }
 
     private static Optional<Violation> violation(Invariant invariant, Facts facts, String detail) {
--- a/src/main/java/damsonslip/engine/invariants/StartGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/StartGuard.java
@@ -2,24 +2,24 @@
 
 import java.util.Optional;
 
-/** Checks the moment in which a process begins to serve. */
+/** Checks the moment at which a process starts to serve. */
 public final class StartGuard {
     /**
-     * What it has by then.
+     * What the process has loaded.
      *
-     * @param listBegun whether the module has a list of workers to begin from
-     * @param overridesKnown whether the operators' overrides were read, or cannot be
+     * @param listBegun whether the decision module has a worker list
+     * @param overridesKnown whether the operators' overrides were read, or cannot be read
      */
     public record Facts(boolean listBegun, boolean overridesKnown) {}
 
     private StartGuard() {}
 
-    /** Gives the rule that serving from now on would break. */
+    /** Returns the invariant that serving from now on would violate. */
     public static Optional<Violation> check(Facts facts) {
-        return facts.listBegun() && facts.overridesKnown()
-                ? Optional.empty()
-                : Optional.of(
-                        new Violation(
-                                Invariant.NO_SERVICE_BEFORE_THE_LIST, "", "", facts.toString()));
+        if (facts.listBegun() && facts.overridesKnown()) {
+            return Optional.empty();
+        }
+        return Optional.of(
+                new Violation(Invariant.NO_SERVICE_BEFORE_THE_LIST, "", "", facts.toString()));
     }
 }
--- a/src/main/java/damsonslip/engine/invariants/Violation.java
+++ b/src/main/java/damsonslip/engine/invariants/Violation.java
@@ -1,11 +1,11 @@
 package damsonslip.engine.invariants;
 
 /**
- * An action that would break, or has broken, a rule.
+ * An action that would violate, or has violated, an invariant.
  *
- * @param invariant which rule
+ * @param invariant which one
  * @param job the request's id, or empty
  * @param worker the worker's id, or empty
- * @param detail the facts that it rests on, for the log
+ * @param detail the facts behind it, for the log
  */
 public record Violation(Invariant invariant, String job, String worker, String detail) {}
--- a/src/test/java/damsonslip/engine/FailingActionTest.java
+++ b/src/test/java/damsonslip/engine/ActionExecutorTest.java
@@ -18,18 +18,21 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** An action of the decisions that a front fails to carry out. */
-class FailingActionTest {
+class ActionExecutorTest {
     private static final long DEADLINE_US = 300_000;
-    private static final WorkerGateway FAILING =
+    private static final WorkerEntry WORKER =
+            new WorkerEntry("a", 0, 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE);
+
+    /** A gateway that fails to send. */
+    private static final WorkerGateway FAILING_GATEWAY =
             new WorkerGateway() {
                 @Override
-                public void start(Attempt execution) {
+                public void start(Attempt attempt) {
                     throw new IllegalStateException("a fault of the front");
                 }
 
                 @Override
-                public void cancel(Attempt execution) {}
+                public void cancel(Attempt attempt) {}
 
                 @Override
                 public void probe(String worker, long connectedByUs) {}
@@ -64,39 +67,25 @@
                 1_000);
     }
 
-    /** Its request is answered at its time all the same, and the caller goes on. */
+    private static Request request(long deadlineUs) {
+        return new Request(
+                "q", 0, 0, deadlineUs, deadlineUs, 1, 0, null, Integer.MAX_VALUE, null, null);
+    }
+
     @Test
-    void leavesItsRequestWithAnAnswer() throws Exception {
+    void answersTheRequestAtItsDeadlineWhenSendingFails() throws Exception {
         EventLoop loop = new EventLoop();
         Counters counters = new Counters();
-        SchedulerEngine driver = new SchedulerEngine(settings(), 1, loop, counters);
+        SchedulerEngine engine = new SchedulerEngine(settings(), 1, loop, counters);
         CompletableFuture<Response> answered = new CompletableFuture<>();
-        CompletableFuture<RequestContext> taken = new CompletableFuture<>();
+        CompletableFuture<RequestContext> accepted = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    driver.begin(
-                            FAILING,
-                            List.of(
-                                    new WorkerEntry(
-                                            "a", 0, 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE)));
-                    long endsUs = loop.now() + DEADLINE_US;
-                    taken.complete(
-                            driver.take(
-                                    new Request(
-                                            "q",
-                                            0,
-                                            0,
-                                            endsUs,
-                                            endsUs,
-                                            1,
-                                            0,
-                                            null,
-                                            Integer.MAX_VALUE,
-                                            null,
-                                            null),
-                                    answered::complete));
+                    engine.begin(FAILING_GATEWAY, List.of(WORKER));
+                    Request request = request(loop.now() + DEADLINE_US);
+                    accepted.complete(engine.take(request, answered::complete));
                 });
-        assertNotNull(taken.get(5, TimeUnit.SECONDS), "the call returns");
+        assertNotNull(accepted.get(5, TimeUnit.SECONDS), "the call returns");
         assertEquals(Response.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
         assertEquals(1, counters.get(Count.ACTIONS_FAILED));
         loop.stop();
--- a/src/test/java/damsonslip/engine/LoopTest.java
+++ b/src/test/java/damsonslip/engine/EventLoopTest.java
@@ -8,25 +8,24 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** The one thread, when a task on it fails. */
-class LoopTest {
+class EventLoopTest {
     @Test
-    void goesOnBehindATaskThatFailsAndTellsOfIt() throws Exception {
+    void reportsFailedTasksAndRunsTheNextOne() throws Exception {
         EventLoop loop = new EventLoop();
-        AtomicInteger failed = new AtomicInteger();
-        CountDownLatch next = new CountDownLatch(1);
-        loop.onTaskFailed(failed::incrementAndGet);
+        AtomicInteger failures = new AtomicInteger();
+        CountDownLatch nextTask = new CountDownLatch(1);
+        loop.onTaskFailed(failures::incrementAndGet);
         loop.execute(
                 () -> {
-                    throw new IllegalStateException("a fault");
+                    throw new IllegalStateException("an exception");
                 });
         loop.execute(
                 () -> {
                     throw new AssertionError("an error");
                 });
-        loop.execute(next::countDown);
-        assertTrue(next.await(5, TimeUnit.SECONDS));
-        assertEquals(2, failed.get());
+        loop.execute(nextTask::countDown);
+        assertTrue(nextTask.await(5, TimeUnit.SECONDS));
+        assertEquals(2, failures.get());
         loop.stop();
     }
 }
--- /dev/null
+++ b/src/test/java/damsonslip/engine/RequestContextTest.java
@@ -0,0 +1,102 @@
+package damsonslip.engine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.engine.invariants.RetryGuard.WorkerLocation;
+import damsonslip.policy.api.AttemptOutcome;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class RequestContextTest {
+    private static final long DEADLINE_US = 1_000_000;
+
+    private final List<Response> observed = new ArrayList<>();
+    private final List<Response> responses = new ArrayList<>();
+    private final RequestContext context =
+            new RequestContext(
+                    request(), responses::add, (answered, response) -> observed.add(response));
+
+    private static Request request() {
+        return new Request(
+                "q", 0, 0, DEADLINE_US, DEADLINE_US, 1, 0, null, Integer.MAX_VALUE, null, null);
+    }
+
+    private Attempt attempt() {
+        Attempt attempt = new Attempt(context, new WorkerLocation("a", 0, 0), 1_000, DEADLINE_US);
+        context.add(attempt);
+        attempt.startTimeout(() -> {});
+        return attempt;
+    }
+
+    @Test
+    void givesExactlyOneResponse() {
+        assertEquals(RequestContext.State.OPEN, context.state());
+        assertTrue(context.answer(Response.failed(false)));
+        assertFalse(context.answer(Response.served("late")));
+        assertEquals(RequestContext.State.ANSWERED, context.state());
+        assertEquals(List.of(Response.failed(false)), responses);
+        assertEquals(responses, observed);
+    }
+
+    @Test
+    void givesNoResponseAfterDisconnect() {
+        assertTrue(context.abandon());
+        assertFalse(context.answer(Response.served("late")));
+        assertFalse(context.abandon());
+        assertEquals(RequestContext.State.ABANDONED, context.state());
+        assertEquals(List.of(), responses);
+    }
+
+    @Test
+    void keepsItsResponseWhenTheClientDisconnectsLater() {
+        assertTrue(context.answer(Response.failed(true)));
+        assertFalse(context.abandon());
+        assertEquals(RequestContext.State.ANSWERED, context.state());
+    }
+
+    @Test
+    void isFinishedOnceClosedWithoutOpenAttempt() {
+        attempt();
+        assertFalse(context.isFinished());
+        context.answer(Response.failed(false));
+        assertFalse(context.isFinished());
+        context.attemptEnded();
+        assertTrue(context.isFinished());
+    }
+
+    @Test
+    void endsAttemptOnceOnly() {
+        Attempt attempt = attempt();
+        assertTrue(attempt.markRunning());
+        assertTrue(attempt.markRunning(), "a worker may report a start twice");
+        assertEquals(Attempt.State.RUNNING, attempt.state());
+        assertTrue(attempt.end(AttemptOutcome.RESET));
+        assertFalse(attempt.end(AttemptOutcome.SERVED));
+        assertFalse(attempt.markRunning());
+        assertEquals(Attempt.State.ENDED, attempt.state());
+        assertFalse(attempt.asEarlierAttempt().provenNotRun());
+    }
+
+    @Test
+    void provesThatAnUnsentAttemptWasNotExecuted() {
+        Attempt attempt = attempt();
+        assertTrue(attempt.asEarlierAttempt().isOpen());
+        assertTrue(attempt.end(AttemptOutcome.NEVER_SENT));
+        assertFalse(attempt.asEarlierAttempt().isOpen());
+        assertTrue(attempt.asEarlierAttempt().provenNotRun());
+    }
+
+    @Test
+    void startsNoAttemptAfterTheRetryWindow() {
+        context.limitRetriesTo(5_000);
+        context.limitRetriesTo(9_000);
+        Attempt attempt = attempt();
+        assertTrue(attempt.mayBegin(4_999));
+        assertFalse(attempt.mayBegin(5_000));
+        context.abandon();
+        assertFalse(attempt.mayBegin(4_999));
+    }
+}
