--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -1,81 +1,83 @@
 package damsonslip.membership;
 
 /**
- * Translates the start times that discovery's list gives for workers, which are on the wall clock
- * of the machines, to the caller's clock, whose distance from that may be wrong by an hour and
- * more: it was read once, at the start of the process.
+ * Translates the start times that discovery lists for workers from the wall clock of their machines
+ * to the caller's clock. The offset between the two is unknown and may exceed an hour: the caller's
+ * clock was set once, at the start of the process.
  *
- * <p>A start that was seen to happen needs no wall clock: it lies between the list before and the
- * one that tells of it. Where the stamp contradicts that, the worker counts as started now, which
- * is the safe side: it gets less. Two such starts in a row that ask for the same correction are
- * taken for an error of the own clock, and correct the stamps of workers whose start was not seen
- * as well; a single one may be an error of that worker's clock. A stamp from the future counts as
- * now.
+ * <p>A start that was observed needs no wall clock: it lies between the previous list and the one
+ * that contains it. Where the time stamp contradicts that, the worker counts as started now, which
+ * is safe: it gets less work. Two such starts in a row that imply the same correction are taken for
+ * an error of the caller's clock, and correct the stamps of workers whose start was not observed as
+ * well; a single one may be an error of that worker's clock. A stamp in the future counts as now.
  *
- * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several
- * threads.
+ * <p>All times are microseconds of the clock that the caller passes in. Not thread-safe.
  */
 public final class StartTimes {
     /** The stamp of a worker that started long ago. */
     public static final long LONG_AGO = Long.MIN_VALUE;
 
     /**
-     * News may come this late: a change counts as told within 6 s (STANDING), and a start is listed
-     * once it is ready.
+     * How much a stamp may differ from an observed start: a change is known within 6 s (STANDING),
+     * and a worker is listed once it is ready.
      */
-    private static final long LATE_NEWS_US = 10_000_000;
+    private static final long TOLERANCE_US = 10_000_000;
 
-    private boolean heard;
-    private long heardUs;
+    private boolean receivedFromDiscovery;
+    private long lastListUs;
     private long correctionUs;
-    private long askedForUs;
+
+    /** The correction that the last observed start implies. */
+    private long impliedCorrectionUs;
 
     /**
-     * A list was taken in; {@code fromDiscovery} tells that discovery has told all that it knows
-     * now.
+     * Records that a list was received.
+     *
+     * @param fromDiscovery whether it shows all that discovery knows now, unlike a kept list
      */
     public void listed(boolean fromDiscovery, long nowUs) {
         if (fromDiscovery) {
-            heard = true;
-            heardUs = nowUs;
+            receivedFromDiscovery = true;
+            lastListUs = nowUs;
         }
     }
 
-    /** Whether a start that a list tells of must have happened since the last one. */
+    /** Whether a start on the next list must have happened since the last one. */
     public boolean seesStarts() {
-        return heard;
+        return receivedFromDiscovery;
     }
 
     /**
-     * Gives the start of a worker whose stamp was not on the last list, where {@link #seesStarts}.
+     * Returns the start of a worker whose stamp was not on the last list; only valid where {@link
+     * #seesStarts}.
      */
     public long seen(long stampUs, long nowUs) {
         if (stampUs == LONG_AGO) {
             return LONG_AGO;
         }
-        long start = stampUs + correctionUs;
-        boolean fits = start >= heardUs - LATE_NEWS_US && start <= nowUs + LATE_NEWS_US;
-        if (fits) {
-            askedForUs = correctionUs;
-            return Math.min(nowUs, start);
+        long startUs = stampUs + correctionUs;
+        boolean plausible = startUs >= lastListUs - TOLERANCE_US && startUs <= nowUs + TOLERANCE_US;
+        if (plausible) {
+            impliedCorrectionUs = correctionUs;
+            return Math.min(nowUs, startUs);
         }
-        askFor(Math.max(0, nowUs - stampUs));
+        implyCorrection(Math.max(0, nowUs - stampUs));
         return nowUs;
     }
 
-    private void askFor(long correction) {
-        if (Math.abs(correction - askedForUs) <= LATE_NEWS_US) {
-            correctionUs = correction;
+    private void implyCorrection(long impliedUs) {
+        if (Math.abs(impliedUs - impliedCorrectionUs) <= TOLERANCE_US) {
+            correctionUs = impliedUs;
         }
-        askedForUs = correction;
+        impliedCorrectionUs = impliedUs;
     }
 
-    /** Gives the start of a worker that a list tells of, whenever that was. */
+    /** Returns the start of a worker on a list, whether or not it was observed. */
     public long told(long stampUs, long nowUs) {
         return stampUs == LONG_AGO ? LONG_AGO : Math.min(nowUs, stampUs + correctionUs);
     }
 
-    /** What is added to stamps, because the own clock has shown to be ahead by so much. */
+    /** Returns what is added to stamps, because the caller's clock has proved to be ahead. */
     public long correctionUs() {
         return correctionUs;
     }
--- a/src/main/java/damsonslip/membership/WorkerLease.java
+++ b/src/main/java/damsonslip/membership/WorkerLease.java
@@ -3,98 +3,108 @@
 import damsonslip.policy.api.ProbeResult;
 
 /**
- * What a worker's own answers to probes allow while discovery, once heard, fails its calls and no
- * list of it holds.
+ * Whether one worker may be sent to by its own answers to probes, while discovery fails its polls
+ * and its last list is no longer valid.
  *
- * <p>A worker that drains answers a probe with 200 no more once discovery lists it as draining
- * (measured, see docs/incidents/2026-12-02-outages-and-service.md). So whoever gets that answer
- * cannot have been told of a drain before the probe was sent, and the grace of a drain cannot end
- * before the probe's time and the grace. Until then the worker may be sent to. A worker whose
- * connections failed since discovery was last heard may have been removed, or started anew and be
- * cold: only a list can tell. So it has to answer over a connection that has stood since.
+ * <p>A worker that drains stops answering probes with 200 once discovery lists it as draining (see
+ * docs/incidents/2026-12-02-outages-and-service.md). A worker that gives that answer cannot have
+ * known of a drain before the probe was sent, so the drain's grace cannot end before the time of
+ * the probe plus the grace. The lease lasts until then. A worker whose connections failed since
+ * discovery was last heard may have been removed, or restarted and be cold: only a list can tell.
+ * So it has to answer over a connection that has been open since.
  *
- * <p>All times are microseconds of the clock that the caller passes in. Not safe for use by several
- * threads.
+ * <p>All times are microseconds of the clock that the caller passes in. Not thread-safe.
  */
 public final class WorkerLease {
-    /** A worker that drains goes on to do so, and one that is overloaded needs time. */
-    private static final long REFUSED_AGAIN_US = 1_000_000;
+    /** Delay after an unhealthy answer: a drain lasts, and an overloaded worker needs time. */
+    private static final long UNHEALTHY_RETRY_US = 1_000_000;
 
-    /** A probe that this machine could not send says nothing of the worker. */
-    private static final long UNSENT_AGAIN_US = 100_000;
+    /** Delay after a probe that this machine could not send, which says nothing of the worker. */
+    private static final long UNSENT_RETRY_US = 100_000;
 
     private static final long NEVER = Long.MIN_VALUE;
 
-    private int outstanding;
+    private int outstandingProbes;
 
     /**
-     * When the oldest probe that is not answered yet was sent; which of several is answered cannot
-     * be told.
+     * When the oldest probe without an answer was sent; an answer does not show to which of several
+     * probes it belongs.
      */
-    private long probedAt = NEVER;
+    private long oldestProbeUs = NEVER;
 
-    private long validUntil = NEVER;
-    private long nextProbeAt = NEVER;
-    private long failedAt = NEVER;
+    private long validUntilUs = NEVER;
+    private long nextProbeUs = NEVER;
+    private long connectionFailedUs = NEVER;
 
-    /** A probe is being sent. */
+    /** Records that a probe is being sent. */
     public void probeSent(long nowUs) {
-        if (outstanding++ == 0) {
-            probedAt = nowUs;
+        if (outstandingProbes == 0) {
+            oldestProbeUs = nowUs;
         }
+        outstandingProbes++;
     }
 
     /**
-     * A probe has ended.
+     * Records the result of a probe.
      *
-     * @param graceUs so long after the news of a drain the worker may still be sent to
+     * @param graceUs how long after a drain is known the worker may still be sent to
      */
     public void probeEnded(ProbeResult result, long graceUs, long nowUs) {
-        outstanding = Math.max(0, outstanding - 1);
+        outstandingProbes = Math.max(0, outstandingProbes - 1);
         switch (result) {
-            case HEALTHY -> {} // it may have been removed, or started anew, meanwhile
-            case HEALTHY_THROUGHOUT -> {
-                if (failedAt < probedAt) { // else the answer may be of the process before the break
-                    validUntil = Math.max(validUntil, probedAt + graceUs);
-                }
+            case HEALTHY -> {
+                // does not extend the lease: the worker may have been removed or restarted
+                // meanwhile
             }
+            case HEALTHY_THROUGHOUT -> extend(graceUs);
             case UNHEALTHY -> {
-                validUntil = NEVER;
-                nextProbeAt = nowUs + REFUSED_AGAIN_US;
+                validUntilUs = NEVER;
+                nextProbeUs = nowUs + UNHEALTHY_RETRY_US;
             }
             case UNREACHABLE, NO_LASTING_CONNECTION -> connectionFailed(nowUs);
-            case NOT_SENT -> nextProbeAt = nowUs + UNSENT_AGAIN_US;
+            case NOT_SENT -> nextProbeUs = nowUs + UNSENT_RETRY_US;
         }
     }
 
-    /** A connection to the worker broke, or could not be had. */
+    private void extend(long graceUs) {
+        // an answer to a probe sent before the failure may come from the process before it
+        if (connectionFailedUs < oldestProbeUs) {
+            validUntilUs = Math.max(validUntilUs, oldestProbeUs + graceUs);
+        }
+    }
+
+    /** Records that a connection to the worker broke, or could not be opened; ends the lease. */
     public void connectionFailed(long nowUs) {
-        validUntil = NEVER;
-        failedAt = nowUs;
+        validUntilUs = NEVER;
+        connectionFailedUs = nowUs;
     }
 
-    /** Whether the worker may be sent to. */
+    /** Whether the lease is valid, so that the worker may be sent to. */
     public boolean isValid(long nowUs) {
-        return nowUs < validUntil;
+        return nowUs < validUntilUs;
     }
 
-    /** Whether an answer to a probe is awaited. */
+    /** Whether a probe has not been answered yet. */
     public boolean isAwaited() {
-        return outstanding > 0;
+        return outstandingProbes > 0;
     }
 
     /**
-     * Whether a job may wait for this worker: it may be sent to, or an answer to a probe may come
-     * soon that says so.
+     * Whether a job may wait for this worker: its lease is valid, or a probe may soon make it so.
+     *
+     * @param heardUs when discovery was last heard
      */
     public boolean isWorthAwaiting(long heardUs, long nowUs) {
-        return isValid(nowUs)
-                || isAwaited()
-                || failedAt <= heardUs && nextProbeAt <= nowUs + UNSENT_AGAIN_US;
+        boolean probeDueSoon = nextProbeUs <= nowUs + UNSENT_RETRY_US;
+        return isValid(nowUs) || isAwaited() || (connectionFailedUs <= heardUs && probeDueSoon);
     }
 
-    /** Whether a probe now may lead to a lease, where discovery was last heard then. */
+    /**
+     * Whether a probe that is sent now may lead to a lease.
+     *
+     * @param heardUs when discovery was last heard
+     */
     public boolean isWorthProbing(long heardUs, long nowUs) {
-        return outstanding == 0 && nowUs >= nextProbeAt && failedAt <= heardUs;
+        return outstandingProbes == 0 && nowUs >= nextProbeUs && connectionFailedUs <= heardUs;
     }
 }
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -29,13 +29,10 @@
     private static final String DISABLED = "out";
     private static final String ENABLED = "back";
 
-    /**
-     * An enabled worker counts as warm everywhere after this time, and one that is gone will hardly
-     * come back.
-     */
+    /** By then an enabled worker has warmed up, and a removed one is unlikely to return. */
     private static final long RETENTION_US = 600_000_000;
 
-    /** A text that is not a complete serialized form; the message is one line for the log. */
+    /** Thrown for a text that is not a complete serialized form; its message is one line. */
     public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -44,73 +41,76 @@
         }
     }
 
-    /**
-     * The last entry of each worker that a list has named; one that a later list left out has
-     * status GONE.
-     */
+    /** The last entry of each listed worker; one that a later list omitted has status REMOVED. */
     private final Map<String, WorkerEntry> lastListed = new TreeMap<>();
 
-    /** Since when those have been gone that are. */
-    private final Map<String, Long> goneSinceUs = new HashMap<>();
+    /** When each worker that is not listed any more was removed. */
+    private final Map<String, Long> removedAtUs = new HashMap<>();
 
     private final Set<String> disabled = new TreeSet<>();
 
-    /** When each worker was enabled again. */
+    /** When each enabled worker was enabled. */
     private final Map<String, Long> enabledAtUs = new TreeMap<>();
 
     /**
-     * Records a list from discovery and returns it with the overrides applied. Workers that are
-     * long gone are forgotten, unless they are disabled.
+     * Records a list from discovery and returns it with the overrides applied. Workers that were
+     * removed long ago are forgotten, unless they are disabled.
      *
-     * @param mode whether the list is complete, so that workers it leaves out are gone
+     * @param change whether the list is complete, so that workers it omits are removed
      */
-    public List<WorkerEntry> apply(WorkerListChange mode, List<WorkerEntry> list, long nowUs) {
-        if (mode == WorkerListChange.COMPLETE || mode == WorkerListChange.KEPT) {
+    public List<WorkerEntry> apply(WorkerListChange change, List<WorkerEntry> list, long nowUs) {
+        if (change == WorkerListChange.COMPLETE || change == WorkerListChange.KEPT) {
             lastListed.replaceAll(
-                    (id, worker) -> with(worker, WorkerStatus.REMOVED, worker.startedUs()));
+                    (id, worker) -> withStatus(worker, WorkerStatus.REMOVED, worker.startedUs()));
         }
         list.forEach(worker -> lastListed.put(worker.id(), worker));
-        forget(nowUs);
-        return list.stream().map(this::overridden).toList();
+        recordRemovals(nowUs);
+        forgetExpired(nowUs);
+        return list.stream().map(this::withOverrides).toList();
     }
 
-    private void forget(long nowUs) {
+    private void recordRemovals(long nowUs) {
         lastListed.forEach(
                 (id, worker) -> {
                     if (worker.status() == WorkerStatus.REMOVED) {
-                        goneSinceUs.putIfAbsent(id, nowUs);
+                        removedAtUs.putIfAbsent(id, nowUs);
                     } else {
-                        goneSinceUs.remove(id);
+                        removedAtUs.remove(id);
                     }
                 });
-        goneSinceUs.forEach(
-                (id, sinceUs) -> {
-                    if (sinceUs < nowUs - RETENTION_US && !disabled.contains(id)) {
+    }
+
+    private void forgetExpired(long nowUs) {
+        removedAtUs.forEach(
+                (id, removedUs) -> {
+                    if (removedUs < nowUs - RETENTION_US && !disabled.contains(id)) {
                         lastListed.remove(id);
                     }
                 });
-        goneSinceUs.keySet().retainAll(lastListed.keySet());
+        removedAtUs.keySet().retainAll(lastListed.keySet());
     }
 
-    private WorkerEntry overridden(WorkerEntry worker) {
-        boolean drains = disabled.contains(worker.id()) && worker.status() == WorkerStatus.RUNNING;
-        WorkerStatus status = drains ? WorkerStatus.DRAINING : worker.status();
+    private WorkerEntry withOverrides(WorkerEntry worker) {
+        boolean disabledHere =
+                disabled.contains(worker.id()) && worker.status() == WorkerStatus.RUNNING;
+        WorkerStatus status = disabledHere ? WorkerStatus.DRAINING : worker.status();
         long enabledUs = enabledAtUs.getOrDefault(worker.id(), Long.MIN_VALUE);
-        return with(worker, status, Math.max(worker.startedUs(), enabledUs));
+        return withStatus(worker, status, Math.max(worker.startedUs(), enabledUs));
     }
 
-    private static WorkerEntry with(WorkerEntry w, WorkerStatus status, long startedUs) {
-        return new WorkerEntry(w.id(), w.zone(), w.cell(), w.kind(), status, startedUs);
+    private static WorkerEntry withStatus(WorkerEntry worker, WorkerStatus status, long startedUs) {
+        return new WorkerEntry(
+                worker.id(), worker.zone(), worker.cell(), worker.kind(), status, startedUs);
     }
 
-    /** Whether any list has named this worker, or it is disabled. */
+    /** Whether the worker was ever listed, or is disabled. */
     public boolean isKnown(String id) {
         return lastListed.containsKey(id) || disabled.contains(id);
     }
 
     /**
-     * What the newest list that named this worker says of it, without the overrides; null if none
-     * has.
+     * Returns the entry of the last list with this worker, without the overrides; null if it was
+     * never listed.
      */
     public WorkerEntry listed(String id) {
         return lastListed.get(id);
@@ -140,11 +140,11 @@
     private List<WorkerEntry> listChanges(Collection<String> ids) {
         return ids.stream()
                 .filter(lastListed::containsKey)
-                .map(id -> overridden(lastListed.get(id)))
+                .map(id -> withOverrides(lastListed.get(id)))
                 .toList();
     }
 
-    /** The ids of the workers that are on the list now, running or draining. */
+    /** Returns the ids of the workers that are listed now, running or draining. */
     public Set<String> listedWorkers() {
         return lastListed.values().stream()
                 .filter(worker -> worker.status() != WorkerStatus.REMOVED)
@@ -153,21 +153,14 @@
     }
 
     /**
-     * Serializes the overrides as lines for {@link #restore} in another process; drops entries past
-     * their retention.
+     * Serializes the overrides as lines for {@link #restore} in another process; drops enabled
+     * workers past their retention.
      */
     public String serialize(long nowUs) {
         enabledAtUs.values().removeIf(at -> at < nowUs - RETENTION_US);
         StringBuilder text = new StringBuilder(HEADER).append('\n');
-        disabled.forEach(id -> text.append(DISABLED).append(' ').append(id).append('\n'));
-        enabledAtUs.forEach(
-                (id, at) ->
-                        text.append(ENABLED)
-                                .append(' ')
-                                .append(id)
-                                .append(' ')
-                                .append(at)
-                                .append('\n'));
+        disabled.forEach(id -> text.append(DISABLED + ' ' + id + '\n'));
+        enabledAtUs.forEach((id, at) -> text.append(ENABLED + ' ' + id + ' ' + at + '\n'));
         return text.append(FOOTER).append('\n').toString();
     }
 
@@ -205,17 +198,21 @@
         }
         Parsed parsed = new Parsed(new TreeSet<>(), new HashMap<>());
         for (String line : lines.subList(1, lines.size() - 1)) {
-            String[] words = line.split(" ");
-            if (words.length == 2 && words[0].equals(DISABLED)) {
-                parsed.disabled().add(words[1]);
-            } else if (words.length == 3
-                    && words[0].equals(ENABLED)
-                    && words[2].matches("[0-9]{1,18}")) {
-                parsed.enabledAtUs().put(words[1], Long.parseLong(words[2]));
-            } else {
-                throw new MalformedException("a line that is not understood: " + line);
-            }
+            parseLine(line, parsed);
         }
         return parsed;
     }
+
+    private static void parseLine(String line, Parsed parsed) throws MalformedException {
+        String[] words = line.split(" ");
+        if (words.length == 2 && words[0].equals(DISABLED)) {
+            parsed.disabled().add(words[1]);
+        } else if (words.length == 3
+                && words[0].equals(ENABLED)
+                && words[2].matches("[0-9]{1,18}")) {
+            parsed.enabledAtUs().put(words[1], Long.parseLong(words[2]));
+        } else {
+            throw new MalformedException("a line that is not understood: " + line);
+        }
+    }
 }
--- a/src/main/java/damsonslip/membership/overrides/package-info.java
+++ b/src/main/java/damsonslip/membership/overrides/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Worker overrides: workers that an operator has disabled, applied to the list from discovery
- * before the decision module sees it. Used by {@code core.Driver} on the event loop; no I/O and no
- * clock. Depends on the module's event types only.
+ * Workers that an operator has disabled or enabled, applied to the list from discovery before the
+ * policy sees it. Called by the engine on the event loop. No I/O, clock or threads. Depends on
+ * {@code policy.api} only.
  */
 package damsonslip.membership.overrides;
--- a/src/main/java/damsonslip/membership/package-info.java
+++ b/src/main/java/damsonslip/membership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * What a scheduler knows of the service that names its workers: when to call it, and for how long
- * its last list may be used. Called by the decision module on the loop; depends on nothing, and has
- * no I/O, clock or threads of its own.
+ * What a scheduler knows of the discovery service that lists its workers: when to poll it, for how
+ * long its last list may be used, and when its workers started. {@link
+ * damsonslip.membership.DiscoveryWatch} is the entry point; the policy calls it on the event loop.
+ * No I/O, clock or threads. Depends on {@code policy.api} only.
  */
 package damsonslip.membership;
