--- /dev/null
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryLock.java
@@ -0,0 +1,60 @@
+package damsonslip.admin.upgrade;
+
+import java.io.IOException;
+import java.nio.channels.FileChannel;
+import java.nio.channels.FileLock;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+
+/** The lock that a process holds while it changes the shared directory. */
+final class DirectoryLock {
+    private static final String NAME = "damsonslip-guard";
+
+    /** Other processes hold the lock for as long as writing a small file takes. */
+    private static final int MAX_RETRIES = 25;
+
+    private static final long RETRY_DELAY_MS = 2;
+
+    private final Path file;
+
+    /** An action that must not run in two processes at once. */
+    interface Task {
+        void run() throws IOException;
+    }
+
+    DirectoryLock(Path directory) {
+        this.file = directory.resolve(NAME);
+    }
+
+    /**
+     * Runs a task while no other process runs one.
+     *
+     * @throws IOException from the task, or if the lock is not free within 50 ms
+     */
+    void run(Task task) throws IOException {
+        try (FileChannel channel =
+                        FileChannel.open(
+                                file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileLock lock = acquire(channel)) {
+            if (lock == null) {
+                throw new IOException("another process is busy with " + NAME);
+            }
+            task.run();
+        }
+    }
+
+    /** Returns the lock, or null if it was not free in time or the thread was interrupted. */
+    private static FileLock acquire(FileChannel channel) throws IOException {
+        FileLock lock = channel.tryLock();
+        for (int retry = 0; lock == null && retry < MAX_RETRIES; retry++) {
+            try {
+                Thread.sleep(RETRY_DELAY_MS);
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+                return null;
+            }
+            lock = channel.tryLock();
+        }
+        return lock;
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryThread.java
@@ -0,0 +1,108 @@
+package damsonslip.admin.upgrade;
+
+import damsonslip.engine.EventLoop;
+import java.io.IOException;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+
+/**
+ * Accesses the shared directory on a thread of its own, since a disk may take seconds, and returns
+ * the results to the event loop. The loop never waits for this thread, so this thread may wait for
+ * the loop.
+ */
+final class DirectoryThread {
+    /** The loop runs a task at once; one that does not in this time has been stopped. */
+    private static final long LOOP_TIMEOUT_MS = 5_000;
+
+    private final EventLoop loop;
+    private final ThreadPoolExecutor thread = startThread();
+    private boolean closed;
+
+    /** An access to the directory. */
+    interface Access<T> {
+        T run() throws IOException;
+    }
+
+    DirectoryThread(EventLoop loop) {
+        this.loop = loop;
+    }
+
+    /**
+     * Starts the thread at once: one that the system refuses later would cost the access that asked
+     * for it.
+     */
+    private static ThreadPoolExecutor startThread() {
+        ThreadPoolExecutor executor =
+                new ThreadPoolExecutor(
+                        1,
+                        1,
+                        0,
+                        TimeUnit.SECONDS,
+                        new LinkedBlockingQueue<>(),
+                        DirectoryThread::newThread);
+        executor.prestartAllCoreThreads();
+        return executor;
+    }
+
+    private static Thread newThread(Runnable task) {
+        Thread thread = new Thread(task, "shared-directory");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    /**
+     * Runs an access on the thread, and then one of the callbacks on the loop; has no effect once
+     * closed. Called on the loop.
+     */
+    <T> void run(Access<T> access, Consumer<T> done, Consumer<IOException> failed) {
+        if (closed) {
+            return;
+        }
+        thread.execute(
+                () -> {
+                    try {
+                        T result = access.run();
+                        loop.execute(() -> done.accept(result));
+                    } catch (IOException e) {
+                        loop.execute(() -> failed.accept(e));
+                    }
+                });
+    }
+
+    /**
+     * Runs a task on the loop and waits for its result. Called on this thread.
+     *
+     * @throws IOException if the task fails, or the loop does not run it in time
+     */
+    <T> T onLoop(Supplier<T> task) throws IOException {
+        CompletableFuture<T> result = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    try {
+                        result.complete(task.get());
+                    } catch (RuntimeException e) {
+                        result.completeExceptionally(e);
+                    }
+                });
+        try {
+            return result.get(LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        } catch (TimeoutException | ExecutionException e) {
+            throw new IOException("the change could not be made", e);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new IOException("interrupted", e);
+        }
+    }
+
+    /** Runs a last task on the thread after those before it; later accesses have no effect. */
+    void close(Runnable last) {
+        closed = true;
+        thread.execute(last);
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
@@ -0,0 +1,95 @@
+package damsonslip.admin.upgrade;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.nio.file.StandardCopyOption;
+import java.nio.file.StandardOpenOption;
+import java.nio.file.attribute.BasicFileAttributes;
+import java.nio.file.attribute.FileTime;
+import java.util.Optional;
+
+/** The file with the operators' worker overrides, shared by all processes. Not thread-safe. */
+final class OverridesFile {
+    private static final String NAME = "damsonslip-bans";
+    private static final String PART_NAME = NAME + ".part";
+
+    private final Path directory;
+    private final Path file;
+
+    /** The version that this process has last read or written; empty before. */
+    private Optional<Version> lastVersion = Optional.empty();
+
+    /** Differs between versions of a file, since each is written to a new one. */
+    private record Version(FileTime modified, long size, String fileKey) {}
+
+    OverridesFile(Path directory) {
+        this.directory = directory;
+        this.file = directory.resolve(NAME);
+    }
+
+    /**
+     * Returns the overrides if another process has written them since the last successful call;
+     * empty otherwise.
+     */
+    Optional<String> readIfChanged() throws IOException {
+        Optional<Version> version = currentVersion();
+        if (version.isEmpty() || version.equals(lastVersion)) {
+            return Optional.empty();
+        }
+        String text = Files.readString(file);
+        lastVersion = version; // only now: what could not be read is read again
+        return Optional.of(text);
+    }
+
+    /**
+     * Replaces the overrides atomically and durably: a crash leaves the old text or the new one,
+     * and once this returns it leaves the new one.
+     */
+    void write(String overrides) throws IOException {
+        Path part = directory.resolve(PART_NAME);
+        writeDurably(part, overrides);
+        Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        syncDirectory();
+        lastVersion = currentVersion();
+    }
+
+    private static void writeDurably(Path path, String content) throws IOException {
+        try (FileChannel channel =
+                FileChannel.open(
+                        path,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE)) {
+            ByteBuffer bytes = ByteBuffer.wrap(content.getBytes(StandardCharsets.UTF_8));
+            while (bytes.hasRemaining()) {
+                channel.write(bytes);
+            }
+            channel.force(true);
+        }
+    }
+
+    /** Makes the new name durable as well. */
+    private void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            channel.force(true);
+        }
+    }
+
+    private Optional<Version> currentVersion() throws IOException {
+        try {
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return Optional.of(
+                    new Version(
+                            attributes.lastModifiedTime(),
+                            attributes.size(),
+                            String.valueOf(attributes.fileKey())));
+        } catch (NoSuchFileException e) { // no operator has changed anything yet
+            return Optional.empty();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -0,0 +1,30 @@
+package damsonslip.admin.upgrade;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
+/** What a process has announced in its lock file. */
+enum ProcessState {
+    STARTING("starting"),
+    SERVING("serving ");
+
+    /** Length of each text, so that one state overwrites the other whole. */
+    static final int LENGTH = SERVING.text.length();
+
+    private final String text;
+
+    ProcessState(String text) {
+        this.text = text;
+    }
+
+    /** Returns the bytes that stand for this state in a lock file. */
+    ByteBuffer encode() {
+        return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+    }
+
+    /** Returns the state in these bytes of a lock file; one not written yet counts as starting. */
+    static ProcessState decode(ByteBuffer bytes) {
+        String found = new String(bytes.array(), StandardCharsets.US_ASCII);
+        return found.equals(SERVING.text) ? SERVING : STARTING;
+    }
+}
--- a/src/main/java/damsonslip/membership/DiscoveryWatch.java
+++ b/src/main/java/damsonslip/membership/DiscoveryWatch.java
@@ -160,30 +160,30 @@
      *
      * @param heardUs when something was last read from the open watch
      */
-    public long lost(Loss loss, long heardUs, long nowUs, double random) {
+    public long lost(Loss failure, long heardUs, long nowUs, double random) {
         boolean wasOpen = state == WatchState.OPEN;
         state = state.after(Event.ENDED);
-        if (loss == Loss.NOT_CALLED) {
+        if (failure == Loss.NOT_CALLED) {
             return polls.afterUnsentPollUs(nowUs, random);
         }
         lease.endHoldBack();
         outages.failed(nowUs);
         return wasOpen
-                ? openWatchLost(loss, heardUs, nowUs, random)
-                : pollFailed(loss, nowUs, random);
+                ? openWatchLost(failure, heardUs, nowUs, random)
+                : pollFailed(failure, nowUs, random);
     }
 
-    private long openWatchLost(Loss loss, long heardUs, long nowUs, double random) {
+    private long openWatchLost(Loss failure, long heardUs, long nowUs, double random) {
         lastHeardUs = heardUs;
         lease.watchLost(heardUs);
-        return loss == Loss.SILENT
+        return failure == Loss.SILENT
                 ? polls.afterSilenceUs(nowUs, random)
                 : polls.afterResetUs(nowUs, random);
     }
 
-    private long pollFailed(Loss loss, long nowUs, double random) {
-        unreachable |= loss == Loss.UNREACHABLE;
-        if (loss == Loss.UNREACHABLE || outages.isLastingOutage(pollSentUs, schedulers)) {
+    private long pollFailed(Loss failure, long nowUs, double random) {
+        unreachable |= failure == Loss.UNREACHABLE;
+        if (failure == Loss.UNREACHABLE || outages.isLastingOutage(pollSentUs, schedulers)) {
             lease.extendPastOutage(pollSentUs);
         }
         return polls.afterFailedPollUs(pollSentUs, nowUs, random);
--- /dev/null
+++ b/src/test/java/damsonslip/admin/upgrade/OverridesFileTest.java
@@ -0,0 +1,29 @@
+package damsonslip.admin.upgrade;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Optional;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The file of worker overrides as two processes see it. */
+class OverridesFileTest {
+    @TempDir Path directory;
+
+    @Test
+    void readsOnlyWhatAnotherProcessHasWritten() throws IOException {
+        OverridesFile one = new OverridesFile(directory);
+        OverridesFile other = new OverridesFile(directory);
+        assertEquals(Optional.empty(), one.readIfChanged(), "nothing is written yet");
+        one.write("first");
+        assertEquals(Optional.empty(), one.readIfChanged(), "written by itself");
+        assertEquals(Optional.of("first"), other.readIfChanged());
+        assertEquals(Optional.empty(), other.readIfChanged(), "read already");
+        other.write("second");
+        assertEquals(Optional.of("second"), one.readIfChanged());
+        assertEquals("second", Files.readString(directory.resolve("damsonslip-bans")));
+    }
+}
--- a/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
@@ -19,36 +19,36 @@
 
 /** Lock files in the directory that processes of one scheduler share. */
 class SharedDirectoryTest {
-    private static final int STARTS = 6_000;
-    private static final long LONGEST_S = 30;
+    private static final int REGISTRATIONS = 6_000;
+    private static final long TIMEOUT_S = 30;
 
     @TempDir Path dir;
 
     /** Another process that probes the lock files for live holders as fast as it can. */
-    public static final class Looker {
-        private Looker() {}
+    public static final class Prober {
+        private Prober() {}
 
         public static void main(String[] args) throws IOException {
-            System.out.println("looks");
-            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_S);
+            System.out.println("probing");
+            long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             while (System.in.available() == 0 && System.nanoTime() < end) {
-                try (DirectoryStream<Path> marks =
+                try (DirectoryStream<Path> lockFiles =
                         Files.newDirectoryStream(Path.of(args[0]), "damsonslip-mark-*[0-9]")) {
-                    for (Path mark : marks) {
-                        look(mark);
+                    for (Path lockFile : lockFiles) {
+                        probe(lockFile);
                     }
                 }
             }
         }
 
-        private static void look(Path mark) {
+        private static void probe(Path lockFile) {
             try (FileChannel channel =
                             FileChannel.open(
-                                    mark, StandardOpenOption.READ, StandardOpenOption.WRITE);
-                    FileLock taken = channel.tryLock()) {
+                                    lockFile, StandardOpenOption.READ, StandardOpenOption.WRITE);
+                    FileLock lock = channel.tryLock()) {
                 Thread.onSpinWait();
             } catch (IOException e) {
-                // it has gone meanwhile
+                // it was removed meanwhile
             }
         }
     }
@@ -58,32 +58,32 @@
      * start would fail.
      */
     @Test
-    void aStartIsNotEndedByAnotherProcessThatLooks() throws Exception {
-        Process looker =
+    void registersWhileAnotherProcessProbesLockFiles() throws Exception {
+        Process prober =
                 new ProcessBuilder(
                                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                                 "-cp",
                                 System.getProperty(
                                         "surefire.test.class.path",
                                         System.getProperty("java.class.path")),
-                                Looker.class.getName(),
+                                Prober.class.getName(),
                                 dir.toString())
                         .redirectErrorStream(true)
                         .start();
-        InputStreamReader words =
-                new InputStreamReader(looker.getInputStream(), StandardCharsets.UTF_8);
-        try (BufferedReader said = new BufferedReader(words)) {
-            assertEquals("looks", said.readLine());
-            for (int i = 0; i < STARTS; i++) {
+        InputStreamReader output =
+                new InputStreamReader(prober.getInputStream(), StandardCharsets.UTF_8);
+        try (BufferedReader lines = new BufferedReader(output)) {
+            assertEquals("probing", lines.readLine());
+            for (int i = 0; i < REGISTRATIONS; i++) {
                 SharedDirectory directory = new SharedDirectory(dir);
                 assertEquals(1, directory.peers().processes());
                 directory.close();
             }
-            looker.getOutputStream().write('\n');
-            looker.getOutputStream().flush();
-            assertTrue(looker.waitFor(LONGEST_S, TimeUnit.SECONDS));
+            prober.getOutputStream().write('\n');
+            prober.getOutputStream().flush();
+            assertTrue(prober.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
         } finally {
-            looker.destroyForcibly();
+            prober.destroyForcibly();
         }
     }
 }
