--- a/src/main/java/damsonslip/transport/ConnectionLimiter.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -106,7 +106,7 @@
         link.look();
         boolean goes = !link.isClosed() && mayGo.test(link);
         if (goes) {
-            link.makeWay();
+            link.evict();
         }
         return goes || link.isClosed();
     }
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -144,7 +144,7 @@
 
     private void lookBehindSelector() {
         open.removeIf(EventLoopConnection::isClosed);
-        List.copyOf(open).forEach(EventLoopConnection::lookBehindSelector);
+        List.copyOf(open).forEach(EventLoopConnection::checkUnreported);
         selector.submit(listeners::acceptUnnoticed);
         loop.in(LOOK_US, this::lookBehindSelector);
     }
--- /dev/null
+++ b/src/main/java/damsonslip/transport/ConnectionReader.java
@@ -0,0 +1,167 @@
+package damsonslip.transport;
+
+import damsonslip.engine.EventLoop;
+import java.io.IOException;
+import org.eclipse.jetty.io.EndPoint;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Reads from one connection, on the event loop, until nothing more is there, and has the selector
+ * report when more is. How much is read is bounded: by the read buffer where nobody consumes it, by
+ * the write queue's watermarks, and in one turn of the loop, so that a fast peer does not keep it
+ * from others.
+ */
+final class ConnectionReader {
+    private static final Logger LOG = LoggerFactory.getLogger(ConnectionReader.class);
+
+    /** Bytes that are read from a peer in one turn of the loop. */
+    private static final int MAX_BYTES_PER_TURN = 64 * 1024;
+
+    /** Bytes that are read and dropped from a lingering peer; the rest stays with the system. */
+    private static final int MAX_DROPPED_BYTES = 128 * 1024;
+
+    /** Repetitions of a read that the system could not make, before it is left to a later turn. */
+    private static final int MAX_IMMEDIATE_RETRIES = 4;
+
+    private static final long RETRY_DELAY_US = 1_000;
+
+    /** What a read returns at the end of the stream; less is {@link LoopEndPoint#NOT_NOW}. */
+    private static final int END_OF_STREAM = -1;
+
+    private final EventLoopConnection connection;
+    private final EventLoop loop;
+    private final ReadBuffer buffer;
+    private int droppedBytes;
+
+    /**
+     * @param maxBufferedBytes how much is read ahead without being consumed
+     */
+    ConnectionReader(EventLoopConnection connection, EventLoop loop, int maxBufferedBytes) {
+        this.connection = connection;
+        this.loop = loop;
+        this.buffer = new ReadBuffer(maxBufferedBytes);
+    }
+
+    /** Reads what is there, unless the selector is to report it anyway. */
+    void readUnlessAwaited() {
+        if (!connection.isClosed() && !connection.isFillInterested()) {
+            read();
+        }
+    }
+
+    /** Offers the bytes that were not consumed once more, and then reads on. */
+    void resume() {
+        boolean offered =
+                connection.state().acceptsInput()
+                        && !connection.isBackpressured()
+                        && !buffer.isEmpty();
+        if (offered) {
+            connection.received(buffer.bytes());
+            buffer.reclaimIfEmpty();
+        }
+        if (!connection.isClosed() && (offered || !connection.isFillInterested())) {
+            read();
+        }
+    }
+
+    /** Drops what is buffered, and reads and drops what still comes. */
+    void beginDropping() {
+        buffer.clear();
+        if (!connection.isFillInterested()) {
+            read();
+        }
+    }
+
+    /** Reads until nothing more is there, or a bound is reached. */
+    void read() {
+        try {
+            readOneTurn();
+        } catch (IOException e) {
+            connection.broken();
+        } catch (RuntimeException e) {
+            // a connection that nobody reads from any more must not stay open
+            LOG.error("event=connection_failed peer={}", connection.peer(), e);
+            connection.broken();
+        }
+    }
+
+    private void readOneTurn() throws IOException {
+        int remainingBytes = MAX_BYTES_PER_TURN;
+        while (remainingBytes > 0) {
+            if (!isReadable()) {
+                return;
+            }
+            int bytes = fill();
+            if (bytes <= 0) {
+                nothingRead(bytes);
+                return;
+            }
+            if (isLingering()) {
+                if (!drop(bytes)) {
+                    return;
+                }
+            } else {
+                connection.received(buffer.bytes());
+                buffer.reclaimIfEmpty();
+                remainingBytes -= bytes;
+            }
+        }
+        loop.execute(this::readUnlessAwaited);
+    }
+
+    /**
+     * A full buffer that nobody consumes is not read into: what a peer sends ahead is bounded by
+     * it, and by the watermarks.
+     */
+    private boolean isReadable() {
+        return !connection.isClosed() && !connection.isBackpressured() && buffer.makeSpace();
+    }
+
+    private boolean isLingering() {
+        return connection.state() == ConnectionState.LINGERING;
+    }
+
+    private void nothingRead(int result) {
+        if (result == END_OF_STREAM) {
+            connection.broken();
+        } else if (result < END_OF_STREAM) {
+            loop.in(RETRY_DELAY_US, this::readUnlessAwaited);
+        } else if (!isLingering() || drop(0)) {
+            awaitMore();
+        }
+    }
+
+    /** Drops what was read; returns whether more may be read and dropped. */
+    private boolean drop(int bytes) {
+        buffer.clear();
+        droppedBytes += bytes;
+        return droppedBytes <= MAX_DROPPED_BYTES;
+    }
+
+    /**
+     * Reads once; returns less than {@link #END_OF_STREAM} if the system keeps failing the read.
+     */
+    private int fill() throws IOException {
+        long beforeUs = loop.now();
+        EndPoint endPoint = connection.getEndPoint();
+        int bytes = endPoint.fill(buffer.bytes());
+        for (int retry = 0; bytes < END_OF_STREAM && retry < MAX_IMMEDIATE_RETRIES; retry++) {
+            bytes = endPoint.fill(buffer.bytes());
+        }
+        connection.progressed(Math.max(0, bytes));
+        if (bytes == 0 && endPoint instanceof LoopEndPoint loopEndPoint) {
+            loopEndPoint.arrival().seenEmpty(beforeUs);
+        }
+        return bytes;
+    }
+
+    private void awaitMore() {
+        if (!connection.isFillInterested()) {
+            connection.fillInterested();
+        }
+        if (!isLingering()) {
+            connection.readComplete();
+        }
+    }
+}
