--- a/src/main/java/damsonslip/faktory/AdminCommands.java
+++ b/src/main/java/damsonslip/faktory/AdminCommands.java
@@ -87,14 +87,15 @@
                                     case RETRIES -> JobRecord.State.RETRY;
                                     case DEAD -> JobRecord.State.DEAD;
                                 }));
-        Mutate.Wanted wanted = change.wanted();
+        Mutate.Filter wanted = change.filter();
         if (change.verb()
                 != Mutate.Verb.CLEAR) { // CLEAR empties the whole set, whatever the filter says
             Set<String> ids = Set.copyOf(wanted.jids());
             chosen.removeIf(
                     entry ->
                             !wanted.jobtype().isEmpty()
-                                    && !wanted.jobtype().equals(entry.record().facts().jobtype()));
+                                    && !wanted.jobtype()
+                                            .equals(entry.record().options().jobtype()));
             chosen.removeIf(entry -> !ids.isEmpty() && !ids.contains(entry.id()));
         }
         if (wanted.glob().isEmpty() || change.verb() == Mutate.Verb.CLEAR) {
@@ -124,13 +125,13 @@
             return;
         }
         List<Entry> part = among.subList(from, Math.min(among.size(), from + BATCH));
-        store.ask(
-                new StoreOperation.Bodies(part.stream().map(Entry::id).toList()),
+        store.submit(
+                new StoreOperation.GetBodies(part.stream().map(Entry::id).toList()),
                 bodies -> {
                     for (int i = 0; i < part.size(); i++) {
                         Entry entry = part.get(i);
                         if (bodies.get(i) != null
-                                && glob.matches(JobText.whole(bodies.get(i), entry.record(), 0))) {
+                                && glob.matches(JobText.merge(bodies.get(i), entry.record(), 0))) {
                             found.add(entry);
                         }
                     }
@@ -208,7 +209,7 @@
             case KILL ->
                     coordinator.transition(
                             entry,
-                            record.to(
+                            record.withState(
                                     JobRecord.State.DEAD,
                                     coordinator.nowMs(),
                                     "killed by an operator",
@@ -217,7 +218,7 @@
             case REQUEUE -> {
                 if (RetryPolicy.mayRun(record, coordinator.classOf(entry), coordinator.nowMs())) {
                     coordinator.enqueue(entry);
-                    store.keep(
+                    store.write(
                             entry.record(),
                             () -> acknowledge.accept(null),
                             () -> acknowledge.accept("down"));
@@ -237,7 +238,7 @@
         coordinator.transition(
                 entry,
                 entry.record()
-                        .to(
+                        .withState(
                                 JobRecord.State.DISCARDED,
                                 0,
                                 "discarded by an operator",
@@ -253,21 +254,21 @@
                         ? new ArrayList<>(
                                 change.verb() == Command.Queue.Verb.RESUME
                                         ? jobTable.paused()
-                                        : jobTable.queues().keySet())
+                                        : jobTable.queueSizes().keySet())
                         : change.names();
         for (String name : names) {
             switch (change.verb()) {
                 case PAUSE -> {
                     if (jobTable.pause(name)) {
-                        store.insist(new StoreOperation.Note(PAUSED, name, "1"));
+                        store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, "1"));
                     }
                 }
                 case RESUME -> {
                     if (jobTable.resume(name)) {
-                        store.insist(new StoreOperation.Note(PAUSED, name, null));
+                        store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, null));
                     }
                 }
-                case REMOVE -> remove(jobTable.inQueue(name), 0);
+                case REMOVE -> remove(jobTable.waitingIn(name), 0);
             }
         }
         coordinator.dispatchSoon();
@@ -303,14 +304,18 @@
                     entry.record(), coordinator.classOf(entry), coordinator.nowMs())) {
                 gone.add(entry.id());
             } else {
-                store.keep(
+                store.write(
                         entry.record()
-                                .to(JobRecord.State.DISCARDED, 0, "flushed", coordinator.nowMs()));
+                                .withState(
+                                        JobRecord.State.DISCARDED,
+                                        0,
+                                        "flushed",
+                                        coordinator.nowMs()));
             }
         }
         for (String name : jobTable.paused()) {
             jobTable.resume(name);
-            store.insist(new StoreOperation.Note(PAUSED, name, null));
+            store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, null));
         }
         drop(link, gone, 0);
     }
@@ -321,13 +326,13 @@
             return;
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
-        store.ask(
-                new StoreOperation.Drop(part),
+        store.submit(
+                new StoreOperation.Delete(part),
                 done -> drop(link, ids, from + BATCH),
                 () -> {
                     for (int i = from; i < ids.size(); i += BATCH) {
-                        store.insist(
-                                new StoreOperation.Drop(
+                        store.submitWithRetry(
+                                new StoreOperation.Delete(
                                         ids.subList(i, Math.min(ids.size(), i + BATCH))));
                     }
                     link.reply(
@@ -343,7 +348,7 @@
         ObjectNode info =
                 Json.MAPPER.createObjectNode().put("server_utc_time", CLOCK.format(Instant.now()));
         ObjectNode jobs = info.putObject("faktory");
-        var queues = jobTable.queues();
+        var queues = jobTable.queueSizes();
         jobs.put("default_size", queues.getOrDefault("default", 0))
                 .put("total_enqueued", jobTable.size(JobRecord.State.QUEUED))
                 .put("total_queues", queues.size())
--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -6,10 +6,10 @@
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Json;
 import damsonslip.faktory.codec.Reply;
-import damsonslip.faktory.jobs.Batches;
-import damsonslip.faktory.jobs.Batches.Batch;
-import damsonslip.faktory.jobs.Batches.Callback;
-import damsonslip.faktory.jobs.Batches.Due;
+import damsonslip.faktory.jobs.BatchTable;
+import damsonslip.faktory.jobs.BatchTable.Batch;
+import damsonslip.faktory.jobs.BatchTable.CallbackState;
+import damsonslip.faktory.jobs.BatchTable.DueCallback;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
 import damsonslip.store.StoreOperation;
@@ -34,14 +34,14 @@
 
     private final AsyncStore store;
     private final JobCoordinator coordinator;
-    private final Batches batches;
+    private final BatchTable batches;
     private Producers producers;
     private boolean recovered;
 
     BatchService(AsyncStore store, JobCoordinator coordinator) {
         this.store = store;
         this.coordinator = coordinator;
-        this.batches = new Batches(coordinator.jobTable());
+        this.batches = new BatchTable(coordinator.jobTable());
         coordinator.setListeners(this::settle, this::succeeded);
     }
 
@@ -52,11 +52,11 @@
 
     /** Why no job may be pushed into this batch; null if one may. */
     String closed(String bid) {
-        return batches.closed(bid);
+        return batches.rejectionReason(bid);
     }
 
     void pushed(String bid) {
-        keep(batches.pushed(bid));
+        keep(batches.countPushedJob(bid));
     }
 
     // ---- commands
@@ -81,10 +81,10 @@
                         text(fresh.complete()),
                         false,
                         0,
-                        Callback.NOT_YET,
-                        Callback.NOT_YET,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
                         coordinator.nowMs());
-        store.ask(
+        store.submit(
                 note(batch),
                 done -> {
                     batches.add(batch);
@@ -109,7 +109,7 @@
             if (parent == null) {
                 return "no such batch: " + fresh.parent();
             }
-            if (parent.onComplete() != Callback.NOT_YET) {
+            if (parent.onComplete() != CallbackState.NOT_YET) {
                 return "batch " + fresh.parent() + " is complete";
             }
         }
@@ -131,7 +131,7 @@
                                             : "batch " + bid + " is complete")));
             return;
         }
-        store.ask(
+        store.submit(
                 note(batch),
                 done -> link.reply(Reply.bulk(bid)),
                 () -> link.reply(Reply.error("ERR the store is down")));
@@ -143,7 +143,7 @@
             link.reply(Reply.error("ERR no such batch: " + bid));
             return;
         }
-        store.ask(
+        store.submit(
                 note(batches.commit(bid)),
                 done -> {
                     link.reply(Reply.ok());
@@ -170,8 +170,8 @@
                         .createObjectNode()
                         .put("bid", bid)
                         .put("total", batch.total())
-                        .put("pending", batches.pending(bid))
-                        .put("failed", batches.failed(bid))
+                        .put("pending", batches.pendingJobs(bid))
+                        .put("failed", batches.failedJobs(bid))
                         .put("created_at", Json.time(batch.createdMs()))
                         .put("description", batch.description());
         if (!batch.parent().isEmpty()) {
@@ -182,7 +182,7 @@
         link.reply(Reply.bulk(status.toString()));
     }
 
-    private static String state(Callback callback) {
+    private static String state(CallbackState callback) {
         return switch (callback) {
             case NOT_YET -> "";
             case DUE -> "1";
@@ -193,20 +193,20 @@
     // ---- callbacks
 
     private void settle(String bid) {
-        for (Due due : batches.settle(bid)) {
+        for (DueCallback due : batches.collectDueCallbacks(bid)) {
             keep(due.batch());
             push(due);
         }
     }
 
-    private void push(Due due) {
+    private void push(DueCallback due) {
         if (due.job().isEmpty()) {
             return;
         }
         String bid = due.batch().bid();
         producers.pushCallback(
                 due.job(),
-                due.batch().callbackId(due.success()),
+                due.batch().callbackJobId(due.success()),
                 bid,
                 before -> {
                     if (before.state() == JobRecord.State.SUCCESS) { // it ran before a restart
@@ -216,14 +216,14 @@
     }
 
     private void succeeded(JobRecord record) {
-        String bid = record.facts().callbackOf();
+        String bid = record.options().callbackBatchId();
         if (!bid.isEmpty()) {
             ran(bid, record.id().endsWith("-success"));
         }
     }
 
     private void ran(String bid, boolean success) {
-        Batch batch = batches.ran(bid, success);
+        Batch batch = batches.markCallbackDone(bid, success);
         if (batch != null) {
             keep(batch);
             settle(bid);
@@ -232,9 +232,9 @@
 
     // ---- the store
 
-    private static StoreOperation.Note note(Batch batch) {
+    private static StoreOperation.PutMetadata note(Batch batch) {
         try {
-            return new StoreOperation.Note(
+            return new StoreOperation.PutMetadata(
                     NOTE, batch.bid(), Json.MAPPER.writeValueAsString(batch));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a batch of plain values", e);
@@ -242,14 +242,14 @@
     }
 
     private void keep(Batch batch) {
-        StoreOperation.Note now = note(batch);
-        store.ask(
+        StoreOperation.PutMetadata now = note(batch);
+        store.submit(
                 now,
                 done -> {},
                 () -> {
                     Batch newest = batches.get(batch.bid());
                     if (newest != null) {
-                        store.insist(note(newest));
+                        store.submitWithRetry(note(newest));
                     }
                 });
     }
@@ -272,10 +272,10 @@
      */
     void recovered() {
         recovered = true;
-        batches.recount();
-        batches.unfinished().forEach(this::push);
+        batches.correctTotals();
+        batches.unfinishedCallbacks().forEach(this::push);
         batches.all().forEach(batch -> settle(batch.bid()));
-        batches.forget(coordinator.nowMs()).forEach(this::drop);
+        batches.removeExpired(coordinator.nowMs()).forEach(this::drop);
     }
 
     void clear() {
@@ -284,6 +284,6 @@
     }
 
     private void drop(String bid) {
-        store.insist(new StoreOperation.Note(NOTE, bid, null));
+        store.submitWithRetry(new StoreOperation.PutMetadata(NOTE, bid, null));
     }
 }
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -7,7 +7,7 @@
 import damsonslip.engine.EventLoop;
 import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.WorkerGateway;
-import damsonslip.faktory.Consumer.Offer;
+import damsonslip.faktory.Worker.WaitingFetchRequest;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.JobText;
 import damsonslip.faktory.codec.Reply;
@@ -64,7 +64,7 @@
     private final AsyncStore store;
     private final Counters counters;
     private JobCoordinator coordinator;
-    private final Map<String, Consumer> consumers = new HashMap<>();
+    private final Map<String, Worker> consumers = new HashMap<>();
 
     /** The jobs that workers have or are about to receive, by job id. */
     private final Map<String, Reservation> reservations = new HashMap<>();
@@ -72,11 +72,11 @@
     /** An attempt that is about to be handed to a worker, or has been. */
     private static final class Reservation {
         final Attempt execution;
-        final Consumer consumer;
+        final Worker consumer;
         boolean handedOut;
         EventLoop.Timer expiry = () -> {};
 
-        Reservation(Attempt execution, Consumer consumer) {
+        Reservation(Attempt execution, Worker consumer) {
             this.execution = execution;
             this.consumer = consumer;
         }
@@ -101,14 +101,14 @@
         coordinator = jobs;
     }
 
-    Collection<Consumer> all() {
+    Collection<Worker> all() {
         return consumers.values();
     }
 
     /** The number of jobs with workers that a client waits for. */
     long awaitedWithWorkers() {
         return reservations.values().stream()
-                .filter(held -> job(held.execution).record().awaited())
+                .filter(held -> job(held.execution).record().hasWaitingClient())
                 .count();
     }
 
@@ -118,10 +118,10 @@
      * Registers a worker's connection after its HELLO. A worker counts as cold until the store
      * knows an earlier start.
      */
-    Consumer register(Command.Hello hello, FaktoryConnection link) {
-        Consumer known = consumers.get(hello.wid());
+    Worker register(Command.Hello hello, FaktoryConnection link) {
+        Worker known = consumers.get(hello.wid());
         if (known != null && known.process.equals(hello.process())) {
-            known.links.add(link);
+            known.connections.add(link);
             return known;
         }
         if (known != null) { // a new process with the same id: the old one is gone, and this one is
@@ -129,19 +129,19 @@
             stop(known, WorkerStatus.REMOVED);
         }
         long now = loop.now();
-        Consumer fresh =
-                new Consumer(
+        Worker fresh =
+                new Worker(
                         hello.wid(),
                         hello.process(),
                         index(site.zoneNames(), hello.labels()),
                         index(site.kindNames(), hello.labels()),
                         now);
-        fresh.links.add(link);
+        fresh.connections.add(link);
         fresh.lastHeartbeatUs = now;
         consumers.put(hello.wid(), fresh);
         updateList(fresh);
-        store.ask(
-                new StoreOperation.FirstSeen(fresh.wid + "@" + fresh.process, now / 1000),
+        store.submit(
+                new StoreOperation.RecordFirstSeen(fresh.wid + "@" + fresh.process, now / 1000),
                 sinceMs -> {
                     if (sinceMs * 1000 < fresh.startedUs) {
                         fresh.startedUs = sinceMs * 1000;
@@ -156,29 +156,29 @@
         return labels.stream().mapToInt(names::indexOf).filter(i -> i >= 0).findFirst().orElse(0);
     }
 
-    private void updateList(Consumer consumer) {
+    private void updateList(Worker consumer) {
         driver.listed(WorkerListChange.CHANGES, List.of(consumer.entry()));
     }
 
-    void disconnected(Consumer consumer, FaktoryConnection link) {
-        consumer.links.remove(link);
-        if (consumer.offers.removeIf(offer -> offer.link() == link)) {
+    void disconnected(Worker consumer, FaktoryConnection link) {
+        consumer.connections.remove(link);
+        if (consumer.waitingFetches.removeIf(offer -> offer.link() == link)) {
             reportLoad(consumer);
         }
-        if (consumer.links.isEmpty()) {
+        if (consumer.connections.isEmpty()) {
             loop.in(
                     RECONNECT_TIMEOUT_US,
                     () -> {
-                        if (consumer.links.isEmpty()) {
+                        if (consumer.connections.isEmpty()) {
                             stop(consumer, WorkerStatus.REMOVED);
                         }
                     });
         }
     }
 
-    void heartbeat(FaktoryConnection link, Command.Beat beat) {
-        Consumer consumer = consumers.get(beat.wid());
-        if (consumer == null || consumer != link.consumer()) {
+    void heartbeat(FaktoryConnection link, Command.Heartbeat beat) {
+        Worker consumer = consumers.get(beat.wid());
+        if (consumer == null || consumer != link.worker()) {
             link.reply(Reply.error("ERR unknown worker " + beat.wid()));
             return;
         }
@@ -196,7 +196,7 @@
     /** Drains a worker; it is told so in the reply to its next heartbeat. */
     @Override
     public void drain(String wid) {
-        Consumer consumer = consumers.get(wid);
+        Worker consumer = consumers.get(wid);
         if (consumer != null) {
             consumer.requestedState = "quiet";
             stop(consumer, WorkerStatus.DRAINING);
@@ -208,19 +208,19 @@
      * unrun, also those whose reservation is just being recorded. A worker that is gone loses the
      * jobs that it has.
      */
-    private void stop(Consumer consumer, WorkerStatus status) {
+    private void stop(Worker consumer, WorkerStatus status) {
         if (consumer.status == status || consumer.status == WorkerStatus.REMOVED) {
             return;
         }
         consumer.status = status;
         updateList(consumer);
-        List<Attempt> expected = List.copyOf(consumer.expected);
-        consumer.expected.clear();
+        List<Attempt> expected = List.copyOf(consumer.placedAttempts);
+        consumer.placedAttempts.clear();
         expected.forEach(execution -> driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL)));
-        while (!consumer.offers.isEmpty()) {
-            Offer offer = consumer.offers.poll();
+        while (!consumer.waitingFetches.isEmpty()) {
+            WaitingFetchRequest offer = consumer.waitingFetches.poll();
             offer.timeout().cancel();
-            offer.link().reply(Reply.nothing());
+            offer.link().reply(Reply.nullBulk());
         }
         if (status == WorkerStatus.REMOVED) {
             consumers.remove(consumer.wid);
@@ -235,7 +235,7 @@
 
     private void sweep() {
         long silentSince = loop.now() - HEARTBEAT_TIMEOUT_US;
-        for (Consumer consumer : new ArrayList<>(consumers.values())) {
+        for (Worker consumer : new ArrayList<>(consumers.values())) {
             if (consumer.lastHeartbeatUs < silentSince) {
                 LOG.info("worker {} has stopped beating", consumer.wid);
                 stop(consumer, WorkerStatus.REMOVED);
@@ -248,35 +248,35 @@
     // ---- slots
 
     void fetch(FaktoryConnection link, Command.Fetch fetch) {
-        Consumer consumer = link.consumer();
+        Worker consumer = link.worker();
         if (consumer == null) {
             link.reply(Reply.error("ERR only a worker, with a wid in its HELLO, may fetch"));
             return;
         }
-        if (!consumer.runs()) {
-            loop.in(FETCH_TIMEOUT_US, () -> link.reply(Reply.nothing()));
+        if (!consumer.isRunning()) {
+            loop.in(FETCH_TIMEOUT_US, () -> link.reply(Reply.nullBulk()));
             return;
         }
         consumer.lastHeartbeatUs = loop.now(); // a FETCH shows that it is alive
-        consumer.fetched(fetch.queues(), loop.now());
-        Offer[] offer = new Offer[1];
+        consumer.recordFetch(fetch.queues(), loop.now());
+        WaitingFetchRequest[] offer = new WaitingFetchRequest[1];
         offer[0] =
-                new Offer(
+                new WaitingFetchRequest(
                         link,
                         fetch.queues(),
                         loop.in(
                                 FETCH_TIMEOUT_US,
                                 () -> {
-                                    if (consumer.offers.remove(offer[0])) {
-                                        link.reply(Reply.nothing());
+                                    if (consumer.waitingFetches.remove(offer[0])) {
+                                        link.reply(Reply.nullBulk());
                                     }
                                 }),
                         loop.now());
-        consumer.offers.add(offer[0]);
-        for (Attempt execution : consumer.expected) {
-            Offer taken = consumer.takeOffer(job(execution).queue());
+        consumer.waitingFetches.add(offer[0]);
+        for (Attempt execution : consumer.placedAttempts) {
+            WaitingFetchRequest taken = consumer.takeWaitingFetch(job(execution).queue());
             if (taken != null) {
-                consumer.expected.remove(execution);
+                consumer.placedAttempts.remove(execution);
                 reserve(execution, consumer, taken);
                 return;
             }
@@ -285,7 +285,7 @@
         coordinator.dispatchSoon();
     }
 
-    private void reportLoad(Consumer consumer) {
+    private void reportLoad(Worker consumer) {
         driver.probed(consumer.wid, ProbeResult.HEALTHY, load(consumer));
     }
 
@@ -293,7 +293,7 @@
      * Reports a FETCH to the decision module: the worker is alive, with so many free slots and so
      * many in all.
      */
-    private void reportFetch(Consumer consumer) {
+    private void reportFetch(Worker consumer) {
         LoadReport free = load(consumer);
         driver.probed(
                 consumer.wid,
@@ -305,9 +305,9 @@
                         Math.max(1, consumer.slots())));
     }
 
-    private static LoadReport load(Consumer consumer) {
+    private static LoadReport load(Worker consumer) {
         return new LoadReport(
-                Math.max(0, consumer.offers.size() - consumer.expected.size()),
+                Math.max(0, consumer.waitingFetches.size() - consumer.placedAttempts.size()),
                 Double.NaN,
                 consumer.slotsInUse);
     }
@@ -320,16 +320,16 @@
 
     @Override
     public boolean fetches(String worker, String queue) {
-        Consumer consumer = consumers.get(worker);
+        Worker consumer = consumers.get(worker);
         return consumer != null && consumer.fetches(queue, loop.now() - FETCH_MEMORY_US);
     }
 
     @Override
     public Collection<WaitingFetch> waitingFetches() {
         Map<List<String>, WaitingFetch> found = new LinkedHashMap<>();
-        for (Consumer consumer : consumers.values()) {
-            if (consumer.runs()) {
-                consumer.offers.forEach(
+        for (Worker consumer : consumers.values()) {
+            if (consumer.isRunning()) {
+                consumer.waitingFetches.forEach(
                         offer ->
                                 found.putIfAbsent(
                                         offer.queues(),
@@ -344,15 +344,15 @@
         return consumers.values().stream()
                 .anyMatch(
                         consumer ->
-                                consumer.runs()
-                                        && consumer.offers.stream()
+                                consumer.isRunning()
+                                        && consumer.waitingFetches.stream()
                                                 .anyMatch(offer -> offer.queues().equals(queues)));
     }
 
     @Override
     public boolean isFetchWaiting(String queue) {
         return consumers.values().stream()
-                .anyMatch(consumer -> consumer.runs() && consumer.offers(queue));
+                .anyMatch(consumer -> consumer.isRunning() && consumer.waitingFetches(queue));
     }
 
     @Override
@@ -364,21 +364,21 @@
 
     @Override
     public void start(Attempt execution) {
-        Consumer consumer = consumers.get(execution.worker());
-        if (consumer == null || !consumer.runs()) {
+        Worker consumer = consumers.get(execution.worker());
+        if (consumer == null || !consumer.isRunning()) {
             driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL));
             return;
         }
-        Offer offer = consumer.takeOffer(job(execution).queue());
+        WaitingFetchRequest offer = consumer.takeWaitingFetch(job(execution).queue());
         if (offer != null) {
             reserve(execution, consumer, offer);
             return;
         }
-        consumer.expected.add(execution);
+        consumer.placedAttempts.add(execution);
         loop.in(
                 SLOT_TIMEOUT_US,
                 () -> {
-                    if (consumer.expected.remove(execution)) {
+                    if (consumer.placedAttempts.remove(execution)) {
                         driver.ended(execution, Attempt.End.of(AttemptOutcome.FULL));
                     }
                 });
@@ -388,7 +388,7 @@
      * Records the reservation, then hands the job out. So after a restart a job that the store has
      * as queued was never handed out, and one that it has as reserved may have run.
      */
-    private void reserve(Attempt execution, Consumer consumer, Offer offer) {
+    private void reserve(Attempt execution, Worker consumer, WaitingFetchRequest offer) {
         DispatchedJob job = job(execution);
         Reservation held = new Reservation(execution, consumer);
         reservations.put(job.jid(), held);
@@ -396,16 +396,16 @@
         coordinator
                 .jobTable()
                 .move(job.entry, job.record().reserved(consumer.wid, loop.now() / 1000));
-        store.ask(
-                new StoreOperation.Take(job.record()),
+        store.submit(
+                new StoreOperation.Reserve(job.record()),
                 body -> handOut(held, offer, body),
                 () -> handBack(held, offer, AttemptOutcome.FULL));
     }
 
-    private void handOut(Reservation held, Offer offer, String body) {
+    private void handOut(Reservation held, WaitingFetchRequest offer, String body) {
         DispatchedJob job = job(held.execution);
         boolean wanted = held.execution.open() && reservations.get(job.jid()) == held;
-        if (!wanted || body == null || !held.consumer.runs() || offer.link().isClosed()) {
+        if (!wanted || body == null || !held.consumer.isRunning() || offer.link().isClosed()) {
             handBack(held, offer, AttemptOutcome.FULL);
             return;
         }
@@ -415,8 +415,8 @@
         held.handedOut = true;
         job.ran = true;
         job.failure = null;
-        held.expiry = loop.in(job.record().facts().reserveMs() * 1000, () -> expire(held));
-        offer.link().reply(Reply.bulk(JobText.whole(body, job.record(), job.entry.enqueuedMs())));
+        held.expiry = loop.in(job.record().options().reservationMs() * 1000, () -> expire(held));
+        offer.link().reply(Reply.bulk(JobText.merge(body, job.record(), job.entry.enqueuedMs())));
         driver.started(held.execution);
     }
 
@@ -436,7 +436,7 @@
      * Extends a reservation at its worker's request; returns false if the worker does not have the
      * job.
      */
-    boolean extend(Consumer by, String jid, long untilMs) {
+    boolean extend(Worker by, String jid, long untilMs) {
         Reservation held = reservations.get(jid);
         if (held == null || held.consumer != by || !held.handedOut) {
             return false;
@@ -450,7 +450,7 @@
      * Returns a job that was not handed out, so that the decision module may place it elsewhere;
      * its FETCH waits again.
      */
-    private void handBack(Reservation held, Offer offer, AttemptOutcome outcome) {
+    private void handBack(Reservation held, WaitingFetchRequest offer, AttemptOutcome outcome) {
         DispatchedJob job = job(held.execution);
         if (release(held) && held.execution.open()) {
             coordinator.returnUnrun(job);
@@ -467,9 +467,9 @@
      */
     @Override
     public void cancel(Attempt execution) {
-        Consumer consumer = consumers.get(execution.worker());
+        Worker consumer = consumers.get(execution.worker());
         if (consumer != null) {
-            consumer.expected.remove(execution);
+            consumer.placedAttempts.remove(execution);
         }
         Reservation held = reservations.get(execution.query().id());
         if (held != null && held.execution == execution) {
@@ -494,7 +494,7 @@
      * @param acknowledge called once the store has recorded the report, with an error or null
      */
     boolean report(
-            Consumer by,
+            Worker by,
             String jid,
             RunFailure how,
             java.util.function.Consumer<String> acknowledge) {
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -38,7 +38,7 @@
     DispatchedJob(Entry entry, long dispatchedUs) {
         this.entry = entry;
         this.dispatchedUs = dispatchedUs;
-        this.ranBefore = !entry.record().neverRan();
+        this.ranBefore = !entry.record().hasNeverRun();
     }
 
     String jid() {
@@ -46,7 +46,7 @@
     }
 
     String queue() {
-        return entry.record().facts().queue();
+        return entry.record().options().queue();
     }
 
     JobRecord record() {
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -97,9 +97,9 @@
             throws ConfigurationException {
         super(
                 new ConnectionLimiter<>(
-                        config.links(),
-                        config.links() / OVERFLOW_DIVISOR,
-                        link -> !link.greeted(),
+                        config.maxConnections(),
+                        config.maxConnections() / OVERFLOW_DIVISOR,
+                        link -> !link.isGreeted(),
                         Comparator.comparingLong(FaktoryConnection::openedUs)));
         this.loop = loop;
         this.phase = phase;
@@ -120,9 +120,9 @@
                         store,
                         phase,
                         counters,
-                        new JobTable(config.site().classNames().size(), config.waiting()),
+                        new JobTable(config.site().classNames().size(), config.jobLimits()),
                         consumers,
-                        config.fair());
+                        config.fairQueueOrder());
         this.batches = new BatchService(store, coordinator);
         this.producers = new Producers(loop, store, phase, counters, config, coordinator, batches);
         this.adminCommands =
@@ -138,7 +138,7 @@
         }
         try {
             return new RedisStore(
-                    RedisStore.address(config.store()), config.storePassword(), config.name());
+                    RedisStore.parseAddress(config.store()), config.storePassword(), config.name());
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("config: store: " + e.getMessage());
         }
@@ -257,8 +257,8 @@
     @Override
     public void closed(FaktoryConnection link) {
         super.closed(link);
-        if (link.consumer() != null) {
-            consumers.disconnected(link.consumer(), link);
+        if (link.worker() != null) {
+            consumers.disconnected(link.worker(), link);
         }
     }
 
@@ -279,7 +279,7 @@
                             cut(fail.type(), MAX_ERROR_TYPE),
                             cut(fail.message(), MAX_ERROR_MESSAGE),
                             fail.backtrace()));
-        } else if (command instanceof Command.Beat beat) {
+        } else if (command instanceof Command.Heartbeat beat) {
             consumers.heartbeat(link, beat);
         } else if (command instanceof Command.TrackGet track) {
             producers.track(link, track.jid());
@@ -323,7 +323,7 @@
      * no longer has the job, is counted and changes nothing, since the final answer has been given.
      */
     private void report(FaktoryConnection link, String jid, RunFailure how) {
-        if (link.consumer() == null) {
+        if (link.worker() == null) {
             link.reply(Reply.error("ERR only a worker may tell how a job ended"));
             return;
         }
@@ -340,8 +340,8 @@
         }
         java.util.function.Consumer<String> acknowledge =
                 error -> link.reply(error == null ? Reply.ok() : Reply.error(error));
-        if (!consumers.report(link.consumer(), jid, how, acknowledge)
-                && !coordinator.reportUndispatched(link.consumer().wid, jid, how, acknowledge)) {
+        if (!consumers.report(link.worker(), jid, how, acknowledge)
+                && !coordinator.reportUndispatched(link.worker().wid, jid, how, acknowledge)) {
             counters.add(Count.WORDS_LATE);
             link.reply(Reply.ok());
         }
@@ -350,9 +350,8 @@
     private void updateProgress(FaktoryConnection link, Command.TrackSet track) {
         producers.setProgress(track);
         if (track.reserveUntilMs() > 0
-                && (link.consumer() == null
-                        || !consumers.extend(
-                                link.consumer(), track.jid(), track.reserveUntilMs()))) {
+                && (link.worker() == null
+                        || !consumers.extend(link.worker(), track.jid(), track.reserveUntilMs()))) {
             link.reply(Reply.error("ERR this worker does not have job " + track.jid()));
             return;
         }
@@ -385,7 +384,7 @@
     }
 
     MinimumDataRate.Limits peerLimits() {
-        return config.peers();
+        return config.minimumDataRate();
     }
 
     @Override
@@ -403,12 +402,12 @@
         counters.add(reason);
         LOG.info(
                 "{} is let go: it {}",
-                link.consumer() == null ? "a producer" : link.consumer().wid,
+                link.worker() == null ? "a producer" : link.worker().wid,
                 behaviour);
     }
 
     int maxLineBytes() {
-        return config.longestLine();
+        return config.maxLineBytes();
     }
 
     void wrongPassword() {
--- a/src/main/java/damsonslip/faktory/FaktoryConfig.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConfig.java
@@ -27,12 +27,13 @@
  * @param storePassword the store's password, or empty
  * @param console where the console connects, or empty
  * @param mgmt where the operators' tools call, or empty
- * @param links how many connections it holds at the most
- * @param longestLine the longest line that a peer may send, in bytes
- * @param leastReserveS a job's shorter {@code reserve_for} is raised to this, in seconds
- * @param fair whether a FETCH is served from the queue served longest ago, not in its own order
- * @param waiting how much may wait
- * @param peers how fast peers have to send and read at the least
+ * @param maxConnections how many connections it holds at the most
+ * @param maxLineBytes the longest line that a peer may send, in bytes
+ * @param minReservationS a job's shorter {@code reserve_for} is raised to this, in seconds
+ * @param fairQueueOrder whether a FETCH is served from the queue served longest ago, not in its own
+ *     order
+ * @param jobLimits how much may wait
+ * @param minimumDataRate how fast peers have to send and read at the least
  * @param routes which class a job belongs to
  * @param site classes, limits and the figures of the rules
  */
@@ -44,12 +45,12 @@
         String storePassword,
         String console,
         String mgmt,
-        int links,
-        int longestLine,
-        int leastReserveS,
-        boolean fair,
-        JobTable.Limits waiting,
-        MinimumDataRate.Limits peers,
+        int maxConnections,
+        int maxLineBytes,
+        int minReservationS,
+        boolean fairQueueOrder,
+        JobTable.Limits jobLimits,
+        MinimumDataRate.Limits minimumDataRate,
         Routes routes,
         SiteSettings site) {
     private static final int LINKS = 800;
@@ -104,9 +105,9 @@
                     whole(root, "links", LINKS, 1),
                     whole(root, "longest_line", LONGEST_LINE, 1024),
                     whole(jobs, "least_reserve_s", LEAST_RESERVE_S, 1),
-                    fair(jobs),
+                    fairQueueOrder(jobs),
                     limits,
-                    peers(root),
+                    minimumDataRate(root),
                     routes(root, jobs, site),
                     site);
         } catch (JsonProcessingException e) {
@@ -120,7 +121,8 @@
         }
     }
 
-    private static MinimumDataRate.Limits peers(JsonNode root) throws ConfigurationException {
+    private static MinimumDataRate.Limits minimumDataRate(JsonNode root)
+            throws ConfigurationException {
         JsonNode peers = root.path("peers");
         int graceS = whole(peers, "grace_s", PEER_GRACE_S, 1);
         return new MinimumDataRate.Limits(
@@ -130,7 +132,7 @@
                 whole(peers, "least_bytes_per_s", PEER_RATE, 1));
     }
 
-    private static boolean fair(JsonNode jobs) throws ConfigurationException {
+    private static boolean fairQueueOrder(JsonNode jobs) throws ConfigurationException {
         String order = jobs.path("queue_order").asText("strict");
         if (!order.equals("strict") && !order.equals("fair")) {
             throw new ConfigurationException(
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -3,7 +3,7 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.SlowPeer;
 import damsonslip.faktory.codec.Command;
-import damsonslip.faktory.codec.Malformed;
+import damsonslip.faktory.codec.MalformedCommandException;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.transport.EventLoopConnection;
 import damsonslip.transport.LineDecoder;
@@ -45,11 +45,11 @@
 
     private final ArrayDeque<String> pending = new ArrayDeque<>();
     private long openedUs;
-    private boolean greeted;
+    private boolean isGreeted;
     private boolean answering;
 
     /** The worker that this connection belongs to, or null for a producer's. */
-    private Consumer consumer;
+    private Worker worker;
 
     FaktoryConnection(EndPoint endPoint, Faktory faktory) {
         super(endPoint, faktory.loop());
@@ -59,16 +59,16 @@
         this.readRate = new MinimumDataRate(faktory.peerLimits());
     }
 
-    boolean greeted() {
-        return greeted;
+    boolean isGreeted() {
+        return isGreeted;
     }
 
     long openedUs() {
         return openedUs;
     }
 
-    Consumer consumer() {
-        return consumer;
+    Worker worker() {
+        return worker;
     }
 
     @Override
@@ -76,7 +76,7 @@
         openedUs = faktory.loop().now();
         faktory.opened(this);
         String proof =
-                faktory.password().needed()
+                faktory.password().isRequired()
                         ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
                         : "";
         write(() -> {}, Reply.simple("HI {\"v\":2" + proof + "}"));
@@ -84,7 +84,7 @@
                 .in(
                         HELLO_TIMEOUT_US,
                         () -> {
-                            if (!greeted) {
+                            if (!isGreeted) {
                                 end();
                             }
                         });
@@ -99,8 +99,8 @@
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
         List<String> whole = lines.take(part);
-        if (whole == null || (!greeted && lines.begun() > MAX_HELLO_BYTES)) {
-            refuse("ERR a line too long");
+        if (whole == null || (!isGreeted && lines.begun() > MAX_HELLO_BYTES)) {
+            closeWithError("ERR a line too long");
             return;
         }
         faktory.addBuffered(lines.begun() - incompleteBytes);
@@ -108,11 +108,11 @@
         measureSending(part.length, !whole.isEmpty());
         long maxBuffered = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
         if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered) {
-            refuse("ERR too much is being sent here at once; come back in a moment");
+            closeWithError("ERR too much is being sent here at once; come back in a moment");
             return;
         }
         pending.addAll(whole);
-        next();
+        handleNext();
     }
 
     /** Measures the rate of an incomplete command; each command is measured by itself. */
@@ -161,7 +161,7 @@
                     this,
                     Count.SLOW_SENDERS_LET_GO,
                     "sends a command at " + (long) sendRate.rate(nowUs) + " bytes/s");
-            refuse("ERR too slow: a command that has begun has to go on");
+            closeWithError("ERR too slow: a command that has begun has to go on");
         }
     }
 
@@ -170,7 +170,7 @@
      * thousands of commands, whose replies are written at once, would have all of them handled
      * before any other connection.
      */
-    private void next() {
+    private void handleNext() {
         while (!answering && !isClosed() && !pending.isEmpty()) {
             String line = pending.poll();
             if (line.isEmpty()) {
@@ -180,16 +180,16 @@
             sendRate.end();
             try {
                 Command command = Command.decode(line);
-                if (greeted) {
+                if (isGreeted) {
                     faktory.handle(this, command);
                 } else {
-                    greet(command);
+                    handleHello(command);
                 }
-            } catch (Malformed e) {
-                if (greeted) {
+            } catch (MalformedCommandException e) {
+                if (isGreeted) {
                     reply(Reply.error("ERR " + e.getMessage()));
                 } else {
-                    refuse("ERR " + e.getMessage());
+                    closeWithError("ERR " + e.getMessage());
                 }
             }
             return; // the next one follows the reply
@@ -202,25 +202,26 @@
             sendRate.begin(
                     faktory.loop().now()); // nothing was read while the command before was handled
         }
-        next();
+        handleNext();
         if (!answering && pending.isEmpty()) {
             again();
         }
     }
 
-    private void greet(Command command) throws Malformed {
+    private void handleHello(Command command) throws MalformedCommandException {
         if (!(command instanceof Command.Hello hello)) {
-            throw new Malformed("HELLO comes first");
+            throw new MalformedCommandException("HELLO comes first");
         }
         if (hello.version() > 2) {
-            throw new Malformed("only version 2 is spoken here");
+            throw new MalformedCommandException("only version 2 is spoken here");
         }
-        if (faktory.password().needed() && !faktory.password().proves(salt, hello.passwordHash())) {
+        if (faktory.password().isRequired()
+                && !faktory.password().verify(salt, hello.passwordHash())) {
             faktory.wrongPassword();
-            throw new Malformed("invalid password");
+            throw new MalformedCommandException("invalid password");
         }
-        greeted = true;
-        consumer = hello.wid().isEmpty() ? null : faktory.consumers().register(hello, this);
+        isGreeted = true;
+        worker = hello.wid().isEmpty() ? null : faktory.consumers().register(hello, this);
         reply(Reply.ok());
     }
 
@@ -236,7 +237,7 @@
     }
 
     /** Sends an error and closes the connection. */
-    void refuse(String error) {
+    void closeWithError(String error) {
         write(() -> {}, Reply.error(error));
         endWhenWritten();
     }
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -147,8 +147,8 @@
     /** Adds a job that the store has recorded; returns an immediate rejection, or null. */
     String admit(JobRecord record, int jobClass) {
         Entry entry = jobTable.add(record, jobClass);
-        jobTable.enqueued(entry, record.state() == JobRecord.State.QUEUED ? nowMs() : 0);
-        if (record.state() == JobRecord.State.QUEUED && record.awaited()) {
+        jobTable.setEnqueuedMs(entry, record.state() == JobRecord.State.QUEUED ? nowMs() : 0);
+        if (record.state() == JobRecord.State.QUEUED && record.hasWaitingClient()) {
             return dispatch(entry);
         }
         dispatchSoon();
@@ -157,9 +157,9 @@
 
     /** Appends a job to its queue. */
     void enqueue(Entry entry) {
-        jobTable.move(entry, entry.record().queued(jobTable.nextSeq(), nowMs()));
-        jobTable.enqueued(entry, nowMs());
-        if (entry.record().awaited()) {
+        jobTable.move(entry, entry.record().enqueued(jobTable.nextSequence(), nowMs()));
+        jobTable.setEnqueuedMs(entry, nowMs());
+        if (entry.record().hasWaitingClient()) {
             dispatch(entry);
         }
     }
@@ -175,15 +175,15 @@
         } else {
             jobTable.move(entry, next);
         }
-        store.keep(
+        store.write(
                 next,
                 () -> acknowledge.accept(null),
                 () ->
                         acknowledge.accept(
                                 "ERR the store is down; the word is kept here and written once it"
                                         + " is back"));
-        if (!next.facts().bid().isEmpty()) {
-            batchListener.accept(next.facts().bid());
+        if (!next.options().batchId().isEmpty()) {
+            batchListener.accept(next.options().batchId());
         }
         if (next.state() == JobRecord.State.SUCCESS) {
             successListener.accept(next);
@@ -209,7 +209,9 @@
     }
 
     private void dispatchWaiting() {
-        if (phase.atLeast(State.FINISHING) || !store.up() || store.waiting() > MAX_STORE_BACKLOG) {
+        if (phase.atLeast(State.FINISHING)
+                || !store.isAvailable()
+                || store.pendingCount() > MAX_STORE_BACKLOG) {
             return;
         }
         for (FetchDirectory.WaitingFetch fetch : List.copyOf(fetchDirectory.waitingFetches())) {
@@ -255,7 +257,7 @@
     }
 
     private boolean discardIfExpired(Entry entry) {
-        long until = entry.record().facts().expiresMs();
+        long until = entry.record().options().expiresMs();
         if (until == 0 || until > nowMs()) {
             return false;
         }
@@ -263,7 +265,8 @@
         transition(
                 entry,
                 entry.record()
-                        .to(JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
+                        .withState(
+                                JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
         return true;
     }
 
@@ -284,7 +287,7 @@
         if (!RetryPolicy.mayRun(record, classOf(entry), nowMs())) { // holds whoever enqueued it
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD,
                             nowMs(),
                             "it may have run and must not run twice",
@@ -292,22 +295,22 @@
             return null;
         }
         Idempotency effect = classOf(entry).idempotency();
-        int retries = Math.max(0, record.facts().retry());
+        int retries = Math.max(0, record.options().retryLimit());
         boolean once =
                 effect == Idempotency.NOT_IDEMPOTENT
-                        || (effect == Idempotency.IDEMPOTENT && !record.awaited());
+                        || (effect == Idempotency.IDEMPOTENT && !record.hasWaitingClient());
         int maxAttempts = once ? 1 : retries + 1;
         long deadlineMs =
-                record.awaited()
-                        ? record.facts().deadlineMs()
+                record.hasWaitingClient()
+                        ? record.options().deadlineMs()
                         : nowMs()
                                 + Math.max(
                                         site.deadlineUs(entry.jobClass()) / 1000,
-                                        record.facts().reserveMs() + RESERVATION_MARGIN_MS);
-        String queue = record.facts().queue();
+                                        record.options().reservationMs() + RESERVATION_MARGIN_MS);
+        String queue = record.options().queue();
         DispatchedJob dispatched = new DispatchedJob(entry, loop.now());
         jobTable.dispatch(entry);
-        if (!record.awaited()) {
+        if (!record.hasWaitingClient()) {
             unawaited.add(dispatched);
         }
         String[] rejection = new String[1];
@@ -319,7 +322,7 @@
                                 0,
                                 deadlineMs * 1000,
                                 deadlineMs * 1000,
-                                record.facts().slots(),
+                                record.options().slots(),
                                 0,
                                 null,
                                 maxAttempts,
@@ -343,8 +346,10 @@
         dispatched.acknowledge = null;
         if (answer.kind() == Response.Kind.SERVED) {
             transition(
-                    entry, entry.record().to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
-        } else if (entry.record().awaited()) {
+                    entry,
+                    entry.record().withState(JobRecord.State.SUCCESS, 0, "", nowMs()),
+                    acknowledge);
+        } else if (entry.record().hasWaitingClient()) {
             return finishAwaited(dispatched, answer, acknowledge);
         } else if (dispatched.ran) {
             jobTable.undispatch(entry, 0);
@@ -369,8 +374,8 @@
         if (jobTable.get(entry.id()) == entry
                 && entry.record().state() == JobRecord.State.RESERVED
                 && !dispatched.ran) {
-            jobTable.move(entry, entry.record().handedBack(dispatched.ranBefore, nowMs()));
-            store.keep(entry.record());
+            jobTable.move(entry, entry.record().returned(dispatched.ranBefore, nowMs()));
+            store.write(entry.record());
         }
     }
 
@@ -391,14 +396,14 @@
         if (mayHaveRun && classOf(entry).idempotency() != Idempotency.IDEMPOTENT) {
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD, nowMs(), "it may have run; " + message, nowMs()),
                     acknowledge);
             return null;
         }
         boolean rejected = answer.kind() == Response.Kind.THROTTLED;
-        JobRecord.State state = rejected ? JobRecord.State.REFUSED : JobRecord.State.FAILED;
-        transition(entry, record.to(state, 0, message, nowMs()), acknowledge);
+        JobRecord.State state = rejected ? JobRecord.State.REJECTED : JobRecord.State.FAILED;
+        transition(entry, record.withState(state, 0, message, nowMs()), acknowledge);
         return rejected ? "ERR " + message : null;
     }
 
@@ -420,10 +425,12 @@
     private void retryOrEnd(Entry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.RUNS_FAILED);
         RetryPolicy.NextState next =
-                RetryPolicy.failed(entry.record(), classOf(entry), how, nowMs(), random);
-        JobRecord failed = entry.record().failed(next.failure());
+                RetryPolicy.nextState(entry.record(), classOf(entry), how, nowMs(), random);
+        JobRecord failed = entry.record().withFailure(next.failure());
         transition(
-                entry, failed.to(next.state(), next.dueMs(), next.message(), nowMs()), acknowledge);
+                entry,
+                failed.withState(next.state(), next.dueMs(), next.message(), nowMs()),
+                acknowledge);
     }
 
     // ---- reports on jobs that are not dispatched
@@ -445,7 +452,7 @@
         }
         JobRecord record = entry.record();
         boolean succeededLate =
-                !record.awaited()
+                !record.hasWaitingClient()
                         && how == null
                         && (record.state() == JobRecord.State.RETRY
                                 || record.state() == JobRecord.State.DEAD);
@@ -454,7 +461,8 @@
         }
         if (how == null) {
             counters.add(Count.ANSWERS_SERVED);
-            transition(entry, record.to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
+            transition(
+                    entry, record.withState(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
         } else {
             endLostRun(entry, how, acknowledge);
         }
@@ -465,17 +473,17 @@
     private void endLostRun(Entry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.ANSWERS_FAILED);
         JobRecord record = entry.record();
-        if (!record.awaited()) {
+        if (!record.hasWaitingClient()) {
             retryOrEnd(entry, how, acknowledge);
         } else if (classOf(entry).idempotency() == Idempotency.IDEMPOTENT) {
             transition(
                     entry,
-                    record.to(JobRecord.State.FAILED, 0, how.message(), nowMs()),
+                    record.withState(JobRecord.State.FAILED, 0, how.message(), nowMs()),
                     acknowledge);
         } else {
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD,
                             nowMs(),
                             "it may have run before a restart; " + how.message(),
@@ -500,7 +508,7 @@
         boolean open = state == JobRecord.State.RESERVED || state == JobRecord.State.QUEUED;
         if (jobTable.get(entry.id()) != entry
                 || entry.isDispatched()
-                || entry.record().neverRan()
+                || entry.record().hasNeverRun()
                 || !open) {
             return;
         }
@@ -526,7 +534,7 @@
                                             transition(
                                                     entry,
                                                     entry.record()
-                                                            .to(
+                                                            .withState(
                                                                     JobRecord.State.DISCARDED,
                                                                     0,
                                                                     "dead for too long",
--- a/src/main/java/damsonslip/faktory/Password.java
+++ b/src/main/java/damsonslip/faktory/Password.java
@@ -11,7 +11,7 @@
     static final int ROUNDS = 1735;
     private static final SecureRandom RANDOM = new SecureRandom();
 
-    boolean needed() {
+    boolean isRequired() {
         return !text.isEmpty();
     }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    boolean proves(String salt, String given) {
+    boolean verify(String salt, String given) {
         return MessageDigest.isEqual(
                 hash(salt).getBytes(StandardCharsets.US_ASCII),
                 given.getBytes(StandardCharsets.US_ASCII));
@@ -41,6 +41,6 @@
 
     @Override
     public String toString() {
-        return "Password[" + (needed() ? "set" : "none") + "]";
+        return "Password[" + (isRequired() ? "set" : "none") + "]";
     }
 }
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -9,8 +9,8 @@
 import damsonslip.engine.LifecyclePhase.State;
 import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Json;
-import damsonslip.faktory.codec.Malformed;
-import damsonslip.faktory.codec.Pushed;
+import damsonslip.faktory.codec.MalformedCommandException;
+import damsonslip.faktory.codec.PushedJob;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.JobTable.Entry;
@@ -82,7 +82,7 @@
         this.phase = phase;
         this.counters = counters;
         this.routes = config.routes();
-        this.minReserveS = config.leastReserveS();
+        this.minReserveS = config.minReservationS();
         this.coordinator = coordinator;
         this.jobTable = coordinator.jobTable();
         this.batches = batches;
@@ -132,20 +132,20 @@
             return;
         }
         long nowMs = coordinator.nowMs();
-        Pushed pushed;
+        PushedJob pushed;
         int jobClass;
         try {
-            pushed = Pushed.read(job, nowMs, minReserveS);
+            pushed = PushedJob.decode(job, nowMs, minReserveS);
             String named = pushed.custom().className();
             jobClass = routes.classOf(named, pushed.queue(), pushed.jobtype());
             if (jobClass < 0) {
-                throw new Malformed(
+                throw new MalformedCommandException(
                         "custom.class: "
                                 + (named.isEmpty()
                                         ? "is needed, since no route and no default class fits"
                                         : "unknown class: " + named));
             }
-        } catch (Malformed e) {
+        } catch (MalformedCommandException e) {
             counters.add(Count.QUERIES_BAD);
             then.accept("MALFORMED " + e.getMessage());
             return;
@@ -154,9 +154,9 @@
                 JobRecord.pushed(
                                 pushed.jid(),
                                 facts(pushed, jobClass, nowMs, ""),
-                                pushed.atMs(),
+                                pushed.scheduledMs(),
                                 nowMs)
-                        .numbered(jobTable.nextSeq());
+                        .withSequence(jobTable.nextSequence());
         String reason = rejectionReason(record, nowMs);
         if (reason != null) {
             counters.add(Count.PUSHES_REFUSED);
@@ -166,38 +166,38 @@
         add(record, pushed.body(), jobClass, then);
     }
 
-    private JobRecord.Facts facts(Pushed pushed, int jobClass, long nowMs, String callbackOf) {
-        Pushed.Custom custom = pushed.custom();
-        return new JobRecord.Facts(
+    private JobRecord.Options facts(PushedJob pushed, int jobClass, long nowMs, String callbackOf) {
+        PushedJob.CustomOptions custom = pushed.custom();
+        return new JobRecord.Options(
                 pushed.queue(),
                 pushed.jobtype(),
                 routes.classNames().get(jobClass),
                 pushed.priority(),
-                pushed.retry(),
-                pushed.reserveMs(),
+                pushed.retryLimit(),
+                pushed.reservationMs(),
                 custom.slots(),
                 custom.deadlineMs(),
                 custom.expiresMs(),
-                custom.bid(),
+                custom.batchId(),
                 callbackOf,
-                custom.uniqueMs() == 0 ? "" : UniqueKey.of(pushed),
-                Math.max(nowMs, pushed.atMs()) + custom.uniqueMs(),
-                custom.untilStart(),
-                pushed.backtrace());
+                custom.uniqueForMs() == 0 ? "" : UniqueKey.keyOf(pushed),
+                Math.max(nowMs, pushed.scheduledMs()) + custom.uniqueForMs(),
+                custom.uniqueUntilStart(),
+                pushed.backtraceLines());
     }
 
     /** Why a well-formed job cannot be accepted now; null if it can. */
     private String rejectionReason(JobRecord record, long nowMs) {
-        JobRecord.Facts facts = record.facts();
-        if (!recovered && !(facts.uniqueKey().isEmpty() && facts.bid().isEmpty())) {
+        JobRecord.Options facts = record.options();
+        if (!recovered && !(facts.uniqueKey().isEmpty() && facts.batchId().isEmpty())) {
             return "ERR what is in the store is being taken up; push it again in a moment";
         }
-        String closed = facts.bid().isEmpty() ? null : batches.closed(facts.bid());
+        String closed = facts.batchId().isEmpty() ? null : batches.closed(facts.batchId());
         if (closed != null) {
             return "ERR " + closed;
         }
         boolean known = jobTable.get(record.id()) != null;
-        boolean dispatchedAtOnce = record.awaited() && record.dueMs() == 0;
+        boolean dispatchedAtOnce = record.hasWaitingClient() && record.dueMs() == 0;
         String full = dispatchedAtOnce || known ? null : jobTable.rejectionReason(facts.queue());
         if (full != null) {
             return "ERR " + full;
@@ -207,7 +207,7 @@
 
     private void add(JobRecord record, String body, int jobClass, Consumer<String> then) {
         pendingAdds.merge(record.id(), 1, Integer::sum);
-        store.ask(
+        store.submit(
                 new StoreOperation.Add(record, body),
                 before -> {
                     added(record.id());
@@ -216,7 +216,7 @@
                 () -> {
                     added(record.id());
                     if (jobTable.get(record.id()) == null) {
-                        jobTable.unlockUnique(record.id(), record.facts());
+                        jobTable.unlockUnique(record.id(), record.options());
                         if (uncertain
                                 .computeIfAbsent(record.id(), id -> new HashSet<>())
                                 .isEmpty()) {
@@ -243,11 +243,12 @@
             return accept(record, jobClass);
         }
         if (before.state()
-                == JobRecord.State.REFUSED) { // the rejection invited the producer to push it again
-            store.ask(
+                == JobRecord.State
+                        .REJECTED) { // the rejection invited the producer to push it again
+            store.submit(
                     new StoreOperation.Replace(record, body),
                     done -> {},
-                    () -> store.insist(new StoreOperation.Replace(record, body)));
+                    () -> store.submitWithRetry(new StoreOperation.Replace(record, body)));
             return accept(record, jobClass);
         }
         if (ours.contains(before) && jobTable.get(record.id()) == null) {
@@ -255,7 +256,7 @@
                     before, jobClass); // its first push was recorded, and only the answer was lost
         }
         if (jobTable.get(record.id()) == null) {
-            jobTable.unlockUnique(record.id(), record.facts());
+            jobTable.unlockUnique(record.id(), record.options());
         }
         counters.add(Count.PUSHES_REPEATED); // a producer that lost the answer must not cause a
         // second run
@@ -267,8 +268,8 @@
             counters.add(Count.PUSHES_REPEATED);
             return null;
         }
-        if (!record.facts().bid().isEmpty()) {
-            batches.pushed(record.facts().bid());
+        if (!record.options().batchId().isEmpty()) {
+            batches.pushed(record.options().batchId());
         }
         return coordinator.admit(record, jobClass); // a later outcome is seen by tracking the job
     }
@@ -282,7 +283,7 @@
         if (ours == null) {
             return;
         }
-        store.ask(
+        store.submit(
                 new StoreOperation.Get(jid),
                 found -> {
                     if (uncertain.get(jid) != ours) {
@@ -294,7 +295,7 @@
                     }
                     uncertain.remove(jid);
                     if (ours.contains(found) && jobTable.get(jid) == null) {
-                        store.insist(new StoreOperation.Drop(List.of(jid)));
+                        store.submitWithRetry(new StoreOperation.Delete(List.of(jid)));
                     }
                 },
                 () -> loop.in(RETRY_US, () -> withdraw(jid)));
@@ -309,12 +310,12 @@
      */
     void pushCallback(String job, String jid, String bid, Consumer<JobRecord> before) {
         JobRecord record;
-        Pushed pushed;
+        PushedJob pushed;
         int jobClass;
         try {
             ObjectNode node = (ObjectNode) Json.read(job);
             node.put("jid", jid);
-            pushed = Pushed.read(node, coordinator.nowMs(), minReserveS);
+            pushed = PushedJob.decode(node, coordinator.nowMs(), minReserveS);
             jobClass =
                     Math.max(
                             0,
@@ -324,14 +325,14 @@
                     JobRecord.pushed(
                                     jid,
                                     facts(pushed, jobClass, coordinator.nowMs(), bid),
-                                    pushed.atMs(),
+                                    pushed.scheduledMs(),
                                     coordinator.nowMs())
-                            .numbered(jobTable.nextSeq());
-        } catch (Malformed e) {
+                            .withSequence(jobTable.nextSequence());
+        } catch (MalformedCommandException e) {
             throw new IllegalStateException(
                     "a callback that was checked when its batch was made", e);
         }
-        store.ask(
+        store.submit(
                 new StoreOperation.Add(record, pushed.body()),
                 there -> {
                     if (there != null) {
@@ -351,11 +352,11 @@
         try {
             ObjectNode node = ((ObjectNode) job).deepCopy();
             node.put("jid", "b-callback-of-a-batch");
-            Pushed pushed = Pushed.read(node, coordinator.nowMs(), minReserveS);
+            PushedJob pushed = PushedJob.decode(node, coordinator.nowMs(), minReserveS);
             return routes.classOf(pushed.custom().className(), pushed.queue(), pushed.jobtype()) < 0
                     ? "custom.class: no class for the callback"
                     : null;
-        } catch (Malformed e) {
+        } catch (MalformedCommandException e) {
             return e.getMessage();
         }
     }
@@ -368,14 +369,15 @@
             link.reply(Reply.bulk(tracked(jid, open.record())));
             return;
         }
-        store.ask(
+        store.submit(
                 new StoreOperation.Get(jid),
                 record -> link.reply(Reply.bulk(tracked(jid, record))),
                 () -> link.reply(Reply.error("ERR the store is down")));
     }
 
     void setProgress(Command.TrackSet set) {
-        progress.put(set.jid(), new Progress(set.percent(), set.words(), coordinator.nowMs()));
+        progress.put(
+                set.jid(), new Progress(set.percent(), set.description(), coordinator.nowMs()));
     }
 
     private String tracked(String jid, JobRecord record) {
@@ -389,7 +391,7 @@
                             case QUEUED, SCHEDULED -> "enqueued";
                             case RESERVED -> "working";
                             case SUCCESS -> "success";
-                            case REFUSED, FAILED, RETRY -> "failed";
+                            case REJECTED, FAILED, RETRY -> "failed";
                             case DEAD -> "dead";
                             case DISCARDED -> "discarded";
                         });
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -63,16 +63,16 @@
      * accepted either.
      */
     void begin() {
-        store.ask(
-                new StoreOperation.Notes(AdminCommands.PAUSED),
+        store.submit(
+                new StoreOperation.GetMetadata(AdminCommands.PAUSED),
                 paused -> {
                     paused.keySet().forEach(coordinator.jobTable()::pause);
-                    store.ask(
-                            new StoreOperation.Notes(BatchService.NOTE),
+                    store.submit(
+                            new StoreOperation.GetMetadata(BatchService.NOTE),
                             notes -> {
                                 batches.load(notes);
-                                store.ask(
-                                        new StoreOperation.Open(),
+                                store.submit(
+                                        new StoreOperation.ListOpen(),
                                         ids -> load(new ArrayList<>(ids), 0),
                                         this::retry);
                             },
@@ -92,8 +92,8 @@
             return;
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
-        store.ask(
-                new StoreOperation.Load(part),
+        store.submit(
+                new StoreOperation.LoadOpen(part),
                 records -> {
                     records.forEach(this::recover);
                     load(ids, from + BATCH);
@@ -107,7 +107,7 @@
             return; // pushed, or reported on, since the start
         }
         recovered++;
-        JobRecord.Facts facts = record.facts();
+        JobRecord.Options facts = record.options();
         int jobClass = routes.classOf(facts.className(), facts.queue(), facts.jobtype());
         if (jobClass < 0) {
             jobClass =
@@ -121,19 +121,20 @@
                     "job {} from the store cannot be taken up: no class of the name {}",
                     record.id(),
                     facts.className());
-            store.keep(
-                    record.to(
+            store.write(
+                    record.withState(
                             JobRecord.State.FAILED,
                             0,
                             "no class of the name " + facts.className(),
                             coordinator.nowMs()));
             return;
         }
-        switch (RetryPolicy.recovered(
+        switch (RetryPolicy.recoveryAction(
                 record, site.settings().classes().get(jobClass), coordinator.nowMs())) {
             case RESTORE -> coordinator.admit(record, jobClass);
             case DISPATCH ->
-                    coordinator.admit(record.queued(record.seq(), coordinator.nowMs()), jobClass);
+                    coordinator.admit(
+                            record.enqueued(record.sequence(), coordinator.nowMs()), jobClass);
             case AWAIT_REPORT -> {
                 counters.add(Count.QUERIES_TAKEN);
                 Entry entry =
@@ -148,7 +149,8 @@
                 Entry entry = jobTable.add(record, jobClass);
                 coordinator.transition(
                         entry,
-                        record.to(JobRecord.State.FAILED, 0, "out of time", coordinator.nowMs()));
+                        record.withState(
+                                JobRecord.State.FAILED, 0, "out of time", coordinator.nowMs()));
             }
         }
     }
--- a/src/main/java/damsonslip/faktory/UniqueKey.java
+++ b/src/main/java/damsonslip/faktory/UniqueKey.java
@@ -1,8 +1,8 @@
 package damsonslip.faktory;
 
 import damsonslip.faktory.codec.Json;
-import damsonslip.faktory.codec.Malformed;
-import damsonslip.faktory.codec.Pushed;
+import damsonslip.faktory.codec.MalformedCommandException;
+import damsonslip.faktory.codec.PushedJob;
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -15,7 +15,7 @@
 final class UniqueKey {
     private UniqueKey() {}
 
-    static String of(Pushed job) {
+    static String keyOf(PushedJob job) {
         try {
             String work =
                     job.jobtype() + "\n" + job.queue() + "\n" + Json.read(job.body()).path("args");
@@ -23,7 +23,7 @@
                     .formatHex(
                             MessageDigest.getInstance("SHA-256")
                                     .digest(work.getBytes(StandardCharsets.UTF_8)));
-        } catch (Malformed e) {
+        } catch (MalformedCommandException e) {
             throw new IllegalStateException("a body that was read before", e);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
--- a/src/main/java/damsonslip/faktory/Consumer.java
+++ b/src/main/java/damsonslip/faktory/Worker.java
@@ -16,9 +16,9 @@
  * A worker process: its connections, its waiting fetches, and the slots that its jobs use. Confined
  * to the event loop.
  */
-final class Consumer {
+final class Worker {
     /** A FETCH that waits for a job. */
-    record Offer(
+    record WaitingFetchRequest(
             FaktoryConnection link, List<String> queues, EventLoop.Timer timeout, long sinceUs) {}
 
     /** Queue names remembered for one worker, which bounds the memory that a faulty one can use. */
@@ -28,11 +28,11 @@
     final String process;
     final int zone;
     final int kind;
-    final Set<FaktoryConnection> links = new HashSet<>();
-    final ArrayDeque<Offer> offers = new ArrayDeque<>();
+    final Set<FaktoryConnection> connections = new HashSet<>();
+    final ArrayDeque<WaitingFetchRequest> waitingFetches = new ArrayDeque<>();
 
     /** Attempts that the decision module has placed here and that wait for a FETCH. */
-    final List<Attempt> expected = new ArrayList<>();
+    final List<Attempt> placedAttempts = new ArrayList<>();
 
     WorkerStatus status = WorkerStatus.RUNNING;
     long startedUs;
@@ -54,7 +54,7 @@
      */
     String requestedState = "";
 
-    Consumer(String wid, String process, int zone, int kind, long startedUs) {
+    Worker(String wid, String process, int zone, int kind, long startedUs) {
         this.wid = wid;
         this.process = process;
         this.zone = zone;
@@ -62,13 +62,13 @@
         this.startedUs = startedUs;
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return status == WorkerStatus.RUNNING;
     }
 
     /** Its number of slots, offered and used; a slot between two fetches still counts. */
     int slots() {
-        slots = Math.max(slots, offers.size() + slotsInUse);
+        slots = Math.max(slots, waitingFetches.size() + slotsInUse);
         return slots;
     }
 
@@ -77,10 +77,10 @@
      * periodically.
      */
     void decaySlots() {
-        slots = Math.max(offers.size() + slotsInUse, slots - 1);
+        slots = Math.max(waitingFetches.size() + slotsInUse, slots - 1);
     }
 
-    void fetched(List<String> queues, long nowUs) {
+    void recordFetch(List<String> queues, long nowUs) {
         queues.forEach(queue -> lastFetchUs.put(queue, nowUs));
         if (lastFetchUs.size() > MAX_QUEUES) {
             lastFetchUs.values().removeIf(at -> at < nowUs);
@@ -89,12 +89,12 @@
 
     /** Whether it has fetched from this queue since then, or a FETCH from it waits. */
     boolean fetches(String queue, long sinceUs) {
-        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || offers(queue);
+        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || waitingFetches(queue);
     }
 
     /** Whether a FETCH from this queue waits. */
-    boolean offers(String queue) {
-        for (Offer offer : offers) {
+    boolean waitingFetches(String queue) {
+        for (WaitingFetchRequest offer : waitingFetches) {
             if (offer.queues().contains(queue) && !offer.link().isClosed()) {
                 return true;
             }
@@ -103,10 +103,10 @@
     }
 
     /** Removes and returns the first waiting FETCH from this queue; null if there is none. */
-    Offer takeOffer(String queue) {
-        for (Offer offer : offers) {
+    WaitingFetchRequest takeWaitingFetch(String queue) {
+        for (WaitingFetchRequest offer : waitingFetches) {
             if (offer.queues().contains(queue) && !offer.link().isClosed()) {
-                offers.remove(offer);
+                waitingFetches.remove(offer);
                 offer.timeout().cancel();
                 return offer;
             }
--- a/src/main/java/damsonslip/faktory/codec/Command.java
+++ b/src/main/java/damsonslip/faktory/codec/Command.java
@@ -8,13 +8,13 @@
 /** A line that a producer or a worker sends, decoded once. */
 public sealed interface Command {
     /** Words of an unknown command that are shown again. */
-    int SHOWN = 20;
+    int MAX_ECHOED_CHARACTERS = 20;
 
     /**
      * The official clients' bulk pushes hold a thousand; more in one line keeps everybody else
      * waiting.
      */
-    int MOST_BULK = 5_000;
+    int MAX_BULK_JOBS = 5_000;
 
     /**
      * The first line of every connection; {@code wid} is empty for a producer, {@code process}
@@ -43,13 +43,13 @@
      * A worker lives; {@code state} is what it says of itself, {@code rssKb} its memory, 0 if it
      * does not say.
      */
-    record Beat(String wid, String state, long rssKb) implements Command {}
+    record Heartbeat(String wid, String state, long rssKb) implements Command {}
 
     /** Asks how far a job is. */
     record TrackGet(String jid) implements Command {}
 
     /** A worker tells how far a job is; {@code reserveUntilMs} asks for more time, 0 does not. */
-    record TrackSet(String jid, int percent, String words, long reserveUntilMs)
+    record TrackSet(String jid, int percent, String description, long reserveUntilMs)
             implements Command {}
 
     /** Asks how the server stands. */
@@ -62,7 +62,7 @@
     record Flush() implements Command {}
 
     /** An operator's change of a set of jobs. */
-    record Mutate(Mutate.Verb verb, Target target, Wanted wanted) implements Command {
+    record Mutate(Mutate.Verb verb, Target target, Filter filter) implements Command {
         /** What becomes of them. */
         public enum Verb {
             CLEAR,
@@ -82,7 +82,7 @@
          * Which jobs of it; what is empty asks for nothing. {@code glob} goes over the whole job's
          * text.
          */
-        public record Wanted(String jobtype, List<String> jids, String glob) {}
+        public record Filter(String jobtype, List<String> jids, String glob) {}
     }
 
     /** An operator's change of queues; {@code names} may hold a star for all. */
@@ -108,7 +108,7 @@
     /** Asks how a batch stands. */
     record BatchStatus(String bid) implements Command {}
 
-    static Command decode(String line) throws Malformed {
+    static Command decode(String line) throws MalformedCommandException {
         int space = line.indexOf(' ');
         String verb = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
         String rest = space < 0 ? "" : line.substring(space + 1).trim();
@@ -118,7 +118,7 @@
             case "PUSHB" -> new Push(array(rest), true);
             case "FETCH" ->
                     new Fetch(rest.isEmpty() ? List.of("default") : List.of(rest.split("\\s+")));
-            case "ACK" -> new Ack(Json.needed(object(rest), "jid"));
+            case "ACK" -> new Ack(Json.requiredText(object(rest), "jid"));
             case "FAIL" -> fail(object(rest));
             case "BEAT" -> beat(object(rest));
             case "TRACK" -> track(rest);
@@ -129,8 +129,10 @@
             case "QUEUE" -> queue(rest);
             case "BATCH" -> batch(rest);
             default ->
-                    throw new Malformed(
-                            "unknown command " + verb.substring(0, Math.min(SHOWN, verb.length())));
+                    throw new MalformedCommandException(
+                            "unknown command "
+                                    + verb.substring(
+                                            0, Math.min(MAX_ECHOED_CHARACTERS, verb.length())));
         };
     }
 
@@ -145,24 +147,24 @@
                 labels);
     }
 
-    private static Fail fail(JsonNode failure) throws Malformed {
+    private static Fail fail(JsonNode failure) throws MalformedCommandException {
         List<String> backtrace = new ArrayList<>();
         failure.path("backtrace").forEach(line -> backtrace.add(line.asText()));
         return new Fail(
-                Json.needed(failure, "jid"),
+                Json.requiredText(failure, "jid"),
                 failure.path("errtype").asText(""),
                 failure.path("message").asText(""),
                 backtrace);
     }
 
-    private static Beat beat(JsonNode beat) throws Malformed {
-        return new Beat(
-                Json.needed(beat, "wid"),
+    private static Heartbeat beat(JsonNode beat) throws MalformedCommandException {
+        return new Heartbeat(
+                Json.requiredText(beat, "wid"),
                 beat.path("current_state").asText(""),
                 beat.path("rss_kb").asLong(0));
     }
 
-    private static Command track(String rest) throws Malformed {
+    private static Command track(String rest) throws MalformedCommandException {
         String[] words = rest.split("\\s+", 2);
         if (words.length == 2 && words[0].equalsIgnoreCase("GET")) {
             return new TrackGet(words[1]);
@@ -171,17 +173,18 @@
             JsonNode set = object(words[1]);
             String until = Json.text(set, "reserve_until", "");
             return new TrackSet(
-                    Json.needed(set, "jid"),
-                    Json.whole(set, "percent", 0, 0, 100),
+                    Json.requiredText(set, "jid"),
+                    Json.integer(set, "percent", 0, 0, 100),
                     Json.text(set, "desc", ""),
                     until.isEmpty() ? 0 : Json.time(until, "reserve_until"));
         }
-        throw new Malformed("TRACK takes GET jid, or SET and an object");
+        throw new MalformedCommandException("TRACK takes GET jid, or SET and an object");
     }
 
-    private static Mutate mutate(JsonNode change) throws Malformed {
-        Mutate.Verb verb = one(Mutate.Verb.class, Json.needed(change, "cmd"), "MUTATE");
-        Mutate.Target target = one(Mutate.Target.class, Json.needed(change, "target"), "target");
+    private static Mutate mutate(JsonNode change) throws MalformedCommandException {
+        Mutate.Verb verb = constant(Mutate.Verb.class, Json.requiredText(change, "cmd"), "MUTATE");
+        Mutate.Target target =
+                constant(Mutate.Target.class, Json.requiredText(change, "target"), "target");
         JsonNode filter = change.path("filter");
         List<String> jids = new ArrayList<>();
         for (JsonNode jid : filter.path("jids")) {
@@ -190,23 +193,25 @@
         return new Mutate(
                 verb,
                 target,
-                new Mutate.Wanted(
+                new Mutate.Filter(
                         Json.text(filter, "jobtype", ""), jids, Json.text(filter, "regexp", "")));
     }
 
-    private static Queue queue(String rest) throws Malformed {
+    private static Queue queue(String rest) throws MalformedCommandException {
         String[] words = rest.split("\\s+");
         if (words.length < 2) {
-            throw new Malformed("QUEUE takes PAUSE, RESUME or REMOVE and names");
+            throw new MalformedCommandException("QUEUE takes PAUSE, RESUME or REMOVE and names");
         }
         return new Queue(
-                one(Queue.Verb.class, words[0], "QUEUE"), List.of(words).subList(1, words.length));
+                constant(Queue.Verb.class, words[0], "QUEUE"),
+                List.of(words).subList(1, words.length));
     }
 
-    private static Command batch(String rest) throws Malformed {
+    private static Command batch(String rest) throws MalformedCommandException {
         String[] words = rest.split("\\s+", 2);
         if (words.length < 2) {
-            throw new Malformed("BATCH takes NEW, OPEN, COMMIT or STATUS and what it concerns");
+            throw new MalformedCommandException(
+                    "BATCH takes NEW, OPEN, COMMIT or STATUS and what it concerns");
         }
         return switch (words[0].toUpperCase(Locale.ROOT)) {
             case "NEW" -> {
@@ -221,49 +226,53 @@
             case "COMMIT" -> new BatchCommit(words[1]);
             case "STATUS" -> new BatchStatus(words[1]);
             default ->
-                    throw new Malformed(
+                    throw new MalformedCommandException(
                             "unknown command BATCH "
-                                    + words[0].substring(0, Math.min(SHOWN, words[0].length())));
+                                    + words[0].substring(
+                                            0, Math.min(MAX_ECHOED_CHARACTERS, words[0].length())));
         };
     }
 
-    private static JsonNode callback(JsonNode batch, String name) throws Malformed {
+    private static JsonNode callback(JsonNode batch, String name) throws MalformedCommandException {
         JsonNode job = batch.path(name);
         if (job.isMissingNode() || job.isNull()) {
             return null;
         }
         if (!job.isObject()) {
-            throw new Malformed(name + ": not a job");
+            throw new MalformedCommandException(name + ": not a job");
         }
         return job;
     }
 
-    private static <E extends Enum<E>> E one(Class<E> of, String word, String what)
-            throws Malformed {
+    private static <E extends Enum<E>> E constant(Class<E> of, String word, String what)
+            throws MalformedCommandException {
         for (E each : of.getEnumConstants()) {
             if (each.name().equalsIgnoreCase(word)) {
                 return each;
             }
         }
-        throw new Malformed(
-                what + ": unknown: " + word.substring(0, Math.min(SHOWN, word.length())));
+        throw new MalformedCommandException(
+                what
+                        + ": unknown: "
+                        + word.substring(0, Math.min(MAX_ECHOED_CHARACTERS, word.length())));
     }
 
-    private static JsonNode object(String text) throws Malformed {
+    private static JsonNode object(String text) throws MalformedCommandException {
         JsonNode node = Json.read(text);
         if (!node.isObject()) {
-            throw new Malformed("not a JSON object");
+            throw new MalformedCommandException("not a JSON object");
         }
         return node;
     }
 
-    private static List<JsonNode> array(String text) throws Malformed {
+    private static List<JsonNode> array(String text) throws MalformedCommandException {
         JsonNode node = Json.read(text);
         if (!node.isArray()) {
-            throw new Malformed("not a JSON array");
+            throw new MalformedCommandException("not a JSON array");
         }
-        if (node.size() > MOST_BULK) {
-            throw new Malformed("more than " + MOST_BULK + " jobs at once; push them in parts");
+        if (node.size() > MAX_BULK_JOBS) {
+            throw new MalformedCommandException(
+                    "more than " + MAX_BULK_JOBS + " jobs at once; push them in parts");
         }
         List<JsonNode> entries = new ArrayList<>(node.size());
         node.forEach(entries::add);
--- a/src/main/java/damsonslip/faktory/codec/JobText.java
+++ b/src/main/java/damsonslip/faktory/codec/JobText.java
@@ -10,10 +10,10 @@
     private JobText() {}
 
     /**
-     * Puts the two together. The body is an object that was written by {@link Pushed}, so that what
-     * is added goes before its last brace without reading it again.
+     * Puts the two together. The body is an object that was written by {@link PushedJob}, so that
+     * what is added goes before its last brace without reading it again.
      */
-    public static String whole(String body, JobRecord record, long enqueuedMs) {
+    public static String merge(String body, JobRecord record, long enqueuedMs) {
         ObjectNode added = Json.MAPPER.createObjectNode();
         if (enqueuedMs > 0) {
             added.put("enqueued_at", Json.time(enqueuedMs));
@@ -26,7 +26,9 @@
             ObjectNode how =
                     added.putObject("failure")
                             .put("retry_count", failure.count())
-                            .put("remaining", Math.max(0, record.facts().retry() - failure.count()))
+                            .put(
+                                    "remaining",
+                                    Math.max(0, record.options().retryLimit() - failure.count()))
                             .put("failed_at", Json.time(failure.failedMs()));
             if (failure.nextMs() > 0) {
                 how.put("next_at", Json.time(failure.nextMs()));
--- a/src/main/java/damsonslip/faktory/codec/Json.java
+++ b/src/main/java/damsonslip/faktory/codec/Json.java
@@ -37,21 +37,22 @@
     private Json() {}
 
     /** Decodes one value; nothing at all is null. */
-    public static JsonNode read(String text) throws Malformed {
+    public static JsonNode read(String text) throws MalformedCommandException {
         try {
             return MAPPER.readTree(text.isEmpty() ? "null" : text);
         } catch (JsonProcessingException e) {
             String why = e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new Malformed("not JSON: " + why.substring(0, Math.min(120, why.length())));
+            throw new MalformedCommandException(
+                    "not JSON: " + why.substring(0, Math.min(120, why.length())));
         }
     }
 
     /** A moment in RFC 3339, with any offset and fraction, in Unix milliseconds. */
-    public static long time(String text, String what) throws Malformed {
+    public static long time(String text, String what) throws MalformedCommandException {
         try {
             return OffsetDateTime.parse(text).toInstant().toEpochMilli();
         } catch (DateTimeParseException | ArithmeticException e) {
-            throw new Malformed(what + ": not a time in RFC 3339");
+            throw new MalformedCommandException(what + ": not a time in RFC 3339");
         }
     }
 
@@ -60,8 +61,8 @@
     }
 
     /** A whole number within these bounds; absent or null gives the fallback. */
-    static int whole(JsonNode node, String name, int fallback, int least, int most)
-            throws Malformed {
+    static int integer(JsonNode node, String name, int fallback, int least, int most)
+            throws MalformedCommandException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
             return fallback;
@@ -70,27 +71,29 @@
                 || !value.canConvertToInt()
                 || value.intValue() < least
                 || value.intValue() > most) {
-            throw new Malformed(name + ": not a whole number from " + least + " to " + most);
+            throw new MalformedCommandException(
+                    name + ": not a whole number from " + least + " to " + most);
         }
         return value.intValue();
     }
 
     /** A text; absent or null gives the fallback, anything else than a text is an error. */
-    static String text(JsonNode node, String name, String fallback) throws Malformed {
+    static String text(JsonNode node, String name, String fallback)
+            throws MalformedCommandException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
             return fallback;
         }
         if (!value.isTextual()) {
-            throw new Malformed(name + ": not a text");
+            throw new MalformedCommandException(name + ": not a text");
         }
         return value.textValue();
     }
 
-    static String needed(JsonNode node, String name) throws Malformed {
+    static String requiredText(JsonNode node, String name) throws MalformedCommandException {
         String value = text(node, name, "");
         if (value.isEmpty()) {
-            throw new Malformed("lacks " + name);
+            throw new MalformedCommandException("lacks " + name);
         }
         return value;
     }
--- a/src/main/java/damsonslip/faktory/codec/Reply.java
+++ b/src/main/java/damsonslip/faktory/codec/Reply.java
@@ -10,7 +10,7 @@
 
     private Reply() {}
 
-    public static ByteBuffer nothing() {
+    public static ByteBuffer nullBulk() {
         return NOTHING.duplicate();
     }
 
--- a/src/main/java/damsonslip/faktory/jobs/Batches.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchTable.java
@@ -12,7 +12,7 @@
  * batches. The number of open jobs is read from the {@link JobTable}, so that a restart between two
  * writes cannot leave a wrong count. Not thread-safe.
  */
-public final class Batches {
+public final class BatchTable {
     /** Retention of a batch from its creation, whatever its state. */
     public static final long RETENTION_MS = 30L * 24 * 3600 * 1000;
 
@@ -20,7 +20,7 @@
     private static final long ENDED_RETENTION_MS = 3_600_000;
 
     /** The state of a callback. */
-    public enum Callback {
+    public enum CallbackState {
         NOT_YET,
         DUE,
         DONE
@@ -48,8 +48,8 @@
             String complete,
             boolean committed,
             int total,
-            Callback onComplete,
-            Callback onSuccess,
+            CallbackState onComplete,
+            CallbackState onSuccess,
             long createdMs) {
         private Batch committed(boolean is) {
             return new Batch(
@@ -79,7 +79,7 @@
                     createdMs);
         }
 
-        private Batch callback(boolean ofSuccess, Callback now) {
+        private Batch withCallback(boolean ofSuccess, CallbackState now) {
             return new Batch(
                     bid,
                     parent,
@@ -96,7 +96,7 @@
         /**
          * The job id of a callback: the same at each attempt, so that the callback is pushed once.
          */
-        public String callbackId(boolean ofSuccess) {
+        public String callbackJobId(boolean ofSuccess) {
             return bid + (ofSuccess ? "-success" : "-complete");
         }
     }
@@ -107,7 +107,7 @@
      * @param batch the batch in its new state
      * @param success whether it is the success callback
      */
-    public record Due(Batch batch, boolean success) {
+    public record DueCallback(Batch batch, boolean success) {
         /** The callback as JSON; empty if the batch has none. */
         public String job() {
             return success ? batch.success() : batch.complete();
@@ -118,7 +118,7 @@
     private final Map<String, Batch> all = new LinkedHashMap<>();
     private final Map<String, List<String>> children = new HashMap<>();
 
-    public Batches(JobTable jobTable) {
+    public BatchTable(JobTable jobTable) {
         this.jobTable = jobTable;
     }
 
@@ -138,7 +138,7 @@
     }
 
     /** Why no job may be pushed into a batch now; null if one may. */
-    public String closed(String bid) {
+    public String rejectionReason(String bid) {
         Batch batch = all.get(bid);
         return batch == null
                 ? "no such batch: " + bid
@@ -146,7 +146,7 @@
     }
 
     /** Counts a job that was pushed into a batch. */
-    public Batch pushed(String bid) {
+    public Batch countPushedJob(String bid) {
         return change(all.get(bid).total(all.get(bid).total() + 1));
     }
 
@@ -155,7 +155,7 @@
      * found. A stop may have come between recording a job, which acknowledges its push, and
      * recording its batch.
      */
-    public void recount() {
+    public void correctTotals() {
         all.replaceAll(
                 (bid, batch) ->
                         batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open)));
@@ -164,7 +164,7 @@
     /** Opens a batch for further jobs; returns null if its completion callback has become due. */
     public Batch open(String bid) {
         Batch batch = all.get(bid);
-        return batch == null || batch.onComplete() != Callback.NOT_YET
+        return batch == null || batch.onComplete() != CallbackState.NOT_YET
                 ? null
                 : change(batch.committed(false));
     }
@@ -183,49 +183,52 @@
      * The callbacks, of this batch and of those around it, that a change of it or its jobs has made
      * due.
      */
-    public List<Due> settle(String bid) {
-        List<Due> due = new ArrayList<>();
+    public List<DueCallback> collectDueCallbacks(String bid) {
+        List<DueCallback> due = new ArrayList<>();
         String at = bid;
         for (int depth = 0;
                 depth <= all.size() && all.containsKey(at);
                 depth++) { // bounded, as parents might form a cycle
-            settle(at, due);
+            collectDueCallbacks(at, due);
             at = all.get(at).parent();
         }
         return due;
     }
 
-    private void settle(String bid, List<Due> due) {
+    private void collectDueCallbacks(String bid, List<DueCallback> due) {
         Batch batch = all.get(bid);
         JobTable.BatchCounts jobs = jobTable.batchCounts(bid);
-        if (batch.onComplete() == Callback.NOT_YET
+        if (batch.onComplete() == CallbackState.NOT_YET
                 && batch.committed()
                 && jobs.neverFailed == 0
-                && inside(bid).stream().allMatch(child -> child.onComplete() == Callback.DONE)) {
+                && nestedIn(bid).stream()
+                        .allMatch(child -> child.onComplete() == CallbackState.DONE)) {
             batch = begin(batch, false, due);
         }
-        if (batch.onSuccess() == Callback.NOT_YET
-                && batch.onComplete() != Callback.NOT_YET
+        if (batch.onSuccess() == CallbackState.NOT_YET
+                && batch.onComplete() != CallbackState.NOT_YET
                 && jobs.open == 0
-                && inside(bid).stream().allMatch(child -> child.onSuccess() == Callback.DONE)) {
+                && nestedIn(bid).stream()
+                        .allMatch(child -> child.onSuccess() == CallbackState.DONE)) {
             begin(batch, true, due);
         }
     }
 
-    private Batch begin(Batch batch, boolean success, List<Due> due) {
+    private Batch begin(Batch batch, boolean success, List<DueCallback> due) {
         boolean none = (success ? batch.success() : batch.complete()).isEmpty();
-        Batch next = change(batch.callback(success, none ? Callback.DONE : Callback.DUE));
-        due.add(new Due(next, success));
+        Batch next =
+                change(batch.withCallback(success, none ? CallbackState.DONE : CallbackState.DUE));
+        due.add(new DueCallback(next, success));
         return next;
     }
 
     /** Records that a callback has succeeded; returns the batch, or null if it is unknown. */
-    public Batch ran(String bid, boolean success) {
+    public Batch markCallbackDone(String bid, boolean success) {
         Batch batch = all.get(bid);
-        return batch == null ? null : change(batch.callback(success, Callback.DONE));
+        return batch == null ? null : change(batch.withCallback(success, CallbackState.DONE));
     }
 
-    private List<Batch> inside(String bid) {
+    private List<Batch> nestedIn(String bid) {
         return children.getOrDefault(bid, List.of()).stream()
                 .map(all::get)
                 .filter(child -> child != null)
@@ -233,14 +236,14 @@
     }
 
     /** Callbacks that are due and not done: a stop may have come before they were pushed. */
-    public List<Due> unfinished() {
-        List<Due> found = new ArrayList<>();
+    public List<DueCallback> unfinishedCallbacks() {
+        List<DueCallback> found = new ArrayList<>();
         for (Batch batch : all.values()) {
-            if (batch.onComplete() == Callback.DUE) {
-                found.add(new Due(batch, false));
+            if (batch.onComplete() == CallbackState.DUE) {
+                found.add(new DueCallback(batch, false));
             }
-            if (batch.onSuccess() == Callback.DUE) {
-                found.add(new Due(batch, true));
+            if (batch.onSuccess() == CallbackState.DUE) {
+                found.add(new DueCallback(batch, true));
             }
         }
         return found;
@@ -251,12 +254,12 @@
     }
 
     /** The number of open jobs in a batch. */
-    public int pending(String bid) {
+    public int pendingJobs(String bid) {
         return jobTable.batchCounts(bid).open;
     }
 
     /** The number of open jobs in a batch that have failed at least once. */
-    public int failed(String bid) {
+    public int failedJobs(String bid) {
         JobTable.BatchCounts jobs = jobTable.batchCounts(bid);
         return jobs.open - jobs.neverFailed;
     }
@@ -265,13 +268,13 @@
      * Removes batches that have ended and are an hour old, or have reached their retention; returns
      * their ids.
      */
-    public List<String> forget(long nowMs) {
+    public List<String> removeExpired(long nowMs) {
         List<String> gone = new ArrayList<>();
         for (Batch batch : List.copyOf(all.values())) {
             boolean over =
-                    batch.onSuccess() == Callback.DONE
+                    batch.onSuccess() == CallbackState.DONE
                             && !all.containsKey(batch.parent())
-                            && inside(batch.bid()).isEmpty();
+                            && nestedIn(batch.bid()).isEmpty();
             long retentionMs = over ? ENDED_RETENTION_MS : RETENTION_MS;
             if (batch.createdMs() + retentionMs < nowMs) {
                 all.remove(batch.bid());
--- a/src/main/java/damsonslip/faktory/jobs/Glob.java
+++ b/src/main/java/damsonslip/faktory/jobs/Glob.java
@@ -23,8 +23,8 @@
             if (p < pattern.length() && pattern.charAt(p) == '*') {
                 star = p++;
                 from = t;
-            } else if (p < pattern.length() && one(p, text.charAt(t))) {
-                p = after(p);
+            } else if (p < pattern.length() && matchesCharacter(p, text.charAt(t))) {
+                p = nextElement(p);
                 t++;
             } else if (star >= 0) {
                 p = star + 1;
@@ -39,17 +39,17 @@
         return p == pattern.length();
     }
 
-    private boolean one(int p, char c) {
+    private boolean matchesCharacter(int p, char c) {
         return switch (pattern.charAt(p)) {
             case '?' -> true;
             case '\\' -> p + 1 < pattern.length() ? pattern.charAt(p + 1) == c : c == '\\';
-            case '[' -> after(p) > p + 1 ? inSet(p, c) : c == '[';
+            case '[' -> nextElement(p) > p + 1 ? matchesSet(p, c) : c == '[';
             default -> pattern.charAt(p) == c;
         };
     }
 
-    private boolean inSet(int p, char c) {
-        int end = after(p) - 1;
+    private boolean matchesSet(int p, char c) {
+        int end = nextElement(p) - 1;
         int at = p + 1;
         boolean not = at < end && pattern.charAt(at) == '^';
         at += not ? 1 : 0;
@@ -66,7 +66,7 @@
     }
 
     /** Where the pattern goes on after the element at this place. */
-    private int after(int p) {
+    private int nextElement(int p) {
         if (pattern.charAt(p) == '\\') {
             return Math.min(p + 2, pattern.length());
         }
--- a/src/main/java/damsonslip/faktory/jobs/JobTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobTable.java
@@ -1,7 +1,7 @@
 package damsonslip.faktory.jobs;
 
 import damsonslip.store.JobRecord;
-import damsonslip.store.JobRecord.Facts;
+import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -41,12 +41,12 @@
     /**
      * The table's limits.
      *
-     * @param waiting most jobs in queues, scheduled and waiting for a retry, all together
-     * @param perQueue most jobs in one queue
-     * @param dead most dead jobs; beyond that the oldest are removed
-     * @param deadMs how long a dead job is kept, in milliseconds
+     * @param maxWaiting most jobs in queues, scheduled and waiting for a retry, all together
+     * @param maxPerQueue most jobs in one queue
+     * @param maxDead most dead jobs; beyond that the oldest are removed
+     * @param deadRetentionMs how long a dead job is kept, in milliseconds
      */
-    public record Limits(int waiting, int perQueue, int dead, long deadMs) {}
+    public record Limits(int maxWaiting, int maxPerQueue, int maxDead, long deadRetentionMs) {}
 
     /** An open job and its position. Changed by the table only. */
     public static final class Entry {
@@ -121,7 +121,7 @@
     private long turns;
     private int working;
     private int dispatchedCount;
-    private long lastSeq;
+    private long lastSequence;
 
     public JobTable(int classes, Limits limits) {
         this.limits = limits;
@@ -137,17 +137,17 @@
 
     /** Why no further job may wait in this queue; null if one may. */
     public String rejectionReason(String queue) {
-        if (all.size() - timed.get(State.DEAD).size() >= limits.waiting()) {
+        if (all.size() - timed.get(State.DEAD).size() >= limits.maxWaiting()) {
             return "too many jobs wait here; push it again later";
         }
-        if (queueSizes.getOrDefault(queue, 0) >= limits.perQueue()) {
+        if (queueSizes.getOrDefault(queue, 0) >= limits.maxPerQueue()) {
             return "too many jobs wait in queue " + queue + "; push it again later";
         }
         return null;
     }
 
     /** Takes a unique job's lock; returns false if another open job holds it. */
-    public boolean lockUnique(String id, Facts facts, long nowMs) {
+    public boolean lockUnique(String id, Options facts, long nowMs) {
         if (facts.uniqueKey().isEmpty()) {
             return true;
         }
@@ -155,18 +155,18 @@
         if (held != null && held.untilMs > nowMs && !held.id.equals(id)) {
             return false;
         }
-        locks.put(facts.uniqueKey(), new UniqueLock(id, facts.uniqueMs()));
+        locks.put(facts.uniqueKey(), new UniqueLock(id, facts.uniqueUntilMs()));
         return true;
     }
 
     /** Releases a unique job's lock, if this job holds it. */
-    public void unlockUnique(String id, Facts facts) {
+    public void unlockUnique(String id, Options facts) {
         locks.computeIfPresent(facts.uniqueKey(), (key, held) -> held.id.equals(id) ? null : held);
     }
 
     /** The next sequence number in the order of arrival. */
-    public long nextSeq() {
-        return ++lastSeq;
+    public long nextSequence() {
+        return ++lastSequence;
     }
 
     // ---- lifecycle
@@ -185,12 +185,12 @@
         if (all.putIfAbsent(record.id(), entry) != null) {
             throw new IllegalArgumentException("a job that is here already: " + record.id());
         }
-        lastSeq = Math.max(lastSeq, record.seq());
-        if (!record.facts().uniqueKey().isEmpty()
-                && !(record.facts().untilStart() && !record.neverRan())) {
+        lastSequence = Math.max(lastSequence, record.sequence());
+        if (!record.options().uniqueKey().isEmpty()
+                && !(record.options().uniqueUntilStart() && !record.hasNeverRun())) {
             locks.putIfAbsent(
-                    record.facts().uniqueKey(),
-                    new UniqueLock(record.id(), record.facts().uniqueMs()));
+                    record.options().uniqueKey(),
+                    new UniqueLock(record.id(), record.options().uniqueUntilMs()));
         }
         index(entry, 1);
         return entry;
@@ -201,8 +201,8 @@
         index(entry, -1);
         entry.record = next;
         entry.notBeforeMs = 0;
-        if (next.state() == State.RESERVED && next.facts().untilStart()) {
-            unlockUnique(entry.id(), next.facts());
+        if (next.state() == State.RESERVED && next.options().uniqueUntilStart()) {
+            unlockUnique(entry.id(), next.options());
         }
         index(entry, 1);
     }
@@ -211,7 +211,7 @@
     public void remove(Entry entry) {
         if (all.remove(entry.id(), entry)) {
             index(entry, -1);
-            unlockUnique(entry.id(), entry.record.facts());
+            unlockUnique(entry.id(), entry.record.options());
         }
     }
 
@@ -233,19 +233,20 @@
         index(entry, 1);
     }
 
-    public void enqueued(Entry entry, long nowMs) {
+    public void setEnqueuedMs(Entry entry, long nowMs) {
         entry.enqueuedMs = nowMs;
     }
 
     private void index(Entry entry, int sign) {
         JobRecord record = entry.record;
-        if (!record.facts().bid().isEmpty()) {
+        if (!record.options().batchId().isEmpty()) {
             countInBatch(record, sign);
         }
         dispatchedCount += entry.dispatched ? sign : 0;
         switch (record.state()) {
             case QUEUED -> {
-                queueSizes.merge(record.facts().queue(), sign, (a, b) -> a + b == 0 ? null : a + b);
+                queueSizes.merge(
+                        record.options().queue(), sign, (a, b) -> a + b == 0 ? null : a + b);
                 if (!entry.dispatched) {
                     indexInClassQueue(entry, sign);
                 }
@@ -264,8 +265,9 @@
 
     private void indexInClassQueue(Entry entry, int sign) {
         Map<String, TreeMap<Long, Entry>> queues = classQueues.get(entry.jobClass);
-        Facts facts = entry.record.facts();
-        long order = (long) (PRIORITIES - facts.priority()) << SEQUENCE_BITS | entry.record.seq();
+        Options facts = entry.record.options();
+        long order =
+                (long) (PRIORITIES - facts.priority()) << SEQUENCE_BITS | entry.record.sequence();
         if (sign > 0) {
             queues.computeIfAbsent(facts.queue(), name -> new TreeMap<>()).put(order, entry);
         } else {
@@ -279,11 +281,11 @@
 
     private void countInBatch(JobRecord record, int sign) {
         BatchCounts counts =
-                batches.computeIfAbsent(record.facts().bid(), bid -> new BatchCounts());
+                batches.computeIfAbsent(record.options().batchId(), bid -> new BatchCounts());
         counts.open += sign;
         counts.neverFailed += record.failure() == null && record.state() != State.DEAD ? sign : 0;
         if (counts.open == 0) {
-            batches.remove(record.facts().bid());
+            batches.remove(record.options().batchId());
         }
     }
 
@@ -358,9 +360,9 @@
     /** Dead jobs beyond the retention period or the limit on their number, the oldest first. */
     public List<Entry> expiredDead(long nowMs) {
         List<Entry> found = new ArrayList<>();
-        int surplus = timed.get(State.DEAD).size() - limits.dead();
+        int surplus = timed.get(State.DEAD).size() - limits.maxDead();
         for (Map.Entry<Due, Entry> each : timed.get(State.DEAD).entrySet()) {
-            if (found.size() >= surplus && each.getKey().atMs + limits.deadMs() > nowMs) {
+            if (found.size() >= surplus && each.getKey().atMs + limits.deadRetentionMs() > nowMs) {
                 break;
             }
             found.add(each.getValue());
@@ -389,12 +391,12 @@
     }
 
     /** The number of jobs in each queue that has some, dispatched ones included. */
-    public Map<String, Integer> queues() {
+    public Map<String, Integer> queueSizes() {
         return new TreeMap<>(queueSizes);
     }
 
     /** The jobs of a queue that are not dispatched. */
-    public List<Entry> inQueue(String queue) {
+    public List<Entry> waitingIn(String queue) {
         List<Entry> found = new ArrayList<>();
         classQueues.forEach(
                 queues -> found.addAll(queues.getOrDefault(queue, new TreeMap<>()).values()));
--- a/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -102,7 +102,7 @@
 
     /** Whether the job's class allows a run at this time, given what may have run before. */
     public static boolean mayRun(JobRecord record, JobClass of, long atMs) {
-        if (record.neverRan() || of.idempotency() == Idempotency.IDEMPOTENT) {
+        if (record.hasNeverRun() || of.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         boolean deduplicated =
@@ -120,11 +120,11 @@
      *
      * @param how the worker's report, or what was observed instead
      */
-    public static NextState failed(
+    public static NextState nextState(
             JobRecord record, JobClass of, RunFailure how, long nowMs, SplittableRandom random) {
-        int retry = record.facts().retry();
+        int retry = record.options().retryLimit();
         int count = record.failure() == null ? 0 : record.failure().count() + 1;
-        Failure failure = failure(count, nowMs, 0, how, record.facts().backtrace());
+        Failure failure = failure(count, nowMs, 0, how, record.options().backtraceLines());
         String message = how.type() + ": " + how.message();
         if (of.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return new NextState(
@@ -151,7 +151,7 @@
                     failure,
                     "it may have run, and a retry would come after its key's window; " + message);
         }
-        Failure retried = failure(count, nowMs, retryMs, how, record.facts().backtrace());
+        Failure retried = failure(count, nowMs, retryMs, how, record.options().backtraceLines());
         return new NextState(State.RETRY, retryMs, retried, message);
     }
 
@@ -167,12 +167,12 @@
     }
 
     /** Decides what a start does with a stored job, from what it may have done before the stop. */
-    public static RecoveryAction recovered(JobRecord record, JobClass of, long nowMs) {
-        boolean late = record.awaited() && nowMs >= record.facts().deadlineMs();
+    public static RecoveryAction recoveryAction(JobRecord record, JobClass of, long nowMs) {
+        boolean late = record.hasWaitingClient() && nowMs >= record.options().deadlineMs();
         return switch (record.state()) {
             case QUEUED -> recoveredFromQueue(record, of, nowMs, late);
             case RESERVED ->
-                    record.awaited() && !late && of.idempotency() == Idempotency.IDEMPOTENT
+                    record.hasWaitingClient() && !late && of.idempotency() == Idempotency.IDEMPOTENT
                             ? RecoveryAction.DISPATCH
                             : RecoveryAction.AWAIT_REPORT;
             default -> RecoveryAction.RESTORE;
@@ -181,10 +181,10 @@
 
     private static RecoveryAction recoveredFromQueue(
             JobRecord record, JobClass of, long nowMs, boolean late) {
-        if (!record.awaited()) {
+        if (!record.hasWaitingClient()) {
             return RecoveryAction.RESTORE;
         }
-        if (late && record.neverRan()) {
+        if (late && record.hasNeverRun()) {
             return RecoveryAction.EXPIRE;
         }
         return mayRun(record, of, nowMs) ? RecoveryAction.DISPATCH : RecoveryAction.AWAIT_REPORT;
@@ -195,9 +195,9 @@
      * before the stop.
      */
     public static long reportDeadlineMs(JobRecord record) {
-        long reservedUntil = record.updatedMs() + record.facts().reserveMs();
-        return record.awaited()
-                ? Math.min(reservedUntil, record.facts().deadlineMs())
+        long reservedUntil = record.updatedMs() + record.options().reservationMs();
+        return record.hasWaitingClient()
+                ? Math.min(reservedUntil, record.options().deadlineMs())
                 : reservedUntil;
     }
 }
--- a/src/main/java/damsonslip/faktory/jobs/package-info.java
+++ b/src/main/java/damsonslip/faktory/jobs/package-info.java
@@ -5,7 +5,7 @@
  * <p>{@link damsonslip.faktory.jobs.JobTable} knows the set of each open job: queued, scheduled,
  * waiting for a retry, dead, or reserved by a worker. {@link damsonslip.faktory.jobs.RetryPolicy}
  * decides what follows when a run failed, when its reservation expired, or when a job is found in
- * the store at a start. {@link damsonslip.faktory.jobs.Batches} decides when the callbacks of a
+ * the store at a start. {@link damsonslip.faktory.jobs.BatchTable} decides when the callbacks of a
  * batch are due. {@link damsonslip.faktory.jobs.Glob} matches patterns. The front carries their
  * decisions out and records them in the store.
  *
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -13,203 +13,184 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls the store on a thread of its own, in the order asked, and tells the loop how that went.
- * Whatever has come together while the store was busy goes there in one journey. What waits is
- * bounded: a store that hangs fails calls, and does not fill the memory.
+ * Gives the event loop asynchronous access to a {@link JobStore}. Operations are executed on a
+ * thread of their own in the order of submission, many in one round trip, and their results are
+ * handled on the loop. The number of pending operations is bounded: while the store hangs, further
+ * ones fail at once.
+ *
+ * <p>Methods that submit or write are called on the event loop; the others on any thread.
  */
 public final class AsyncStore {
     private static final Logger LOG = LoggerFactory.getLogger(AsyncStore.class);
 
-    /**
-     * About what a store does in a second; a call that has to wait for longer is better told at
-     * once.
-     */
-    private static final int MOST_WAITING = 40_000;
-
-    /** So many go together at the most: a journey stays well within the store's time limit. */
-    private static final int MOST_TOGETHER = 512;
+    /** Pending operations at most; the store executes about as many in a second. */
+    private static final int MAX_PENDING = 40_000;
 
-    /** While the store is down, calls fail at once and only one in this time tries it. */
-    private static final long DOWN_NS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** Operations in one round trip at most, so that it stays within the store's time limit. */
+    private static final int MAX_BATCH = 512;
 
-    private static final long KEEP_RETRY_US = 500_000;
-    private static final long LAST_WAIT_S = 2;
+    private static final long RETRY_DELAY_US = 500_000;
+    private static final long POLL_TIMEOUT_MS = 100;
+    private static final long CLOSE_TIMEOUT_S = 2;
 
-    private record Call<T>(StoreOperation<T> op, Consumer<T> then, Runnable failed) {}
+    private record Call<T>(
+            StoreOperation<T> operation, Consumer<T> onSuccess, Runnable onFailure) {}
 
     private final EventLoop loop;
     private final JobStore store;
+    private final StoreCircuitBreaker circuitBreaker;
     private final LinkedBlockingQueue<Call<?>> calls = new LinkedBlockingQueue<>();
-    private final AtomicInteger waiting = new AtomicInteger();
-    private final Thread thread = new Thread(this::work, "store");
+    private final AtomicInteger pending = new AtomicInteger();
+    private final Thread thread = new Thread(this::executeCalls, "store");
 
     /**
-     * The newest record of each job that is on its way: an older one that failed must not be
-     * written after it.
+     * The newest submitted record of each job: a failed write of an older one must not be repeated
+     * after it.
      */
     private final Map<String, JobRecord> newest = new HashMap<>();
 
     private volatile boolean closing;
-    private volatile boolean down;
-    private long downUntilNs;
 
+    /** Starts the thread that calls the store. */
     public AsyncStore(EventLoop loop, JobStore store) {
         this.loop = loop;
         this.store = store;
+        this.circuitBreaker = new StoreCircuitBreaker(store);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Whether the store answered when it was last asked. */
-    public boolean up() {
-        return !down;
+    /** Whether the store answered the last call to it. */
+    public boolean isAvailable() {
+        return circuitBreaker.isClosed();
     }
 
-    /** Calls that wait for the store. */
-    public int waiting() {
-        return waiting.get();
+    /** The number of operations that wait to be executed. */
+    public int pendingCount() {
+        return pending.get();
     }
 
-    /** Asks the store; one of the two is called later, on the loop. Called on the loop. */
-    public <T> void ask(StoreOperation<T> op, Consumer<T> then, Runnable failed) {
-        if (closing || waiting.get() >= MOST_WAITING) {
-            loop.execute(failed);
+    /** Submits an operation; one of the two callbacks is called later, on the loop. */
+    public <T> void submit(StoreOperation<T> operation, Consumer<T> onSuccess, Runnable onFailure) {
+        if (closing || pending.get() >= MAX_PENDING) {
+            loop.execute(onFailure);
             return;
         }
-        enqueue(new Call<>(op, then, failed));
+        enqueue(new Call<>(operation, onSuccess, onFailure));
     }
 
     private void enqueue(Call<?> call) {
-        JobRecord record = call.op().record();
+        JobRecord record = call.operation().record();
         if (record != null) {
             newest.put(record.id(), record);
         }
-        waiting.incrementAndGet();
+        pending.incrementAndGet();
         calls.add(call);
     }
 
-    /**
-     * Writes a record, again and again until the store has it or a newer one is written. Called on
-     * the loop.
-     */
-    public void keep(JobRecord record) {
-        keep(record, () -> {}, () -> {});
-    }
-
-    /** The same; tells how the first try went. */
-    public void keep(JobRecord record, Runnable then, Runnable failed) {
-        enqueue(
-                new Call<>(
-                        new StoreOperation.Put(record),
-                        done -> then.run(),
-                        () -> {
-                            failed.run();
-                            if (newest.get(record.id()) == record) {
-                                loop.in(
-                                        KEEP_RETRY_US,
-                                        () -> {
-                                            if (newest.get(record.id()) == record) {
-                                                keep(record);
-                                            }
-                                        });
-                            }
-                        }));
-    }
-
-    /** Does it again and again until the store has done it. */
-    public void insist(StoreOperation<?> op) {
-        enqueue(new Call<>(op, done -> {}, () -> loop.in(KEEP_RETRY_US, () -> insist(op))));
-    }
-
-    private void work() {
-        List<Call<?>> together = new ArrayList<>();
-        while (!closing || !calls.isEmpty()) {
-            together.clear();
-            try {
-                Call<?> first = calls.poll(100, TimeUnit.MILLISECONDS);
-                if (first == null) {
-                    continue;
-                }
-                together.add(first);
-            } catch (InterruptedException e) {
-                return;
-            }
-            calls.drainTo(together, MOST_TOGETHER - 1);
-            waiting.addAndGet(-together.size());
-            carryOut(List.copyOf(together));
-        }
+    /** Writes a record, retrying until the store has recorded it or a newer one is submitted. */
+    public void write(JobRecord record) {
+        write(record, () -> {}, () -> {});
     }
 
-    private void carryOut(List<Call<?>> together) {
-        List<Object> results;
-        try {
-            results = guarded(together.stream().map(Call::op).toList());
-        } catch (StoreException e) {
-            loop.execute(() -> together.forEach(call -> tell(call, e)));
-            return;
-        }
-        loop.execute(
+    /** As {@link #write(JobRecord)}; one of the callbacks is called after the first attempt. */
+    public void write(JobRecord record, Runnable onSuccess, Runnable onFailure) {
+        Runnable retryLater =
                 () -> {
-                    for (int i = 0; i < together.size(); i++) {
-                        tell(together.get(i), results.get(i));
+                    onFailure.run();
+                    if (isNewest(record)) {
+                        loop.in(RETRY_DELAY_US, () -> rewrite(record));
                     }
-                });
+                };
+        enqueue(new Call<>(new StoreOperation.Put(record), done -> onSuccess.run(), retryLater));
+    }
+
+    private void rewrite(JobRecord record) {
+        if (isNewest(record)) {
+            write(record);
+        }
+    }
+
+    @SuppressWarnings("ReferenceEquality") // two writes of a job may have equal records
+    private boolean isNewest(JobRecord record) {
+        return newest.get(record.id()) == record;
+    }
+
+    /** Submits an operation, retrying until the store has executed it. */
+    public void submitWithRetry(StoreOperation<?> operation) {
+        Runnable retryLater = () -> loop.in(RETRY_DELAY_US, () -> submitWithRetry(operation));
+        enqueue(new Call<>(operation, done -> {}, retryLater));
     }
 
-    @SuppressWarnings("unchecked") // an Op<T> gives a T
-    private <T> void tell(Call<T> call, Object result) {
-        JobRecord record = call.op().record();
+    private void executeCalls() {
         try {
-            if (result instanceof StoreException e) {
-                LOG.debug("{}", e.getMessage());
-                call.failed().run();
-            } else {
-                if (record != null && newest.get(record.id()) == record) {
-                    newest.remove(record.id());
+            while (!closing || !calls.isEmpty()) {
+                List<Call<?>> batch = takeBatch();
+                if (!batch.isEmpty()) {
+                    executeBatch(batch);
                 }
-                call.then().accept((T) result);
             }
-        } catch (RuntimeException e) { // guards the others that came together with it
-            LOG.error("a task failed and was dropped", e);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
     }
 
-    private List<Object> guarded(List<? extends StoreOperation<?>> ops) throws StoreException {
-        if (down && System.nanoTime() < downUntilNs) {
-            throw new StoreException("the store is down", null);
+    /** Waits for a call and takes those behind it; returns none after a short time without any. */
+    private List<Call<?>> takeBatch() throws InterruptedException {
+        List<Call<?>> batch = new ArrayList<>();
+        Call<?> first = calls.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        if (first != null) {
+            batch.add(first);
+            calls.drainTo(batch, MAX_BATCH - 1);
+            pending.addAndGet(-batch.size());
         }
+        return batch;
+    }
+
+    private void executeBatch(List<Call<?>> batch) {
         try {
-            List<Object> result = run(ops);
-            if (down) {
-                LOG.info("the store answers again");
-            }
-            down = false;
-            return result;
+            List<Object> results =
+                    circuitBreaker.execute(batch.stream().map(Call::operation).toList());
+            loop.execute(() -> completeAll(batch, results));
         } catch (StoreException e) {
-            if (!down) {
-                LOG.warn("{}", e.getMessage());
-            }
-            down = true;
-            downUntilNs = System.nanoTime() + DOWN_NS;
-            throw e;
+            loop.execute(() -> batch.forEach(call -> complete(call, e)));
         }
     }
 
-    /** Guards the thread, and with it every later call, against a fault in one. */
-    private List<Object> run(List<? extends StoreOperation<?>> ops) throws StoreException {
+    private void completeAll(List<Call<?>> batch, List<Object> results) {
+        for (int i = 0; i < batch.size(); i++) {
+            complete(batch.get(i), results.get(i));
+        }
+    }
+
+    /** Calls a callback; one that throws must not prevent the others of its batch. */
+    private <T> void complete(Call<T> call, Object result) {
         try {
-            return store.run(ops);
+            if (result instanceof StoreException failure) {
+                LOG.debug("{}", failure.getMessage());
+                call.onFailure().run();
+            } else {
+                succeed(call, result);
+            }
         } catch (RuntimeException e) {
-            LOG.error("a call to the store failed", e);
-            throw new StoreException("a call to the store failed", e);
+            LOG.error("a task failed and was dropped", e);
+        }
+    }
+
+    @SuppressWarnings("unchecked") // the result of a StoreOperation<T> is a T
+    private <T> void succeed(Call<T> call, Object result) {
+        JobRecord record = call.operation().record();
+        if (record != null && isNewest(record)) {
+            newest.remove(record.id());
         }
+        call.onSuccess().accept((T) result);
     }
 
-    /** Lets what is asked be done, for a while, and closes the store. */
+    /** Executes the pending operations, for a short time at most, and closes the store. */
     public void close() {
         closing = true;
         try {
-            thread.join(TimeUnit.SECONDS.toMillis(LAST_WAIT_S));
+            thread.join(TimeUnit.SECONDS.toMillis(CLOSE_TIMEOUT_S));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/damsonslip/store/JobRecord.java
+++ b/src/main/java/damsonslip/store/JobRecord.java
@@ -1,65 +1,61 @@
 package damsonslip.store;
 
-import com.fasterxml.jackson.annotation.JsonInclude.Include;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.DeserializationFeature;
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.json.JsonMapper;
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
 /**
- * What the store holds of one job, apart from its body. It is small on purpose: a record of every
- * open job sits in memory, while bodies stay in the store until a worker gets them.
+ * What the store holds of a job, apart from its body. Kept small, since the record of each open job
+ * is in memory while its body stays in the store until a worker receives it.
+ *
+ * <p>Immutable. Times are in milliseconds since the Unix epoch. The {@link JsonProperty} names are
+ * those of the stored form.
  *
  * @param id the job's id
- * @param state how far it is
- * @param facts what was settled when it was pushed
- * @param failure how it failed last, or null
- * @param seq its place in the order of arrival
- * @param dueMs when a scheduled job, or a retry, is due, in Unix time; else 0
- * @param worker who has it reserved, or had it last; may be empty
- * @param firstRunMs when it was first handed to a worker, in Unix time; 0 as long as it provably
- *     never ran
- * @param detail how it ended, in words; may be empty
- * @param updatedMs when this was written, in Unix time
+ * @param state the job's state
+ * @param options what was settled when the job was pushed
+ * @param failure the last failure; null if there was none
+ * @param sequence the position in the order of arrival
+ * @param dueMs when a scheduled job or a retry is due; otherwise 0
+ * @param worker the worker that has it reserved, or had it last; may be empty
+ * @param firstRunMs when it was first handed to a worker; 0 as long as it provably never ran
+ * @param detail how it ended, as text; may be empty
+ * @param updatedMs when this record was written
  */
 public record JobRecord(
         String id,
         State state,
-        Facts facts,
+        @JsonProperty("facts") Options options,
         Failure failure,
-        long seq,
+        @JsonProperty("seq") long sequence,
         long dueMs,
         String worker,
         long firstRunMs,
         String detail,
         long updatedMs) {
-    private static final ObjectMapper JSON =
-            JsonMapper.builder()
-                    .defaultPropertyInclusion(
-                            com.fasterxml.jackson.annotation.JsonInclude.Value.construct(
-                                    Include.NON_DEFAULT, Include.ALWAYS))
-                    .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-                    .build();
-
-    /** How far a job may be; from {@link #SUCCESS} on it is over. */
+
+    /** The state of a job. */
     public enum State {
-        /** Waits in its queue, and is with no worker. */
+        /** Waiting in its queue. */
         QUEUED,
-        /** With a worker, or about to be: from here on it may have run. */
+        /** Handed to a worker or about to be: from here on it may have run. */
         RESERVED,
-        /** Waits for its time. */
+        /** Waiting for the time at which its producer wants it to run. */
         SCHEDULED,
-        /** Has failed, and waits for its time to run again. */
+        /** Failed, and waiting for its next retry. */
         RETRY,
-        /** Nothing runs it any more unless an operator says so. */
+        /** In the dead set: runs again only if an operator requeues it. */
         DEAD,
+        /** Acknowledged by its worker. */
         SUCCESS,
-        REFUSED,
+        /** Rejected by admission control before it ran. */
+        @JsonProperty("REFUSED")
+        REJECTED,
+        /** Ended without success while its producer waited for it. */
         FAILED,
-        /** Thrown away by its own retry count, its expiry or an operator. */
+        /** Discarded by its retry limit, its expiry or an operator. */
         DISCARDED;
 
+        /** Whether a job never leaves this state. */
         public boolean isFinal() {
             return compareTo(SUCCESS) >= 0;
         }
@@ -69,61 +65,62 @@
      * What is settled when a job is pushed.
      *
      * @param queue the queue that workers fetch it from
-     * @param jobtype what workers know it by
-     * @param className the name of its class
+     * @param jobtype the type by which workers know what to run
+     * @param className the name of its job class
      * @param priority 1 to 9, the highest first
-     * @param retry how often it may be tried again; 0 discards it on failure, -1 sends it to the
-     *     dead
-     * @param reserveMs how long a worker may keep it without a word
-     * @param slots the slots it takes
-     * @param deadlineMs when its producer gives up waiting, in Unix time; 0 if nobody waits
-     * @param expiresMs from when on it must not run any more, in Unix time; 0 for never
-     * @param bid the batch it belongs to, or empty
-     * @param callbackOf the batch whose callback it is, or empty
-     * @param uniqueKey what no other open job may have, or empty
-     * @param uniqueMs until when that holds, in Unix time
-     * @param untilStart whether it holds only until a worker has the job
-     * @param backtrace lines of a failure's backtrace that are kept
+     * @param retryLimit the number of retries; 0 discards the job on failure, -1 moves it to the
+     *     dead set
+     * @param reservationMs how long a worker may have it without a report, in milliseconds
+     * @param slots the slots that it occupies
+     * @param deadlineMs when its producer stops waiting for it; 0 if no client waits
+     * @param expiresMs the time from which it must not run any more; 0 for never
+     * @param batchId the batch that it belongs to; may be empty
+     * @param callbackBatchId the batch whose callback it is; may be empty
+     * @param uniqueKey the key that no other open job may have; may be empty
+     * @param uniqueUntilMs until when the key is locked
+     * @param uniqueUntilStart whether the key is locked only until a worker has the job
+     * @param backtraceLines the number of lines of a failure's backtrace that are recorded
      */
-    public record Facts(
+    public record Options(
             String queue,
             String jobtype,
             String className,
             int priority,
-            int retry,
-            long reserveMs,
+            @JsonProperty("retry") int retryLimit,
+            @JsonProperty("reserveMs") long reservationMs,
             int slots,
             long deadlineMs,
             long expiresMs,
-            String bid,
-            String callbackOf,
+            @JsonProperty("bid") String batchId,
+            @JsonProperty("callbackOf") String callbackBatchId,
             String uniqueKey,
-            long uniqueMs,
-            boolean untilStart,
-            int backtrace) {
-        public Facts {
-            queue = named(queue); // a hundred thousand waiting jobs share a few names
-            jobtype = named(jobtype);
-            className = named(className);
-            bid = named(bid);
-            callbackOf = named(callbackOf);
-            uniqueKey = uniqueKey == null ? "" : uniqueKey;
+            @JsonProperty("uniqueMs") long uniqueUntilMs,
+            @JsonProperty("untilStart") boolean uniqueUntilStart,
+            @JsonProperty("backtrace") int backtraceLines) {
+        /** Interns the names, which very many waiting jobs share; null becomes the empty text. */
+        public Options {
+            queue = interned(queue);
+            jobtype = interned(jobtype);
+            className = interned(className);
+            batchId = interned(batchId);
+            callbackBatchId = interned(callbackBatchId);
+            uniqueKey = emptyIfNull(uniqueKey);
         }
 
-        private static String named(String text) {
-            return text == null ? "" : text.intern();
+        private static String interned(String text) {
+            return emptyIfNull(text).intern();
         }
     }
 
     /**
-     * A job's failures.
+     * The failures of a job.
      *
-     * @param count how often it was tried again so far
-     * @param failedMs when it failed last, in Unix time
-     * @param nextMs when it was to be tried again, in Unix time; 0 if it was not
-     * @param type what kind of error, in the worker's words
-     * @param message which error
-     * @param backtrace where, as far as the job asked for it
+     * @param count the number of retries before the last failure
+     * @param failedMs when it failed last
+     * @param nextMs when its next retry was due; 0 if there was none
+     * @param type the type of the error, as its worker reported it
+     * @param message the error's message
+     * @param backtrace the first lines of the stack trace, as many as the job asked for
      */
     public record Failure(
             int count,
@@ -132,111 +129,120 @@
             String type,
             String message,
             List<String> backtrace) {
+        /** Replaces null by an empty text or list. */
         public Failure {
-            type = type == null ? "" : type;
-            message = message == null ? "" : message;
+            type = emptyIfNull(type);
+            message = emptyIfNull(message);
             backtrace = backtrace == null ? List.of() : List.copyOf(backtrace);
         }
     }
 
+    /** Replaces null texts by empty ones. */
     public JobRecord {
-        worker = worker == null ? "" : worker;
-        detail = detail == null ? "" : detail;
+        worker = emptyIfNull(worker);
+        detail = emptyIfNull(detail);
     }
 
-    /** A job that has just been pushed. */
-    public static JobRecord pushed(String id, Facts facts, long dueMs, long nowMs) {
-        return new JobRecord(
-                id,
-                dueMs > 0 ? State.SCHEDULED : State.QUEUED,
-                facts,
-                null,
-                0,
-                dueMs,
-                "",
-                0,
-                "",
-                nowMs);
+    private static String emptyIfNull(String text) {
+        return text == null ? "" : text;
+    }
+
+    /**
+     * A job that has just been pushed.
+     *
+     * @param dueMs when it shall run; 0 for at once
+     */
+    public static JobRecord pushed(String id, Options options, long dueMs, long nowMs) {
+        State state = dueMs > 0 ? State.SCHEDULED : State.QUEUED;
+        return new JobRecord(id, state, options, null, 0, dueMs, "", 0, "", nowMs);
     }
 
     /** Whether it provably never ran. */
-    public boolean neverRan() {
+    public boolean hasNeverRun() {
         return firstRunMs == 0;
     }
 
-    /** Whether somebody waits for its end. */
-    public boolean awaited() {
-        return facts.deadlineMs > 0;
+    /** Whether a client waits for its end. */
+    public boolean hasWaitingClient() {
+        return options.deadlineMs() > 0;
     }
 
-    /** Into its queue, at this place in the order of arrival. */
-    public JobRecord queued(long at, long nowMs) {
-        return new JobRecord(id, State.QUEUED, facts, failure, at, 0, "", firstRunMs, "", nowMs);
+    /** The job in its queue, at this position in the order of arrival. */
+    public JobRecord enqueued(long position, long nowMs) {
+        return new JobRecord(
+                id, State.QUEUED, options, failure, position, 0, "", firstRunMs, "", nowMs);
     }
 
-    /** To a worker. */
+    /** The job reserved by a worker. */
     public JobRecord reserved(String by, long nowMs) {
+        long firstMs = firstRunMs == 0 ? nowMs : firstRunMs;
         return new JobRecord(
-                id,
-                State.RESERVED,
-                facts,
-                failure,
-                seq,
-                0,
-                by,
-                firstRunMs == 0 ? nowMs : firstRunMs,
-                "",
-                nowMs);
+                id, State.RESERVED, options, failure, sequence, 0, by, firstMs, "", nowMs);
+    }
+
+    /**
+     * The job back in its queue, from a worker that provably never received it.
+     *
+     * @param ranBefore whether it may have run before that reservation
+     */
+    public JobRecord returned(boolean ranBefore, long nowMs) {
+        long firstMs = ranBefore ? firstRunMs : 0;
+        return new JobRecord(
+                id, State.QUEUED, options, failure, sequence, 0, "", firstMs, "", nowMs);
     }
 
-    /** Back from a worker that provably never had it. */
-    public JobRecord handedBack(boolean ranBefore, long nowMs) {
+    /**
+     * The job in another state.
+     *
+     * @param newDueMs when it is due there; 0 for a final state
+     * @param newDetail why it is there, as shown to operators and to those who track the job
+     */
+    public JobRecord withState(State next, long newDueMs, String newDetail, long nowMs) {
         return new JobRecord(
                 id,
-                State.QUEUED,
-                facts,
+                next,
+                options,
                 failure,
-                seq,
-                0,
-                "",
-                ranBefore ? firstRunMs : 0,
-                "",
+                sequence,
+                newDueMs,
+                worker,
+                firstRunMs,
+                newDetail,
                 nowMs);
     }
 
-    /** To another set, or to its end; the time is that at which it is due. */
-    public JobRecord to(State next, long atMs, String words, long nowMs) {
-        return new JobRecord(id, next, facts, failure, seq, atMs, worker, firstRunMs, words, nowMs);
-    }
-
-    public JobRecord failed(Failure how) {
+    /** The job with its last failure. */
+    public JobRecord withFailure(Failure last) {
         return new JobRecord(
-                id, state, facts, how, seq, dueMs, worker, firstRunMs, detail, updatedMs);
+                id, state, options, last, sequence, dueMs, worker, firstRunMs, detail, updatedMs);
     }
 
-    public JobRecord numbered(long at) {
+    /** The job at this position in the order of arrival. */
+    public JobRecord withSequence(long position) {
         return new JobRecord(
-                id, state, facts, failure, at, dueMs, worker, firstRunMs, detail, updatedMs);
+                id,
+                state,
+                options,
+                failure,
+                position,
+                dueMs,
+                worker,
+                firstRunMs,
+                detail,
+                updatedMs);
     }
 
+    /** The stored form, as JSON. */
     public String encode() {
-        try {
-            return JSON.writeValueAsString(this);
-        } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a record of plain values", e);
-        }
+        return JobRecordJson.encode(this);
     }
 
-    /** Reads what {@link #encode} wrote; anything else is an error of the store's. */
+    /**
+     * Decodes the stored form.
+     *
+     * @throws StoreException if the text is not a record that {@link #encode} wrote
+     */
     public static JobRecord decode(String text) throws StoreException {
-        try {
-            JobRecord record = JSON.readValue(text, JobRecord.class);
-            if (record.id == null || record.state == null || record.facts == null) {
-                throw new StoreException("a record in the store is not whole", null);
-            }
-            return record;
-        } catch (JsonProcessingException | IllegalArgumentException e) {
-            throw new StoreException("a record in the store cannot be read", e);
-        }
+        return JobRecordJson.decode(text);
     }
 }
--- a/src/main/java/damsonslip/store/JobStore.java
+++ b/src/main/java/damsonslip/store/JobStore.java
@@ -3,16 +3,19 @@
 import java.util.List;
 
 /**
- * Where jobs outlive the program: a port. Calls wait for their answer, so none is made on the loop.
+ * Persists jobs beyond the life of the process. Calls block until the store has answered, so none
+ * may be made on the event loop; see {@link AsyncStore}.
  */
 public interface JobStore extends AutoCloseable {
     /**
-     * Carries these out in their order.
+     * Carries out operations in their order.
      *
-     * @return for each what it gives, or the {@link StoreException} with which it alone failed
-     * @throws StoreException if the store did not answer; whether any of them was done is not known
+     * @return for each operation its result, or the {@link StoreException} with which it alone
+     *     failed
+     * @throws StoreException if the store did not answer; whether any operation took effect is not
+     *     known
      */
-    List<Object> run(List<? extends StoreOperation<?>> ops) throws StoreException;
+    List<Object> execute(List<? extends StoreOperation<?>> operations) throws StoreException;
 
     @Override
     void close();
--- /dev/null
+++ b/src/main/java/damsonslip/store/StoreCircuitBreaker.java
@@ -0,0 +1,60 @@
+package damsonslip.store;
+
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * A circuit breaker around a {@link JobStore}: after a failed call further ones fail at once, apart
+ * from one trial in each open period. Calls are made on one thread; the state may be read on any.
+ */
+final class StoreCircuitBreaker {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreCircuitBreaker.class);
+
+    private static final long OPEN_PERIOD_NS = TimeUnit.MILLISECONDS.toNanos(250);
+
+    private final JobStore store;
+    private volatile boolean open;
+    private long openUntilNs;
+
+    StoreCircuitBreaker(JobStore store) {
+        this.store = store;
+    }
+
+    /** Whether the last call succeeded. */
+    boolean isClosed() {
+        return !open;
+    }
+
+    List<Object> execute(List<? extends StoreOperation<?>> operations) throws StoreException {
+        if (open && System.nanoTime() < openUntilNs) {
+            throw new StoreException("the store is down", null);
+        }
+        try {
+            List<Object> results = call(operations);
+            if (open) {
+                LOG.info("the store answers again");
+            }
+            open = false;
+            return results;
+        } catch (StoreException e) {
+            if (!open) {
+                LOG.warn("{}", e.getMessage());
+            }
+            open = true;
+            openUntilNs = System.nanoTime() + OPEN_PERIOD_NS;
+            throw e;
+        }
+    }
+
+    /** Calls the store; an unexpected exception must not end the thread that serves all calls. */
+    private List<Object> call(List<? extends StoreOperation<?>> operations) throws StoreException {
+        try {
+            return store.execute(operations);
+        } catch (RuntimeException e) {
+            LOG.error("a call to the store failed", e);
+            throw new StoreException("a call to the store failed", e);
+        }
+    }
+}
--- a/src/main/java/damsonslip/store/StoreOperation.java
+++ b/src/main/java/damsonslip/store/StoreOperation.java
@@ -4,55 +4,159 @@
 import java.util.Map;
 
 /**
- * One thing that a store is asked to do, as a value: that is what lets many of them share one
- * journey to the store. Each may be repeated without harm, since a lost reply does not tell whether
- * it was done.
+ * An operation on a {@link JobStore}, as a value, so that many can share one round trip. Each is
+ * idempotent, since a lost reply does not show whether it was carried out. Immutable.
  *
- * @param <T> what it gives
+ * @param <T> the type of its result
  */
 public sealed interface StoreOperation<T> {
-    /** The record that it writes, or null. */
+    /** The job record that it writes; null if it writes none. */
     default JobRecord record() {
         return null;
     }
 
-    /** Takes a new job in; gives the record that was there already, or null if there was none. */
-    record Add(JobRecord record, String body) implements StoreOperation<JobRecord> {}
+    /** Calls the visitor's method for this type of operation. */
+    <R> R accept(Visitor<R> visitor);
+
+    /**
+     * Carries out one operation of each type.
+     *
+     * @param <R> what the methods return
+     */
+    interface Visitor<R> {
+        /** Visits an {@link Add}. */
+        R visit(Add operation);
+
+        /** Visits a {@link Put}. */
+        R visit(Put operation);
+
+        /** Visits a {@link Replace}. */
+        R visit(Replace operation);
+
+        /** Visits a {@link Reserve}. */
+        R visit(Reserve operation);
+
+        /** Visits a {@link Get}. */
+        R visit(Get operation);
+
+        /** Visits a {@link GetBodies}. */
+        R visit(GetBodies operation);
+
+        /** Visits a {@link Delete}. */
+        R visit(Delete operation);
+
+        /** Visits a {@link ListOpen}. */
+        R visit(ListOpen operation);
+
+        /** Visits a {@link LoadOpen}. */
+        R visit(LoadOpen operation);
+
+        /** Visits a {@link PutMetadata}. */
+        R visit(PutMetadata operation);
+
+        /** Visits a {@link GetMetadata}. */
+        R visit(GetMetadata operation);
+
+        /** Visits a {@link RecordFirstSeen}. */
+        R visit(RecordFirstSeen operation);
+    }
+
+    /** Adds a new job; returns the record that existed already, or null if there was none. */
+    record Add(JobRecord record, String body) implements StoreOperation<JobRecord> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
     /** Replaces a job's record. */
-    record Put(JobRecord record) implements StoreOperation<Void> {}
+    record Put(JobRecord record) implements StoreOperation<Void> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
     /** Replaces a job's record and its body. */
-    record Replace(JobRecord record, String body) implements StoreOperation<Void> {}
+    record Replace(JobRecord record, String body) implements StoreOperation<Void> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /**
-     * Replaces a job's record, as it goes to a worker, and gives its body; null if there is none.
-     */
-    record Take(JobRecord record) implements StoreOperation<String> {}
+    /** Replaces the record of a job that a worker reserves; returns its body, or null if absent. */
+    record Reserve(JobRecord record) implements StoreOperation<String> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** A job's record, or null. */
-    record Get(String id) implements StoreOperation<JobRecord> {}
+    /** Returns a job's record, or null. */
+    record Get(String id) implements StoreOperation<JobRecord> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** Jobs' bodies in the same order; null for one that is not there. */
-    record Bodies(List<String> ids) implements StoreOperation<List<String>> {}
+    /** Returns the bodies of jobs in the same order; null for one that is absent. */
+    record GetBodies(List<String> ids) implements StoreOperation<List<String>> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** Forgets jobs wholly. */
-    record Drop(List<String> ids) implements StoreOperation<Void> {}
+    /** Deletes jobs with their records and bodies. */
+    record Delete(List<String> ids) implements StoreOperation<Void> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** The ids of the jobs that this scheduler took in and that have no final state. */
-    record Open() implements StoreOperation<List<String>> {}
+    /** Returns the ids of the jobs that this scheduler accepted and that have no final state. */
+    record ListOpen() implements StoreOperation<List<String>> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** The records of these jobs, without those that are not there or are over. */
-    record Load(List<String> ids) implements StoreOperation<List<JobRecord>> {}
+    /** Returns the records of these jobs, without those that are absent or in a final state. */
+    record LoadOpen(List<String> ids) implements StoreOperation<List<JobRecord>> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** Keeps a few words under a kind and a key; null forgets them. */
-    record Note(String kind, String key, String words) implements StoreOperation<Void> {}
+    /** Writes a value of the scheduler's own under a kind and a key; null deletes it. */
+    record PutMetadata(String kind, String key, String value) implements StoreOperation<Void> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
-    /** All notes of a kind. */
-    record Notes(String kind) implements StoreOperation<Map<String, String>> {}
+    /** Returns all values of a kind, by key. */
+    record GetMetadata(String kind) implements StoreOperation<Map<String, String>> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 
     /**
-     * When a worker was first seen, by whichever scheduler; now, if never. In Unix milliseconds.
+     * Returns when a worker was first seen by any scheduler, in milliseconds since the Unix epoch;
+     * records {@code nowMs} if it never was.
      */
-    record FirstSeen(String worker, long nowMs) implements StoreOperation<Long> {}
+    record RecordFirstSeen(String worker, long nowMs) implements StoreOperation<Long> {
+        @Override
+        public <R> R accept(Visitor<R> visitor) {
+            return visitor.visit(this);
+        }
+    }
 }
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -16,30 +16,36 @@
 class CodecTest {
     private static final String JOB = "{\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1]";
 
-    private static Pushed job(String more) throws Malformed {
-        return Pushed.read(Json.read(JOB + more + "}"), 1_000_000, 60);
+    private static PushedJob job(String more) throws MalformedCommandException {
+        return PushedJob.decode(Json.read(JOB + more + "}"), 1_000_000, 60);
     }
 
     @Test
-    void aPlainJobHasTheProtocolsDefaults() throws Malformed {
-        Pushed job = job("");
+    void aPlainJobHasTheProtocolsDefaults() throws MalformedCommandException {
+        PushedJob job = job("");
         assertEquals("default", job.queue());
-        assertEquals(25, job.retry());
-        assertEquals(1_800_000, job.reserveMs());
+        assertEquals(25, job.retryLimit());
+        assertEquals(1_800_000, job.reservationMs());
         assertEquals(5, job.priority());
-        assertEquals(0, job.atMs());
+        assertEquals(0, job.scheduledMs());
         assertEquals(0, job.custom().deadlineMs(), "nobody waits for it");
-        assertEquals(60_000, job(",\"reserve_for\":1").reserveMs(), "a minute at the least");
-        assertEquals(-1, job(",\"retry\":-1").retry());
+        assertEquals(60_000, job(",\"reserve_for\":1").reservationMs(), "a minute at the least");
+        assertEquals(-1, job(",\"retry\":-1").retryLimit());
     }
 
     @Test
-    void timesHaveAnyOffsetAndFraction() throws Malformed {
-        assertEquals(1_767_225_600_000L, job(",\"at\":\"2026-01-01T00:00:00Z\"").atMs());
+    void timesHaveAnyOffsetAndFraction() throws MalformedCommandException {
+        assertEquals(1_767_225_600_000L, job(",\"at\":\"2026-01-01T00:00:00Z\"").scheduledMs());
         assertEquals(
-                1_767_225_600_000L, job(",\"at\":\"2026-01-01T05:45:00.000000000+05:45\"").atMs());
-        assertEquals(1_767_225_600_123L, job(",\"at\":\"2025-12-31T23:00:00.1239-01:00\"").atMs());
-        assertEquals(0, job(",\"at\":\"1970-01-01T00:00:01Z\"").atMs(), "what is past is at once");
+                1_767_225_600_000L,
+                job(",\"at\":\"2026-01-01T05:45:00.000000000+05:45\"").scheduledMs());
+        assertEquals(
+                1_767_225_600_123L,
+                job(",\"at\":\"2025-12-31T23:00:00.1239-01:00\"").scheduledMs());
+        assertEquals(
+                0,
+                job(",\"at\":\"1970-01-01T00:00:01Z\"").scheduledMs(),
+                "what is past is at once");
         assertEquals(1_005_000, job(",\"custom\":{\"deadline\":5}").custom().deadlineMs());
         assertEquals(
                 1_767_225_605_000L,
@@ -70,18 +76,18 @@
                 ",\"created_at\":5"
             })
     void aJobThatIsNotInOrderIsRefused(String more) {
-        assertThrows(Malformed.class, () -> job(more));
+        assertThrows(MalformedCommandException.class, () -> job(more));
     }
 
     /** Numbers come out as they went in, however many digits they have. */
     @Test
-    void whatIsNotTheServersStaysAsItWas() throws Malformed {
+    void whatIsNotTheServersStaysAsItWas() throws MalformedCommandException {
         String args = "\"args\":[1.10,12345678901234567890123456789,1E+400,0.1,\"\\u0000é\"]";
         JsonNode given =
                 Json.read(
                         JOB.replace("\"args\":[1]", args)
                                 + ",\"x\":{\"y\":null},\"failure\":{\"n\":1}}");
-        JsonNode kept = Json.read(Pushed.read(given, 0, 60).body());
+        JsonNode kept = Json.read(PushedJob.decode(given, 0, 60).body());
         assertEquals(given.path("args").toString(), kept.path("args").toString());
         assertTrue(
                 kept.path("args")
@@ -92,19 +98,19 @@
     }
 
     @Test
-    void aWorkerIsToldHowItFailed() throws Malformed {
-        Pushed pushed = job("");
-        JobRecord.Facts facts =
-                new JobRecord.Facts("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
+    void aWorkerIsToldHowItFailed() throws MalformedCommandException {
+        PushedJob pushed = job("");
+        JobRecord.Options facts =
+                new JobRecord.Options("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
         JobRecord record = JobRecord.pushed("job-00001", facts, 0, 0);
-        JsonNode plain = Json.read(JobText.whole(pushed.body(), record, 1_000));
+        JsonNode plain = Json.read(JobText.merge(pushed.body(), record, 1_000));
         assertEquals("1970-01-01T00:00:01Z", plain.path("enqueued_at").asText());
         assertTrue(plain.path("failure").isMissingNode());
         JsonNode failed =
                 Json.read(
-                                JobText.whole(
+                                JobText.merge(
                                         pushed.body(),
-                                        record.failed(
+                                        record.withFailure(
                                                 new JobRecord.Failure(
                                                         3,
                                                         2_000,
@@ -122,7 +128,7 @@
     }
 
     @Test
-    void commandsAreDecoded() throws Malformed {
+    void commandsAreDecoded() throws MalformedCommandException {
         assertEquals(
                 java.util.List.of("default"), ((Command.Fetch) Command.decode("FETCH")).queues());
         assertEquals(
@@ -135,9 +141,10 @@
                                     + " {\"cmd\":\"kill\",\"target\":\"retries\",\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
         assertEquals(Command.Mutate.Verb.KILL, mutate.verb());
         assertEquals(Command.Mutate.Target.RETRIES, mutate.target());
-        assertEquals("*y*", mutate.wanted().glob());
+        assertEquals("*y*", mutate.filter().glob());
         assertEquals(
-                7, ((Command.Beat) Command.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}")).rssKb());
+                7,
+                ((Command.Heartbeat) Command.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}")).rssKb());
         assertEquals(
                 3_600_000,
                 ((Command.TrackSet)
@@ -175,7 +182,8 @@
                 "PUSH {} {}"
             })
     void aLineThatIsNotInOrderIsRefusedInOneLine(String line) {
-        Malformed refused = assertThrows(Malformed.class, () -> Command.decode(line));
+        MalformedCommandException refused =
+                assertThrows(MalformedCommandException.class, () -> Command.decode(line));
         assertTrue(
                 refused.getMessage().lines().count() == 1 && refused.getMessage().length() < 200);
     }
@@ -183,13 +191,16 @@
     @Test
     void depthNumbersAndBulkAreBounded() {
         assertThrows(
-                Malformed.class,
+                MalformedCommandException.class,
                 () -> Command.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
         assertThrows(
-                Malformed.class, () -> Command.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
+                MalformedCommandException.class,
+                () -> Command.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
         String many = "{},".repeat(100_000);
-        Malformed refused =
-                assertThrows(Malformed.class, () -> Command.decode("PUSHB [" + many + "{}]"));
+        MalformedCommandException refused =
+                assertThrows(
+                        MalformedCommandException.class,
+                        () -> Command.decode("PUSHB [" + many + "{}]"));
         assertTrue(refused.getMessage().contains("in parts"), refused.getMessage());
     }
 
@@ -231,9 +242,9 @@
                 Command command = Command.decode(line.toString());
                 decoded++;
                 if (command instanceof Command.Push push && !push.jobs().isEmpty()) {
-                    Pushed.read(push.jobs().get(0), 0, 60);
+                    PushedJob.decode(push.jobs().get(0), 0, 60);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedCommandException e) {
                 // refused in order
             }
         }
--- a/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.jobs.Batches.Batch;
-import damsonslip.faktory.jobs.Batches.Callback;
+import damsonslip.faktory.jobs.BatchTable.Batch;
+import damsonslip.faktory.jobs.BatchTable.CallbackState;
 import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
-import damsonslip.store.JobRecord.Facts;
+import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
 /** When callbacks are due. */
 class BatchesTest {
     private final JobTable jobTable = new JobTable(1, new JobTable.Limits(100, 100, 100, 1_000));
-    private final Batches batches = new Batches(jobTable);
+    private final BatchTable batches = new BatchTable(jobTable);
 
     private void batch(String bid, String parent) {
         batches.add(
@@ -29,28 +29,29 @@
                         "{c}",
                         false,
                         0,
-                        Callback.NOT_YET,
-                        Callback.NOT_YET,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
                         0));
     }
 
     private Entry job(String id, String bid) {
-        batches.pushed(bid);
-        Facts facts = new Facts("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
-        return jobTable.add(JobRecord.pushed(id, facts, 0, 0).numbered(jobTable.nextSeq()), 0);
+        batches.countPushedJob(bid);
+        Options facts = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
+        return jobTable.add(
+                JobRecord.pushed(id, facts, 0, 0).withSequence(jobTable.nextSequence()), 0);
     }
 
     private String due(String bid) {
-        return batches.settle(bid).stream()
-                .map(d -> d.batch().callbackId(d.success()))
+        return batches.collectDueCallbacks(bid).stream()
+                .map(d -> d.batch().callbackJobId(d.success()))
                 .toList()
                 .toString();
     }
 
     private void fail(Entry entry, State state) {
         JobRecord failed =
-                entry.record().failed(new JobRecord.Failure(0, 1, 0, "E", "m", List.of()));
-        jobTable.move(entry, failed.to(state, 9, "", 9));
+                entry.record().withFailure(new JobRecord.Failure(0, 1, 0, "E", "m", List.of()));
+        jobTable.move(entry, failed.withState(state, 9, "", 9));
     }
 
     @Test
@@ -64,7 +65,7 @@
         batches.commit("b");
         assertEquals("[b-complete]", due("b"));
         assertEquals("[]", due("b"), "once only");
-        assertEquals(1, batches.failed("b"));
+        assertEquals(1, batches.failedJobs("b"));
         jobTable.remove(two);
         assertEquals("[b-success]", due("b"));
         assertEquals("[]", due("b"));
@@ -76,10 +77,10 @@
         batch("b", "");
         job("one", "b");
         job("two", "b");
-        batches.recount();
+        batches.correctTotals();
         assertEquals(2, batches.get("b").total());
-        assertEquals(3, batches.pushed("b").total());
-        batches.recount();
+        assertEquals(3, batches.countPushedJob("b").total());
+        batches.correctTotals();
         assertEquals(3, batches.get("b").total(), "one that was done already is not forgotten");
     }
 
@@ -91,7 +92,7 @@
         fail(job, State.DEAD);
         assertEquals("[b-complete]", due("b"));
         assertEquals("[]", due("b"));
-        jobTable.move(job, job.record().queued(jobTable.nextSeq(), 0));
+        jobTable.move(job, job.record().enqueued(jobTable.nextSequence(), 0));
         assertEquals("[]", due("b"));
         jobTable.remove(job);
         assertEquals("[b-success]", due("b"));
@@ -108,22 +109,22 @@
         jobTable.remove(job);
         assertEquals("[in-complete, in-success]", due("in"));
         assertEquals("[]", due("out"), "its callbacks have not been run yet");
-        batches.ran("in", false);
+        batches.markCallbackDone("in", false);
         assertEquals("[out-complete]", due("in"));
-        batches.ran("in", true);
+        batches.markCallbackDone("in", true);
         assertEquals("[out-success]", due("in"));
     }
 
     @Test
     void aBatchIsOpenOrClosed() {
-        assertNotNull(batches.closed("none"));
+        assertNotNull(batches.rejectionReason("none"));
         batch("b", "");
-        assertNull(batches.closed("b"));
+        assertNull(batches.rejectionReason("b"));
         job("one", "b");
         batches.commit("b");
-        assertTrue(batches.closed("b").contains("committed"));
+        assertTrue(batches.rejectionReason("b").contains("committed"));
         assertNotNull(batches.open("b"));
-        assertNull(batches.closed("b"));
+        assertNull(batches.rejectionReason("b"));
         batches.commit("b");
         jobTable.remove(jobTable.get("one"));
         due("b");
@@ -137,30 +138,62 @@
         batch("b", "");
         batches.commit("b");
         due("b");
-        Batches after = new Batches(new JobTable(1, new JobTable.Limits(1, 1, 1, 1)));
+        BatchTable after = new BatchTable(new JobTable(1, new JobTable.Limits(1, 1, 1, 1)));
         batches.all().forEach(after::add);
         assertEquals(
                 List.of("b-complete", "b-success"),
-                after.unfinished().stream().map(d -> d.batch().callbackId(d.success())).toList());
+                after.unfinishedCallbacks().stream()
+                        .map(d -> d.batch().callbackJobId(d.success()))
+                        .toList());
     }
 
     @Test
     void aBatchWithoutACallbackIsOverWithoutOneAndParentsInACircleEnd() {
         batches.add(
                 new Batch(
-                        "b", "c", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+                        "b",
+                        "c",
+                        "",
+                        "",
+                        "{c}",
+                        false,
+                        0,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
+                        0));
         batches.add(
                 new Batch(
-                        "c", "b", "", "", "{c}", false, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
+                        "c",
+                        "b",
+                        "",
+                        "",
+                        "{c}",
+                        false,
+                        0,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
+                        0));
         batches.commit("b");
         assertEquals(
                 "[]", due("b"), "each waits for the other, and the search for what is due ends");
         batches.add(
-                new Batch("d", "", "", "", "{c}", true, 0, Callback.NOT_YET, Callback.NOT_YET, 0));
-        assertEquals(2, batches.settle("d").size());
-        assertEquals(Callback.DONE, batches.get("d").onSuccess(), "there is nothing to run");
-        assertEquals(Callback.DUE, batches.get("d").onComplete());
+                new Batch(
+                        "d",
+                        "",
+                        "",
+                        "",
+                        "{c}",
+                        true,
+                        0,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
+                        0));
+        assertEquals(2, batches.collectDueCallbacks("d").size());
+        assertEquals(CallbackState.DONE, batches.get("d").onSuccess(), "there is nothing to run");
+        assertEquals(CallbackState.DUE, batches.get("d").onComplete());
         assertEquals(
-                List.of("d"), batches.forget(4_000_000), "what is over is forgotten after a while");
+                List.of("d"),
+                batches.removeExpired(4_000_000),
+                "what is over is forgotten after a while");
     }
 }
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -2,14 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
-import damsonslip.store.JobRecord.Facts;
+import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -24,7 +23,8 @@
 
     private Entry add(String id, String queue, int jobClass) {
         return jobTable.add(
-                RetryPolicyTest.record(id, queue, 5, 0).numbered(jobTable.nextSeq()), jobClass);
+                RetryPolicyTest.record(id, queue, 5, 0).withSequence(jobTable.nextSequence()),
+                jobClass);
     }
 
     private String next(boolean fair, String... queues) {
@@ -81,10 +81,10 @@
 
     @Test
     void aHigherPriorityComesFirst() {
-        Facts low = new Facts("a", "t", "any", 1, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
-        Facts high = new Facts("a", "t", "any", 9, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
-        jobTable.add(JobRecord.pushed("low", low, 0, 0).numbered(jobTable.nextSeq()), 0);
-        jobTable.add(JobRecord.pushed("high", high, 0, 0).numbered(jobTable.nextSeq()), 1);
+        Options low = new Options("a", "t", "any", 1, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
+        Options high = new Options("a", "t", "any", 9, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
+        jobTable.add(JobRecord.pushed("low", low, 0, 0).withSequence(jobTable.nextSequence()), 0);
+        jobTable.add(JobRecord.pushed("high", high, 0, 0).withSequence(jobTable.nextSequence()), 1);
         assertEquals("high", next(false, "a"));
         assertEquals("low", next(false, "a"));
     }
@@ -102,7 +102,7 @@
         }
         assertTrue(jobTable.rejectionReason("c").contains("too many"));
         Entry gone = jobTable.get("a0");
-        jobTable.move(gone, gone.record().to(State.DEAD, 10, "", 10));
+        jobTable.move(gone, gone.record().withState(State.DEAD, 10, "", 10));
         assertNull(jobTable.rejectionReason("a"));
     }
 
@@ -110,7 +110,7 @@
     void theDeadAreKeptForAWhileAndToANumber() {
         for (int i = 0; i < 5; i++) {
             Entry entry = add("d" + i, "a", 0);
-            jobTable.move(entry, entry.record().to(State.DEAD, 100 + i, "", 0));
+            jobTable.move(entry, entry.record().withState(State.DEAD, 100 + i, "", 0));
         }
         assertEquals(
                 List.of("d0", "d1"),
@@ -124,7 +124,7 @@
     void whatIsDueComesEarliestFirstAndNotAllAtOnce() {
         for (int i = 0; i < 10; i++) {
             Entry entry = add("s" + i, "a", 0);
-            jobTable.move(entry, entry.record().to(State.SCHEDULED, 1_000 - i, "", 0));
+            jobTable.move(entry, entry.record().withState(State.SCHEDULED, 1_000 - i, "", 0));
         }
         assertEquals(0, jobTable.due(990, 5).size());
         assertEquals(
@@ -133,7 +133,8 @@
 
     @Test
     void aLockHoldsUntilItsJobEndsItsTimeEndsOrItStarts() {
-        Facts facts = new Facts("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
+        Options facts =
+                new Options("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
         assertTrue(jobTable.lockUnique("one", facts, 0));
         Entry one = jobTable.add(JobRecord.pushed("one", facts, 0, 0), 0);
         assertFalse(jobTable.lockUnique("two", facts, 999));
@@ -171,7 +172,7 @@
                 String id = "j" + ids++;
                 JobRecord fresh =
                         RetryPolicyTest.record(id, "q" + random.nextInt(4), 5, 0)
-                                .numbered(large.nextSeq());
+                                .withSequence(large.nextSequence());
                 here.put(id, large.add(fresh, random.nextInt(3)));
             } else {
                 change(
@@ -196,9 +197,13 @@
                 here.remove(entry.id());
             }
             case 1 ->
-                    large.move(entry, entry.record().to(State.RETRY, random.nextInt(1_000), "", 0));
+                    large.move(
+                            entry,
+                            entry.record().withState(State.RETRY, random.nextInt(1_000), "", 0));
             case 2 ->
-                    large.move(entry, entry.record().to(State.DEAD, random.nextInt(1_000), "", 0));
+                    large.move(
+                            entry,
+                            entry.record().withState(State.DEAD, random.nextInt(1_000), "", 0));
             case 3 -> {
                 if (queued && !entry.isDispatched()) {
                     large.dispatch(entry);
@@ -206,7 +211,7 @@
                     large.undispatch(entry, 0);
                 }
             }
-            case 4 -> large.move(entry, entry.record().queued(large.nextSeq(), 0));
+            case 4 -> large.move(entry, entry.record().enqueued(large.nextSequence(), 0));
             default -> large.move(entry, entry.record().reserved("w", 1));
         }
     }
@@ -230,29 +235,13 @@
                                     e ->
                                             e.record().state() == State.QUEUED
                                                     && !e.isDispatched()
-                                                    && e.record().facts().queue().equals(name))
+                                                    && e.record().options().queue().equals(name))
                             .toList();
-            assertEquals(waiting.size(), large.inQueue(name).size());
+            assertEquals(waiting.size(), large.waitingIn(name).size());
             Entry next = large.next(List.of(name), false, 0, c -> true);
             assertEquals(
-                    waiting.stream().mapToLong(e -> e.record().seq()).min().orElse(-1),
-                    next == null ? -1 : next.record().seq());
+                    waiting.stream().mapToLong(e -> e.record().sequence()).min().orElse(-1),
+                    next == null ? -1 : next.record().sequence());
         }
     }
-
-    @Test
-    void aRecordComesBackFromItsTextAsItWas() throws Exception {
-        JobRecord record =
-                RetryPolicyTest.record("j", "q", -1, 99)
-                        .numbered(7)
-                        .reserved("w", 3)
-                        .failed(new JobRecord.Failure(2, 5, 6, "E", "m\n", List.of("x")))
-                        .to(State.RETRY, 8, "why", 9);
-        assertEquals(record, JobRecord.decode(record.encode()));
-        JobRecord fresh = RetryPolicyTest.record("j", "q", 0, 0);
-        assertEquals(fresh, JobRecord.decode(fresh.encode()));
-        assertNotNull(
-                assertThrows(damsonslip.store.StoreException.class, () -> JobRecord.decode("{}"))
-                        .getMessage());
-    }
 }
--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -11,7 +11,7 @@
 import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 import damsonslip.store.JobRecord;
-import damsonslip.store.JobRecord.Facts;
+import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -45,8 +45,8 @@
     private final SplittableRandom random = new SplittableRandom(1);
 
     static JobRecord record(String id, String queue, int retry, long deadlineMs) {
-        Facts facts =
-                new Facts(
+        Options facts =
+                new Options(
                         queue,
                         "t",
                         "any",
@@ -70,7 +70,7 @@
     }
 
     private NextState fail(JobRecord record, JobClass of) {
-        return RetryPolicy.failed(record, of, BROKEN, 20_000, random);
+        return RetryPolicy.nextState(record, of, BROKEN, 20_000, random);
     }
 
     @Test
@@ -107,7 +107,7 @@
             assertEquals(count, next.failure().count());
             assertTrue(next.dueMs() >= 20_000 + 15_000);
             assertEquals(List.of("a", "b"), next.failure().backtrace(), "as much as it asked for");
-            record = record.failed(next.failure());
+            record = record.withFailure(next.failure());
         }
         NextState last = fail(record, SAFE);
         assertEquals(State.DEAD, last.state());
@@ -141,41 +141,43 @@
                 "a new hand-over may lead to another zone");
         assertEquals(State.DEAD, fail(ran(5, 0), BY_ZONE).state());
         JobRecord late = ran(5, 0);
-        assertEquals(State.DEAD, RetryPolicy.failed(late, KEYED, BROKEN, 45_000, random).state());
+        assertEquals(
+                State.DEAD, RetryPolicy.nextState(late, KEYED, BROKEN, 45_000, random).state());
     }
 
     @Test
     void aStartTellsApartWhatRanAndWhatDidNot() {
         JobRecord waits = record("j", "q", 25, 0);
-        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recovered(waits, ONCE, 5_000));
+        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waits, ONCE, 5_000));
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
-                RetryPolicy.recovered(ran(25, 0), SAFE, 5_000),
+                RetryPolicy.recoveryAction(ran(25, 0), SAFE, 5_000),
                 "its worker may be at it");
         assertEquals(
-                RecoveryAction.AWAIT_REPORT, RetryPolicy.recovered(ran(25, 90_000), ONCE, 5_000));
+                RecoveryAction.AWAIT_REPORT,
+                RetryPolicy.recoveryAction(ran(25, 90_000), ONCE, 5_000));
         assertEquals(
                 RecoveryAction.DISPATCH,
-                RetryPolicy.recovered(ran(25, 90_000), SAFE, 5_000),
+                RetryPolicy.recoveryAction(ran(25, 90_000), SAFE, 5_000),
                 "somebody waits for it");
         assertEquals(
                 RecoveryAction.DISPATCH,
-                RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 5_000));
+                RetryPolicy.recoveryAction(record("j", "q", 25, 90_000), ONCE, 5_000));
         assertEquals(
                 RecoveryAction.EXPIRE,
-                RetryPolicy.recovered(record("j", "q", 25, 90_000), ONCE, 90_000));
-        JobRecord back = ran(25, 90_000).handedBack(true, 11_000);
+                RetryPolicy.recoveryAction(record("j", "q", 25, 90_000), ONCE, 90_000));
+        JobRecord back = ran(25, 90_000).returned(true, 11_000);
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
-                RetryPolicy.recovered(back, ONCE, 20_000),
+                RetryPolicy.recoveryAction(back, ONCE, 20_000),
                 "queued again, but it had run");
         assertEquals(
                 RecoveryAction.DISPATCH,
-                RetryPolicy.recovered(ran(25, 90_000).handedBack(false, 11_000), ONCE, 20_000));
+                RetryPolicy.recoveryAction(ran(25, 90_000).returned(false, 11_000), ONCE, 20_000));
         for (State state : List.of(State.DEAD, State.RETRY, State.SCHEDULED)) {
             assertEquals(
                     RecoveryAction.RESTORE,
-                    RetryPolicy.recovered(ran(1, 0).to(state, 9, "", 9), ONCE, 5_000));
+                    RetryPolicy.recoveryAction(ran(1, 0).withState(state, 9, "", 9), ONCE, 5_000));
         }
         assertEquals(70_000, RetryPolicy.reportDeadlineMs(ran(25, 0)), "its reservation's end");
         assertEquals(
--- /dev/null
+++ b/src/test/java/damsonslip/store/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the stores and of the stored form of jobs. */
+package damsonslip.store;
