--- a/src/main/java/damsonslip/faktory/AdminCommands.java
+++ b/src/main/java/damsonslip/faktory/AdminCommands.java
@@ -11,7 +11,7 @@
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.Glob;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
@@ -79,7 +79,7 @@
     }
 
     void mutate(FaktoryConnection link, Mutate change) {
-        List<Entry> chosen =
+        List<JobEntry> chosen =
                 new ArrayList<>(
                         jobTable.jobsIn(
                                 switch (change.target()) {
@@ -119,17 +119,21 @@
 
     /** Filters jobs by their whole text; their bodies are read from the store. */
     private void match(
-            Glob glob, List<Entry> among, int from, List<Entry> found, Consumer<List<Entry>> then) {
+            Glob glob,
+            List<JobEntry> among,
+            int from,
+            List<JobEntry> found,
+            Consumer<List<JobEntry>> then) {
         if (from >= among.size()) {
             then.accept(found);
             return;
         }
-        List<Entry> part = among.subList(from, Math.min(among.size(), from + BATCH));
+        List<JobEntry> part = among.subList(from, Math.min(among.size(), from + BATCH));
         store.submit(
-                new StoreOperation.GetBodies(part.stream().map(Entry::id).toList()),
+                new StoreOperation.GetBodies(part.stream().map(JobEntry::id).toList()),
                 bodies -> {
                     for (int i = 0; i < part.size(); i++) {
-                        Entry entry = part.get(i);
+                        JobEntry entry = part.get(i);
                         if (bodies.get(i) != null
                                 && glob.matches(JobText.merge(bodies.get(i), entry.record(), 0))) {
                             found.add(entry);
@@ -140,7 +144,7 @@
                 () -> then.accept(null));
     }
 
-    private void change(FaktoryConnection link, Mutate.Verb verb, List<Entry> chosen) {
+    private void change(FaktoryConnection link, Mutate.Verb verb, List<JobEntry> chosen) {
         MutationProgress progress = new MutationProgress();
         progress.remaining = chosen.size();
         if (chosen.isEmpty()) {
@@ -171,11 +175,11 @@
 
     private void change(
             Mutate.Verb verb,
-            List<Entry> chosen,
+            List<JobEntry> chosen,
             int from,
             MutationProgress progress,
             Runnable then) {
-        for (Entry entry : chosen.subList(from, Math.min(chosen.size(), from + BATCH))) {
+        for (JobEntry entry : chosen.subList(from, Math.min(chosen.size(), from + BATCH))) {
             change(
                     verb,
                     entry,
@@ -194,7 +198,7 @@
 
     private void change(
             Mutate.Verb verb,
-            Entry entry,
+            JobEntry entry,
             MutationProgress progress,
             Consumer<String> acknowledge) {
         JobRecord record = entry.record();
@@ -234,7 +238,7 @@
     /**
      * Ends a job, whose record is kept for a while: a repeated push must not run what may have run.
      */
-    private void discard(Entry entry, Consumer<String> acknowledge) {
+    private void discard(JobEntry entry, Consumer<String> acknowledge) {
         coordinator.transition(
                 entry,
                 entry.record()
@@ -275,8 +279,8 @@
         link.reply(Reply.ok());
     }
 
-    private void remove(List<Entry> entries, int from) {
-        for (Entry entry : entries.subList(from, Math.min(entries.size(), from + BATCH))) {
+    private void remove(List<JobEntry> entries, int from) {
+        for (JobEntry entry : entries.subList(from, Math.min(entries.size(), from + BATCH))) {
             if (jobTable.get(entry.id()) == entry && !entry.isDispatched()) {
                 discard(entry, error -> {});
             }
@@ -295,7 +299,7 @@
     void flush(FaktoryConnection link) {
         batches.clear();
         List<String> gone = new ArrayList<>();
-        for (Entry entry : jobTable.all()) {
+        for (JobEntry entry : jobTable.all()) {
             if (entry.isDispatched() || entry.record().state() == JobRecord.State.RESERVED) {
                 continue;
             }
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -2,7 +2,7 @@
 
 import damsonslip.engine.Request;
 import damsonslip.engine.RequestContext;
-import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.store.JobRecord;
 import java.util.function.Consumer;
@@ -12,7 +12,7 @@
  * the event loop.
  */
 final class DispatchedJob implements Request.Cargo {
-    final Entry entry;
+    final JobEntry entry;
 
     /** When it was given to the decision module, in the loop's microseconds. */
     final long dispatchedUs;
@@ -35,7 +35,7 @@
      */
     Consumer<String> acknowledge;
 
-    DispatchedJob(Entry entry, long dispatchedUs) {
+    DispatchedJob(JobEntry entry, long dispatchedUs) {
         this.entry = entry;
         this.dispatchedUs = dispatchedUs;
         this.ranBefore = !entry.record().hasNeverRun();
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -10,7 +10,7 @@
 import damsonslip.engine.Response;
 import damsonslip.engine.SchedulerEngine;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.policy.api.Idempotency;
@@ -133,7 +133,7 @@
         return loop.now() / 1000;
     }
 
-    JobClass classOf(Entry entry) {
+    JobClass classOf(JobEntry entry) {
         return site.settings().classes().get(entry.jobClass());
     }
 
@@ -146,7 +146,7 @@
 
     /** Adds a job that the store has recorded; returns an immediate rejection, or null. */
     String admit(JobRecord record, int jobClass) {
-        Entry entry = jobTable.add(record, jobClass);
+        JobEntry entry = jobTable.add(record, jobClass);
         jobTable.setEnqueuedMs(entry, record.state() == JobRecord.State.QUEUED ? nowMs() : 0);
         if (record.state() == JobRecord.State.QUEUED && record.hasWaitingClient()) {
             return dispatch(entry);
@@ -156,7 +156,7 @@
     }
 
     /** Appends a job to its queue. */
-    void enqueue(Entry entry) {
+    void enqueue(JobEntry entry) {
         jobTable.move(entry, entry.record().enqueued(jobTable.nextSequence(), nowMs()));
         jobTable.setEnqueuedMs(entry, nowMs());
         if (entry.record().hasWaitingClient()) {
@@ -169,7 +169,7 @@
      *
      * @param acknowledge called once the store has recorded it, with an error or null
      */
-    void transition(Entry entry, JobRecord next, Consumer<String> acknowledge) {
+    void transition(JobEntry entry, JobRecord next, Consumer<String> acknowledge) {
         if (next.state().isFinal()) {
             jobTable.remove(entry);
         } else {
@@ -190,7 +190,7 @@
         }
     }
 
-    void transition(Entry entry, JobRecord next) {
+    void transition(JobEntry entry, JobRecord next) {
         transition(entry, next, error -> {});
     }
 
@@ -216,7 +216,7 @@
         }
         for (FetchDirectory.WaitingFetch fetch : List.copyOf(fetchDirectory.waitingFetches())) {
             IntPredicate open = jobClass -> mayDispatch(jobClass, fetch.sinceUs());
-            Entry next = jobTable.next(fetch.queues(), fair, nowMs(), open);
+            JobEntry next = jobTable.next(fetch.queues(), fair, nowMs(), open);
             while (next != null && fetchDirectory.isFetchWaiting(fetch.queues())) {
                 if (!discardIfExpired(next)) {
                     dispatch(next);
@@ -256,7 +256,7 @@
         }
     }
 
-    private boolean discardIfExpired(Entry entry) {
+    private boolean discardIfExpired(JobEntry entry) {
         long until = entry.record().options().expiresMs();
         if (until == 0 || until > nowMs()) {
             return false;
@@ -278,7 +278,7 @@
      *
      * @return an immediate rejection, or null
      */
-    private String dispatch(Entry entry) {
+    private String dispatch(JobEntry entry) {
         JobRecord record = entry.record();
         if (driver.holds(record.id())) { // its previous attempt has not ended there yet
             jobTable.undispatch(entry, nowMs() + REDISPATCH_DELAY_MS);
@@ -336,7 +336,7 @@
 
     /** Handles the decision module's final answer; returns a rejection, or null. */
     private String finish(DispatchedJob dispatched, Response answer) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         unawaited.remove(dispatched);
         if (jobTable.get(entry.id()) != entry) {
             return null; // discarded by an operator meanwhile
@@ -370,7 +370,7 @@
 
     /** Returns a reserved job to its queue if it provably never left for the worker. */
     void returnUnrun(DispatchedJob dispatched) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         if (jobTable.get(entry.id()) == entry
                 && entry.record().state() == JobRecord.State.RESERVED
                 && !dispatched.ran) {
@@ -382,7 +382,7 @@
     /** Ends an awaited job that was not served; returns a rejection, or null. */
     private String finishAwaited(
             DispatchedJob dispatched, Response answer, Consumer<String> acknowledge) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
         String message =
                 describe(answer)
@@ -422,7 +422,7 @@
     }
 
     /** Applies the retry policy to an unawaited job whose run has failed. */
-    private void retryOrEnd(Entry entry, RunFailure how, Consumer<String> acknowledge) {
+    private void retryOrEnd(JobEntry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.RUNS_FAILED);
         RetryPolicy.NextState next =
                 RetryPolicy.nextState(entry.record(), classOf(entry), how, nowMs(), random);
@@ -446,7 +446,7 @@
      */
     boolean reportUndispatched(
             String worker, String jid, RunFailure how, Consumer<String> acknowledge) {
-        Entry entry = jobTable.get(jid);
+        JobEntry entry = jobTable.get(jid);
         if (entry == null || entry.isDispatched() || !entry.record().worker().equals(worker)) {
             return false;
         }
@@ -470,7 +470,7 @@
     }
 
     /** Ends a run whose job is not dispatched any more. */
-    private void endLostRun(Entry entry, RunFailure how, Consumer<String> acknowledge) {
+    private void endLostRun(JobEntry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.ANSWERS_FAILED);
         JobRecord record = entry.record();
         if (!record.hasWaitingClient()) {
@@ -496,14 +496,14 @@
      * Awaits the report of a worker that had the job before a restart; a worker that does not
      * reconnect has a minute.
      */
-    void awaitReport(Entry entry) {
+    void awaitReport(JobEntry entry) {
         long untilMs = RetryPolicy.reportDeadlineMs(entry.record());
         loop.at(
                 Math.min(untilMs, nowMs() + RetryPolicy.ORPHAN_TIMEOUT_MS) * 1000,
                 () -> checkReport(entry, untilMs));
     }
 
-    private void checkReport(Entry entry, long untilMs) {
+    private void checkReport(JobEntry entry, long untilMs) {
         JobRecord.State state = entry.record().state();
         boolean open = state == JobRecord.State.RESERVED || state == JobRecord.State.QUEUED;
         if (jobTable.get(entry.id()) != entry
@@ -552,8 +552,8 @@
      * start treats a scheduled job that is due like a queued one.
      */
     private void enqueueDue() {
-        List<Entry> due = jobTable.due(nowMs(), DUE_BATCH);
-        for (Entry entry : due) {
+        List<JobEntry> due = jobTable.due(nowMs(), DUE_BATCH);
+        for (JobEntry entry : due) {
             if (!discardIfExpired(entry)) {
                 enqueue(entry);
             }
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -13,7 +13,7 @@
 import damsonslip.faktory.codec.PushedJob;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.routing.Routes;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
@@ -364,7 +364,7 @@
     // ---- TRACK
 
     void track(FaktoryConnection link, String jid) {
-        Entry open = jobTable.get(jid);
+        JobEntry open = jobTable.get(jid);
         if (open != null) {
             link.reply(Reply.bulk(tracked(jid, open.record())));
             return;
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -5,7 +5,7 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLoop;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.routing.Routes;
 import damsonslip.store.AsyncStore;
@@ -137,7 +137,7 @@
                             record.enqueued(record.sequence(), coordinator.nowMs()), jobClass);
             case AWAIT_REPORT -> {
                 counters.add(Count.QUERIES_TAKEN);
-                Entry entry =
+                JobEntry entry =
                         jobTable.add(
                                 record.state() == JobRecord.State.RESERVED
                                         ? record
@@ -146,7 +146,7 @@
                 coordinator.awaitReport(entry);
             }
             case EXPIRE -> {
-                Entry entry = jobTable.add(record, jobClass);
+                JobEntry entry = jobTable.add(record, jobClass);
                 coordinator.transition(
                         entry,
                         record.withState(
--- a/src/main/java/damsonslip/faktory/jobs/BatchTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchTable.java
@@ -158,7 +158,7 @@
     public void correctTotals() {
         all.replaceAll(
                 (bid, batch) ->
-                        batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open)));
+                        batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open())));
     }
 
     /** Opens a batch for further jobs; returns null if its completion callback has become due. */
@@ -197,17 +197,17 @@
 
     private void collectDueCallbacks(String bid, List<DueCallback> due) {
         Batch batch = all.get(bid);
-        JobTable.BatchCounts jobs = jobTable.batchCounts(bid);
+        BatchCounters.Counts jobs = jobTable.batchCounts(bid);
         if (batch.onComplete() == CallbackState.NOT_YET
                 && batch.committed()
-                && jobs.neverFailed == 0
+                && jobs.neverFailed() == 0
                 && nestedIn(bid).stream()
                         .allMatch(child -> child.onComplete() == CallbackState.DONE)) {
             batch = begin(batch, false, due);
         }
         if (batch.onSuccess() == CallbackState.NOT_YET
                 && batch.onComplete() != CallbackState.NOT_YET
-                && jobs.open == 0
+                && jobs.open() == 0
                 && nestedIn(bid).stream()
                         .allMatch(child -> child.onSuccess() == CallbackState.DONE)) {
             begin(batch, true, due);
@@ -255,13 +255,13 @@
 
     /** The number of open jobs in a batch. */
     public int pendingJobs(String bid) {
-        return jobTable.batchCounts(bid).open;
+        return jobTable.batchCounts(bid).open();
     }
 
     /** The number of open jobs in a batch that have failed at least once. */
     public int failedJobs(String bid) {
-        JobTable.BatchCounts jobs = jobTable.batchCounts(bid);
-        return jobs.open - jobs.neverFailed;
+        BatchCounters.Counts jobs = jobTable.batchCounts(bid);
+        return jobs.open() - jobs.neverFailed();
     }
 
     /**
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/jobs/JobQueues.java
@@ -0,0 +1,161 @@
+package damsonslip.faktory.jobs;
+
+import damsonslip.store.JobRecord;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.IntPredicate;
+
+/**
+ * The queues with the jobs in them that are not dispatched. Each queue is kept as one class queue
+ * for each job class, ordered by priority and then by arrival. Not thread-safe.
+ */
+final class JobQueues {
+    /** Above the highest priority of the protocol, which is 9. */
+    private static final int PRIORITIES = 10;
+
+    /**
+     * A class queue's sort key has the inverted priority above these bits and the sequence number
+     * in them.
+     */
+    private static final int SEQUENCE_BITS = 56;
+
+    /** By class, then by queue name. */
+    private final List<Map<String, TreeMap<Long, JobEntry>>> classQueues = new ArrayList<>();
+
+    /** The number of jobs in each queue, dispatched ones included. */
+    private final Map<String, Integer> sizes = new TreeMap<>();
+
+    private final Set<String> paused = new TreeSet<>();
+
+    /** The turn in which each queue was served last, for the fair order. */
+    private final Map<String, Long> lastServed = new HashMap<>();
+
+    private long turns;
+
+    JobQueues(int classes) {
+        for (int i = 0; i < classes; i++) {
+            classQueues.add(new HashMap<>());
+        }
+    }
+
+    /** Adds a job to its queue; a dispatched one is counted only. */
+    void add(JobEntry entry) {
+        String queue = entry.record().options().queue();
+        sizes.merge(queue, 1, Integer::sum);
+        if (!entry.isDispatched()) {
+            Map<String, TreeMap<Long, JobEntry>> queues = classQueues.get(entry.jobClass());
+            queues.computeIfAbsent(queue, name -> new TreeMap<>()).put(sortKey(entry), entry);
+        }
+    }
+
+    /** Removes a job from its queue; its record and position have to be those it was added with. */
+    void remove(JobEntry entry) {
+        String queue = entry.record().options().queue();
+        sizes.computeIfPresent(queue, (name, size) -> size == 1 ? null : size - 1);
+        if (!entry.isDispatched()) {
+            removeFromClassQueue(entry, queue);
+        }
+    }
+
+    private void removeFromClassQueue(JobEntry entry, String queue) {
+        Map<String, TreeMap<Long, JobEntry>> queues = classQueues.get(entry.jobClass());
+        TreeMap<Long, JobEntry> classQueue = queues.get(queue);
+        if (classQueue == null || classQueue.remove(sortKey(entry)) == null) {
+            return;
+        }
+        if (classQueue.isEmpty()) {
+            queues.remove(queue);
+            lastServed.remove(queue);
+        }
+    }
+
+    private static long sortKey(JobEntry entry) {
+        JobRecord record = entry.record();
+        long invertedPriority = PRIORITIES - record.options().priority();
+        return invertedPriority << SEQUENCE_BITS | record.sequence();
+    }
+
+    /** Selects the next job; see {@link JobTable#next}. */
+    JobEntry next(List<String> queues, boolean fair, long nowMs, IntPredicate open) {
+        for (String queue : fair ? leastRecentlyServedFirst(queues) : queues) {
+            JobEntry next = paused.contains(queue) ? null : first(queue, nowMs, open);
+            if (next != null) {
+                lastServed.put(queue, ++turns);
+                return next;
+            }
+        }
+        return null;
+    }
+
+    private List<String> leastRecentlyServedFirst(List<String> queues) {
+        return queues.stream()
+                .sorted(Comparator.comparingLong(queue -> lastServed.getOrDefault(queue, 0L)))
+                .toList();
+    }
+
+    /**
+     * The first job of a queue by priority and arrival, among the classes that may be dispatched.
+     */
+    private JobEntry first(String queue, long nowMs, IntPredicate open) {
+        JobEntry found = null;
+        long lowestKey = Long.MAX_VALUE;
+        for (int jobClass = 0; jobClass < classQueues.size(); jobClass++) {
+            TreeMap<Long, JobEntry> classQueue = classQueues.get(jobClass).get(queue);
+            if (classQueue != null
+                    && classQueue.firstKey() < lowestKey
+                    && open.test(jobClass)
+                    && classQueue.firstEntry().getValue().notBeforeMs() <= nowMs) {
+                lowestKey = classQueue.firstKey();
+                found = classQueue.firstEntry().getValue();
+            }
+        }
+        return found;
+    }
+
+    /** The jobs of a queue that are not dispatched. */
+    List<JobEntry> waitingIn(String queue) {
+        List<JobEntry> found = new ArrayList<>();
+        for (Map<String, TreeMap<Long, JobEntry>> queues : classQueues) {
+            found.addAll(queues.getOrDefault(queue, new TreeMap<>()).values());
+        }
+        return found;
+    }
+
+    boolean hasWaiting(int jobClass) {
+        return !classQueues.get(jobClass).isEmpty();
+    }
+
+    boolean pause(String queue) {
+        return paused.add(queue);
+    }
+
+    boolean resume(String queue) {
+        return paused.remove(queue);
+    }
+
+    boolean isPaused(String queue) {
+        return paused.contains(queue);
+    }
+
+    Set<String> paused() {
+        return Set.copyOf(paused);
+    }
+
+    int size(String queue) {
+        return sizes.getOrDefault(queue, 0);
+    }
+
+    Map<String, Integer> sizes() {
+        return new TreeMap<>(sizes);
+    }
+
+    int totalSize() {
+        return sizes.values().stream().mapToInt(Integer::intValue).sum();
+    }
+}
--- a/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
@@ -7,7 +7,6 @@
 
 import damsonslip.faktory.jobs.BatchTable.Batch;
 import damsonslip.faktory.jobs.BatchTable.CallbackState;
-import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
@@ -34,7 +33,7 @@
                         0));
     }
 
-    private Entry job(String id, String bid) {
+    private JobEntry job(String id, String bid) {
         batches.countPushedJob(bid);
         Options facts = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
         return jobTable.add(
@@ -48,7 +47,7 @@
                 .toString();
     }
 
-    private void fail(Entry entry, State state) {
+    private void fail(JobEntry entry, State state) {
         JobRecord failed =
                 entry.record().withFailure(new JobRecord.Failure(0, 1, 0, "E", "m", List.of()));
         jobTable.move(entry, failed.withState(state, 9, "", 9));
@@ -57,8 +56,8 @@
     @Test
     void completeComesOnceAllWereRunAndSuccessOnceAllSucceeded() {
         batch("b", "");
-        Entry one = job("one", "b");
-        Entry two = job("two", "b");
+        JobEntry one = job("one", "b");
+        JobEntry two = job("two", "b");
         jobTable.remove(one);
         fail(two, State.RETRY);
         assertEquals("[]", due("b"), "not committed");
@@ -87,7 +86,7 @@
     @Test
     void aJobThatDiesKeepsSuccessAwayUntilItIsDoneAfterAll() {
         batch("b", "");
-        Entry job = job("one", "b");
+        JobEntry job = job("one", "b");
         batches.commit("b");
         fail(job, State.DEAD);
         assertEquals("[b-complete]", due("b"));
@@ -102,7 +101,7 @@
     void anOuterBatchWaitsForTheCallbacksOfThoseInside() {
         batch("out", "");
         batch("in", "out");
-        Entry job = job("one", "in");
+        JobEntry job = job("one", "in");
         batches.commit("out");
         assertEquals("[]", due("out"));
         batches.commit("in");
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
@@ -21,14 +20,14 @@
 class JobTableTest {
     private final JobTable jobTable = new JobTable(2, new JobTable.Limits(50, 20, 3, 1_000));
 
-    private Entry add(String id, String queue, int jobClass) {
+    private JobEntry add(String id, String queue, int jobClass) {
         return jobTable.add(
                 RetryPolicyTest.record(id, queue, 5, 0).withSequence(jobTable.nextSequence()),
                 jobClass);
     }
 
     private String next(boolean fair, String... queues) {
-        Entry entry = jobTable.next(List.of(queues), fair, 0, jobClass -> true);
+        JobEntry entry = jobTable.next(List.of(queues), fair, 0, jobClass -> true);
         if (entry == null) {
             return null;
         }
@@ -65,7 +64,7 @@
     void aJobThatComesBackFindsItsPlaceAndWaitsItsTime() {
         add("a1", "a", 0);
         add("a2", "a", 0);
-        Entry first = jobTable.get("a1");
+        JobEntry first = jobTable.get("a1");
         jobTable.dispatch(first);
         jobTable.undispatch(first, 500);
         assertNull(
@@ -101,7 +100,7 @@
             add("b" + i, "b" + i % 2, 0);
         }
         assertTrue(jobTable.rejectionReason("c").contains("too many"));
-        Entry gone = jobTable.get("a0");
+        JobEntry gone = jobTable.get("a0");
         jobTable.move(gone, gone.record().withState(State.DEAD, 10, "", 10));
         assertNull(jobTable.rejectionReason("a"));
     }
@@ -109,12 +108,12 @@
     @Test
     void theDeadAreKeptForAWhileAndToANumber() {
         for (int i = 0; i < 5; i++) {
-            Entry entry = add("d" + i, "a", 0);
+            JobEntry entry = add("d" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.DEAD, 100 + i, "", 0));
         }
         assertEquals(
                 List.of("d0", "d1"),
-                jobTable.expiredDead(200).stream().map(Entry::id).toList(),
+                jobTable.expiredDead(200).stream().map(JobEntry::id).toList(),
                 "three are kept");
         assertEquals(4, jobTable.expiredDead(1_103).size(), "for a second");
         assertEquals(5, jobTable.size(State.DEAD));
@@ -123,12 +122,13 @@
     @Test
     void whatIsDueComesEarliestFirstAndNotAllAtOnce() {
         for (int i = 0; i < 10; i++) {
-            Entry entry = add("s" + i, "a", 0);
+            JobEntry entry = add("s" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.SCHEDULED, 1_000 - i, "", 0));
         }
         assertEquals(0, jobTable.due(990, 5).size());
         assertEquals(
-                List.of("s9", "s8", "s7"), jobTable.due(1_000, 3).stream().map(Entry::id).toList());
+                List.of("s9", "s8", "s7"),
+                jobTable.due(1_000, 3).stream().map(JobEntry::id).toList());
     }
 
     @Test
@@ -136,7 +136,7 @@
         Options facts =
                 new Options("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
         assertTrue(jobTable.lockUnique("one", facts, 0));
-        Entry one = jobTable.add(JobRecord.pushed("one", facts, 0, 0), 0);
+        JobEntry one = jobTable.add(JobRecord.pushed("one", facts, 0, 0), 0);
         assertFalse(jobTable.lockUnique("two", facts, 999));
         assertTrue(jobTable.lockUnique("one", facts, 999), "the same job once more");
         jobTable.move(one, one.record().reserved("w", 5));
@@ -165,7 +165,7 @@
                 new JobTable(
                         3,
                         new JobTable.Limits(1_000_000, 1_000_000, 1_000_000, Long.MAX_VALUE / 2));
-        Map<String, Entry> here = new HashMap<>();
+        Map<String, JobEntry> here = new HashMap<>();
         int ids = 0;
         for (int step = 0; step < 20_000; step++) {
             if (here.size() < 40 || random.nextInt(3) == 0) {
@@ -189,7 +189,7 @@
     }
 
     private static void change(
-            JobTable large, Map<String, Entry> here, Entry entry, SplittableRandom random) {
+            JobTable large, Map<String, JobEntry> here, JobEntry entry, SplittableRandom random) {
         boolean queued = entry.record().state() == State.QUEUED;
         switch (random.nextInt(6)) {
             case 0 -> {
@@ -216,7 +216,7 @@
         }
     }
 
-    private static void agree(JobTable large, Map<String, Entry> here) {
+    private static void agree(JobTable large, Map<String, JobEntry> here) {
         assertEquals(here.size(), large.size());
         for (State state :
                 List.of(State.QUEUED, State.RESERVED, State.RETRY, State.DEAD, State.SCHEDULED)) {
@@ -225,11 +225,11 @@
                     large.size(state));
         }
         assertEquals(
-                here.values().stream().filter(Entry::isDispatched).count(),
+                here.values().stream().filter(JobEntry::isDispatched).count(),
                 large.dispatchedCount());
         for (int queue = 0; queue < 4; queue++) {
             String name = "q" + queue;
-            List<Entry> waiting =
+            List<JobEntry> waiting =
                     here.values().stream()
                             .filter(
                                     e ->
@@ -238,7 +238,7 @@
                                                     && e.record().options().queue().equals(name))
                             .toList();
             assertEquals(waiting.size(), large.waitingIn(name).size());
-            Entry next = large.next(List.of(name), false, 0, c -> true);
+            JobEntry next = large.next(List.of(name), false, 0, c -> true);
             assertEquals(
                     waiting.stream().mapToLong(e -> e.record().sequence()).min().orElse(-1),
                     next == null ? -1 : next.record().sequence());
