--- a/src/main/java/damsonslip/platform/client/Arrivals.java
+++ b/src/main/java/damsonslip/platform/client/ArrivalTimes.java
@@ -7,7 +7,7 @@
  * ahead: their clients' time runs from when they were sent, not from when the requests before them
  * were answered. Used on the loop.
  */
-final class Arrivals {
+final class ArrivalTimes {
     /**
      * What comes within this time counts as come together: exact enough for any deadline, and few
      * entries.
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -8,8 +8,10 @@
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
-import damsonslip.platform.codec.Encoder;
-import damsonslip.platform.codec.Field;
+import damsonslip.platform.codec.MessageEncoder;
+import damsonslip.platform.codec.HttpRequest;
+import damsonslip.platform.codec.RequestReader;
+import damsonslip.platform.codec.WireFormat;
 import damsonslip.transport.EventLoopConnection;
 import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
@@ -42,12 +44,12 @@
      * Guards against departures that go unnoticed behind what was sent ahead: as long as there is
      * room, the end of the connection is read as well.
      */
-    private static final int MOST_AHEAD = Field.MOST_HEADERS + Field.MOST_BODY;
+    private static final int MOST_AHEAD = WireFormat.MOST_HEADERS + WireFormat.MOST_BODY;
 
     private final OutboundRateMonitor reading;
     private final ClientServer side;
     private final RequestReader reader = new RequestReader();
-    private final Arrivals arrivals = new Arrivals();
+    private final ArrivalTimes arrivals = new ArrivalTimes();
     private RequestContext exchange;
 
     /**
@@ -93,7 +95,7 @@
         if (leaving) {
             return;
         }
-        Arrivals.Arrival now = new Arrivals.Arrival(arrivedAfterUs(), arrivalUs());
+        ArrivalTimes.Arrival now = new ArrivalTimes.Arrival(arrivedAfterUs(), arrivalUs());
         arrivals.waiting(bytes.remaining(), now);
         if (busy) {
             checkAhead(bytes);
@@ -101,14 +103,14 @@
         }
         try {
             int before = bytes.remaining();
-            RequestHead head = reader.read(bytes);
-            Arrivals.Arrival came = arrivals.read(before - bytes.remaining(), now);
+            HttpRequest head = reader.read(bytes);
+            ArrivalTimes.Arrival came = arrivals.read(before - bytes.remaining(), now);
             if (head != null) {
                 busy = true;
                 whole++;
                 cancelOverdue();
                 if (!RequestReader.mayBegin(bytes)) {
-                    throw new RequestHead.Bad(400, "longer than it says");
+                    throw new HttpRequest.Bad(400, "longer than it says");
                 }
                 ask(head, came);
             } else {
@@ -119,7 +121,7 @@
                     overdue = side.loop().in(WHOLE_US, this::overdue);
                 }
             }
-        } catch (RequestHead.Bad e) {
+        } catch (HttpRequest.Bad e) {
             refuse(e);
         }
     }
@@ -144,7 +146,7 @@
         exchange = null;
         arrived = null;
         refuse(
-                new RequestHead.Bad(
+                new HttpRequest.Bad(
                         400, query ? "too much sent ahead of its answer" : "longer than it says"));
     }
 
@@ -152,7 +154,7 @@
      * An error is the last thing on a connection: who has sent one bad message may have hidden
      * others in it.
      */
-    private void refuse(RequestHead.Bad bad) {
+    private void refuse(HttpRequest.Bad bad) {
         busy = true;
         leaving = true;
         side.bad(bad);
@@ -172,7 +174,7 @@
         }
         if (begun) {
             cancelOverdue();
-            refuse(new RequestHead.Bad(408, "the query did not come whole"));
+            refuse(new HttpRequest.Bad(408, "the query did not come whole"));
         } else if (!reader.midway()) { // one that has begun in this moment has its own time
             endWhenWritten();
         }
@@ -185,13 +187,14 @@
         }
     }
 
-    private void ask(RequestHead head, Arrivals.Arrival came) throws RequestHead.Bad {
+    private void ask(HttpRequest head, ArrivalTimes.Arrival came) throws HttpRequest.Bad {
         switch (head.path()) {
             case "/api" -> {
                 if (!head.method().equals("POST")) {
-                    throw new RequestHead.Bad(405, "POST only");
+                    throw new HttpRequest.Bad(405, "POST only");
                 }
-                Request query = head.query(side.site(), came, side.latestUs());
+                Request query =
+                        head.query(side.site(), came.takenUs(), came.earliestUs(), side.latestUs());
                 if (query.deadlineUs()
                         <= side.loop().now()) { // its time has passed behind the ones before it
                     reply(503, "out of time", HttpFields.build());
@@ -204,7 +207,7 @@
                             side.healthy() ? 200 : 503,
                             side.healthy() ? "ok" : "leaving",
                             HttpFields.build());
-            default -> throw new RequestHead.Bad(404, "no such path");
+            default -> throw new HttpRequest.Bad(404, "no such path");
         }
     }
 
@@ -219,7 +222,7 @@
             // the answer may come within the call, before there is an exchange to remember
             RequestContext taken = side.take(query, this);
             exchange = taken.closed() ? null : taken;
-        } catch (RequestHead.Bad e) {
+        } catch (HttpRequest.Bad e) {
             refuse(e);
         }
     }
@@ -267,7 +270,7 @@
         }
         write(
                 this::answered,
-                Encoder.answer(status, fields, body.getBytes(StandardCharsets.UTF_8)));
+                MessageEncoder.answer(status, fields, body.getBytes(StandardCharsets.UTF_8)));
         if (!isClosed()) {
             reading.begin();
             side.checkBudget(reading);
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -13,6 +13,7 @@
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
+import damsonslip.platform.codec.HttpRequest;
 import damsonslip.transport.ConnectionLimiter;
 import damsonslip.transport.ConnectionManager;
 import damsonslip.transport.EventLoopConnection;
@@ -174,9 +175,9 @@
      * at us again as soon as it was turned away. Neither may run beside or after the first, nor
      * disturb it.
      */
-    RequestContext take(Request query, ClientConnection link) throws RequestHead.Bad {
+    RequestContext take(Request query, ClientConnection link) throws HttpRequest.Bad {
         if (driver.holds(query.id()) || taken.containsKey(query.id())) {
-            throw new RequestHead.Bad(409, "this id was used already: " + query.id());
+            throw new HttpRequest.Bad(409, "this id was used already: " + query.id());
         }
         taken.put(query.id(), true);
         return driver.take(query, link);
@@ -225,7 +226,7 @@
         LOG.warn("a client reads nothing of its answer and is let go");
     }
 
-    void bad(RequestHead.Bad why) {
+    void bad(HttpRequest.Bad why) {
         counters.add(Count.QUERIES_BAD);
         driver.events().add(loop().now(), Kind.REFUSED_AS_BAD, "", why.getMessage(), why.status());
     }
--- a/src/main/java/damsonslip/platform/client/RequestHead.java
+++ b/src/main/java/damsonslip/platform/codec/HttpRequest.java
@@ -1,9 +1,7 @@
-package damsonslip.platform.client;
+package damsonslip.platform.codec;
 
 import damsonslip.config.SiteSettings;
 import damsonslip.engine.Request;
-import damsonslip.platform.codec.Field;
-import damsonslip.platform.codec.HttpForward;
 import java.util.Map;
 
 /**
@@ -14,7 +12,7 @@
  * @param fields the header fields that matter here, by their names in lower case
  * @param body the content
  */
-record RequestHead(String method, String target, Map<String, String> fields, byte[] body) {
+public record HttpRequest(String method, String target, Map<String, String> fields, byte[] body) {
     /**
      * No worker has more slots, or more units of memory; what claims more would only spoil the
      * estimates.
@@ -22,21 +20,21 @@
     private static final int MOST_SLOTS = 64;
 
     /** A message that cannot be served, and the status that says so. */
-    static final class Bad extends Exception {
+    public static final class Bad extends Exception {
         private static final long serialVersionUID = 1L;
         private final int status;
 
-        Bad(int status, String why) {
+        public Bad(int status, String why) {
             super(why);
             this.status = status;
         }
 
-        int status() {
+        public int status() {
             return status;
         }
     }
 
-    String path() {
+    public String path() {
         int end = target.indexOf('?');
         return end < 0 ? target : target.substring(0, end);
     }
@@ -73,9 +71,9 @@
         if (site.tenantNames().isEmpty()) {
             return 0;
         }
-        int tenant = site.tenantNames().indexOf(needed(Field.TENANT));
+        int tenant = site.tenantNames().indexOf(needed(WireFormat.TENANT));
         if (tenant < 0) {
-            throw new Bad(400, "unknown account: " + field(Field.TENANT));
+            throw new Bad(400, "unknown account: " + field(WireFormat.TENANT));
         }
         return tenant;
     }
@@ -84,27 +82,30 @@
      * The query that this message asks, which came then; it is answered by the latest time at any
      * rate.
      */
-    Request query(SiteSettings site, Arrivals.Arrival came, long latestUs) throws Bad {
-        String id = plain(Field.ID, needed(Field.ID), ' ');
-        int jobClass = site.classNames().indexOf(needed(Field.CLASS));
+    public Request query(SiteSettings site, long arrivedUs, long earliestUs, long latestUs)
+            throws Bad {
+        String id = plain(WireFormat.ID, needed(WireFormat.ID), ' ');
+        int jobClass = site.classNames().indexOf(needed(WireFormat.CLASS));
         if (jobClass < 0) {
-            throw new Bad(400, "unknown class: " + field(Field.CLASS));
+            throw new Bad(400, "unknown class: " + field(WireFormat.CLASS));
         }
         int tenant = tenant(site);
         int slots = 1;
         double memory = 0;
         long timeLeft;
         try {
-            String told = field(Field.TIME_LEFT);
-            timeLeft = told == null ? site.deadlineUs(jobClass) : Field.micros(told);
+            String told = field(WireFormat.TIME_LEFT);
+            timeLeft = told == null ? site.deadlineUs(jobClass) : WireFormat.micros(told);
             for (String fact :
-                    field(Field.FACTS) == null ? new String[0] : field(Field.FACTS).split(",")) {
+                    field(WireFormat.FACTS) == null
+                            ? new String[0]
+                            : field(WireFormat.FACTS).split(",")) {
                 int at = fact.indexOf('=');
                 String value = fact.substring(at + 1).trim();
                 switch (at < 0 ? "" : fact.substring(0, at).trim()) {
                     case "cores_needed", "slots" ->
-                            slots = Math.max(1, (int) Field.figure(value, MOST_SLOTS));
-                    case "mem_needed", "memory" -> memory = Field.figure(value, MOST_SLOTS);
+                            slots = Math.max(1, (int) WireFormat.figure(value, MOST_SLOTS));
+                    case "mem_needed", "memory" -> memory = WireFormat.figure(value, MOST_SLOTS);
                     default -> {}
                 }
             }
@@ -115,16 +116,16 @@
                 new HttpForward(
                         method,
                         plain("target", target, '!'),
-                        plain(Field.KEY, field(Field.KEY), ' '),
+                        plain(WireFormat.KEY, field(WireFormat.KEY), ' '),
                         plain("Content-Type", field("Content-Type"), ' '),
                         body);
-        long deadline = Math.min(came.takenUs() + timeLeft, latestUs);
+        long deadline = Math.min(arrivedUs + timeLeft, latestUs);
         return new Request(
                 id,
                 jobClass,
                 tenant,
                 deadline,
-                came.earliestUs() + timeLeft,
+                earliestUs + timeLeft,
                 slots,
                 memory,
                 null,
--- a/src/main/java/damsonslip/platform/worker/JobProgress.java
+++ b/src/main/java/damsonslip/platform/codec/JobProgress.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.worker;
+package damsonslip.platform.codec;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -12,8 +12,8 @@
  * @param result what the job gave, where done
  * @param report the worker's load, or null
  */
-record JobProgress(Kind kind, String result, LoadReport report) {
-    enum Kind {
+public record JobProgress(Kind kind, String result, LoadReport report) {
+    public enum Kind {
         STARTED,
         RUNNING,
         DONE,
@@ -23,7 +23,7 @@
     }
 
     /** Reads a line about this job; null if it is none. */
-    static JobProgress read(String line, String id) {
+    public static JobProgress read(String line, String id) {
         try {
             JsonNode node = ConfigurationTree.read(line);
             if (node == null || !id.equals(node.path("id").asText())) {
@@ -63,7 +63,7 @@
     }
 
     /** Reads a load header such as {@code TEXT util=0.61, x0=2}; null if there is none. */
-    static LoadReport report(String header) {
+    public static LoadReport report(String header) {
         if (header == null || !header.startsWith("TEXT")) {
             return null;
         }
--- a/src/main/java/damsonslip/platform/discovery/JsonObjectDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/JsonObjectDecoder.java
@@ -1,4 +1,4 @@
-package damsonslip.platform.discovery;
+package damsonslip.platform.codec;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -71,7 +71,7 @@
     }
 
     /** Bytes of an object whose end has not come yet. */
-    int begun() {
+    public int begun() {
         return begun.size();
     }
 }
--- a/src/main/java/damsonslip/platform/codec/Encoder.java
+++ b/src/main/java/damsonslip/platform/codec/MessageEncoder.java
@@ -12,10 +12,10 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** Encodes whole messages with Jetty's generator. */
-public final class Encoder {
-    private static final int HEAD = 2 * Field.MOST_HEADERS;
+public final class MessageEncoder {
+    private static final int HEAD = 2 * WireFormat.MOST_HEADERS;
 
-    private Encoder() {}
+    private MessageEncoder() {}
 
     /** The bytes of a request. */
     public static ByteBuffer[] request(
--- a/src/main/java/damsonslip/platform/client/RequestReader.java
+++ b/src/main/java/damsonslip/platform/codec/RequestReader.java
@@ -1,6 +1,5 @@
-package damsonslip.platform.client;
+package damsonslip.platform.codec;
 
-import damsonslip.platform.codec.Field;
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -20,7 +19,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /** Decodes a client's bytes, message by message. */
-final class RequestReader implements HttpParser.RequestHandler {
+public final class RequestReader implements HttpParser.RequestHandler {
     private static final List<String> METHODS =
             Arrays.stream(HttpMethod.values()).map(m -> m.asString() + " ").toList();
     private static final int LONGEST_METHOD =
@@ -31,11 +30,17 @@
      * once.
      */
     private static final Set<String> SINGLE =
-            Stream.of(Field.ID, Field.CLASS, Field.TENANT, Field.TIME_LEFT, Field.KEY, Field.FACTS)
+            Stream.of(
+                            WireFormat.ID,
+                            WireFormat.CLASS,
+                            WireFormat.TENANT,
+                            WireFormat.TIME_LEFT,
+                            WireFormat.KEY,
+                            WireFormat.FACTS)
                     .map(name -> name.toLowerCase(Locale.ROOT))
                     .collect(Collectors.toUnmodifiableSet());
 
-    private final HttpParser parser = new HttpParser(this, Field.MOST_HEADERS);
+    private final HttpParser parser = new HttpParser(this, WireFormat.MOST_HEADERS);
     private Map<String, String> fields = new HashMap<>();
     private ByteArrayOutputStream body = new ByteArrayOutputStream(256);
     private String method;
@@ -43,10 +48,10 @@
     private boolean persistent;
     private boolean expectsContinue;
     private boolean whole;
-    private RequestHead.Bad bad;
+    private HttpRequest.Bad bad;
 
     /** Takes bytes in; gives a message once it is whole, else null. */
-    RequestHead read(ByteBuffer bytes) throws RequestHead.Bad {
+    public HttpRequest read(ByteBuffer bytes) throws HttpRequest.Bad {
         while (!whole && bad == null && BufferUtil.hasContent(bytes)) {
             int before = bytes.remaining();
             parser.parseNext(bytes);
@@ -57,11 +62,11 @@
         if (bad != null) {
             throw bad;
         }
-        return whole ? new RequestHead(method, target, fields, body.toByteArray()) : null;
+        return whole ? new HttpRequest(method, target, fields, body.toByteArray()) : null;
     }
 
     /** Whether these bytes, as far as they go, can be the beginning of a message. */
-    static boolean mayBegin(ByteBuffer bytes) {
+    public static boolean mayBegin(ByteBuffer bytes) {
         int from = bytes.position();
         while (from < bytes.limit() && (bytes.get(from) == '\r' || bytes.get(from) == '\n')) {
             from++;
@@ -74,24 +79,24 @@
     }
 
     /** Whether the connection may serve a further message. */
-    boolean persistent() {
+    public boolean persistent() {
         return persistent;
     }
 
     /** Whether the client waits to be told to send its body; asked for once. */
-    boolean takeContinue() {
+    public boolean takeContinue() {
         boolean asked = expectsContinue && !whole;
         expectsContinue = false;
         return asked;
     }
 
     /** Whether a message has begun and is not whole. */
-    boolean midway() {
+    public boolean midway() {
         return !whole && !parser.isState(HttpParser.State.START);
     }
 
     /** Makes ready for the next message. */
-    void next() {
+    public void next() {
         parser.reset();
         fields = new HashMap<>();
         body = new ByteArrayOutputStream(256);
@@ -114,11 +119,12 @@
             persistent = !says.contains("close") && (persistent || says.contains("keep-alive"));
         } else if (name.equals("expect")) {
             expectsContinue = value.equalsIgnoreCase("100-continue");
-        } else if (name.equals("content-length") && parser.getContentLength() > Field.MOST_BODY) {
-            bad = new RequestHead.Bad(413, "body too large");
+        } else if (name.equals("content-length")
+                && parser.getContentLength() > WireFormat.MOST_BODY) {
+            bad = new HttpRequest.Bad(413, "body too large");
         }
         if (fields.put(name, value) != null && SINGLE.contains(name)) {
-            bad = new RequestHead.Bad(400, "twice: " + field.getName());
+            bad = new HttpRequest.Bad(400, "twice: " + field.getName());
         }
     }
 
@@ -129,8 +135,8 @@
 
     @Override
     public boolean content(ByteBuffer part) {
-        if (body.size() + part.remaining() > Field.MOST_BODY) {
-            bad = new RequestHead.Bad(413, "body too large");
+        if (body.size() + part.remaining() > WireFormat.MOST_BODY) {
+            bad = new HttpRequest.Bad(413, "body too large");
             return true;
         }
         byte[] bytes = new byte[part.remaining()];
@@ -158,7 +164,7 @@
         if (bad == null) {
             int status = failure.getCode() == 414 ? 431 : failure.getCode();
             bad =
-                    new RequestHead.Bad(
+                    new HttpRequest.Bad(
                             status,
                             failure.getReason() == null ? "malformed" : failure.getReason());
         }
--- a/src/main/java/damsonslip/platform/codec/Field.java
+++ b/src/main/java/damsonslip/platform/codec/WireFormat.java
@@ -4,7 +4,7 @@
 import java.util.regex.Pattern;
 
 /** The names of the platform's header fields, and the forms of their values. */
-public final class Field {
+public final class WireFormat {
     public static final String ID = "X-Correlation-Id";
     public static final String CLASS = "X-Service-Class";
     public static final String TENANT = "X-Account";
@@ -20,7 +20,7 @@
 
     private static final Pattern FIGURE = Pattern.compile("[0-9]{1,20}(\\.[0-9]{1,20})?");
 
-    private Field() {}
+    private WireFormat() {}
 
     /**
      * Reads {@code 480m} or {@code 480000u} as microseconds; no number or no known unit is an
--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -2,7 +2,8 @@
 
 import damsonslip.engine.EventLoop;
 import damsonslip.engine.SchedulerEngine;
-import damsonslip.platform.codec.Encoder;
+import damsonslip.platform.codec.MessageEncoder;
+import damsonslip.platform.codec.JsonObjectDecoder;
 import damsonslip.platform.codec.ResponseReader;
 import damsonslip.policy.api.DiscoveryAddressState;
 import damsonslip.policy.api.WorkerListChange;
@@ -190,7 +191,7 @@
             HttpFields fields = HttpFields.build().add("Host", "discovery");
             write(
                     () -> {},
-                    Encoder.request(
+                    MessageEncoder.request(
                             "GET",
                             "/v1/servers?watch=1&after=" + (unheard ? 0 : hosts.generation()),
                             fields,
--- a/src/main/java/damsonslip/platform/worker/WorkerConnection.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -3,9 +3,10 @@
 import damsonslip.engine.Attempt;
 import damsonslip.engine.EventLoop;
 import damsonslip.engine.SlowPeer;
-import damsonslip.platform.codec.Encoder;
-import damsonslip.platform.codec.Field;
+import damsonslip.platform.codec.MessageEncoder;
+import damsonslip.platform.codec.WireFormat;
 import damsonslip.platform.codec.HttpForward;
+import damsonslip.platform.codec.JobProgress;
 import damsonslip.platform.codec.ResponseReader;
 import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.LoadReport;
@@ -129,15 +130,15 @@
         HttpFields.Mutable fields =
                 HttpFields.build()
                         .add("Host", "app.svc")
-                        .add(Field.ID, next.query().id())
-                        .add(Field.TIME_LEFT, Field.text(toldUs));
+                        .add(WireFormat.ID, next.query().id())
+                        .add(WireFormat.TIME_LEFT, WireFormat.text(toldUs));
         if (forward.key() != null) {
-            fields.add(Field.KEY, forward.key());
+            fields.add(WireFormat.KEY, forward.key());
         }
         if (forward.contentType() != null) {
             fields.add("Content-Type", forward.contentType());
         }
-        begin(Encoder.request(forward.method(), forward.target(), fields, forward.body()));
+        begin(MessageEncoder.request(forward.method(), forward.target(), fields, forward.body()));
     }
 
     /**
@@ -163,7 +164,9 @@
         probing = true;
         healthyTells = healthy;
         probeTime = side.loop().in(timeUs, this::probeOverdue);
-        begin(Encoder.request("GET", "/load", HttpFields.build().add("Host", "app.svc"), NOTHING));
+        begin(
+                MessageEncoder.request(
+                        "GET", "/load", HttpFields.build().add("Host", "app.svc"), NOTHING));
     }
 
     /** The probe's answer has not come in time, unless it has and the loop was held up. */
@@ -303,8 +306,8 @@
         if (idledUs >= 0) {
             side.keptAge().seen(idledUs, false);
         }
-        report = JobProgress.report(fields.get(Field.LOAD.toLowerCase(Locale.ROOT)));
-        unprocessed = "1".equals(fields.get(Field.NOT_RUN.toLowerCase(Locale.ROOT)));
+        report = JobProgress.report(fields.get(WireFormat.LOAD.toLowerCase(Locale.ROOT)));
+        unprocessed = "1".equals(fields.get(WireFormat.NOT_RUN.toLowerCase(Locale.ROOT)));
     }
 
     @Override
--- a/src/main/java/damsonslip/tools/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/HollowScheduler.java
@@ -1,7 +1,7 @@
 package damsonslip.tools.lab;
 
 import damsonslip.config.ConfigurationException;
-import damsonslip.platform.discovery.JsonObjectDecoder;
+import damsonslip.platform.codec.JsonObjectDecoder;
 import damsonslip.platform.discovery.WorkerRegistry;
 import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
--- a/src/test/java/damsonslip/platform/discovery/HostGroupTest.java
+++ b/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Addresses of workers, as lists come and go. */
-class HostGroupTest {
+class WorkerRegistryTest {
     private static final long MINUTE = 60_000_000;
     private static final String SETTINGS =
             """
--- a/src/test/java/damsonslip/platform/worker/KeptAgeTest.java
+++ b/src/test/java/damsonslip/platform/worker/IdleConnectionRiskTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** How old a kept link may be before it is no longer trusted. */
-class KeptAgeTest {
+class IdleConnectionRiskTest {
     @Test
     void agesAtWhichLinksBreakAreGivenUpAndTriedAgainLater() {
         IdleConnectionRisk age = new IdleConnectionRisk();
