--- /dev/null
+++ b/src/main/java/damsonslip/platform/DescriptorBudget.java
@@ -0,0 +1,35 @@
+package damsonslip.platform;
+
+import damsonslip.admin.management.ManagementServer;
+import damsonslip.config.SchedulerConfig;
+
+/**
+ * Divides the file descriptors of one scheduler between its processes, and those of a process
+ * between clients, workers and everything else.
+ */
+final class DescriptorBudget {
+    /** For files, the selector and discovery. */
+    private static final int OTHER_DESCRIPTORS = 24;
+
+    /** One part in this many is for connections that are accepted before others are closed. */
+    private static final int OVERFLOW_PART = 8;
+
+    private final int descriptors;
+    private final int reserved;
+
+    DescriptorBudget(SchedulerConfig config) {
+        this.descriptors = config.sockets();
+        this.reserved =
+                OTHER_DESCRIPTORS + (config.mgmt().isEmpty() ? 0 : ManagementServer.SOCKETS);
+    }
+
+    /** How many clients may exceed their number for the moment. */
+    int clientOverflow(int processes) {
+        return descriptors / processes / OVERFLOW_PART;
+    }
+
+    /** How many connections clients and workers may each have. */
+    int connectionsPerSide(int processes) {
+        return (descriptors / processes - reserved - clientOverflow(processes)) / 2;
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/platform/PlatformShutdown.java
@@ -0,0 +1,88 @@
+package damsonslip.platform;
+
+import damsonslip.config.SchedulerConfig;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.GracefulShutdown;
+import damsonslip.engine.LifecyclePhase;
+import damsonslip.engine.LifecyclePhase.State;
+import damsonslip.engine.SchedulerEngine;
+import damsonslip.engine.shutdown.ConnectionDraining;
+import damsonslip.engine.shutdown.ShutdownTimes;
+import damsonslip.platform.client.ClientServer;
+import damsonslip.transport.ListeningPort;
+
+/**
+ * The graceful shutdown of the platform's front: requests are accepted for a while, then the
+ * listener is closed and connections are drained, and the process ends once nothing is in flight.
+ * Used on the event loop only.
+ */
+final class PlatformShutdown {
+    private final EventLoop loop;
+    private final LifecyclePhase phase;
+    private final SchedulerEngine engine;
+    private final long longestDeadlineUs;
+    private final ShutdownTimes times;
+
+    /** These are null until connections are accepted. */
+    private ListeningPort listener;
+
+    private ClientServer clients;
+    private ProcessCoordination processes;
+
+    PlatformShutdown(
+            EventLoop loop, LifecyclePhase phase, SchedulerEngine engine, SchedulerConfig config) {
+        this.loop = loop;
+        this.phase = phase;
+        this.engine = engine;
+        this.longestDeadlineUs =
+                config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+        this.times = ShutdownTimes.of(longestDeadlineUs);
+    }
+
+    /** Connections are accepted from now on, and have to be drained by a shutdown. */
+    void acceptingStarted(
+            ListeningPort openListener,
+            ClientServer clientServer,
+            ProcessCoordination processCoordination) {
+        listener = openListener;
+        clients = clientServer;
+        processes = processCoordination;
+    }
+
+    /** Begins the shutdown; ends at once where no client could have connected yet. */
+    void begin() {
+        long beginUs = loop.now();
+        if (listener == null) {
+            phase.moveTo(State.ENDED);
+        } else {
+            processes.refresh(() -> stopServing(beginUs));
+        }
+    }
+
+    private void stopServing(long beginUs) {
+        long lastResponseUs = beginUs + times.answerDeadlineUs();
+        clients.limitDeadlines(lastResponseUs);
+        loop.at(lastResponseUs, engine::answerAll);
+        new GracefulShutdown(
+                        loop,
+                        phase,
+                        times.acceptUs(),
+                        longestDeadlineUs,
+                        processes::hasSuccessor,
+                        this::closeListener,
+                        this::isComplete)
+                .begin();
+    }
+
+    private void closeListener() {
+        listener.shut();
+        clients.startDraining(
+                processes.hasSuccessor()
+                        ? ConnectionDraining.forUpgrade(loop.now(), times)
+                        : ConnectionDraining.forShutdown(loop.now()));
+    }
+
+    private boolean isComplete() {
+        return listener.isShut() && engine.open() == 0 && clients.isEmpty();
+    }
+}
--- a/src/main/java/damsonslip/platform/client/ArrivalTimes.java
+++ b/src/main/java/damsonslip/platform/client/ArrivalTimes.java
@@ -1,58 +1,58 @@
 package damsonslip.platform.client;
 
+import damsonslip.platform.codec.ArrivalTime;
 import java.util.ArrayDeque;
 
 /**
- * When the bytes that wait to be read have come. Guards the deadlines of requests that are written
- * ahead: their clients' time runs from when they were sent, not from when the requests before them
- * were answered. Used on the loop.
+ * Remembers when the buffered bytes of a connection have arrived. The time budget of a pipelined
+ * request counts from its arrival, not from the response to the request before it. Used on the
+ * event loop only.
  */
 final class ArrivalTimes {
-    /**
-     * What comes within this time counts as come together: exact enough for any deadline, and few
-     * entries.
-     */
-    private static final long TOGETHER_US = 10_000;
+    /** Bytes that arrive within this time are recorded together. */
+    private static final long RESOLUTION_US = 10_000;
 
-    /**
-     * When something has come.
-     *
-     * @param earliestUs not before this: until then nothing was there to read
-     * @param takenUs it counts as come then, by all that is tolerated
-     */
-    record Arrival(long earliestUs, long takenUs) {}
+    private record Segment(int bytes, ArrivalTime arrival) {}
 
-    private record Part(int bytes, Arrival at) {}
+    private final ArrayDeque<Segment> segments = new ArrayDeque<>();
+    private int bufferedBytes;
 
-    private final ArrayDeque<Part> parts = new ArrayDeque<>();
-    private int waiting;
+    /** Records that this many bytes are buffered; the additional ones have arrived just now. */
+    void buffered(int bytes, ArrivalTime now) {
+        int added = bytes - bufferedBytes;
+        if (added > 0) {
+            append(added, now);
+        }
+        bufferedBytes = bytes;
+    }
 
-    /** So many bytes wait now; those that are more than before have just come. */
-    void waiting(int bytes, Arrival now) {
-        int more = bytes - waiting;
-        Part last = parts.peekLast();
-        if (more > 0 && last != null && now.takenUs() - last.at().takenUs() < TOGETHER_US) {
-            parts.pollLast();
-            parts.addLast(new Part(last.bytes() + more, last.at()));
-        } else if (more > 0) {
-            parts.addLast(new Part(more, now));
+    private void append(int added, ArrivalTime now) {
+        Segment last = segments.peekLast();
+        if (last != null && now.countedUs() - last.arrival().countedUs() < RESOLUTION_US) {
+            segments.pollLast();
+            segments.addLast(new Segment(last.bytes() + added, last.arrival()));
+        } else {
+            segments.addLast(new Segment(added, now));
         }
-        waiting = bytes;
     }
 
-    /** So many of them were read; gives when the last of these had come. */
-    Arrival read(int bytes, Arrival now) {
-        Arrival last = now;
+    /**
+     * Records that this many bytes were consumed.
+     *
+     * @return when the last of them had arrived; now if there were none
+     */
+    ArrivalTime consumed(int bytes, ArrivalTime now) {
+        ArrivalTime last = now;
         int left = bytes;
-        while (left > 0 && !parts.isEmpty()) {
-            Part part = parts.pollFirst();
-            last = part.at();
-            if (part.bytes() > left) {
-                parts.addFirst(new Part(part.bytes() - left, part.at()));
+        while (left > 0 && !segments.isEmpty()) {
+            Segment segment = segments.pollFirst();
+            last = segment.arrival();
+            if (segment.bytes() > left) {
+                segments.addFirst(new Segment(segment.bytes() - left, segment.arrival()));
             }
-            left -= Math.min(left, part.bytes());
+            left -= Math.min(left, segment.bytes());
         }
-        waiting -= bytes;
+        bufferedBytes -= bytes;
         return last;
     }
 }
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -8,7 +8,9 @@
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
-import damsonslip.platform.codec.MessageEncoder;
+import damsonslip.platform.codec.ArrivalTime;
+import damsonslip.platform.codec.BadRequestException;
+import damsonslip.platform.codec.ClientResponse;
 import damsonslip.platform.codec.HttpRequest;
 import damsonslip.platform.codec.RequestReader;
 import damsonslip.platform.codec.WireFormat;
@@ -16,381 +18,365 @@
 import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.Locale;
-import org.eclipse.jetty.http.HttpFields;
+import java.util.Comparator;
 import org.eclipse.jetty.io.EndPoint;
 
-/** A client's connection: one query at a time, from its bytes to its answer. */
+/**
+ * One connection of a client, which carries one request at a time; {@link ClientConnectionState}
+ * holds its states. Used on the event loop only.
+ */
 final class ClientConnection extends EventLoopConnection implements ResponseListener {
-    private static final byte[] CONTINUE =
-            "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+    /** The order in which connections are closed where there are too many. */
+    static final Comparator<ClientConnection> EVICTION_ORDER =
+            Comparator.comparing(ClientConnection::usage)
+                    .thenComparingLong(connection -> connection.idleSinceUs);
+
+    /** How much a connection has been used; the least used are closed first. */
+    private enum Usage {
+        LINGERING,
+        SILENT,
+        UNSERVED,
+        SERVED
+    }
 
-    /**
-     * Within this time of the connection's start, or of its first bytes, a query has to be whole.
-     */
-    private static final long WHOLE_US = 2_000_000;
+    /** Time for a request to be complete, from the connection's start or its first bytes. */
+    private static final long REQUEST_TIMEOUT_US = 2_000_000;
 
     /**
-     * How a client has to read its answer: nothing may move for 5 s at first; later for as long as
-     * what it has read is worth at 2 KB/s, a weak mobile link. An answer that fits into the
-     * system's buffers is taken at once, whatever the client does.
+     * How fast a client has to read its response: a stall may last 5 s at first, and later as long
+     * as what was read is worth at 2 KB/s, a weak mobile link. A response that fits into the
+     * system's socket buffers never stalls.
      */
-    private static final MinimumDataRate.Limits READING =
+    private static final MinimumDataRate.Limits RESPONSE_RATE =
             new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     /**
-     * What is read of a client while its query waits: a further message as large as they may be.
-     * Guards against departures that go unnoticed behind what was sent ahead: as long as there is
-     * room, the end of the connection is read as well.
+     * How much is buffered behind a request: one further message. While there is room for more, the
+     * end of the connection is noticed behind what was pipelined.
      */
-    private static final int MOST_AHEAD = WireFormat.MOST_HEADERS + WireFormat.MOST_BODY;
+    private static final int MAX_PIPELINED_BYTES =
+            WireFormat.MAX_HEADER_BYTES + WireFormat.MAX_BODY_BYTES;
 
-    private final OutboundRateMonitor reading;
-    private final ClientServer side;
+    private final ClientServer server;
+    private final EventLoop loop;
+    private final OutboundRateMonitor responseMonitor;
     private final RequestReader reader = new RequestReader();
-    private final ArrivalTimes arrivals = new ArrivalTimes();
-    private RequestContext exchange;
+    private final ArrivalTimes arrivalTimes = new ArrivalTimes();
+
+    private ClientConnectionState state = ClientConnectionState.RECEIVING;
 
     /**
-     * A query that has come whole and is taken once all that came behind it is read. Guards against
-     * a client that has left by then: where the loop was held up, query and close are there
-     * together, and an attempt would be for nobody.
+     * The complete request in state {@link ClientConnectionState#RECEIVED}, else null. Where the
+     * event loop was held up, the client's close may have arrived right behind its request.
      */
-    private Request arrived;
-
-    /** A message is being served, by a worker or by ourselves. */
-    private boolean busy;
+    private Request receivedRequest;
 
-    private boolean leaving;
+    /** The request in state {@link ClientConnectionState#PROCESSING}, else null. */
+    private RequestContext context;
 
-    /**
-     * Runs while a message is awaited, the first one from the start on, others once they have
-     * begun.
-     */
-    private EventLoop.Timer overdue;
+    /** Whether the connection is closed behind the response at hand. */
+    private boolean closing;
 
-    /** Whole messages that could be read, and those of them that a worker has served. */
-    private int whole;
+    /** Limits the time for a request to arrive, or null. */
+    private EventLoop.Timer requestTimer;
 
+    private int requests;
     private int served;
-    long idleSinceUs;
-
-    ClientConnection(EndPoint endPoint, ClientServer side) {
-        super(endPoint, side.loop(), MOST_AHEAD);
-        this.side = side;
-        this.reading =
-                new OutboundRateMonitor(side.loop(), READING, this::backlog, this::readsNothing);
+    private long idleSinceUs;
+
+    ClientConnection(EndPoint endPoint, ClientServer server) {
+        super(endPoint, server.loop(), MAX_PIPELINED_BYTES);
+        this.server = server;
+        this.loop = server.loop();
+        this.responseMonitor =
+                new OutboundRateMonitor(loop, RESPONSE_RATE, this::backlog, this::closeSlowReader);
     }
 
     @Override
     protected void opened() {
-        idleSinceUs = side.loop().now();
-        overdue = side.loop().in(WHOLE_US, this::overdue);
-        side.opened(this);
+        idleSinceUs = loop.now();
+        startRequestTimer();
+        server.opened(this);
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (leaving) {
+        if (closing) {
             return;
         }
-        ArrivalTimes.Arrival now = new ArrivalTimes.Arrival(arrivedAfterUs(), arrivalUs());
-        arrivals.waiting(bytes.remaining(), now);
-        if (busy) {
-            checkAhead(bytes);
+        ArrivalTime now = new ArrivalTime(arrivedAfterUs(), arrivalUs());
+        arrivalTimes.buffered(bytes.remaining(), now);
+        if (state != ClientConnectionState.RECEIVING) {
+            checkPipelined(bytes);
             return;
         }
         try {
             int before = bytes.remaining();
-            HttpRequest head = reader.read(bytes);
-            ArrivalTimes.Arrival came = arrivals.read(before - bytes.remaining(), now);
-            if (head != null) {
-                busy = true;
-                whole++;
-                cancelOverdue();
-                if (!RequestReader.mayBegin(bytes)) {
-                    throw new HttpRequest.Bad(400, "longer than it says");
-                }
-                ask(head, came);
-            } else {
-                if (reader.takeContinue()) {
-                    write(() -> {}, ByteBuffer.wrap(CONTINUE));
-                }
-                if (reader.midway() && overdue == null) {
-                    overdue = side.loop().in(WHOLE_US, this::overdue);
-                }
+            HttpRequest request = reader.read(bytes);
+            ArrivalTime arrival = arrivalTimes.consumed(before - bytes.remaining(), now);
+            if (request == null) {
+                awaitRest();
+                return;
+            }
+            requests++;
+            stopRequestTimer();
+            if (!RequestReader.mayBeginRequest(bytes)) {
+                throw BadRequestException.longerThanAnnounced();
             }
-        } catch (HttpRequest.Bad e) {
-            refuse(e);
+            handle(request, arrival);
+        } catch (BadRequestException e) {
+            reject(e);
         }
     }
 
-    /**
-     * Looks at what has come behind the query at hand. Guards against a length that is too small:
-     * the rest of the body can be no query, and what was cut off must not be served as though it
-     * were one.
-     */
-    private void checkAhead(ByteBuffer bytes) {
-        boolean query = RequestReader.mayBegin(bytes);
-        if (query && bytes.remaining() < MOST_AHEAD) {
-            return;
+    private void awaitRest() {
+        if (reader.takeExpectContinue()) {
+            write(() -> {}, ClientResponse.encodeContinue());
         }
-        if (exchange == null && arrived == null) { // its answer is being written already
-            leaving |= !query;
-            return;
-        }
-        if (exchange != null) {
-            side.driver().gone(exchange);
+        if (reader.isMidRequest() && requestTimer == null) {
+            startRequestTimer();
         }
-        exchange = null;
-        arrived = null;
-        refuse(
-                new HttpRequest.Bad(
-                        400, query ? "too much sent ahead of its answer" : "longer than it says"));
-    }
-
-    /**
-     * An error is the last thing on a connection: who has sent one bad message may have hidden
-     * others in it.
-     */
-    private void refuse(HttpRequest.Bad bad) {
-        busy = true;
-        leaving = true;
-        side.bad(bad);
-        reply(bad.status(), bad.getMessage(), HttpFields.build());
     }
 
     /**
-     * Guards against clients that say nothing, or never end what they say: these would fill all the
-     * room there is.
+     * Checks the bytes behind the request at hand. If they cannot begin another request, its length
+     * was too small, and a request that was cut off must not be served.
      */
-    private void overdue() {
-        overdue = null;
-        boolean begun = reader.midway();
-        look();
-        if (busy || isClosed()) {
+    private void checkPipelined(ByteBuffer bytes) {
+        boolean isRequest = RequestReader.mayBeginRequest(bytes);
+        if (isRequest && bytes.remaining() < MAX_PIPELINED_BYTES) {
             return;
         }
-        if (begun) {
-            cancelOverdue();
-            refuse(new HttpRequest.Bad(408, "the query did not come whole"));
-        } else if (!reader.midway()) { // one that has begun in this moment has its own time
-            endWhenWritten();
+        if (context == null && receivedRequest == null) { // its response is being written already
+            closing |= !isRequest;
+            return;
         }
-    }
-
-    private void cancelOverdue() {
-        if (overdue != null) {
-            overdue.cancel();
-            overdue = null;
+        if (context != null) {
+            server.engine().gone(context);
         }
+        context = null;
+        receivedRequest = null;
+        reject(
+                isRequest
+                        ? BadRequestException.pipelinedTooMuch()
+                        : BadRequestException.longerThanAnnounced());
     }
 
-    private void ask(HttpRequest head, ArrivalTimes.Arrival came) throws HttpRequest.Bad {
-        switch (head.path()) {
-            case "/api" -> {
-                if (!head.method().equals("POST")) {
-                    throw new HttpRequest.Bad(405, "POST only");
-                }
-                Request query =
-                        head.query(side.site(), came.takenUs(), came.earliestUs(), side.latestUs());
-                if (query.deadlineUs()
-                        <= side.loop().now()) { // its time has passed behind the ones before it
-                    reply(503, "out of time", HttpFields.build());
+    private void handle(HttpRequest request, ArrivalTime arrival) throws BadRequestException {
+        switch (request.route()) {
+            case JOB -> {
+                Request decoded = server.decode(request, arrival);
+                if (decoded.deadlineUs() <= loop.now()) {
+                    respond(ClientResponse.expiredBeforeAdmission());
                     return;
                 }
-                arrived = query;
+                receivedRequest = decoded;
+                moveTo(ClientConnectionState.RECEIVED);
             }
-            case "/healthz" ->
-                    reply(
-                            side.healthy() ? 200 : 503,
-                            side.healthy() ? "ok" : "leaving",
-                            HttpFields.build());
-            default -> throw new HttpRequest.Bad(404, "no such path");
+            case HEALTH -> respond(ClientResponse.health(server.isHealthy()));
         }
     }
 
     @Override
     protected void readComplete() {
-        if (arrived == null) {
+        if (receivedRequest == null) {
             return;
         }
-        Request query = arrived;
-        arrived = null;
+        Request request = receivedRequest;
+        receivedRequest = null;
+        moveTo(ClientConnectionState.ADMITTING);
         try {
-            // the answer may come within the call, before there is an exchange to remember
-            RequestContext taken = side.take(query, this);
-            exchange = taken.closed() ? null : taken;
-        } catch (HttpRequest.Bad e) {
-            refuse(e);
+            RequestContext admitted = server.admit(request, this);
+            if (!admitted.closed()) {
+                context = admitted;
+                moveTo(ClientConnectionState.PROCESSING);
+            }
+        } catch (BadRequestException e) {
+            reject(e);
         }
     }
 
-    /**
-     * While the query is being taken there is no exchange yet, and all that had come was read in
-     * that moment.
-     */
+    /** During the admission there is nothing to read: everything was read right before it. */
     @Override
     public void readPending() {
-        if (exchange != null) {
+        if (context != null) {
             look();
         }
     }
 
     @Override
-    public void answer(Response answer) {
-        exchange = null;
-        HttpFields.Mutable fields = HttpFields.build();
-        switch (answer.kind()) {
-            case SERVED -> {
-                served++;
-                reply(200, answer.result(), fields);
-            }
-            case THROTTLED -> {
-                if (answer.retryAfterUs() > 0 && side.site().retryAfter()) {
-                    fields.add(
-                            "Retry-After",
-                            String.format(Locale.ROOT, "%.3f", answer.retryAfterUs() / 1e6));
-                }
-                reply(503, "throttled", fields);
-            }
-            case FAILED ->
-                    reply(
-                            answer.late() ? 504 : 502,
-                            answer.late() ? "out of time" : "failed",
-                            fields);
+    public void answer(Response response) {
+        context = null;
+        if (response.kind() == Response.Kind.SERVED) {
+            served++;
         }
+        respond(ClientResponse.of(response, server.sendsRetryAfter()));
     }
 
-    private void reply(int status, String body, HttpFields.Mutable fields) {
-        leaving |= !reader.persistent() || !side.ready();
-        if (leaving) {
-            fields.add("Connection", "close");
-        }
-        write(
-                this::answered,
-                MessageEncoder.answer(status, fields, body.getBytes(StandardCharsets.UTF_8)));
+    /** Closes the connection behind the response: a bad message may have others hidden in it. */
+    private void reject(BadRequestException failure) {
+        closing = true;
+        server.rejected(failure);
+        respond(ClientResponse.of(failure));
+    }
+
+    private void respond(ClientResponse response) {
+        moveTo(ClientConnectionState.RESPONDING);
+        closing |= !reader.isPersistent() || !server.isReady();
+        write(this::responseWritten, response.encode(closing));
         if (!isClosed()) {
-            reading.begin();
-            side.checkBudget(reading);
+            responseMonitor.begin();
+            server.checkResponseBuffers(responseMonitor);
         }
     }
 
-    SlowPeer shown() {
-        return reading.shown("reads an answer", peer());
+    private void responseWritten() {
+        responseMonitor.end();
+        if (closing) {
+            endWhenWritten();
+            return;
+        }
+        moveTo(ClientConnectionState.RECEIVING);
+        idleSinceUs = loop.now();
+        reader.reset();
+        loop.execute(this::again);
     }
 
-    OutboundRateMonitor reading() {
-        return reading;
+    private void moveTo(ClientConnectionState next) {
+        state = state.next(next);
     }
 
-    /**
-     * Guards the room and the memory that a client would hold for ever that never reads its answer.
-     */
-    void readsNothing() {
-        side.readsNothing();
-        end();
+    private void startRequestTimer() {
+        requestTimer = loop.in(REQUEST_TIMEOUT_US, this::requestTimedOut);
     }
 
-    private void answered() {
-        reading.end();
-        if (leaving) {
-            endWhenWritten();
-            return;
+    private void stopRequestTimer() {
+        if (requestTimer != null) {
+            requestTimer.cancel();
+            requestTimer = null;
         }
-        busy = false;
-        idleSinceUs = side.loop().now();
-        reader.next();
-        side.loop().execute(this::again);
     }
 
-    /**
-     * Ends it between queries; one that has just come is served first, and one that crosses the end
-     * is not read as one.
-     */
-    void endIfIdle() {
-        if (idle()) {
-            look();
+    /** A connection that sends nothing, or never completes its request, would take up room. */
+    private void requestTimedOut() {
+        requestTimer = null;
+        boolean wasMidRequest = reader.isMidRequest();
+        look();
+        if (isBusy() || isClosed()) {
+            return;
         }
-        if (idle() && !isClosed()) {
+        if (wasMidRequest) {
+            stopRequestTimer();
+            reject(BadRequestException.incomplete());
+        } else if (!reader.isMidRequest()) { // a request that begins now has its own time
             endWhenWritten();
         }
     }
 
-    /** Carries out what sending clients away means for this one. */
+    /** How the client reads its response. */
+    SlowPeer slowPeer() {
+        return responseMonitor.shown("reads an answer", peer());
+    }
+
+    OutboundRateMonitor responseMonitor() {
+        return responseMonitor;
+    }
+
+    /** Closes a connection whose client does not read its response. */
+    void closeSlowReader() {
+        server.slowReaderClosed();
+        end();
+    }
+
+    /** Applies a rule of connection draining. */
     void drain(ConnectionDraining draining) {
-        switch (draining.actionFor(side.loop().now(), busy, reader.midway(), idleSinceUs)) {
+        switch (draining.actionFor(loop.now(), isBusy(), reader.isMidRequest(), idleSinceUs)) {
             case KEEP -> {}
-            case CLOSE -> endIfIdle();
-            case REJECT -> rejectPart();
+            case CLOSE -> closeIfIdle();
+            case REJECT -> rejectIncomplete();
         }
     }
 
-    /** Answers a request that has partly come, and ends the connection. */
-    private void rejectPart() {
-        busy = true;
-        leaving = true;
-        cancelOverdue();
-        reply(503, "going away", HttpFields.build());
+    /** Closes the connection between requests; one that has just arrived is served first. */
+    private void closeIfIdle() {
+        if (isIdle()) {
+            look();
+        }
+        if (isIdle() && !isClosed()) {
+            endWhenWritten();
+        }
+    }
+
+    private void rejectIncomplete() {
+        closing = true;
+        stopRequestTimer();
+        respond(ClientResponse.draining());
     }
 
     @Override
     protected void endUnserved() {
-        if (!busy && reader.midway()) {
-            rejectPart();
+        if (!isBusy() && reader.isMidRequest()) {
+            rejectIncomplete();
         } else {
             endWhenWritten();
         }
     }
 
-    boolean busy() {
-        return busy;
+    private boolean isBusy() {
+        return state != ClientConnectionState.RECEIVING;
     }
 
-    /** Whether no message has begun on it. */
-    boolean idle() {
-        return !busy && !reader.midway();
+    private boolean isIdle() {
+        return !isBusy() && !reader.isMidRequest();
     }
 
-    /** Whether it may be ended to make room: nothing that it has asked for is under way. */
-    boolean mayGo() {
-        return !busy || isLingering();
-    }
-
-    /**
-     * How much it would be missed: usual clients send at once, get their results, and come back.
-     */
-    private int worth() {
-        boolean asked = whole > 0 || reader.midway();
-        return isLingering() ? 0 : !asked ? 1 : served == 0 ? 2 : 3;
+    /** Whether it may be closed to make room for others. */
+    boolean isEvictable() {
+        return !isBusy() || isLingering();
     }
 
-    /** The order in which they go when there is no room. */
-    static int compareMissed(ClientConnection one, ClientConnection other) {
-        int worth = Integer.compare(one.worth(), other.worth());
-        return worth != 0 ? worth : Long.compare(one.idleSinceUs, other.idleSinceUs);
+    private Usage usage() {
+        if (isLingering()) {
+            return Usage.LINGERING;
+        }
+        if (requests == 0 && !reader.isMidRequest()) {
+            return Usage.SILENT;
+        }
+        return served == 0 ? Usage.UNSERVED : Usage.SERVED;
     }
 
     @Override
     protected void lost() {
-        if (exchange != null) {
-            side.driver().gone(exchange);
+        if (context != null) {
+            server.engine().gone(context);
         }
     }
 
     @Override
     protected void released() {
-        reading.end();
-        cancelOverdue();
-        boolean owed = arrived != null || exchange != null && !exchange.closed();
-        String job = arrived != null ? arrived.id() : exchange != null ? exchange.query().id() : "";
-        side.closed(this, new CloseGuard.Facts(job, owed, isEndedByPeer(), closeReason()));
+        responseMonitor.end();
+        stopRequestTimer();
+        server.closed(this, closeFacts());
+    }
+
+    private CloseGuard.Facts closeFacts() {
+        if (receivedRequest != null) {
+            return closeFacts(receivedRequest.id(), true);
+        }
+        if (context != null) {
+            return closeFacts(context.query().id(), !context.closed());
+        }
+        return closeFacts("", false);
+    }
+
+    private CloseGuard.Facts closeFacts(String requestId, boolean responseOwed) {
+        return new CloseGuard.Facts(requestId, responseOwed, isEndedByPeer(), closeReason());
     }
 
     private String closeReason() {
-        return isEndedByPeer()
-                ? "the client has ended it"
-                : isLingering() ? "said goodbye" : "given up";
+        if (isEndedByPeer()) {
+            return "the client has ended it";
+        }
+        return isLingering() ? "said goodbye" : "given up";
     }
 }
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -13,7 +13,10 @@
 import damsonslip.engine.SlowPeer;
 import damsonslip.engine.invariants.CloseGuard;
 import damsonslip.engine.shutdown.ConnectionDraining;
+import damsonslip.platform.codec.ArrivalTime;
+import damsonslip.platform.codec.BadRequestException;
 import damsonslip.platform.codec.HttpRequest;
+import damsonslip.platform.codec.RequestDecoder;
 import damsonslip.transport.ConnectionLimiter;
 import damsonslip.transport.ConnectionManager;
 import damsonslip.transport.EventLoopConnection;
@@ -22,135 +25,136 @@
 import damsonslip.transport.datarate.BufferBudget;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.stream.Stream;
 import org.eclipse.jetty.io.EndPoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes queries in from clients and gives them their answers. */
+/**
+ * Accepts clients' connections, and hands their requests to the engine. Used on the event loop
+ * only, but for {@link #admit()}, {@link #turnedBack} and {@link #open}, which the selector calls.
+ */
 public final class ClientServer implements ConnectionManager.ConnectionAcceptor {
-    /** Answers that wait to be read may hold this part of the heap, all together. */
-    private static final int PART_OF_HEAP = 8;
-
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
 
-    /** Ids of queries that are remembered: more than come in within the longest deadline. */
-    private static final int MOST_TAKEN = 4_000;
+    /** Unread responses may hold one part in this many of the heap, all together. */
+    private static final int RESPONSE_PART_OF_HEAP = 8;
 
-    /**
-     * Connections that are to go are looked at this often: short beside every time in {@link
-     * ConnectionDraining}.
-     */
-    private static final long SWEEP_US = 50_000;
+    /** How often connections are checked while they are drained. */
+    private static final long DRAIN_INTERVAL_US = 50_000;
 
-    private final ConnectionManager links;
-    private final SiteSettings site;
-    private final SchedulerEngine driver;
+    private final ConnectionManager connections;
+    private final RequestDecoder decoder;
+    private final boolean sendsRetryAfter;
+    private final SchedulerEngine engine;
     private final LifecyclePhase phase;
     private final Counters counters;
-    private final ConnectionLimiter<ClientConnection> room;
-    private long latestUs = Long.MAX_VALUE;
-    private ConnectionDraining draining;
-    private boolean succeeded;
+    private final ConnectionLimiter<ClientConnection> limiter;
+    private final RecentRequestIds recentIds = new RecentRequestIds();
+    private long latestDeadlineUs = Long.MAX_VALUE;
 
-    /** The ids of the queries taken lately, the oldest first. */
-    private final Map<String, Boolean> taken =
-            new LinkedHashMap<>() {
-                private static final long serialVersionUID = 1L;
+    /** The rule by which connections are drained, or null. */
+    private ConnectionDraining draining;
 
-                @Override
-                protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                    return size() > MOST_TAKEN;
-                }
-            };
+    private boolean hasSuccessor;
 
     /**
-     * At most so many connections are kept, with some more for the moment until others have gone.
+     * Accepts nothing yet.
+     *
+     * @param maxConnections how many connections are kept
+     * @param overflow how many more may be open until others have been closed for them
      */
     public ClientServer(
-            ConnectionManager links,
+            ConnectionManager connections,
             SiteSettings site,
-            SchedulerEngine driver,
+            SchedulerEngine engine,
             LifecyclePhase phase,
             Counters counters,
-            int mostLinks,
+            int maxConnections,
             int overflow) {
-        this.links = links;
-        this.site = site;
-        this.driver = driver;
+        this.connections = connections;
+        this.decoder = new RequestDecoder(site);
+        this.sendsRetryAfter = site.retryAfter();
+        this.engine = engine;
         this.phase = phase;
         this.counters = counters;
-        this.room =
+        this.limiter =
                 new ConnectionLimiter<>(
-                        mostLinks,
+                        maxConnections,
                         overflow,
-                        ClientConnection::mayGo,
-                        ClientConnection::compareMissed);
+                        ClientConnection::isEvictable,
+                        ClientConnection.EVICTION_ORDER);
     }
 
-    /** Accepts connections from now on, beside another process where the address is shared. */
+    /**
+     * Accepts connections from now on.
+     *
+     * @param shared whether another process may listen at the same address
+     * @throws IOException if the address cannot be bound
+     */
     public ListeningPort listen(InetSocketAddress address, boolean shared) throws IOException {
-        return links.open(address, this, shared);
+        return connections.open(address, this, shared);
     }
 
-    /** There is room for so many connections from now on. */
-    public void resize(int mostLinks, int overflow) {
-        room.resize(mostLinks, overflow);
+    /** Changes how many connections are kept, and how many more may be open for the moment. */
+    public void resize(int maxConnections, int overflow) {
+        limiter.resize(maxConnections, overflow);
     }
 
-    /**
-     * Ends connections by this rule, until {@link #stay}; one that holds already stays as it is.
-     */
-    public void sendAway(ConnectionDraining rule) {
+    /** Drains connections by this rule until {@link #stopDraining}; an earlier rule stays. */
+    public void startDraining(ConnectionDraining rule) {
         if (draining == null) {
             draining = rule;
-            sweep(rule);
+            drainConnections(rule);
         }
     }
 
-    /** Connections stay again. */
-    public void stay() {
+    /** Keeps connections again. */
+    public void stopDraining() {
         draining = null;
     }
 
-    private void sweep(ConnectionDraining rule) {
+    @SuppressWarnings("ReferenceEquality") // an equal rule of a later drain runs by itself
+    private void drainConnections(ConnectionDraining rule) {
         if (draining == rule) {
-            List.copyOf(room.all()).forEach(link -> link.drain(rule));
-            loop().in(SWEEP_US, () -> sweep(rule));
+            List.copyOf(limiter.all()).forEach(connection -> connection.drain(rule));
+            loop().in(DRAIN_INTERVAL_US, () -> drainConnections(rule));
         }
     }
 
     /**
-     * Whether no client's connection is left, and none is on its way in. Those that say goodbye
-     * count: an exit over bytes that come then would reset them, and take the last answer along.
+     * Whether no connection is left, and none is being accepted. One that lingers counts: an exit
+     * over unread bytes would reset it, and its client might lose the last response.
      */
-    public boolean gone() {
-        return room.isEmpty();
+    public boolean isEmpty() {
+        return limiter.isEmpty();
     }
 
     /**
-     * Another process of this scheduler takes what comes: to the front, the address goes on being
-     * healthy.
+     * Whether another process of this scheduler serves at the same address. If so, health checks
+     * succeed during the graceful shutdown as well.
      */
-    public void succeeded(boolean so) {
-        succeeded = so;
+    public void setSuccessor(boolean serving) {
+        hasSuccessor = serving;
     }
 
-    boolean healthy() {
-        return ready() || succeeded && phase.atLeast(State.LEAVING);
+    boolean isHealthy() {
+        return isReady() || (hasSuccessor && phase.atLeast(State.LEAVING));
+    }
+
+    boolean isReady() {
+        return phase.is(State.SERVING);
     }
 
     @Override
     public boolean admit() {
-        return room.admit();
+        return limiter.admit();
     }
 
     @Override
     public void turnedBack() {
-        room.turnedBack();
+        limiter.turnedBack();
     }
 
     @Override
@@ -158,92 +162,95 @@
         return new ClientConnection(endPoint, this);
     }
 
-    void opened(ClientConnection link) {
+    void opened(ClientConnection connection) {
         counters.add(Count.CLIENT_LINKS_OPENED);
-        room.opened(link);
+        limiter.opened(connection);
+    }
+
+    void closed(ClientConnection connection, CloseGuard.Facts facts) {
+        limiter.closed(connection);
+        engine.events().add(loop().now(), Kind.CLIENT_CLOSED, facts.job(), facts.reason(), 0);
+        engine.monitor().permits(CloseGuard.check(facts));
     }
 
-    void closed(ClientConnection link, CloseGuard.Facts how) {
-        room.closed(link);
-        driver.events().add(loop().now(), Kind.CLIENT_CLOSED, how.job(), how.reason(), 0);
-        driver.monitor().permits(CloseGuard.check(how));
+    Request decode(HttpRequest request, ArrivalTime arrival) throws BadRequestException {
+        return decoder.decode(request, arrival, latestDeadlineUs);
     }
 
     /**
-     * Takes a query in. Guards against an id that comes twice: every query has one of its own, a
-     * client's retry too, so a second one is a stranger's that borrows it, or the same query hurled
-     * at us again as soon as it was turned away. Neither may run beside or after the first, nor
-     * disturb it.
+     * Hands a request to the engine. Each request has an id of its own, also a client's retry, so a
+     * repeated id belongs to a duplicate, which must neither run nor disturb the first.
+     *
+     * @throws BadRequestException if the id was used before
      */
-    RequestContext take(Request query, ClientConnection link) throws HttpRequest.Bad {
-        if (driver.holds(query.id()) || taken.containsKey(query.id())) {
-            throw new HttpRequest.Bad(409, "this id was used already: " + query.id());
+    RequestContext admit(Request request, ClientConnection connection) throws BadRequestException {
+        if (engine.holds(request.id()) || recentIds.contains(request.id())) {
+            throw BadRequestException.duplicateId(request.id());
         }
-        taken.put(query.id(), true);
-        return driver.take(query, link);
-    }
-
-    /** Whatever is taken in from now on gets its answer by then. */
-    public void answerBy(long timeUs) {
-        latestUs = Math.min(latestUs, timeUs);
+        recentIds.add(request.id());
+        return engine.take(request, connection);
     }
 
-    /** No answer may come later, however long its client waits. */
-    long latestUs() {
-        return latestUs;
+    /** Bounds the deadlines of all requests that are received from now on. */
+    public void limitDeadlines(long latestUs) {
+        latestDeadlineUs = Math.min(latestDeadlineUs, latestUs);
     }
 
     /**
-     * Guards the heap: many clients that read nothing hold an answer each. Looked at when a further
-     * answer was not taken at once, which usual clients' answers are.
+     * Bounds the memory that unread responses hold, all together; checked when a further response
+     * was not taken at once.
      */
-    void checkBudget(OutboundRateMonitor newest) {
-        if (newest.waits()) {
-            List<ClientConnection> over =
-                    BufferBudget.over(
-                            Runtime.getRuntime().maxMemory() / PART_OF_HEAP,
-                            room.all().stream()
-                                    .filter(link -> link.reading().waits())
-                                    .map(link -> link.reading().holding(link))
-                                    .toList());
-            over.forEach(
-                    link -> {
-                        LOG.warn("answers that are not read hold more than their part of the heap");
-                        link.readsNothing();
-                    });
+    void checkResponseBuffers(OutboundRateMonitor newest) {
+        if (!newest.waits()) {
+            return;
         }
+        long budget = Runtime.getRuntime().maxMemory() / RESPONSE_PART_OF_HEAP;
+        List<ClientConnection> overBudget =
+                BufferBudget.over(
+                        budget,
+                        slowReaders()
+                                .map(reader -> reader.responseMonitor().holding(reader))
+                                .toList());
+        overBudget.forEach(
+                reader -> {
+                    LOG.warn(
+                            "event=response_budget_exceeded"
+                                    + " answers that are not read hold more than their part of"
+                                    + " the heap");
+                    reader.closeSlowReader();
+                });
     }
 
-    /** Clients that have yet to read their answers. */
+    private Stream<ClientConnection> slowReaders() {
+        return limiter.all().stream().filter(connection -> connection.responseMonitor().waits());
+    }
+
+    /** The clients that have yet to read their responses. */
     public Stream<SlowPeer> slowPeers() {
-        return room.all().stream()
-                .filter(link -> link.reading().waits())
-                .map(ClientConnection::shown);
+        return slowReaders().map(ClientConnection::slowPeer);
     }
 
-    void readsNothing() {
+    void slowReaderClosed() {
         counters.add(Count.SLOW_READERS_LET_GO);
-        LOG.warn("a client reads nothing of its answer and is let go");
+        LOG.warn(
+                "event=slow_reader_closed" + " a client reads nothing of its answer and is let go");
     }
 
-    void bad(HttpRequest.Bad why) {
+    void rejected(BadRequestException failure) {
         counters.add(Count.QUERIES_BAD);
-        driver.events().add(loop().now(), Kind.REFUSED_AS_BAD, "", why.getMessage(), why.status());
+        engine.events()
+                .add(loop().now(), Kind.REFUSED_AS_BAD, "", failure.getMessage(), failure.status());
     }
 
-    boolean ready() {
-        return phase.is(State.SERVING);
+    boolean sendsRetryAfter() {
+        return sendsRetryAfter;
     }
 
     EventLoop loop() {
-        return links.loop();
-    }
-
-    SiteSettings site() {
-        return site;
+        return connections.loop();
     }
 
-    SchedulerEngine driver() {
-        return driver;
+    SchedulerEngine engine() {
+        return engine;
     }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/platform/codec/EndpointList.java
@@ -0,0 +1,31 @@
+package damsonslip.platform.codec;
+
+import damsonslip.policy.api.WorkerListChange;
+import java.util.List;
+
+/**
+ * Discovery's list of workers, or the changes to it.
+ *
+ * @param generation discovery's version of the list
+ * @param complete whether a worker that is not named has been removed
+ * @param endpoints the workers, or those that have changed
+ */
+public record EndpointList(long generation, boolean complete, List<Endpoint> endpoints) {
+    /** The list of a scheduler that has never had one. */
+    public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
+
+    /** Copies the endpoints. */
+    public EndpointList {
+        endpoints = List.copyOf(endpoints);
+    }
+
+    /** The same entries as the complete list. */
+    public EndpointList asComplete() {
+        return new EndpointList(generation, true, endpoints);
+    }
+
+    /** How the decisions have to take it. */
+    public WorkerListChange change() {
+        return complete ? WorkerListChange.COMPLETE : WorkerListChange.CHANGES;
+    }
+}
--- a/src/main/java/damsonslip/platform/codec/HttpForward.java
+++ b/src/main/java/damsonslip/platform/codec/HttpForward.java
@@ -2,6 +2,42 @@
 
 import damsonslip.engine.Request;
 
-/** What of a query goes on to a worker as it came. */
-public record HttpForward(String method, String target, String key, String contentType, byte[] body)
-        implements Request.Cargo {}
+/** The parts of a client's request that are forwarded to a worker unchanged. Immutable. */
+public final class HttpForward implements Request.Cargo {
+    private final String method;
+    private final String target;
+    private final String idempotencyKey;
+    private final String contentType;
+    private final byte[] body;
+
+    HttpForward(
+            String method, String target, String idempotencyKey, String contentType, byte[] body) {
+        this.method = method;
+        this.target = target;
+        this.idempotencyKey = idempotencyKey;
+        this.contentType = contentType;
+        this.body = body;
+    }
+
+    String method() {
+        return method;
+    }
+
+    String target() {
+        return target;
+    }
+
+    /** Null if the client sent none. */
+    String idempotencyKey() {
+        return idempotencyKey;
+    }
+
+    /** Null if the client sent none. */
+    String contentType() {
+        return contentType;
+    }
+
+    byte[] body() {
+        return body;
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/platform/codec/HttpMessageReader.java
@@ -0,0 +1,204 @@
+package damsonslip.platform.codec;
+
+import java.nio.ByteBuffer;
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+import org.eclipse.jetty.http.HttpException;
+import org.eclipse.jetty.http.HttpField;
+import org.eclipse.jetty.http.HttpParser;
+import org.eclipse.jetty.http.HttpVersion;
+import org.eclipse.jetty.util.BufferUtil;
+
+/**
+ * Parses the HTTP/1.1 messages of one connection, one after the other, from bytes as they arrive.
+ * Shared by {@link RequestReader} and {@link ResponseReader}, which decide what a message means.
+ */
+final class HttpMessageReader {
+    /** Which side of a connection is read. */
+    enum MessageKind {
+        REQUEST,
+        RESPONSE
+    }
+
+    /** What the owner does with the parts of a message; may call {@link #stop}. */
+    interface Listener {
+        /** The request line of a request was read. */
+        default void requestLine(String method, String target) {}
+
+        /** The status line of a response was read. */
+        default void statusLine(int status) {}
+
+        /**
+         * A header field was read.
+         *
+         * @param name as it was sent
+         * @param repeated whether the message has had a field of this name before
+         */
+        default void header(String name, String value, boolean repeated) {}
+
+        /** All header fields were read. */
+        default void headersComplete() {}
+
+        /** A part of the body was read; the buffer is valid during the call only. */
+        void content(ByteBuffer part);
+
+        /**
+         * The bytes are not HTTP; nothing more is read.
+         *
+         * @param reason the parser's reason, or null
+         */
+        void malformed(int status, String reason);
+    }
+
+    private final MessageKind kind;
+    private final Listener listener;
+    private final HttpParser parser;
+    private Map<String, String> headers = new HashMap<>();
+    private boolean persistent;
+    private boolean complete;
+    private boolean stopped;
+
+    HttpMessageReader(MessageKind kind, Listener listener) {
+        this.kind = kind;
+        this.listener = listener;
+        ParserEvents events = new ParserEvents();
+        this.parser =
+                switch (kind) {
+                    case REQUEST ->
+                            new HttpParser(
+                                    (HttpParser.RequestHandler) events,
+                                    WireFormat.MAX_HEADER_BYTES);
+                    case RESPONSE ->
+                            new HttpParser(
+                                    (HttpParser.ResponseHandler) events,
+                                    WireFormat.MAX_HEADER_BYTES);
+                };
+    }
+
+    /**
+     * Parses up to the end of the message at hand.
+     *
+     * @return whether the message is complete; the remaining bytes belong to the next one
+     */
+    boolean read(ByteBuffer bytes) {
+        while (!complete && !stopped && BufferUtil.hasContent(bytes)) {
+            int before = bytes.remaining();
+            parser.parseNext(bytes);
+            if (bytes.remaining() == before) {
+                break;
+            }
+        }
+        return complete;
+    }
+
+    /** Reads nothing more of this connection. */
+    void stop() {
+        stopped = true;
+    }
+
+    /** Prepares for the next message. */
+    void reset() {
+        parser.reset();
+        headers = new HashMap<>();
+        complete = false;
+    }
+
+    /** The header fields of the message at hand, by their names in lower case. */
+    Map<String, String> headers() {
+        return headers;
+    }
+
+    /** The length that the header fields announce, or a negative number. */
+    long contentLength() {
+        return parser.getContentLength();
+    }
+
+    /** Whether the sender keeps the connection open after this message. */
+    boolean isPersistent() {
+        return persistent;
+    }
+
+    /** Whether the message at hand was read to its end. */
+    boolean isComplete() {
+        return complete;
+    }
+
+    /** Whether a message has begun and is incomplete. */
+    boolean isMidMessage() {
+        return !complete && !parser.isState(HttpParser.State.START);
+    }
+
+    /** A worker or discovery that sends no {@code close} keeps the connection, also in HTTP/1.0. */
+    private boolean persistsAfter(String connectionOptions) {
+        String options = connectionOptions.toLowerCase(Locale.ROOT);
+        if (options.contains("close")) {
+            return false;
+        }
+        return kind == MessageKind.RESPONSE || persistent || options.contains("keep-alive");
+    }
+
+    /** Jetty's callbacks; a true result makes the parser return to its caller. */
+    private final class ParserEvents
+            implements HttpParser.RequestHandler, HttpParser.ResponseHandler {
+        @Override
+        public void startRequest(String method, String uri, HttpVersion version) {
+            persistent = version == HttpVersion.HTTP_1_1;
+            listener.requestLine(method, uri);
+        }
+
+        @Override
+        public void startResponse(HttpVersion version, int status, String reason) {
+            persistent = version == HttpVersion.HTTP_1_1;
+            listener.statusLine(status);
+        }
+
+        @Override
+        public void parsedHeader(HttpField field) {
+            String value = field.getValue() == null ? "" : field.getValue();
+            if (field.getName().equalsIgnoreCase(WireNames.Header.CONNECTION)) {
+                persistent = persistsAfter(value);
+            }
+            boolean repeated = headers.put(lowerCase(field.getName()), value) != null;
+            listener.header(field.getName(), value, repeated);
+        }
+
+        @Override
+        public boolean headerComplete() {
+            listener.headersComplete();
+            return stopped;
+        }
+
+        @Override
+        public boolean content(ByteBuffer part) {
+            listener.content(part);
+            return stopped;
+        }
+
+        @Override
+        public boolean contentComplete() {
+            return false;
+        }
+
+        @Override
+        public boolean messageComplete() {
+            complete = true;
+            return true;
+        }
+
+        @Override
+        public void earlyEOF() {
+            // the connection reports its own end
+        }
+
+        @Override
+        public void badMessage(HttpException failure) {
+            stopped = true;
+            listener.malformed(failure.getCode(), failure.getReason());
+        }
+    }
+
+    static String lowerCase(String name) {
+        return name.toLowerCase(Locale.ROOT);
+    }
+}
--- a/src/main/java/damsonslip/platform/codec/HttpRequest.java
+++ b/src/main/java/damsonslip/platform/codec/HttpRequest.java
@@ -1,136 +1,79 @@
 package damsonslip.platform.codec;
 
-import damsonslip.config.SiteSettings;
-import damsonslip.engine.Request;
 import java.util.Map;
 
-/**
- * A client's message, decoded once.
- *
- * @param method as it came
- * @param target path and query, as they came
- * @param fields the header fields that matter here, by their names in lower case
- * @param body the content
- */
-public record HttpRequest(String method, String target, Map<String, String> fields, byte[] body) {
-    /**
-     * No worker has more slots, or more units of memory; what claims more would only spoil the
-     * estimates.
-     */
-    private static final int MOST_SLOTS = 64;
+/** A complete HTTP request of a client, before it is known what it asks for. Immutable. */
+public final class HttpRequest {
+    private static final String POST = "POST";
 
-    /** A message that cannot be served, and the status that says so. */
-    public static final class Bad extends Exception {
-        private static final long serialVersionUID = 1L;
-        private final int status;
+    /** What a request asks for, by its path. */
+    public enum Route {
+        JOB,
+        HEALTH
+    }
 
-        public Bad(int status, String why) {
-            super(why);
-            this.status = status;
-        }
+    private final String method;
+    private final String target;
+    private final Map<String, String> headers;
+    private final byte[] body;
 
-        public int status() {
-            return status;
-        }
+    /**
+     * @param target path and query, as they came
+     * @param headers the header fields, by their names in lower case
+     */
+    HttpRequest(String method, String target, Map<String, String> headers, byte[] body) {
+        this.method = method;
+        this.target = target;
+        this.headers = headers;
+        this.body = body;
     }
 
-    public String path() {
+    /**
+     * Finds out what the request asks for.
+     *
+     * @throws BadRequestException if no such path or method is served
+     */
+    public Route route() throws BadRequestException {
+        return switch (path()) {
+            case WireNames.Path.JOBS -> {
+                if (!method.equals(POST)) {
+                    throw new BadRequestException(405, "POST only");
+                }
+                yield Route.JOB;
+            }
+            case WireNames.Path.HEALTH -> Route.HEALTH;
+            default -> throw new BadRequestException(404, "no such path");
+        };
+    }
+
+    private String path() {
         int end = target.indexOf('?');
         return end < 0 ? target : target.substring(0, end);
     }
 
-    private String field(String name) {
-        return fields.get(name.toLowerCase(java.util.Locale.ROOT));
+    String method() {
+        return method;
     }
 
-    private String needed(String name) throws Bad {
-        String value = field(name);
-        if (value == null || value.isBlank()) {
-            throw new Bad(400, "lacks " + name);
-        }
-        return value;
+    String target() {
+        return target;
     }
 
-    /**
-     * What goes on to a worker has to arrive there as it was: an id in another form is a
-     * stranger's. Beyond plain ASCII the two messages would be decoded and encoded by rules that
-     * nobody has agreed on.
-     */
-    private static String plain(String what, String text, char first) throws Bad {
-        if (text != null && !text.chars().allMatch(c -> c >= first && c <= '~')) {
-            throw new Bad(400, "not plain ASCII: " + what);
-        }
-        return text;
+    byte[] body() {
+        return body;
     }
 
-    /**
-     * Who it is for, by the names that the settings give; where these have none, nobody in
-     * particular.
-     */
-    private int tenant(SiteSettings site) throws Bad {
-        if (site.tenantNames().isEmpty()) {
-            return 0;
-        }
-        int tenant = site.tenantNames().indexOf(needed(WireFormat.TENANT));
-        if (tenant < 0) {
-            throw new Bad(400, "unknown account: " + field(WireFormat.TENANT));
-        }
-        return tenant;
+    /** The value of a header field; null if the request has none of this name. */
+    String header(String name) {
+        return headers.get(HttpMessageReader.lowerCase(name));
     }
 
-    /**
-     * The query that this message asks, which came then; it is answered by the latest time at any
-     * rate.
-     */
-    public Request query(SiteSettings site, long arrivedUs, long earliestUs, long latestUs)
-            throws Bad {
-        String id = plain(WireFormat.ID, needed(WireFormat.ID), ' ');
-        int jobClass = site.classNames().indexOf(needed(WireFormat.CLASS));
-        if (jobClass < 0) {
-            throw new Bad(400, "unknown class: " + field(WireFormat.CLASS));
-        }
-        int tenant = tenant(site);
-        int slots = 1;
-        double memory = 0;
-        long timeLeft;
-        try {
-            String told = field(WireFormat.TIME_LEFT);
-            timeLeft = told == null ? site.deadlineUs(jobClass) : WireFormat.micros(told);
-            for (String fact :
-                    field(WireFormat.FACTS) == null
-                            ? new String[0]
-                            : field(WireFormat.FACTS).split(",")) {
-                int at = fact.indexOf('=');
-                String value = fact.substring(at + 1).trim();
-                switch (at < 0 ? "" : fact.substring(0, at).trim()) {
-                    case "cores_needed", "slots" ->
-                            slots = Math.max(1, (int) WireFormat.figure(value, MOST_SLOTS));
-                    case "mem_needed", "memory" -> memory = WireFormat.figure(value, MOST_SLOTS);
-                    default -> {}
-                }
-            }
-        } catch (IllegalArgumentException e) {
-            throw new Bad(400, "not a figure: " + e.getMessage());
+    /** The value of a header field that has to be present. */
+    String requiredHeader(String name) throws BadRequestException {
+        String value = header(name);
+        if (value == null || value.isBlank()) {
+            throw new BadRequestException(400, "lacks " + name);
         }
-        HttpForward forward =
-                new HttpForward(
-                        method,
-                        plain("target", target, '!'),
-                        plain(WireFormat.KEY, field(WireFormat.KEY), ' '),
-                        plain("Content-Type", field("Content-Type"), ' '),
-                        body);
-        long deadline = Math.min(arrivedUs + timeLeft, latestUs);
-        return new Request(
-                id,
-                jobClass,
-                tenant,
-                deadline,
-                earliestUs + timeLeft,
-                slots,
-                memory,
-                null,
-                Integer.MAX_VALUE,
-                null,
-                forward);
+        return value;
     }
 }
--- a/src/main/java/damsonslip/platform/codec/JobProgress.java
+++ b/src/main/java/damsonslip/platform/codec/JobProgress.java
@@ -4,91 +4,67 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import damsonslip.config.ConfigurationTree;
 import damsonslip.policy.api.LoadReport;
+import java.util.Optional;
 
 /**
- * A line of a worker's answer, decoded once.
+ * One line of a worker's response to a job, decoded.
  *
- * @param kind what it tells
- * @param result what the job gave, where done
- * @param report the worker's load, or null
+ * @param state what has become of the job
+ * @param result what the job has produced; meaningful for {@link State#COMPLETED} only
+ * @param loadReport the worker's load report, or null
  */
-public record JobProgress(Kind kind, String result, LoadReport report) {
-    public enum Kind {
+public record JobProgress(State state, String result, LoadReport loadReport) {
+    /** What a worker reports of a job; all but the first two are final. */
+    public enum State {
         STARTED,
         RUNNING,
-        DONE,
+        /** It has run and produced a result. */
+        COMPLETED,
+        /** It may have run, and produced none. */
         FAILED,
-        RETURNED,
-        LOST
+        /** The worker hands it back unstarted. */
+        HANDED_BACK,
+        /** The worker has killed it; it may have run. */
+        KILLED
     }
 
-    /** Reads a line about this job; null if it is none. */
-    public static JobProgress read(String line, String id) {
+    /**
+     * Decodes a line.
+     *
+     * @return empty if the line is no JSON, concerns another job or names no known state
+     */
+    public static Optional<JobProgress> decode(String line, String requestId) {
         try {
             JsonNode node = ConfigurationTree.read(line);
-            if (node == null || !id.equals(node.path("id").asText())) {
-                return null;
+            if (node == null
+                    || !requestId.equals(node.path(WireNames.Progress.REQUEST_ID).asText())) {
+                return Optional.empty();
             }
-            Kind kind =
-                    switch (node.path("state").asText("")) {
-                        case "started" -> Kind.STARTED;
-                        case "running" -> Kind.RUNNING;
-                        case "done" -> node.path("result").isMissingNode() ? null : Kind.DONE;
-                        case "failed" -> Kind.FAILED;
-                        case "returned" -> Kind.RETURNED;
-                        case "lost" -> Kind.LOST;
-                        default -> null;
-                    };
-            JsonNode result = node.path("result");
-            return kind == null
-                    ? null
-                    : new JobProgress(
-                            kind,
-                            result.isTextual() ? result.asText() : result.toString(),
-                            report(node.path("load")));
+            return state(node).map(state -> decode(node, state));
         } catch (JsonProcessingException e) {
-            return null;
+            return Optional.empty();
         }
     }
 
-    private static LoadReport report(JsonNode load) {
-        return load.isObject()
-                ? new LoadReport(
-                        load.path("x0").asDouble(Double.NaN),
-                        load.path("x1").asDouble(Double.NaN),
-                        load.path("inflight").asDouble(Double.NaN),
-                        Double.NaN,
-                        load.path("eps").asDouble(Double.NaN))
-                : null;
+    private static JobProgress decode(JsonNode node, State state) {
+        JsonNode result = node.path(WireNames.Progress.RESULT);
+        return new JobProgress(
+                state,
+                result.isTextual() ? result.asText() : result.toString(),
+                LoadReportDecoder.fromJson(node.path(WireNames.Progress.LOAD_REPORT)));
     }
 
-    /** Reads a load header such as {@code TEXT util=0.61, x0=2}; null if there is none. */
-    public static LoadReport report(String header) {
-        if (header == null || !header.startsWith("TEXT")) {
-            return null;
-        }
-        double free = Double.NaN;
-        double memory = Double.NaN;
-        double held = Double.NaN;
-        double errors = Double.NaN;
-        for (String part : header.substring(4).split(",")) {
-            int at = part.indexOf('=');
-            if (at < 0) {
-                continue;
-            }
-            try {
-                double value = Double.parseDouble(part.substring(at + 1).trim());
-                switch (part.substring(0, at).trim()) {
-                    case "x0" -> free = value;
-                    case "x1" -> memory = value;
-                    case "inflight" -> held = value;
-                    case "eps" -> errors = value;
-                    default -> {}
-                }
-            } catch (NumberFormatException e) {
-                // a figure that is none is left out; the others still count
-            }
-        }
-        return new LoadReport(free, memory, held, Double.NaN, errors);
+    private static Optional<State> state(JsonNode node) {
+        boolean hasResult = !node.path(WireNames.Progress.RESULT).isMissingNode();
+        return switch (node.path(WireNames.Progress.STATE).asText("")) {
+            case WireNames.Progress.STARTED -> Optional.of(State.STARTED);
+            case WireNames.Progress.RUNNING -> Optional.of(State.RUNNING);
+            case WireNames.Progress.COMPLETED ->
+                    hasResult ? Optional.of(State.COMPLETED) : Optional.empty();
+            case WireNames.Progress.FAILED -> Optional.of(State.FAILED);
+            case WireNames.Progress.HANDED_BACK -> Optional.of(State.HANDED_BACK);
+            case WireNames.Progress.KILLED -> Optional.of(State.KILLED);
+            default -> Optional.empty();
+        };
     }
 }
--- a/src/main/java/damsonslip/platform/codec/JsonObjectDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/JsonObjectDecoder.java
@@ -6,63 +6,67 @@
 import java.util.List;
 
 /**
- * Cuts a stream into its JSON objects by their braces, however many lines each of them takes;
- * bounded, so that one that never ends cannot fill the memory. What is between the braces is for
- * the parser to judge.
+ * Splits a stream of bytes into its JSON objects by their braces, however many lines each of them
+ * takes. The objects themselves are not checked. An incomplete object is bounded in size, so that a
+ * sender that never ends one cannot fill the memory.
  */
 public final class JsonObjectDecoder {
-    private final int most;
-    private ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private final int maxObjectBytes;
+    private ByteArrayOutputStream incomplete = new ByteArrayOutputStream();
     private int depth;
-    private boolean inText;
+    private boolean inString;
     private boolean escaped;
 
-    /** Nothing stands in the line at hand yet. */
-    private boolean blank;
+    /** Whether the line at hand is empty so far. */
+    private boolean blankLine;
 
-    public JsonObjectDecoder(int most) {
-        this.most = most;
+    /** With the size above which an incomplete object is an error. */
+    public JsonObjectDecoder(int maxObjectBytes) {
+        this.maxObjectBytes = maxObjectBytes;
     }
 
     /**
-     * The objects that end in this part; null if something stands between them, one is too long, or
-     * an empty line tells that the sender took one to be whole that is not.
+     * Reads the next bytes of the stream.
+     *
+     * @return the objects that end in this part; null if there is something else between objects,
+     *     an object is too large, or an empty line within one shows that the sender took it to be
+     *     complete
      */
-    public List<String> take(byte[] part) {
-        List<String> whole = new ArrayList<>(1);
-        int from = 0;
+    public List<String> decode(byte[] part) {
+        List<String> objects = new ArrayList<>(1);
+        int start = 0;
         for (int i = 0; i < part.length; i++) {
+            byte next = part[i];
             if (depth == 0) {
-                if (part[i] == '{') {
+                if (next == '{') {
                     depth = 1;
-                    from = i;
-                } else if (!Character.isWhitespace(part[i])) {
+                    start = i;
+                } else if (!Character.isWhitespace(next)) {
                     return null;
                 }
-            } else if (part[i] == '\n' && blank) {
+            } else if (next == '\n' && blankLine) {
                 return null;
-            } else if (ends(part[i])) {
-                begun.write(part, from, i + 1 - from);
-                whole.add(begun.toString(StandardCharsets.UTF_8));
-                begun = new ByteArrayOutputStream();
+            } else if (endsObject(next)) {
+                incomplete.write(part, start, i + 1 - start);
+                objects.add(incomplete.toString(StandardCharsets.UTF_8));
+                incomplete = new ByteArrayOutputStream();
             }
-            blank = part[i] == '\n' || blank && part[i] == '\r';
+            blankLine = next == '\n' || (blankLine && next == '\r');
         }
         if (depth > 0) {
-            begun.write(part, from, part.length - from);
+            incomplete.write(part, start, part.length - start);
         }
-        return begun.size() > most ? null : whole;
+        return incomplete.size() > maxObjectBytes ? null : objects;
     }
 
-    /** Whether this byte of an object is its last one. */
-    private boolean ends(byte next) {
-        if (inText) {
-            inText = escaped || next != '"';
+    private boolean endsObject(byte next) {
+        if (inString) {
+            inString = escaped || next != '"';
             escaped = !escaped && next == '\\';
             return false;
         }
         switch (next) {
-            case '"' -> inText = true;
+            case '"' -> inString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
             default -> {}
@@ -70,8 +74,8 @@
         return depth == 0;
     }
 
-    /** Bytes of an object whose end has not come yet. */
-    public int begun() {
-        return begun.size();
+    /** Whether an object has begun whose end has not arrived yet. */
+    public boolean isMidObject() {
+        return incomplete.size() > 0;
     }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/platform/codec/LoadReportDecoder.java
@@ -0,0 +1,57 @@
+package damsonslip.platform.codec;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import damsonslip.policy.api.LoadReport;
+
+/** Decodes a worker's load report from a response header or from a line of a job's progress. */
+final class LoadReportDecoder {
+    private LoadReportDecoder() {}
+
+    /** Reads the JSON form; null if it is no object. */
+    static LoadReport fromJson(JsonNode report) {
+        if (!report.isObject()) {
+            return null;
+        }
+        return new LoadReport(
+                figure(report, WireNames.Load.FREE_SLOTS),
+                figure(report, WireNames.Load.FREE_MEMORY),
+                figure(report, WireNames.Load.RESERVED_MEMORY),
+                Double.NaN,
+                figure(report, WireNames.Load.ERRORS_PER_SECOND));
+    }
+
+    private static double figure(JsonNode report, String name) {
+        return report.path(name).asDouble(Double.NaN);
+    }
+
+    /** Reads a header such as {@code TEXT util=0.61, x0=2}; null if it has not this form. */
+    static LoadReport fromHeader(String header) {
+        if (header == null || !header.startsWith(WireNames.Load.TEXT_FORMAT)) {
+            return null;
+        }
+        double freeSlots = Double.NaN;
+        double freeMemory = Double.NaN;
+        double reservedMemory = Double.NaN;
+        double errorsPerSecond = Double.NaN;
+        String figures = header.substring(WireNames.Load.TEXT_FORMAT.length());
+        for (String figure : figures.split(",", -1)) {
+            int separator = figure.indexOf('=');
+            if (separator < 0) {
+                continue;
+            }
+            try {
+                double value = Double.parseDouble(figure.substring(separator + 1).trim());
+                switch (figure.substring(0, separator).trim()) {
+                    case WireNames.Load.FREE_SLOTS -> freeSlots = value;
+                    case WireNames.Load.FREE_MEMORY -> freeMemory = value;
+                    case WireNames.Load.RESERVED_MEMORY -> reservedMemory = value;
+                    case WireNames.Load.ERRORS_PER_SECOND -> errorsPerSecond = value;
+                    default -> {}
+                }
+            } catch (NumberFormatException e) {
+                // a value that is no number is left out; the others still count
+            }
+        }
+        return new LoadReport(freeSlots, freeMemory, reservedMemory, Double.NaN, errorsPerSecond);
+    }
+}
--- a/src/main/java/damsonslip/platform/codec/MessageEncoder.java
+++ b/src/main/java/damsonslip/platform/codec/MessageEncoder.java
@@ -11,30 +11,23 @@
 import org.eclipse.jetty.http.MetaData;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** Encodes whole messages with Jetty's generator. */
-public final class MessageEncoder {
-    private static final int HEAD = 2 * WireFormat.MOST_HEADERS;
+/** Encodes complete HTTP messages with Jetty's generator: a head buffer and a body buffer. */
+final class MessageEncoder {
+    private static final int HEAD_BUFFER_BYTES = 2 * WireFormat.MAX_HEADER_BYTES;
 
     private MessageEncoder() {}
 
-    /** The bytes of a request. */
-    public static ByteBuffer[] request(
-            String method, String target, HttpFields fields, byte[] body) {
+    static ByteBuffer[] request(String method, String target, HttpFields fields, byte[] body) {
         MetaData.Request request =
                 new MetaData.Request(
                         method, HttpURI.from(target), HttpVersion.HTTP_1_1, fields, body.length);
-        ByteBuffer head = BufferUtil.allocate(HEAD);
-        try {
-            ByteBuffer content = ByteBuffer.wrap(body);
-            expectFlush(new HttpGenerator().generateRequest(request, head, null, content, true));
-            return new ByteBuffer[] {head, content};
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+        return encode(
+                (head, content) ->
+                        new HttpGenerator().generateRequest(request, head, null, content, true),
+                body);
     }
 
-    /** The bytes of an answer. */
-    public static ByteBuffer[] answer(int status, HttpFields fields, byte[] body) {
+    static ByteBuffer[] response(int status, HttpFields fields, byte[] body) {
         MetaData.Response response =
                 new MetaData.Response(
                         status,
@@ -42,21 +35,29 @@
                         HttpVersion.HTTP_1_1,
                         fields,
                         body.length);
-        ByteBuffer head = BufferUtil.allocate(HEAD);
+        return encode(
+                (head, content) ->
+                        new HttpGenerator()
+                                .generateResponse(response, false, head, null, content, true),
+                body);
+    }
+
+    /** One call of Jetty's generator, which fills the head. */
+    private interface Generation {
+        HttpGenerator.Result generate(ByteBuffer head, ByteBuffer content) throws IOException;
+    }
+
+    private static ByteBuffer[] encode(Generation generation, byte[] body) {
+        ByteBuffer head = BufferUtil.allocate(HEAD_BUFFER_BYTES);
+        ByteBuffer content = ByteBuffer.wrap(body);
         try {
-            ByteBuffer content = ByteBuffer.wrap(body);
-            expectFlush(
-                    new HttpGenerator()
-                            .generateResponse(response, false, head, null, content, true));
-            return new ByteBuffer[] {head, content};
+            HttpGenerator.Result result = generation.generate(head, content);
+            if (result != HttpGenerator.Result.FLUSH) {
+                throw new IllegalStateException("not encoded: " + result);
+            }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-    }
-
-    private static void expectFlush(HttpGenerator.Result result) {
-        if (result != HttpGenerator.Result.FLUSH) {
-            throw new IllegalStateException("not encoded: " + result);
-        }
+        return new ByteBuffer[] {head, content};
     }
 }
--- a/src/main/java/damsonslip/platform/codec/RequestReader.java
+++ b/src/main/java/damsonslip/platform/codec/RequestReader.java
@@ -4,69 +4,59 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import org.eclipse.jetty.http.HttpException;
-import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpMethod;
-import org.eclipse.jetty.http.HttpParser;
-import org.eclipse.jetty.http.HttpVersion;
-import org.eclipse.jetty.util.BufferUtil;
 
-/** Decodes a client's bytes, message by message. */
-public final class RequestReader implements HttpParser.RequestHandler {
+/** Decodes the requests of one client's connection, one after the other. */
+public final class RequestReader {
     private static final List<String> METHODS =
             Arrays.stream(HttpMethod.values()).map(m -> m.asString() + " ").toList();
     private static final int LONGEST_METHOD =
             METHODS.stream().mapToInt(String::length).max().orElseThrow();
+    private static final int INITIAL_BODY_BYTES = 256;
 
-    /**
-     * Fields that mean something here; a message that has one of them twice says two things at
-     * once.
-     */
-    private static final Set<String> SINGLE =
+    /** Header fields that may occur only once: a repeated one makes the request ambiguous. */
+    private static final Set<String> UNIQUE_HEADERS =
             Stream.of(
-                            WireFormat.ID,
-                            WireFormat.CLASS,
-                            WireFormat.TENANT,
-                            WireFormat.TIME_LEFT,
-                            WireFormat.KEY,
-                            WireFormat.FACTS)
-                    .map(name -> name.toLowerCase(Locale.ROOT))
+                            WireNames.Header.REQUEST_ID,
+                            WireNames.Header.JOB_CLASS,
+                            WireNames.Header.TENANT,
+                            WireNames.Header.TIME_BUDGET,
+                            WireNames.Header.IDEMPOTENCY_KEY,
+                            WireNames.Header.DEMANDS)
+                    .map(HttpMessageReader::lowerCase)
                     .collect(Collectors.toUnmodifiableSet());
 
-    private final HttpParser parser = new HttpParser(this, WireFormat.MOST_HEADERS);
-    private Map<String, String> fields = new HashMap<>();
-    private ByteArrayOutputStream body = new ByteArrayOutputStream(256);
+    private final HttpMessageReader reader =
+            new HttpMessageReader(HttpMessageReader.MessageKind.REQUEST, new RequestParts());
+    private ByteArrayOutputStream body = new ByteArrayOutputStream(INITIAL_BODY_BYTES);
     private String method;
     private String target;
-    private boolean persistent;
     private boolean expectsContinue;
-    private boolean whole;
-    private HttpRequest.Bad bad;
-
-    /** Takes bytes in; gives a message once it is whole, else null. */
-    public HttpRequest read(ByteBuffer bytes) throws HttpRequest.Bad {
-        while (!whole && bad == null && BufferUtil.hasContent(bytes)) {
-            int before = bytes.remaining();
-            parser.parseNext(bytes);
-            if (bytes.remaining() == before && !whole) {
-                break;
-            }
-        }
-        if (bad != null) {
-            throw bad;
+    private BadRequestException failure;
+
+    /**
+     * Reads bytes of the request at hand.
+     *
+     * @return the request once it is complete, else null
+     * @throws BadRequestException if the bytes are no request that can be served; the connection
+     *     has to be closed after the response
+     */
+    public HttpRequest read(ByteBuffer bytes) throws BadRequestException {
+        boolean complete = reader.read(bytes);
+        if (failure != null) {
+            throw failure;
         }
-        return whole ? new HttpRequest(method, target, fields, body.toByteArray()) : null;
+        return complete
+                ? new HttpRequest(method, target, reader.headers(), body.toByteArray())
+                : null;
     }
 
-    /** Whether these bytes, as far as they go, can be the beginning of a message. */
-    public static boolean mayBegin(ByteBuffer bytes) {
+    /** Whether these bytes can be the beginning of a request, as far as they have arrived. */
+    public static boolean mayBeginRequest(ByteBuffer bytes) {
         int from = bytes.position();
         while (from < bytes.limit() && (bytes.get(from) == '\r' || bytes.get(from) == '\n')) {
             from++;
@@ -74,99 +64,78 @@
         byte[] start = new byte[Math.min(LONGEST_METHOD, bytes.limit() - from)];
         bytes.get(from, start);
         String text = new String(start, StandardCharsets.ISO_8859_1);
-        return METHODS.stream()
-                .anyMatch(method -> text.startsWith(method) || method.startsWith(text));
+        return METHODS.stream().anyMatch(known -> text.startsWith(known) || known.startsWith(text));
     }
 
-    /** Whether the connection may serve a further message. */
-    public boolean persistent() {
-        return persistent;
+    /** Whether the client keeps the connection open after the request at hand. */
+    public boolean isPersistent() {
+        return reader.isPersistent();
     }
 
-    /** Whether the client waits to be told to send its body; asked for once. */
-    public boolean takeContinue() {
-        boolean asked = expectsContinue && !whole;
+    /** Whether the client awaits {@code 100 Continue} before it sends the body; true only once. */
+    public boolean takeExpectContinue() {
+        boolean expected = expectsContinue && !reader.isComplete();
         expectsContinue = false;
-        return asked;
+        return expected;
     }
 
-    /** Whether a message has begun and is not whole. */
-    public boolean midway() {
-        return !whole && !parser.isState(HttpParser.State.START);
+    /** Whether a request has begun and is incomplete. */
+    public boolean isMidRequest() {
+        return reader.isMidMessage();
     }
 
-    /** Makes ready for the next message. */
-    public void next() {
-        parser.reset();
-        fields = new HashMap<>();
-        body = new ByteArrayOutputStream(256);
-        whole = false;
+    /** Prepares for the next request. */
+    public void reset() {
+        reader.reset();
+        body = new ByteArrayOutputStream(INITIAL_BODY_BYTES);
     }
 
-    @Override
-    public void startRequest(String verb, String uri, HttpVersion version) {
-        method = verb;
-        target = uri;
-        persistent = version == HttpVersion.HTTP_1_1;
-    }
+    private final class RequestParts implements HttpMessageReader.Listener {
+        private static final int URI_TOO_LONG = 414;
+        private static final int HEADERS_TOO_LARGE = 431;
 
-    @Override
-    public void parsedHeader(HttpField field) {
-        String name = field.getName().toLowerCase(Locale.ROOT);
-        String value = field.getValue() == null ? "" : field.getValue();
-        if (name.equals("connection")) {
-            String says = value.toLowerCase(Locale.ROOT);
-            persistent = !says.contains("close") && (persistent || says.contains("keep-alive"));
-        } else if (name.equals("expect")) {
-            expectsContinue = value.equalsIgnoreCase("100-continue");
-        } else if (name.equals("content-length")
-                && parser.getContentLength() > WireFormat.MOST_BODY) {
-            bad = new HttpRequest.Bad(413, "body too large");
-        }
-        if (fields.put(name, value) != null && SINGLE.contains(name)) {
-            bad = new HttpRequest.Bad(400, "twice: " + field.getName());
+        @Override
+        public void requestLine(String requestMethod, String requestTarget) {
+            method = requestMethod;
+            target = requestTarget;
         }
-    }
 
-    @Override
-    public boolean headerComplete() {
-        return bad != null;
-    }
-
-    @Override
-    public boolean content(ByteBuffer part) {
-        if (body.size() + part.remaining() > WireFormat.MOST_BODY) {
-            bad = new HttpRequest.Bad(413, "body too large");
-            return true;
+        @Override
+        public void header(String name, String value, boolean repeated) {
+            if (name.equalsIgnoreCase(WireNames.Header.EXPECT)) {
+                expectsContinue = value.equalsIgnoreCase("100-continue");
+            } else if (name.equalsIgnoreCase(WireNames.Header.CONTENT_LENGTH)
+                    && reader.contentLength() > WireFormat.MAX_BODY_BYTES) {
+                fail(413, "body too large");
+            }
+            if (repeated && UNIQUE_HEADERS.contains(HttpMessageReader.lowerCase(name))) {
+                fail(400, "twice: " + name);
+            }
         }
-        byte[] bytes = new byte[part.remaining()];
-        part.get(bytes);
-        body.writeBytes(bytes);
-        return false;
-    }
 
-    @Override
-    public boolean contentComplete() {
-        return false;
-    }
+        @Override
+        public void content(ByteBuffer part) {
+            if (body.size() + part.remaining() > WireFormat.MAX_BODY_BYTES) {
+                fail(413, "body too large");
+                return;
+            }
+            byte[] bytes = new byte[part.remaining()];
+            part.get(bytes);
+            body.writeBytes(bytes);
+        }
 
-    @Override
-    public boolean messageComplete() {
-        whole = true;
-        return true;
-    }
+        @Override
+        public void malformed(int status, String reason) {
+            if (failure == null) {
+                fail(
+                        status == URI_TOO_LONG ? HEADERS_TOO_LARGE : status,
+                        reason == null ? "malformed" : reason);
+            }
+        }
 
-    @Override
-    public void earlyEOF() {}
-
-    @Override
-    public void badMessage(HttpException failure) {
-        if (bad == null) {
-            int status = failure.getCode() == 414 ? 431 : failure.getCode();
-            bad =
-                    new HttpRequest.Bad(
-                            status,
-                            failure.getReason() == null ? "malformed" : failure.getReason());
+        private void fail(int status, String message) {
+            failure = new BadRequestException(status, message);
+            reader.stop();
         }
     }
 }
--- a/src/main/java/damsonslip/platform/codec/ResponseReader.java
+++ b/src/main/java/damsonslip/platform/codec/ResponseReader.java
@@ -1,115 +1,84 @@
 package damsonslip.platform.codec;
 
 import java.nio.ByteBuffer;
-import java.util.HashMap;
-import java.util.Locale;
-import java.util.Map;
-import org.eclipse.jetty.http.HttpException;
-import org.eclipse.jetty.http.HttpField;
-import org.eclipse.jetty.http.HttpParser;
-import org.eclipse.jetty.http.HttpVersion;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** Decodes what a worker or discovery answers: a head, then lines or a plain body. */
-public final class ResponseReader implements HttpParser.ResponseHandler {
-    private static final int MOST_HEADERS = 8 * 1024;
+/** Decodes the responses of one connection to a worker or to discovery, one after the other. */
+public final class ResponseReader {
+    private static final int FIRST_FINAL_STATUS = 200;
 
-    /** What is read, as it comes; after {@link #ended} nothing more of the same answer. */
+    /** Receives the parts of each response in order. */
     public interface Listener {
-        void head(int status, Map<String, String> fields);
+        /** The head of a response was read. */
+        void responseStarted(ResponseHead head);
 
-        void body(byte[] part);
+        /** A part of the body was read. */
+        void contentReceived(byte[] part);
 
-        /** The answer is whole; tells whether the connection may serve once more. */
-        void ended(boolean persistent);
+        /**
+         * The response is complete.
+         *
+         * @param reusable whether the connection may carry a further request
+         */
+        void responseCompleted(boolean reusable);
 
-        /** The bytes are no answer. */
-        void malformed(String why);
+        /** The bytes are no HTTP response; nothing more is read of the connection. */
+        void responseMalformed(String reason);
     }
 
-    private final HttpParser parser = new HttpParser(this, MOST_HEADERS);
-    private final Listener taker;
-    private Map<String, String> fields = new HashMap<>();
+    private final Listener listener;
+    private final HttpMessageReader reader =
+            new HttpMessageReader(HttpMessageReader.MessageKind.RESPONSE, new ResponseParts());
     private int status;
-    private boolean persistent;
-    private boolean over;
-    private boolean broken;
 
-    public ResponseReader(Listener taker) {
-        this.taker = taker;
+    /** Reads for this listener. */
+    public ResponseReader(Listener listener) {
+        this.listener = listener;
     }
 
     /**
-     * Takes bytes in. Guards against what comes behind an answer's end: nobody asked for it, and
-     * the next answer could not be told from it, so that the connection must not serve again.
+     * Reads bytes of the response at hand. Bytes behind a response's end were not requested, and
+     * could be taken for the next response, so the connection is then reported as not reusable.
      */
     public void read(ByteBuffer bytes) {
-        while (!broken && BufferUtil.hasContent(bytes)) {
-            int before = bytes.remaining();
-            parser.parseNext(bytes);
-            if (over) {
-                over = false;
-                parser.reset();
-                fields = new HashMap<>();
-                if (status >= 200) {
-                    taker.ended(persistent && !BufferUtil.hasContent(bytes));
-                    return;
-                }
-            } else if (bytes.remaining() == before) {
+        while (reader.read(bytes)) {
+            boolean reusable = reader.isPersistent() && !BufferUtil.hasContent(bytes);
+            reader.reset();
+            if (isFinal()) {
+                listener.responseCompleted(reusable);
                 return;
             }
         }
     }
 
-    @Override
-    public void startResponse(HttpVersion version, int code, String reason) {
-        status = code;
-        persistent = version == HttpVersion.HTTP_1_1;
+    /** Whether this is no interim response, such as {@code 100 Continue}. */
+    private boolean isFinal() {
+        return status >= FIRST_FINAL_STATUS;
     }
 
-    @Override
-    public void parsedHeader(HttpField field) {
-        String name = field.getName().toLowerCase(Locale.ROOT);
-        String value = field.getValue() == null ? "" : field.getValue();
-        if (name.equals("connection")) {
-            persistent = !value.toLowerCase(Locale.ROOT).contains("close");
+    private final class ResponseParts implements HttpMessageReader.Listener {
+        @Override
+        public void statusLine(int code) {
+            status = code;
         }
-        fields.put(name, value);
-    }
 
-    @Override
-    public boolean headerComplete() {
-        if (status >= 200) {
-            taker.head(status, fields);
+        @Override
+        public void headersComplete() {
+            if (isFinal()) {
+                listener.responseStarted(ResponseHead.of(status, reader.headers()));
+            }
         }
-        return false;
-    }
 
-    @Override
-    public boolean content(ByteBuffer part) {
-        byte[] bytes = new byte[part.remaining()];
-        part.get(bytes);
-        taker.body(bytes);
-        return false;
-    }
-
-    @Override
-    public boolean contentComplete() {
-        return false;
-    }
-
-    @Override
-    public boolean messageComplete() {
-        over = true;
-        return true;
-    }
-
-    @Override
-    public void earlyEOF() {}
+        @Override
+        public void content(ByteBuffer part) {
+            byte[] bytes = new byte[part.remaining()];
+            part.get(bytes);
+            listener.contentReceived(bytes);
+        }
 
-    @Override
-    public void badMessage(HttpException failure) {
-        broken = true;
-        taker.malformed(failure.getReason() == null ? "not HTTP" : failure.getReason());
+        @Override
+        public void malformed(int code, String reason) {
+            listener.responseMalformed(reason == null ? "not HTTP" : reason);
+        }
     }
 }
--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -1,311 +1,198 @@
 package damsonslip.platform.discovery;
 
-import damsonslip.engine.EventLoop;
 import damsonslip.engine.SchedulerEngine;
-import damsonslip.platform.codec.MessageEncoder;
-import damsonslip.platform.codec.JsonObjectDecoder;
-import damsonslip.platform.codec.ResponseReader;
+import damsonslip.platform.codec.EndpointList;
+import damsonslip.platform.codec.EndpointListDecoder;
 import damsonslip.policy.api.DiscoveryAddressState;
 import damsonslip.policy.api.WorkerListChange;
 import damsonslip.transport.ConnectFailure;
 import damsonslip.transport.ConnectionManager;
 import damsonslip.transport.EventLoopConnection;
-import damsonslip.transport.datarate.MinimumDataRate;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.util.List;
-import java.util.Map;
-import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.io.EndPoint;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Watches discovery's list, one watch at a time; when to ask again is the module's decision. */
+/**
+ * Watches discovery's endpoint list, one watch at a time, and hands each list to the engine. Where
+ * the settings say that lists are pushed, a watch that ends is renewed at once; elsewhere the
+ * policy decides when to watch again. Used on the event loop only.
+ */
 public final class DiscoveryClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-    /**
-     * A watch says something every two seconds; one that is silent for longer than this is dead.
-     */
-    private static final long SILENT_US = 3_500_000;
-
-    private static final int MOST_OBJECT = 4 * 1024 * 1024;
-
-    /**
-     * A head or a line that has begun comes on at this rate, or the watch is broken, though a byte
-     * now and then keeps it from being silent: a list of 60 workers has 10 KB, and news that take
-     * longer are too old.
-     */
-    private static final MinimumDataRate.Limits COMING =
-            new MinimumDataRate.Limits(SILENT_US, SILENT_US, 4 * 1024);
-
-    private final ConnectionManager links;
-    private final WorkerRegistry hosts;
-    private final SchedulerEngine driver;
+    /** Where lists are pushed, a new watch costs discovery nothing. */
+    private static final long PUSHED_RECONNECT_DELAY_US = 50_000;
 
-    /**
-     * Where lists are pushed, what is there counts as told whether it is watched or not, and asking
-     * costs nothing.
-     */
-    private static final long PUSHED_AGAIN_US = 50_000;
+    /** Asks for the complete list. */
+    private static final long NO_GENERATION = 0;
 
+    private final ConnectionManager connections;
+    private final WorkerRegistry registry;
+    private final EndpointListDecoder decoder;
+    private final SchedulerEngine engine;
     private final boolean pushed;
     private InetSocketAddress address;
 
-    /** The number of the newest attempt to watch; of older ones nothing is told any more. */
-    private int newest;
+    /** The newest attempt to watch; the ends of older ones are not reported. */
+    private WatchAttempt newest;
 
-    /** The newest attempt has neither come up nor failed yet. */
-    private boolean dialling;
+    /** Whether a list was received from the current address; its generations may differ. */
+    private boolean listReceivedFromAddress = true;
+
+    private WatchAttempt current;
+    private Runnable firstListAction = () -> {};
 
     /**
-     * No list has come from this address yet: another discovery may count otherwise, so its first
-     * is asked for whole.
+     * @param address where discovery listens
+     * @param pushed whether discovery pushes its list, watched or not
      */
-    private boolean unheard;
-
-    private Watch current;
-    private Runnable told = () -> {};
-
     public DiscoveryClient(
-            ConnectionManager links,
+            ConnectionManager connections,
             InetSocketAddress address,
-            WorkerRegistry hosts,
-            SchedulerEngine driver,
+            WorkerRegistry registry,
+            EndpointListDecoder decoder,
+            SchedulerEngine engine,
             boolean pushed) {
-        this.links = links;
+        this.connections = connections;
         this.address = address;
-        this.hosts = hosts;
-        this.driver = driver;
+        this.registry = registry;
+        this.decoder = decoder;
+        this.engine = engine;
         this.pushed = pushed;
     }
 
-    /** Tells once, when the first list has come or it was waited for so long. */
-    public void whenTold(long mostUs, Runnable next) {
-        told =
+    /** Runs an action once, when the first list has been received or this time has passed. */
+    public void onFirstList(long timeoutUs, Runnable action) {
+        firstListAction =
                 () -> {
-                    told = () -> {};
-                    next.run();
+                    firstListAction = () -> {};
+                    action.run();
                 };
-        links.loop().in(mostUs, () -> told.run());
+        connections.loop().in(timeoutUs, () -> firstListAction.run());
     }
 
     /**
-     * Discovery has moved: watches it there at once. Guards against the wait for the old watch to
-     * end, during which news would go unheard; the old one counts until the new one is up.
+     * Takes the address that a reloaded configuration names. If it is another one, discovery is
+     * watched there at once; the old watch counts until the new one is up, so that no change is
+     * missed in between.
      *
-     * @param sinceUs when the operators asked for the reload
+     * @param reloadUs when the operators asked for the reload
      */
-    public void moveTo(InetSocketAddress next, long sinceUs) {
-        driver.discoveryAddress(DiscoveryAddressState.READ, sinceUs);
+    public void moveTo(InetSocketAddress next, long reloadUs) {
+        engine.discoveryAddress(DiscoveryAddressState.READ, reloadUs);
         if (!next.equals(address)) {
             address = next;
-            unheard = true;
-            driver.discoveryAddress(DiscoveryAddressState.MOVED, sinceUs);
+            listReceivedFromAddress = false;
+            engine.discoveryAddress(DiscoveryAddressState.MOVED, reloadUs);
             connect();
         }
     }
 
-    /**
-     * Begins a watch, unless there is one or one is on its way: another dial would make the first
-     * one's watch void.
-     */
+    /** Begins a watch unless there is one, or one is being connected. */
     public void watch() {
-        if (!dialling && (current == null || current.number != newest)) {
+        boolean watching = newest != null && (newest.connecting || newest.isCurrent());
+        if (!watching) {
             connect();
         }
     }
 
     private void connect() {
-        int number = ++newest;
-        dialling = true;
-        links.connect(
-                address,
-                new ConnectionManager.ConnectionFactory() {
-                    @Override
-                    public EventLoopConnection open(EndPoint endPoint) {
-                        return new Watch(endPoint, links.loop(), number);
-                    }
-
-                    @Override
-                    public void failed(ConnectFailure why) {
-                        String words =
-                                switch (why) {
-                                    case UNREACHABLE -> "it cannot be reached";
-                                    case LOCAL -> "no socket can be had here";
-                                    case UNHEARD -> "its connection came up unheard";
-                                };
-                        WorkerListChange loss =
-                                why == ConnectFailure.UNREACHABLE
-                                        ? WorkerListChange.UNREACHABLE
-                                        : WorkerListChange.NOT_CALLED;
-                        over(number, words, loss, links.loop().now());
-                    }
-                });
+        newest = new WatchAttempt();
+        connections.connect(address, newest);
     }
 
-    /**
-     * Has the list watched again, unless a newer watch is on its way: where it is asked for, when
-     * the module says so.
-     */
-    private void over(int number, String why, WorkerListChange loss, long heardUs) {
-        LOG.info("the watch on discovery is over: {}", why);
-        if (number == newest) {
-            dialling = false;
-            if (pushed) {
-                links.loop().in(PUSHED_AGAIN_US, this::watch);
-            }
-            if (!pushed || loss == WorkerListChange.NOT_CALLED) {
-                driver.listLost(loss, heardUs);
-            }
-        }
+    private static String describe(ConnectFailure failure) {
+        return switch (failure) {
+            case UNREACHABLE -> "it cannot be reached";
+            case LOCAL -> "no socket can be had here";
+            case UNHEARD -> "its connection came up unheard";
+        };
     }
 
-    private final class Watch extends EventLoopConnection implements ResponseReader.Listener {
-        private final ResponseReader reader = new ResponseReader(this);
-        private final JsonObjectDecoder objects = new JsonObjectDecoder(MOST_OBJECT);
-        private final MinimumDataRate coming = new MinimumDataRate(COMING);
-        private EventLoop.Timer silent;
-        private final int number;
-        private int status;
-        private long heardUs;
+    /** One attempt to watch, from its connect to the end of its connection. */
+    private final class WatchAttempt
+            implements ConnectionManager.ConnectionFactory, WatchConnection.Listener {
+        private WatchConnection connection;
+        private boolean connecting = true;
 
-        Watch(EndPoint endPoint, EventLoop loop, int number) {
-            super(endPoint, loop);
-            this.number = number;
+        @Override
+        public EventLoopConnection open(EndPoint endPoint) {
+            return new WatchConnection(endPoint, connections.loop(), this, decoder);
         }
 
         @Override
-        protected void opened() {
-            if (number != newest) {
-                end();
-                return;
+        public void failed(ConnectFailure failure) {
+            WorkerListChange loss =
+                    failure == ConnectFailure.UNREACHABLE
+                            ? WorkerListChange.UNREACHABLE
+                            : WorkerListChange.NOT_CALLED;
+            ended(describe(failure), loss, connections.loop().now());
+        }
+
+        @Override
+        public boolean watchOpened(WatchConnection watch) {
+            if (!isNewest()) {
+                return false;
             }
-            dialling = false;
+            connecting = false;
             if (current != null) {
-                current.end();
+                current.connection.end();
             }
+            connection = watch;
             current = this;
-            heard();
-            coming.begin(links.loop().now());
-            HttpFields fields = HttpFields.build().add("Host", "discovery");
-            write(
-                    () -> {},
-                    MessageEncoder.request(
-                            "GET",
-                            "/v1/servers?watch=1&after=" + (unheard ? 0 : hosts.generation()),
-                            fields,
-                            new byte[0]));
-        }
-
-        private void heard() {
-            heardUs =
-                    arrivedAfterUs(); // what waited here unseen was told when it came, not when it
-            // was read
-            if (silent != null) {
-                silent.cancel();
-            }
-            silent = links.loop().in(SILENT_US, this::quiet);
+            return true;
         }
 
-        /**
-         * Where the loop was held up, what has come meanwhile is not read yet: the time is up, and
-         * the watch is well.
-         */
-        private void quiet() {
-            EventLoop.Timer due = silent;
-            look();
-            if (silent == due) {
-                fail("it is silent", WorkerListChange.SILENT);
-            }
+        @Override
+        public long lastGeneration() {
+            return listReceivedFromAddress ? registry.generation() : NO_GENERATION;
         }
 
         @Override
-        protected void received(ByteBuffer bytes) {
-            heard();
-            coming.moved(links.loop().now(), bytes.remaining());
-            reader.read(bytes);
-            if (status != 0 && objects.begun() == 0) {
-                coming.end();
-            } else {
-                coming.begin(links.loop().now());
-            }
-            if (coming.isTooSlow(links.loop().now())) {
-                fail("it trickles");
+        public void listReceived(EndpointList list, long receivedUs) {
+            if (!listReceivedFromAddress && isNewest()) {
+                listReceivedFromAddress = true;
+                engine.discoveryAddress(DiscoveryAddressState.HEARD, connections.loop().now());
             }
+            engine.listed(list.change(), registry.apply(list, receivedUs));
+            firstListAction.run();
         }
 
         @Override
-        public void head(int code, Map<String, String> fields) {
-            status = code;
+        public void watchFailed(String reason, WorkerListChange loss, long lastReceivedUs) {
+            ended(reason, loss, lastReceivedUs);
         }
 
         @Override
-        public void body(byte[] part) {
-            if (status != 200 || isClosed()) {
-                return;
-            }
-            List<String> whole = objects.take(part);
-            if (whole == null) {
-                fail("host group: not JSON, or without end");
-                return;
-            }
-            for (String object : whole) {
-                if (!isClosed()) {
-                    take(object);
-                }
+        public void watchClosed() {
+            if (isCurrent()) {
+                current = null;
             }
         }
 
-        private void take(String object) {
-            try {
-                WorkerRegistry.Update update = hosts.decode(object);
-                if (unheard && number == newest) {
-                    unheard = false;
-                    driver.discoveryAddress(DiscoveryAddressState.HEARD, links.loop().now());
-                }
-                driver.listed(WorkerRegistry.mode(update), hosts.apply(update, arrivedAfterUs()));
-            } catch (WorkerRegistry.Malformed e) {
-                fail(e.getMessage());
+        private void ended(String reason, WorkerListChange loss, long lastReceivedUs) {
+            LOG.info("event=discovery_watch_ended the watch on discovery is over: {}", reason);
+            if (!isNewest()) {
                 return;
             }
-            told.run();
-        }
-
-        @Override
-        public void ended(boolean persistent) {
-            fail("it ended with status " + status);
-        }
-
-        @Override
-        public void malformed(String why) {
-            fail(why);
-        }
-
-        private void fail(String why) {
-            fail(why, WorkerListChange.FAILED);
-        }
-
-        private void fail(String why, WorkerListChange loss) {
-            if (!isClosed()) {
-                end();
-                over(number, why, loss, heardUs);
+            connecting = false;
+            if (pushed) {
+                connections.loop().in(PUSHED_RECONNECT_DELAY_US, DiscoveryClient.this::watch);
+            }
+            if (!pushed || loss == WorkerListChange.NOT_CALLED) {
+                engine.listLost(loss, lastReceivedUs);
             }
         }
 
-        @Override
-        protected void lost() {
-            over(number, "the connection broke", WorkerListChange.FAILED, arrivedAfterUs());
+        @SuppressWarnings("ReferenceEquality") // this very attempt
+        private boolean isNewest() {
+            return newest == this;
         }
 
-        @Override
-        protected void released() {
-            if (silent != null) {
-                silent.cancel();
-            }
-            if (current == this) {
-                current = null;
-            }
+        @SuppressWarnings("ReferenceEquality") // this very attempt
+        private boolean isCurrent() {
+            return current == this;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/platform/worker/ConnectionPool.java
@@ -0,0 +1,206 @@
+package damsonslip.platform.worker;
+
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SlowPeer;
+import damsonslip.policy.api.Idempotency;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Stream;
+
+/**
+ * The open connections to workers, with the idle ones of each worker. Idle connections are closed
+ * before the worker's own idle timeout, at which a request would race with the close.
+ */
+final class ConnectionPool {
+    /** Distance that is kept from the worker's idle timeout. */
+    private static final long IDLE_MARGIN_US = 3_000_000;
+
+    private static final long SWEEP_INTERVAL_US = 500_000;
+
+    private static final ArrayDeque<WorkerConnection> NO_CONNECTIONS = new ArrayDeque<>(0);
+
+    private final EventLoop loop;
+    private final WorkerStatistics statistics;
+    private final IdleConnectionRisk idleRisk = new IdleConnectionRisk();
+    private final long maxIdleUs;
+
+    /** The idle connections by worker, each deque ordered by the time of the last use. */
+    private final Map<String, ArrayDeque<WorkerConnection>> idle = new HashMap<>();
+
+    private final Set<WorkerConnection> open = new HashSet<>();
+
+    /**
+     * @param workerIdleTimeoutUs after which a worker closes an idle connection
+     */
+    ConnectionPool(EventLoop loop, WorkerStatistics statistics, long workerIdleTimeoutUs) {
+        this.loop = loop;
+        this.statistics = statistics;
+        this.maxIdleUs = workerIdleTimeoutUs - Math.min(IDLE_MARGIN_US, workerIdleTimeoutUs / 2);
+    }
+
+    /** Begins to close connections that have been idle for too long. */
+    void startSweeping() {
+        loop.in(SWEEP_INTERVAL_US, this::sweep);
+    }
+
+    private void sweep() {
+        idleRisk.decay();
+        List<WorkerConnection> stale =
+                idle.values().stream()
+                        .flatMap(ArrayDeque::stream)
+                        .filter(connection -> !isFresh(connection))
+                        .toList();
+        stale.forEach(this::closeStale);
+        idle.values().removeIf(ArrayDeque::isEmpty);
+        startSweeping();
+    }
+
+    /**
+     * Takes the idle connection that was used last, so that the others age and can be closed in
+     * time.
+     *
+     * @param idempotency of the request that it is to carry; one that must not run twice needs a
+     *     connection on which no late response can arrive, and a lower risk of a break
+     * @return null if none is fit
+     */
+    WorkerConnection takeIdle(String worker, Idempotency idempotency) {
+        while (true) {
+            WorkerConnection candidate = pollIdle(worker, idempotency);
+            if (candidate == null || candidate.isStillOpen()) {
+                return candidate;
+            }
+        }
+    }
+
+    private WorkerConnection pollIdle(String worker, Idempotency idempotency) {
+        long minIdleUs =
+                idempotency == Idempotency.IDEMPOTENT ? 0 : WorkerConnection.QUIET_PERIOD_US;
+        Iterator<WorkerConnection> newestFirst =
+                idle.getOrDefault(worker, NO_CONNECTIONS).descendingIterator();
+        List<WorkerConnection> stale = new ArrayList<>(0);
+        WorkerConnection found = null;
+        while (newestFirst.hasNext() && found == null) {
+            WorkerConnection connection = newestFirst.next();
+            long idleUs = loop.now() - connection.idleSinceUs();
+            if (idleUs < minIdleUs) {
+                continue;
+            }
+            if (!idleRisk.isAcceptable(idleUs, idempotency != Idempotency.NOT_IDEMPOTENT)) {
+                break; // the remaining ones have been idle for longer
+            }
+            newestFirst.remove();
+            if (isFresh(connection)) {
+                found = connection;
+            } else {
+                stale.add(connection);
+            }
+        }
+        stale.forEach(this::closeStale);
+        return found;
+    }
+
+    /** Takes an idle connection that was opened by then, if there is one. */
+    Optional<WorkerConnection> takeIdleOpenedBy(String worker, long openedByUs) {
+        ArrayDeque<WorkerConnection> connections = idle.getOrDefault(worker, NO_CONNECTIONS);
+        Optional<WorkerConnection> found =
+                connections.stream()
+                        .filter(
+                                connection ->
+                                        connection.isOpenSince(openedByUs) && isFresh(connection))
+                        .findFirst()
+                        .filter(WorkerConnection::isStillOpen);
+        found.ifPresent(connections::remove);
+        return found;
+    }
+
+    /** Whether the worker has a connection that was opened by then, idle or busy. */
+    boolean hasConnectionOpenedBy(String worker, long openedByUs) {
+        return open.stream()
+                .anyMatch(
+                        connection ->
+                                connection.worker().equals(worker)
+                                        && connection.isOpenSince(openedByUs));
+    }
+
+    private boolean isFresh(WorkerConnection connection) {
+        long idleUs = loop.now() - connection.idleSinceUs();
+        return idleUs < maxIdleUs && idleRisk.isAcceptable(idleUs, true);
+    }
+
+    /** Records whether a connection broke under the first request after this idle time. */
+    void recordReuse(long idleUs, boolean broke) {
+        idleRisk.record(idleUs, broke);
+    }
+
+    /** Adds a connection that has come up. */
+    void opened(WorkerConnection connection) {
+        statistics.connectionOpened();
+        open.add(connection);
+    }
+
+    /** Makes a connection available for the next request. */
+    void release(WorkerConnection connection) {
+        idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>()).addLast(connection);
+    }
+
+    /** Forgets a connection that is closed. */
+    void closed(WorkerConnection connection) {
+        open.remove(connection);
+        idle.getOrDefault(connection.worker(), NO_CONNECTIONS).remove(connection);
+    }
+
+    /** How many connections are open. */
+    int size() {
+        return open.size();
+    }
+
+    /**
+     * Closes the connection that has been idle for longest.
+     *
+     * @return whether there was one
+     */
+    boolean evictOldestIdle() {
+        Optional<WorkerConnection> oldest =
+                idle.values().stream()
+                        .filter(connections -> !connections.isEmpty())
+                        .map(ArrayDeque::peekFirst)
+                        .min(Comparator.comparingLong(WorkerConnection::idleSinceUs));
+        oldest.ifPresent(this::evict);
+        return oldest.isPresent();
+    }
+
+    /** Closes idle connections, those first that have been idle for longest, down to this size. */
+    void shrinkTo(int size) {
+        List<WorkerConnection> surplus =
+                idle.values().stream()
+                        .flatMap(ArrayDeque::stream)
+                        .sorted(Comparator.comparingLong(WorkerConnection::idleSinceUs))
+                        .limit(Math.max(0, open.size() - size))
+                        .toList();
+        surplus.forEach(this::evict);
+    }
+
+    private void evict(WorkerConnection connection) {
+        statistics.connectionEvicted();
+        connection.end();
+    }
+
+    private void closeStale(WorkerConnection connection) {
+        statistics.idleConnectionClosed();
+        connection.end();
+    }
+
+    /** The workers that have yet to take a request. */
+    Stream<SlowPeer> slowPeers() {
+        return open.stream().map(WorkerConnection::slowPeer).filter(Objects::nonNull);
+    }
+}
--- a/src/main/java/damsonslip/platform/worker/IdleConnectionRisk.java
+++ b/src/main/java/damsonslip/platform/worker/IdleConnectionRisk.java
@@ -1,68 +1,60 @@
 package damsonslip.platform.worker;
 
 /**
- * How likely a kept server link is to break under its next execution, by the time that it has been
- * idle, as seen lately. Guards against workers, or what lies between, that drop idle links long
- * before the limit in the settings and tell nobody: such a link looks open, and what is written to
- * it may have run as far as anybody can prove.
+ * Estimates how likely an idle connection is to break under its next request, by the time that it
+ * has been idle. Workers, or network elements before them, may drop idle connections long before
+ * the limit in the settings and without notice. Such a connection looks open, and a request that is
+ * written to it may have run as far as anybody can prove. Used on the event loop only.
  */
 final class IdleConnectionRisk {
-    /** The first ages are up to this long, each next ones up to twice as long. */
-    private static final long SHORTEST_US = 25_000;
+    /** The upper bound of the first age bucket; each further one is twice as wide. */
+    private static final long FIRST_BUCKET_US = 25_000;
 
-    private static final int AGES = 11;
+    private static final int BUCKETS = 11;
 
-    /** Weight of the newest case. */
-    private static final double WEIGHT = 0.1;
+    /** Weight of the newest observation in the moving average. */
+    private static final double SMOOTHING = 0.1;
 
-    /**
-     * What was seen fades by this part at each look, or an age once given up would never be tried
-     * again.
-     */
-    private static final double FADE = 0.015;
+    /** Part by which the estimates decay at each step, so that a rejected age is tried again. */
+    private static final double DECAY = 0.015;
 
-    /**
-     * A lost query costs far more than a new link; one that may be sent again costs little more.
-     */
-    private static final double MOST_RISK_ONCE = 0.015;
+    /** For a request that must not be repeated: its loss costs more than a new connection. */
+    private static final double MAX_RISK_NOT_IDEMPOTENT = 0.015;
 
-    private static final double MOST_RISK = 0.12;
+    private static final double MAX_RISK = 0.12;
 
-    private final double[] broken = new double[AGES];
+    private final double[] breakRates = new double[BUCKETS];
 
-    private static int age(long idleUs) {
-        int age = 0;
-        while (age < AGES - 1 && idleUs > SHORTEST_US << age) {
-            age++;
+    private static int bucket(long idleUs) {
+        int bucket = 0;
+        while (bucket < BUCKETS - 1 && idleUs > FIRST_BUCKET_US << bucket) {
+            bucket++;
         }
-        return age;
+        return bucket;
     }
 
-    /**
-     * A link that had been idle for this long has carried its next execution, or has broken under
-     * it.
-     */
-    public void seen(long idleUs, boolean broke) {
-        int age = age(idleUs);
-        broken[age] += WEIGHT * ((broke ? 1 : 0) - broken[age]);
+    /** Records whether a connection that had been idle for this long broke under its request. */
+    void record(long idleUs, boolean broke) {
+        int bucket = bucket(idleUs);
+        breakRates[bucket] += SMOOTHING * ((broke ? 1 : 0) - breakRates[bucket]);
     }
 
     /**
-     * Whether a link may be used that has been idle for this long; one that is older is at least as
-     * risky.
+     * Whether a connection that has been idle for this long may be used. One that has been idle for
+     * longer is taken to be at least as risky.
      */
-    public boolean serves(long idleUs, boolean onceOnly) {
+    boolean isAcceptable(long idleUs, boolean idempotent) {
         double risk = 0;
-        for (int age = 0; age <= age(idleUs); age++) {
-            risk = Math.max(risk, broken[age]);
+        for (int bucket = 0; bucket <= bucket(idleUs); bucket++) {
+            risk = Math.max(risk, breakRates[bucket]);
         }
-        return risk <= (onceOnly ? MOST_RISK_ONCE : MOST_RISK);
+        return risk <= (idempotent ? MAX_RISK : MAX_RISK_NOT_IDEMPOTENT);
     }
 
-    /** Time passes; called evenly, about twice a second. */
-    public void fade() {
-        for (int age = 0; age < AGES; age++) {
-            broken[age] *= 1 - FADE;
+    /** Lets the estimates decay; called at even intervals of half a second. */
+    void decay() {
+        for (int bucket = 0; bucket < BUCKETS; bucket++) {
+            breakRates[bucket] *= 1 - DECAY;
         }
     }
 }
--- a/src/main/java/damsonslip/platform/worker/WorkerConnection.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -2,12 +2,13 @@
 
 import damsonslip.engine.Attempt;
 import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
 import damsonslip.engine.SlowPeer;
-import damsonslip.platform.codec.MessageEncoder;
-import damsonslip.platform.codec.WireFormat;
-import damsonslip.platform.codec.HttpForward;
 import damsonslip.platform.codec.JobProgress;
+import damsonslip.platform.codec.OutboundRequests;
+import damsonslip.platform.codec.ResponseHead;
 import damsonslip.platform.codec.ResponseReader;
+import damsonslip.platform.worker.ConnectionState.Event;
 import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.ProbeResult;
@@ -17,423 +18,382 @@
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
-import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.util.BufferUtil;
 
-/** A connection to a worker, which carries one execution or probe at a time. */
+/**
+ * One connection to a worker, which carries one attempt or probe at a time; {@link ConnectionState}
+ * holds its states. Used on the event loop only.
+ */
 final class WorkerConnection extends EventLoopConnection implements ResponseReader.Listener {
-    private static final int MOST_LINE = 256 * 1024;
-    private static final byte[] NOTHING = {};
-
     /**
-     * A request has 64 KB at most and workers are near: one that takes nothing for half a second
-     * stands still, and there is time left for another. At this rate the largest one has two
-     * seconds.
+     * How long a connection has to be idle until no late second response to its last request can
+     * arrive, so that a response without an id belongs to the next request.
      */
-    private static final MinimumDataRate.Limits TAKING =
-            new MinimumDataRate.Limits(500_000, 500_000, 32 * 1024);
+    static final long QUIET_PERIOD_US = 100_000;
 
-    /**
-     * The time that a worker is told counts by the request's last byte, of which it may be 0.15 s
-     * too much (STANDING); a third of that is kept for hold-ups. A request that takes longer is
-     * given up before its last byte.
-     */
-    private static final long LATE_LAST_BYTE_US = 100_000;
+    private static final int MAX_LINE_BYTES = 256 * 1024;
+    private static final int MAX_LOGGED_LINE_CHARS = 80;
 
     /**
-     * Smaller requests fit into the system's buffers several times over, and are written in one go.
+     * How fast a worker has to take a request. Workers are near, and a request has 64 KB at most:
+     * the largest one may take two seconds, and half a second without progress is a stall.
      */
-    private static final int LARGE_REQUEST = 8 * 1024;
+    private static final MinimumDataRate.Limits UPLOAD_RATE =
+            new MinimumDataRate.Limits(500_000, 500_000, 32 * 1024);
 
-    /** What is reckoned from the pace of one try is taken with a quarter on top. */
-    private static final double UPLOAD_MARGIN = 1.25;
+    /** After a response's final line its end arrives at once, or never. */
+    private static final long RESPONSE_END_TIMEOUT_US = 500_000;
 
-    /**
-     * A second answer may follow the first some milliseconds late. A link that has rested for this
-     * long since its last answer has none to come, so that an answer without an id belongs to the
-     * request at hand.
-     */
-    static final long SETTLED_US = 100_000;
+    private static final long NEVER_USED = -1;
 
-    /**
-     * An answer whose last line has come ends in the same moment; one that goes on for this long
-     * never ends.
-     */
-    private static final long END_US = 500_000;
+    /** The parts of the program that a connection reports to. */
+    record Owner(
+            ConnectionPool pool,
+            InFlightAttempts attempts,
+            SchedulerEngine engine,
+            WorkerStatistics statistics) {}
+
+    /** A probe whose response is awaited. */
+    private record Probe(ProbeResult resultIfOk, EventLoop.Timer timeout) {}
 
-    private final WorkerClient side;
+    private final EventLoop loop;
     private final String worker;
-    private final Consumer<WorkerConnection> up;
+    private final Owner owner;
+    private final Consumer<WorkerConnection> onOpen;
     private final ResponseReader reader = new ResponseReader(this);
-    private final LineDecoder lines = new LineDecoder(MOST_LINE);
-    private Attempt execution;
-    private boolean probing;
-    private ProbeResult healthyTells = ProbeResult.HEALTHY;
+    private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
+    private final OutboundRateMonitor uploadMonitor;
 
-    /** A request was begun, and its answer is not whole. */
-    private boolean busy;
+    private ConnectionState state = ConnectionState.IDLE;
+    private long openedUs;
+    private long idleSinceUs;
+    private boolean used;
 
-    /** The last byte of the request is written: from here on the job may run. */
-    private boolean written;
+    /** The attempt whose outcome is awaited, or null. */
+    private Attempt attempt;
 
-    private int status;
-    private LoadReport report;
-    private boolean unprocessed;
+    /** Whether the attempt's job may run twice. */
+    private boolean repeatable;
 
-    /** Bytes of a large request that the system did not take at once. */
-    private int waitedFor;
+    /** The probe whose result is awaited, or null. */
+    private Probe probe;
 
-    /** How long it had been idle when the request at hand was begun; below 0 if it was new. */
-    private long idledUs = -1;
+    /** How long it had been idle before the request at hand, or {@link #NEVER_USED}. */
+    private long idleBeforeRequestUs = NEVER_USED;
 
-    private boolean used;
-    private final OutboundRateMonitor taking;
+    /** The head of the response at hand; null until it was read. */
+    private ResponseHead head;
 
-    /** Runs while a probe's answer is awaited. */
-    private EventLoop.Timer probeTime;
+    private LoadReport loadReport;
 
-    /** Runs from an answer's last line to the end of the answer. */
-    private EventLoop.Timer ending;
-
-    long idleSinceUs;
-    private long openedUs;
+    /** Runs from the outcome to the end of the response, or null. */
+    private EventLoop.Timer responseEndTimer;
 
+    /**
+     * @param onOpen receives the connection once it is up
+     */
     WorkerConnection(
-            EndPoint endPoint, WorkerClient side, String worker, Consumer<WorkerConnection> up) {
-        super(endPoint, side.loop());
-        this.up = up;
-        this.side = side;
+            EndPoint endPoint,
+            EventLoop loop,
+            String worker,
+            Owner owner,
+            Consumer<WorkerConnection> onOpen) {
+        super(endPoint, loop);
+        this.loop = loop;
         this.worker = worker;
-        this.taking =
-                new OutboundRateMonitor(side.loop(), TAKING, this::backlog, this::standsStill);
+        this.owner = owner;
+        this.onOpen = onOpen;
+        this.uploadMonitor =
+                new OutboundRateMonitor(loop, UPLOAD_RATE, this::backlog, this::uploadStalled);
     }
 
     String worker() {
         return worker;
     }
 
+    long idleSinceUs() {
+        return idleSinceUs;
+    }
+
+    /** Whether the connection is open, and was already at that time. */
+    boolean isOpenSince(long timeUs) {
+        return !isClosed() && openedUs <= timeUs;
+    }
+
+    /** Whether the connection is open after everything that has arrived was read. */
+    boolean isStillOpen() {
+        look();
+        return !isClosed();
+    }
+
+    /** Whether the last byte of the request at hand was written. */
+    boolean isRequestWritten() {
+        return state.isRequestWritten();
+    }
+
+    /** How the worker takes the request that is being written to it; null if none is. */
+    SlowPeer slowPeer() {
+        return uploadMonitor.waits() ? uploadMonitor.shown("takes a request", worker) : null;
+    }
+
     @Override
     protected void opened() {
-        openedUs = side.loop().now();
-        side.opened(this);
-        up.accept(this);
-    }
-
-    /** Sends a query to the worker, with so much time to do it in. */
-    void carry(Attempt next, long toldUs) {
-        execution = next;
-        HttpForward forward = (HttpForward) next.query().cargo();
-        HttpFields.Mutable fields =
-                HttpFields.build()
-                        .add("Host", "app.svc")
-                        .add(WireFormat.ID, next.query().id())
-                        .add(WireFormat.TIME_LEFT, WireFormat.text(toldUs));
-        if (forward.key() != null) {
-            fields.add(WireFormat.KEY, forward.key());
-        }
-        if (forward.contentType() != null) {
-            fields.add("Content-Type", forward.contentType());
-        }
-        begin(MessageEncoder.request(forward.method(), forward.target(), fields, forward.body()));
+        openedUs = loop.now();
+        idleSinceUs = loop.now();
+        owner.pool().opened(this);
+        onOpen.accept(this);
     }
 
     /**
-     * How long a worker may take itself to be awaited: its client may give up before the scheduler
-     * does.
+     * Sends a job.
+     *
+     * @param timeBudgetUs how long the worker may take
+     * @param mayRepeat whether the job may run twice
      */
-    static long toldUs(Attempt execution, long nowUs) {
-        long endsByUs = Math.min(execution.endsByUs(), execution.query().earliestDeadlineUs());
-        return Math.max(0, endsByUs - nowUs - execution.expectedUploadUs());
-    }
-
-    /** Whether the connection stands since then at least. */
-    boolean standsSince(long us) {
-        return !isClosed() && openedUs <= us;
+    void sendJob(Attempt next, long timeBudgetUs, boolean mayRepeat) {
+        attempt = next;
+        repeatable = mayRepeat;
+        sendRequest(OutboundRequests.job(next.query(), timeBudgetUs));
     }
 
     /**
-     * Asks for the worker's load, and waits for so long at the most.
+     * Sends a probe.
      *
-     * @param healthy what an answer of 200 tells
+     * @param timeoutUs within which the response has to arrive
+     * @param resultIfOk the result that a response of 200 means
      */
-    void probe(long timeUs, ProbeResult healthy) {
-        probing = true;
-        healthyTells = healthy;
-        probeTime = side.loop().in(timeUs, this::probeOverdue);
-        begin(
-                MessageEncoder.request(
-                        "GET", "/load", HttpFields.build().add("Host", "app.svc"), NOTHING));
-    }
-
-    /** The probe's answer has not come in time, unless it has and the loop was held up. */
-    private void probeOverdue() {
-        EventLoop.Timer due = probeTime;
-        look();
-        if (probing && probeTime == due) {
-            end();
-            lost();
-        }
+    void sendProbe(long timeoutUs, ProbeResult resultIfOk) {
+        probe = new Probe(resultIfOk, loop.in(timeoutUs, this::probeTimedOut));
+        sendRequest(OutboundRequests.probe());
     }
 
-    /** The probe has ended, and its time with it: the next one on this link has its own. */
-    private void probed(ProbeResult result, LoadReport told) {
-        if (probing) {
-            probing = false;
-            probeTime.cancel();
-            side.probed(worker, result, told);
-        }
+    /** Closes the connection under an attempt that nobody waits for any more. */
+    void abort() {
+        attempt = null;
+        end();
     }
 
-    private void begin(ByteBuffer[] request) {
-        idledUs = used ? side.loop().now() - idleSinceUs : -1;
+    private void sendRequest(ByteBuffer[] request) {
+        idleBeforeRequestUs = used ? loop.now() - idleSinceUs : NEVER_USED;
         used = true;
-        busy = true;
-        written = false;
-        status = 0;
-        report = null;
-        unprocessed = false;
-        int bytes = (int) BufferUtil.remaining(request);
-        if (bytes <= LARGE_REQUEST) {
-            write(this::whole, request);
+        head = null;
+        loadReport = null;
+        moveOn(Event.REQUEST_STARTED);
+        long bytes = BufferUtil.remaining(request);
+        if (LargeUpload.isLarge(bytes)) {
+            LargeUpload upload = LargeUpload.begin(request, bytes, loop.now());
+            write(() -> finishUpload(upload), request);
+            upload.queued(backlog());
         } else {
-            writeLarge(request, bytes);
+            write(this::requestWritten, request);
         }
         if (!isClosed()) {
-            taking.begin();
+            uploadMonitor.begin();
         }
     }
 
-    private void whole() {
-        written = true;
-        taking.end();
-        if (!probing) {
-            side.written(execution);
-        }
-    }
-
-    /**
-     * Writes all but the last byte first: what was told may be too old by the time at which that
-     * could leave.
-     */
-    private void writeLarge(ByteBuffer[] request, int bytes) {
-        ByteBuffer end = request[request.length - 1];
-        ByteBuffer last = end.duplicate().position(end.limit() - 1);
-        end.limit(end.limit() - 1);
-        long begunUs = side.loop().now();
-        write(() -> writeLast(last, bytes, side.loop().now() - begunUs), request);
-        waitedFor = (int) backlog();
-    }
-
-    private void writeLast(ByteBuffer last, int bytes, long tookUs) {
-        if (execution != null
-                && !execution.isAwaited()
-                && isClosed()) { // its client has left: nothing more is written
+    /** Writes the last byte, unless the client has disconnected or the upload took too long. */
+    private void finishUpload(LargeUpload upload) {
+        if (attempt != null && !attempt.isAwaited() && isClosed()) {
             return;
         }
-        // what the system took at once comes to the worker at the pace of the rest
-        long takesUs = waitedFor == 0 ? tookUs : tookUs * bytes / waitedFor;
-        if (execution != null && takesUs > execution.expectedUploadUs() + LATE_LAST_BYTE_US) {
-            execution.uploadTakes((long) (takesUs * UPLOAD_MARGIN));
-            side.slowUpload(worker, takesUs);
-            Attempt late = execution;
-            execution = null;
-            end();
-            side.ended(late, Attempt.End.of(AttemptOutcome.NEVER_SENT));
+        long estimatedUs = upload.estimatedUs(loop.now());
+        if (attempt == null || !LargeUpload.isTooSlow(estimatedUs, attempt.expectedUploadUs())) {
+            write(this::requestWritten, upload.lastByte());
             return;
         }
-        write(this::whole, last);
+        attempt.uploadTakes(LargeUpload.expectationAfter(estimatedUs));
+        owner.statistics().uploadTooSlow(worker, estimatedUs);
+        Attempt unsent = attempt;
+        abort();
+        owner.attempts().ended(unsent, Attempt.End.of(AttemptOutcome.NEVER_SENT));
     }
 
-    /** How it takes the request that is being written to it; null if none is. */
-    SlowPeer shown() {
-        return taking.waits() ? taking.shown("takes a request", worker) : null;
+    private void requestWritten() {
+        moveOn(Event.REQUEST_WRITTEN);
+        uploadMonitor.end();
+        if (probe == null) {
+            owner.statistics().requestWritten(attempt);
+        }
     }
 
-    /**
-     * A request that the worker takes too slowly is given up while its last byte is still here: it
-     * provably never ran, and may go elsewhere whatever its class.
-     */
-    private void standsStill() {
-        side.standsStill(worker);
-        end();
-        lost();
+    /** The last byte was not written, so the job provably never ran. */
+    private void uploadStalled() {
+        owner.statistics().uploadStalled(worker);
+        fail();
     }
 
-    /**
-     * The rest of a request does not follow a client that has left; its departure ends this link.
-     */
+    /** A client that has disconnected cancels its attempt before more of it is written. */
     @Override
     protected void selected() {
-        if (execution != null && !written) {
-            execution.isAwaited();
+        if (attempt != null && !isRequestWritten()) {
+            attempt.isAwaited();
         }
     }
 
-    /** Whether the last byte of the request at hand has left. */
-    boolean isWritten() {
-        return written;
-    }
-
-    /** Gives up what it carries, by the only means there is: the connection ends. */
-    void giveUp() {
-        execution = null;
-        end();
+    /** Reads first what has arrived unread while the event loop was held up. */
+    private void probeTimedOut() {
+        Probe due = probe;
+        look();
+        if (due != null && isAwaited(due)) {
+            fail();
+        }
     }
 
-    boolean idle() {
-        return !busy;
+    @SuppressWarnings("ReferenceEquality") // the same probe, not an equal one
+    private boolean isAwaited(Probe due) {
+        return probe == due;
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (!busy) { // nobody asked: whatever this is, the next answer could not be told from it
+        if (state == ConnectionState.IDLE) { // would be taken for the next request's response
             end();
             return;
         }
         reader.read(bytes);
-        if (busy && !isClosed() && execution == null && !probing && ending == null) {
-            ending = side.loop().in(END_US, this::giveUp);
+        if (!isClosed() && state.isSettled() && responseEndTimer == null) {
+            responseEndTimer = loop.in(RESPONSE_END_TIMEOUT_US, this::abort);
         }
     }
 
     @Override
-    public void head(int code, Map<String, String> fields) {
-        status = code;
-        if (idledUs >= 0) {
-            side.keptAge().seen(idledUs, false);
+    public void responseStarted(ResponseHead responseHead) {
+        head = responseHead;
+        loadReport = responseHead.loadReport();
+        if (idleBeforeRequestUs != NEVER_USED) {
+            owner.pool().recordReuse(idleBeforeRequestUs, false);
         }
-        report = JobProgress.report(fields.get(WireFormat.LOAD.toLowerCase(Locale.ROOT)));
-        unprocessed = "1".equals(fields.get(WireFormat.NOT_RUN.toLowerCase(Locale.ROOT)));
     }
 
     @Override
-    public void body(byte[] part) {
-        if (status != 200 || execution == null) {
+    public void contentReceived(byte[] part) {
+        if (!head.isOk() || attempt == null) {
             return;
         }
-        List<String> whole = lines.take(part);
-        if (whole == null) {
-            malformed("a line without end");
+        List<String> complete = lines.take(part);
+        if (complete == null) {
+            responseMalformed("a line without end");
             return;
         }
-        whole.forEach(this::line);
+        complete.forEach(this::lineReceived);
     }
 
-    private void line(String line) {
-        if (execution == null || line.isEmpty()) {
+    private void lineReceived(String line) {
+        if (attempt == null || line.isEmpty()) {
             return;
         }
-        JobProgress state = JobProgress.read(line, execution.query().id());
-        if (state == null) {
-            malformed("no job's state: " + line.substring(0, Math.min(80, line.length())));
+        Optional<JobProgress> decoded = JobProgress.decode(line, attempt.query().id());
+        if (decoded.isEmpty()) {
+            int shown = Math.min(MAX_LOGGED_LINE_CHARS, line.length());
+            responseMalformed("no job's state: " + line.substring(0, shown));
             return;
         }
-        report = state.report() == null ? report : state.report();
-        switch (state.kind()) {
-            case STARTED -> side.driver().started(execution);
+        JobProgress progress = decoded.get();
+        loadReport = progress.loadReport() == null ? loadReport : progress.loadReport();
+        switch (progress.state()) {
+            case STARTED -> owner.attempts().started(attempt);
             case RUNNING -> {}
-            case DONE -> finish(AttemptOutcome.SERVED, state.result());
-            case FAILED -> finish(AttemptOutcome.ERROR, null);
-            case RETURNED -> finish(AttemptOutcome.FULL, null);
-            case LOST -> finish(AttemptOutcome.RESET, null);
+            case COMPLETED -> settleAttempt(AttemptOutcome.SERVED, progress.result());
+            case FAILED -> settleAttempt(AttemptOutcome.ERROR, null);
+            case HANDED_BACK -> settleAttempt(AttemptOutcome.FULL, null);
+            case KILLED -> settleAttempt(AttemptOutcome.RESET, null);
         }
     }
 
-    /** Whether a turning away without an id can only be of the request at hand. */
-    private boolean settled() {
-        return idledUs < 0 || idledUs >= SETTLED_US;
-    }
-
     @Override
-    public void ended(boolean persistent) {
-        if (isClosed()) { // given up over one of its lines; a closed link must not be kept for the
-            // next request
+    public void responseCompleted(boolean reusable) {
+        if (isClosed()) { // by one of the response's lines
             return;
         }
-        stopEnding();
-        if (!written) { // whatever was answered, it was not this request, which has not come whole
-            // and never will
-            end();
-            lost();
+        stopResponseEndTimer();
+        if (!isRequestWritten()) { // not the response to this request, which is incomplete
+            fail();
             return;
         }
-        if (probing) {
-            probed(status == 200 ? healthyTells : ProbeResult.UNHEALTHY, report);
-        } else if (execution != null) {
-            boolean turnedAway = unprocessed && (status == 503 || status == 504);
-            boolean unproven = turnedAway && !settled() && side.once(execution);
-            // a 200 that ends before its last line tells no more than a connection that breaks
-            finish(
-                    unproven || status == 200
-                            ? AttemptOutcome.RESET
-                            : turnedAway ? AttemptOutcome.FULL : AttemptOutcome.ERROR,
-                    null);
+        if (probe != null) {
+            settleProbe(head.isOk() ? probe.resultIfOk() : ProbeResult.UNHEALTHY, loadReport);
+        } else {
+            settleAttempt(CompletedResponse.outcome(head, repeatable || isOwnResponse()), null);
         }
-        busy = false;
+        moveOn(Event.RESPONSE_COMPLETED);
         lines.rest();
-        if (persistent) {
-            idleSinceUs = side.loop().now();
-            side.idle(this);
+        if (reusable) {
+            idleSinceUs = loop.now();
+            owner.pool().release(this);
         } else {
             end();
         }
     }
 
+    /** Whether a response without an id can only belong to the request at hand. */
+    private boolean isOwnResponse() {
+        return idleBeforeRequestUs == NEVER_USED || idleBeforeRequestUs >= QUIET_PERIOD_US;
+    }
+
     @Override
-    public void malformed(String why) {
-        side.malformed(worker, why);
-        end();
-        lost();
+    public void responseMalformed(String reason) {
+        owner.statistics().responseMalformed(worker, reason);
+        fail();
     }
 
-    private void finish(AttemptOutcome outcome, String result) {
-        Attempt done = execution;
-        execution = null;
-        if (done != null) {
-            side.ended(done, new Attempt.End(outcome, report, result));
+    private void settleAttempt(AttemptOutcome outcome, String result) {
+        if (attempt != null) {
+            Attempt settled = attempt;
+            attempt = null;
+            moveOn(Event.OUTCOME_KNOWN);
+            owner.attempts().ended(settled, new Attempt.End(outcome, loadReport, result));
         }
     }
 
-    /** What the loss proves depends on whether the last byte of the request had left. */
+    private void settleProbe(ProbeResult result, LoadReport report) {
+        if (probe != null) {
+            probe.timeout().cancel();
+            probe = null;
+            moveOn(Event.OUTCOME_KNOWN);
+            owner.engine().probed(worker, result, report);
+        }
+    }
+
+    private void fail() {
+        end();
+        lost();
+    }
+
+    /** What the loss proves depends on whether the last byte of the request was written. */
     @Override
     protected void lost() {
-        if (busy && status == 0 && idledUs >= 0) {
-            side.keptAge().seen(idledUs, true);
-        }
-        if (!busy) {
-            side.driver().connectionLost(worker);
+        if (state == ConnectionState.IDLE) {
+            owner.engine().connectionLost(worker);
+        } else if (head == null && idleBeforeRequestUs != NEVER_USED) {
+            owner.pool().recordReuse(idleBeforeRequestUs, true);
         }
-        probed(ProbeResult.UNREACHABLE, null);
-        finish(written ? AttemptOutcome.RESET : AttemptOutcome.NOT_CONNECTED, null);
+        settleProbe(ProbeResult.UNREACHABLE, null);
+        settleAttempt(
+                isRequestWritten() ? AttemptOutcome.RESET : AttemptOutcome.NOT_CONNECTED, null);
     }
 
-    private void stopEnding() {
-        if (ending != null) {
-            ending.cancel();
-            ending = null;
-        }
+    private void moveOn(Event event) {
+        state = state.after(event);
     }
 
-    /**
-     * Takes in what has come while it rested, a stranger's bytes or the end; tells whether it still
-     * stands.
-     */
-    boolean stands() {
-        look();
-        return !isClosed();
+    private void stopResponseEndTimer() {
+        if (responseEndTimer != null) {
+            responseEndTimer.cancel();
+            responseEndTimer = null;
+        }
     }
 
     @Override
     protected void released() {
-        taking.end();
-        stopEnding();
-        if (execution != null) {
-            side.closedOver(execution);
+        uploadMonitor.end();
+        stopResponseEndTimer();
+        if (attempt != null) {
+            owner.attempts().checkEndsAfterClose(attempt);
         }
-        side.closed(this);
+        owner.pool().closed(this);
     }
 }
--- a/src/main/java/damsonslip/tools/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/HollowScheduler.java
@@ -1,7 +1,10 @@
 package damsonslip.tools.lab;
 
 import damsonslip.config.ConfigurationException;
+import damsonslip.platform.codec.EndpointList;
+import damsonslip.platform.codec.EndpointListDecoder;
 import damsonslip.platform.codec.JsonObjectDecoder;
+import damsonslip.platform.codec.MalformedListException;
 import damsonslip.platform.discovery.WorkerRegistry;
 import damsonslip.policy.SchedulingPolicy;
 import damsonslip.policy.api.Action;
@@ -48,6 +51,7 @@
     private final HollowFleet fleet;
     private final SchedulingPolicy rules;
     private final WorkerRegistry registry;
+    private final EndpointListDecoder listDecoder;
     private final CpuTimes cpu;
     private final PriorityQueue<Due> due =
             new PriorityQueue<>(Comparator.comparingLong(Due::atUs).thenComparingLong(Due::order));
@@ -64,7 +68,8 @@
         this.fleet = fleet;
         this.cpu = cpu;
         this.rules = new SchedulingPolicy(fleet.site().settings(), fleet.seed());
-        this.registry = new WorkerRegistry(fleet.site());
+        this.registry = new WorkerRegistry(fleet.site().settings().guarantees().drainGraceUs());
+        this.listDecoder = new EndpointListDecoder(fleet.site(), registry::address);
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.seed());
         this.exponential = ZigguratSampler.Exponential.of(random);
         this.taskUs = Math.round(Goal.TASK_S * 1e6);
@@ -73,7 +78,7 @@
     /** Takes in a list as it comes from discovery. */
     void listed(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        WorkerRegistry.Update[] update = new WorkerRegistry.Update[1];
+        EndpointList[] update = new EndpointList[1];
         List<List<WorkerEntry>> workers = new ArrayList<>();
         cpu.time(
                 CpuTimes.Event.DECODE,
@@ -81,14 +86,14 @@
                     update[0] = decoded(bytes);
                     workers.add(registry.apply(update[0], now));
                 });
-        WorkerListChange mode = WorkerRegistry.mode(update[0]);
+        WorkerListChange mode = update[0].change();
         handle(CpuTimes.Event.LIST, new WorkerListUpdate(mode, workers.get(0)));
     }
 
-    private WorkerRegistry.Update decoded(byte[] bytes) {
+    private EndpointList decoded(byte[] bytes) {
         try {
-            return registry.decode(new JsonObjectDecoder(MOST_OBJECT).take(bytes).get(0));
-        } catch (WorkerRegistry.Malformed e) {
+            return listDecoder.decode(new JsonObjectDecoder(MOST_OBJECT).decode(bytes).get(0));
+        } catch (MalformedListException e) {
             throw new IllegalStateException("the hollow discovery's own list", e);
         }
     }
--- a/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
+++ b/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
@@ -7,10 +7,12 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import damsonslip.config.SiteSettings;
+import damsonslip.platform.codec.EndpointListDecoder;
+import damsonslip.platform.codec.MalformedListException;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Addresses of workers, as lists come and go. */
+/** The addresses and draining times of workers over a sequence of lists. */
 class WorkerRegistryTest {
     private static final long MINUTE = 60_000_000;
     private static final String SETTINGS =
@@ -19,12 +21,15 @@
             "lanes":[{"name":"read","aim_s":0.5,"hard_limit_s":5,"semantics":"repeatable","value":1}]}\
             """;
 
-    private WorkerRegistry hosts;
+    private WorkerRegistry registry;
+    private EndpointListDecoder decoder;
     private long now;
 
     @BeforeEach
     void settings() throws Exception {
-        hosts = new WorkerRegistry(SiteSettings.read(new ObjectMapper().readTree(SETTINGS)));
+        SiteSettings site = SiteSettings.read(new ObjectMapper().readTree(SETTINGS));
+        registry = new WorkerRegistry(site.settings().guarantees().drainGraceUs());
+        decoder = new EndpointListDecoder(site, registry::address);
     }
 
     private static String entry(String id, String lifecycle) {
@@ -36,9 +41,9 @@
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    private void list(boolean whole, String... entries) throws WorkerRegistry.Malformed {
-        hosts.apply(
-                hosts.decode(
+    private void list(boolean whole, String... entries) throws MalformedListException {
+        registry.apply(
+                decoder.decode(
                         "{\"generation\":1,\"reset\":"
                                 + whole
                                 + ",\"instances\":["
@@ -47,31 +52,29 @@
                 now);
     }
 
-    /**
-     * A fleet whose workers are replaced every day would fill the memory with those of long ago.
-     */
+    /** A fleet whose workers are replaced every day must not fill the memory. */
     @Test
-    void theAddressOfAWorkerThatIsLongGoneIsForgotten() throws Exception {
+    void forgetsAddressOfWorkerRemovedLongAgo() throws Exception {
         list(true, entry("a", "ready"), entry("b", "ready"));
         list(true, entry("b", "ready"));
         now += 9 * MINUTE;
         list(false);
-        assertNotNull(hosts.address("a"));
+        assertNotNull(registry.address("a"));
         now += 2 * MINUTE;
         list(false);
-        assertNull(hosts.address("a"));
-        assertNotNull(hosts.address("b"));
-        assertTrue(hosts.maySend("b", now));
+        assertNull(registry.address("a"));
+        assertNotNull(registry.address("b"));
+        assertTrue(registry.maySend("b", now));
     }
 
     /** However long a worker drains, nothing is sent to it; once it is ready, it is used. */
     @Test
-    void aWorkerThatDrainsForLongGetsNothing() throws Exception {
+    void sendsNothingToWorkerThatDrainsForLong() throws Exception {
         list(true, entry("a", "draining"));
         now += 20 * MINUTE;
         list(false);
-        assertFalse(hosts.maySend("a", now));
+        assertFalse(registry.maySend("a", now));
         list(false, entry("a", "ready"));
-        assertTrue(hosts.maySend("a", now));
+        assertTrue(registry.maySend("a", now));
     }
 }
--- a/src/test/java/damsonslip/platform/worker/IdleConnectionRiskTest.java
+++ b/src/test/java/damsonslip/platform/worker/IdleConnectionRiskTest.java
@@ -5,29 +5,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How old a kept link may be before it is no longer trusted. */
+/** After which idle times a pooled connection is no longer used. */
 class IdleConnectionRiskTest {
     @Test
-    void agesAtWhichLinksBreakAreGivenUpAndTriedAgainLater() {
-        IdleConnectionRisk age = new IdleConnectionRisk();
+    void rejectsIdleTimesAtWhichConnectionsBreakAndRetriesThemLater() {
+        IdleConnectionRisk risk = new IdleConnectionRisk();
         for (int i = 0; i < 20; i++) {
-            age.seen(40_000, false);
-            age.seen(300_000, i % 2 == 0);
+            risk.record(40_000, false);
+            risk.record(300_000, i % 2 == 0);
         }
-        assertTrue(age.serves(40_000, true), "younger ones have held");
-        assertFalse(age.serves(300_000, false));
-        assertFalse(age.serves(9_000_000, false), "older ones are no better");
+        assertTrue(risk.isAcceptable(40_000, false), "connections idle for less have held");
+        assertFalse(risk.isAcceptable(300_000, true));
+        assertFalse(risk.isAcceptable(9_000_000, true), "those idle for longer are no better");
         for (int i = 0; i < 300; i++) {
-            age.fade();
+            risk.decay();
         }
-        assertTrue(age.serves(300_000, true), "what was seen long ago counts no more");
+        assertTrue(risk.isAcceptable(300_000, false), "old observations have decayed");
     }
 
     @Test
-    void whatMayBeSentOnlyOnceIsMoreCareful() {
-        IdleConnectionRisk age = new IdleConnectionRisk();
-        age.seen(300_000, true);
-        assertTrue(age.serves(300_000, false));
-        assertFalse(age.serves(300_000, true));
+    void acceptsLessRiskForRequestsThatMustNotRepeat() {
+        IdleConnectionRisk risk = new IdleConnectionRisk();
+        risk.record(300_000, true);
+        assertTrue(risk.isAcceptable(300_000, true));
+        assertFalse(risk.isAcceptable(300_000, false));
     }
 }
