--- a/src/main/java/damsonslip/engine/shutdown/ConnectionDraining.java
+++ b/src/main/java/damsonslip/engine/shutdown/ConnectionDraining.java
@@ -1,73 +1,95 @@
 package damsonslip.engine.shutdown;
 
 /**
- * Connection draining: sending clients away without losing a request. A response with {@code
- * Connection: close} is safe, so a busy connection is left to that. An idle connection has to be
- * closed, which may race with a request, so idle connections are closed only after a settling time
- * in which new ones may still come, the longest idle first; after a last moment all of them are
- * closed once they owe no response.
+ * Connection draining: sends clients away without losing a request. A response with {@code
+ * Connection: close} is safe, so a busy connection is closed by its response. An idle connection
+ * has to be closed by the program, which may race with a request. Therefore idle connections are
+ * kept for a settling time, in which new ones may still be opened; then those that have been idle
+ * for a while are closed; and at last all that owe no response.
  *
  * <p>Immutable; all times are in microseconds, on the caller's clock.
  *
  * @param sinceUs when draining began
- * @param settleUs how long idle connections are kept at first
+ * @param settleUs how long after the beginning idle connections are kept
  * @param quietUs how long a connection has to be idle to be closed after that
  * @param lastUs how long after the beginning all connections without an open request are closed,
- *     and a request that has not come whole is rejected
+ *     and a request that has not arrived completely is rejected
  */
 public record ConnectionDraining(long sinceUs, long settleUs, long quietUs, long lastUs) {
+    /** The front proxy checks every 0.1 s and opens new connections for 0.2 s more. */
+    private static final long OPERATOR_SETTLE_US = 500_000;
+
+    private static final long OPERATOR_QUIET_US = 300_000;
+
+    /**
+     * A request that is accepted later than 2 s after the command must not be open 4 s after it, so
+     * this leaves a margin before the 2 s.
+     */
+    private static final long OPERATOR_LAST_US = 1_600_000;
+
+    private static final long UPGRADE_SETTLE_US = 300_000;
+    private static final long UPGRADE_QUIET_US = 700_000;
+
+    /** Connections are closed this much before the old process stops to accept. */
+    private static final long UPGRADE_MARGIN_US = 600_000;
+
+    private static final long UPGRADE_MIN_LAST_US = 400_000;
+
+    /** A client that connected at the last moment is about to send its request. */
+    private static final long SHUTDOWN_QUIET_US = 150_000;
+
+    private static final long SHUTDOWN_LAST_US = 300_000;
+
     /** What to do with a connection. */
     public enum Action {
         /** Leave it open. */
         KEEP,
         /** Close it. */
         CLOSE,
-        /** Reject the request that has partly come, and close it. */
+        /** Reject the request that has arrived in part, and close it. */
         REJECT
     }
 
-    /**
-     * For an operator's {@code DRAIN}. The front proxy checks every 0.1 s and opens new connections
-     * for 0.2 s more. A request that is accepted later than 2 s after the command must not be open
-     * 4 s after it, so the last moment leaves a margin before that.
-     */
+    /** For an operator's {@code DRAIN}, which the process outlives. */
     public static ConnectionDraining forOperatorDrain(long nowUs) {
-        return new ConnectionDraining(nowUs, 500_000, 300_000, 1_600_000);
+        return new ConnectionDraining(
+                nowUs, OPERATOR_SETTLE_US, OPERATOR_QUIET_US, OPERATOR_LAST_US);
     }
 
     /**
-     * For an upgrade whose new process serves already. Whatever is accepted must be answered before
-     * the process may be killed, and clients that reconnect reach the new process, so connections
+     * For an upgrade whose new process already serves. Whatever is accepted must be answered before
+     * the old process may be killed, and clients that reconnect reach the new one, so connections
      * are closed early.
      */
     public static ConnectionDraining forUpgrade(long nowUs, ShutdownTimes times) {
-        return new ConnectionDraining(
-                nowUs, 300_000, 700_000, Math.max(400_000, times.acceptUs() - 600_000));
+        long lastUs = Math.max(UPGRADE_MIN_LAST_US, times.acceptUs() - UPGRADE_MARGIN_US);
+        return new ConnectionDraining(nowUs, UPGRADE_SETTLE_US, UPGRADE_QUIET_US, lastUs);
     }
 
     /**
-     * For a listener that was closed some time after the signal to end: kept connections have been
-     * told to close, and a client that connected at the last moment is about to send its request.
+     * For listeners that were closed some time after the signal: open connections have been asked
+     * to close by their responses since.
      */
     public static ConnectionDraining forShutdown(long nowUs) {
-        return new ConnectionDraining(nowUs, 0, 150_000, 300_000);
+        return new ConnectionDraining(nowUs, 0, SHUTDOWN_QUIET_US, SHUTDOWN_LAST_US);
     }
 
     /**
-     * Decides on one connection.
+     * Decides what to do with a connection.
      *
      * @param busy whether a request on it awaits its response
-     * @param midway whether a request has partly come
+     * @param midway whether a request has arrived in part
      * @param idleSinceUs when it was opened, or its last response was sent
      */
     public Action actionFor(long nowUs, boolean busy, boolean midway, long idleSinceUs) {
-        boolean last = nowUs >= sinceUs + lastUs;
         if (busy || nowUs < sinceUs + settleUs) {
             return Action.KEEP;
         }
+        boolean isLastMoment = nowUs >= sinceUs + lastUs;
         if (midway) {
-            return last ? Action.REJECT : Action.KEEP;
+            return isLastMoment ? Action.REJECT : Action.KEEP;
         }
-        return last || nowUs >= idleSinceUs + quietUs ? Action.CLOSE : Action.KEEP;
+        boolean isQuiet = nowUs >= idleSinceUs + quietUs;
+        return isLastMoment || isQuiet ? Action.CLOSE : Action.KEEP;
     }
 }
--- a/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
+++ b/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
@@ -5,21 +5,23 @@
  * after the longest request deadline, or 3.7 s after the signal if that is earlier; all times
  * follow from the deadlines in the settings.
  *
+ * <p>Immutable.
+ *
  * @param acceptUs how long new connections and requests are accepted as before, in microseconds:
  *     clients must not find the port closed, and another scheduler may just be starting
  * @param answerDeadlineUs when every open request has been answered, in microseconds
  */
 public record ShutdownTimes(long acceptUs, long answerDeadlineUs) {
-    /** Longer deadlines do not put the kill off any further. */
+    /** Longer deadlines do not delay the kill any further. */
     private static final long MAX_DEADLINE_US = 3_000_000;
 
     /** From the longest deadline to the kill. */
     private static final long KILL_DELAY_US = 700_000;
 
-    /** Kept free before the kill: an answer has to be sent, and the machine may be busy. */
+    /** Kept free before the kill: a response has to be sent, and the machine may be busy. */
     private static final long MARGIN_US = 250_000;
 
-    /** How long a request that is accepted last has until it is answered. */
+    /** How long the request that is accepted last has until it is answered. */
     private static final long LAST_REQUEST_US = 1_050_000;
 
     /** Front proxies open new connections for up to 0.4 s after the signal. */
--- a/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
+++ b/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
@@ -7,26 +7,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ConnectionDrainingTest {
+    private static final long DRAINED_AT_US = 1_000_000_000;
+
     /**
-     * Times in ms after the drain; what matters is that nothing taken late can be open 4 s after
-     * the call.
+     * Times in milliseconds after the drain began. A request that is accepted later than 2 s after
+     * the command must not be open 4 s after it.
      */
     @ParameterizedTest
     @CsvSource({
-        "100, false, false, -9000, KEEP", "499, false, false, -9000, KEEP",
-                "500, false, false, -9000, CLOSE",
-        "500, false, false, 300, KEEP", "600, false, false, 300, CLOSE",
-                "700, false, true, -9000, KEEP",
-        "1599, false, true, -9000, KEEP", "1600, false, true, -9000, REJECT",
-                "1600, false, false, 1590, CLOSE",
-        "5000, true, false, -9000, KEEP", "2500, false, false, 2499, CLOSE"
+        "100, false, false, -9000, KEEP",
+        "499, false, false, -9000, KEEP",
+        "500, false, false, -9000, CLOSE",
+        "500, false, false, 300, KEEP",
+        "600, false, false, 300, CLOSE",
+        "700, false, true, -9000, KEEP",
+        "1599, false, true, -9000, KEEP",
+        "1600, false, true, -9000, REJECT",
+        "1600, false, false, 1590, CLOSE",
+        "5000, true, false, -9000, KEEP",
+        "2500, false, false, 2499, CLOSE"
     })
-    void connectionsAreKeptClosedOrRejected(
-            long nowMs, boolean busy, boolean midway, long idleSinceMs, Action action) {
-        long began = 1_000_000_000;
-        assertEquals(
-                action,
-                ConnectionDraining.forOperatorDrain(began)
-                        .actionFor(began + nowMs * 1000, busy, midway, began + idleSinceMs * 1000));
+    void keepsClosesOrRejectsByTimeAndConnectionState(
+            long nowMs, boolean busy, boolean midway, long idleSinceMs, Action expected) {
+        ConnectionDraining draining = ConnectionDraining.forOperatorDrain(DRAINED_AT_US);
+        long nowUs = DRAINED_AT_US + nowMs * 1_000;
+        long idleSinceUs = DRAINED_AT_US + idleSinceMs * 1_000;
+        assertEquals(expected, draining.actionFor(nowUs, busy, midway, idleSinceUs));
     }
 }
