--- a/src/main/java/damsonslip/faktory/AdminCommands.java
+++ b/src/main/java/damsonslip/faktory/AdminCommands.java
@@ -10,8 +10,8 @@
 import damsonslip.faktory.codec.Json;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.Glob;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
@@ -79,7 +79,7 @@
     }
 
     void mutate(FaktoryConnection link, Mutate change) {
-        List<Entry> chosen =
+        List<JobEntry> chosen =
                 new ArrayList<>(
                         jobTable.jobsIn(
                                 switch (change.target()) {
@@ -87,14 +87,15 @@
                                     case RETRIES -> JobRecord.State.RETRY;
                                     case DEAD -> JobRecord.State.DEAD;
                                 }));
-        Mutate.Wanted wanted = change.wanted();
+        Mutate.Filter wanted = change.filter();
         if (change.verb()
                 != Mutate.Verb.CLEAR) { // CLEAR empties the whole set, whatever the filter says
             Set<String> ids = Set.copyOf(wanted.jids());
             chosen.removeIf(
                     entry ->
                             !wanted.jobtype().isEmpty()
-                                    && !wanted.jobtype().equals(entry.record().facts().jobtype()));
+                                    && !wanted.jobtype()
+                                            .equals(entry.record().options().jobtype()));
             chosen.removeIf(entry -> !ids.isEmpty() && !ids.contains(entry.id()));
         }
         if (wanted.glob().isEmpty() || change.verb() == Mutate.Verb.CLEAR) {
@@ -118,19 +119,23 @@
 
     /** Filters jobs by their whole text; their bodies are read from the store. */
     private void match(
-            Glob glob, List<Entry> among, int from, List<Entry> found, Consumer<List<Entry>> then) {
+            Glob glob,
+            List<JobEntry> among,
+            int from,
+            List<JobEntry> found,
+            Consumer<List<JobEntry>> then) {
         if (from >= among.size()) {
             then.accept(found);
             return;
         }
-        List<Entry> part = among.subList(from, Math.min(among.size(), from + BATCH));
-        store.ask(
-                new StoreOperation.Bodies(part.stream().map(Entry::id).toList()),
+        List<JobEntry> part = among.subList(from, Math.min(among.size(), from + BATCH));
+        store.submit(
+                new StoreOperation.GetBodies(part.stream().map(JobEntry::id).toList()),
                 bodies -> {
                     for (int i = 0; i < part.size(); i++) {
-                        Entry entry = part.get(i);
+                        JobEntry entry = part.get(i);
                         if (bodies.get(i) != null
-                                && glob.matches(JobText.whole(bodies.get(i), entry.record(), 0))) {
+                                && glob.matches(JobText.merge(bodies.get(i), entry.record(), 0))) {
                             found.add(entry);
                         }
                     }
@@ -139,7 +144,7 @@
                 () -> then.accept(null));
     }
 
-    private void change(FaktoryConnection link, Mutate.Verb verb, List<Entry> chosen) {
+    private void change(FaktoryConnection link, Mutate.Verb verb, List<JobEntry> chosen) {
         MutationProgress progress = new MutationProgress();
         progress.remaining = chosen.size();
         if (chosen.isEmpty()) {
@@ -159,20 +164,22 @@
                                                         + progress.unsafe
                                                         + " of "
                                                         + chosen.size()
-                                                        + " may have run and must not run twice; they stay where they are")
+                                                        + " may have run and must not run twice;"
+                                                        + " they stay where they are")
                                         : progress.unwritten
                                                 ? Reply.error(
-                                                        "ERR the store is down; the change is kept here and written once it is back")
+                                                        "ERR the store is down; the change is kept"
+                                                            + " here and written once it is back")
                                                 : Reply.ok()));
     }
 
     private void change(
             Mutate.Verb verb,
-            List<Entry> chosen,
+            List<JobEntry> chosen,
             int from,
             MutationProgress progress,
             Runnable then) {
-        for (Entry entry : chosen.subList(from, Math.min(chosen.size(), from + BATCH))) {
+        for (JobEntry entry : chosen.subList(from, Math.min(chosen.size(), from + BATCH))) {
             change(
                     verb,
                     entry,
@@ -191,7 +198,7 @@
 
     private void change(
             Mutate.Verb verb,
-            Entry entry,
+            JobEntry entry,
             MutationProgress progress,
             Consumer<String> acknowledge) {
         JobRecord record = entry.record();
@@ -206,7 +213,7 @@
             case KILL ->
                     coordinator.transition(
                             entry,
-                            record.to(
+                            record.withState(
                                     JobRecord.State.DEAD,
                                     coordinator.nowMs(),
                                     "killed by an operator",
@@ -215,7 +222,7 @@
             case REQUEUE -> {
                 if (RetryPolicy.mayRun(record, coordinator.classOf(entry), coordinator.nowMs())) {
                     coordinator.enqueue(entry);
-                    store.keep(
+                    store.write(
                             entry.record(),
                             () -> acknowledge.accept(null),
                             () -> acknowledge.accept("down"));
@@ -231,11 +238,11 @@
     /**
      * Ends a job, whose record is kept for a while: a repeated push must not run what may have run.
      */
-    private void discard(Entry entry, Consumer<String> acknowledge) {
+    private void discard(JobEntry entry, Consumer<String> acknowledge) {
         coordinator.transition(
                 entry,
                 entry.record()
-                        .to(
+                        .withState(
                                 JobRecord.State.DISCARDED,
                                 0,
                                 "discarded by an operator",
@@ -251,29 +258,29 @@
                         ? new ArrayList<>(
                                 change.verb() == Command.Queue.Verb.RESUME
                                         ? jobTable.paused()
-                                        : jobTable.queues().keySet())
+                                        : jobTable.queueSizes().keySet())
                         : change.names();
         for (String name : names) {
             switch (change.verb()) {
                 case PAUSE -> {
                     if (jobTable.pause(name)) {
-                        store.insist(new StoreOperation.Note(PAUSED, name, "1"));
+                        store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, "1"));
                     }
                 }
                 case RESUME -> {
                     if (jobTable.resume(name)) {
-                        store.insist(new StoreOperation.Note(PAUSED, name, null));
+                        store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, null));
                     }
                 }
-                case REMOVE -> remove(jobTable.inQueue(name), 0);
+                case REMOVE -> remove(jobTable.waitingIn(name), 0);
             }
         }
         coordinator.dispatchSoon();
         link.reply(Reply.ok());
     }
 
-    private void remove(List<Entry> entries, int from) {
-        for (Entry entry : entries.subList(from, Math.min(entries.size(), from + BATCH))) {
+    private void remove(List<JobEntry> entries, int from) {
+        for (JobEntry entry : entries.subList(from, Math.min(entries.size(), from + BATCH))) {
             if (jobTable.get(entry.id()) == entry && !entry.isDispatched()) {
                 discard(entry, error -> {});
             }
@@ -292,7 +299,7 @@
     void flush(FaktoryConnection link) {
         batches.clear();
         List<String> gone = new ArrayList<>();
-        for (Entry entry : jobTable.all()) {
+        for (JobEntry entry : jobTable.all()) {
             if (entry.isDispatched() || entry.record().state() == JobRecord.State.RESERVED) {
                 continue;
             }
@@ -301,14 +308,18 @@
                     entry.record(), coordinator.classOf(entry), coordinator.nowMs())) {
                 gone.add(entry.id());
             } else {
-                store.keep(
+                store.write(
                         entry.record()
-                                .to(JobRecord.State.DISCARDED, 0, "flushed", coordinator.nowMs()));
+                                .withState(
+                                        JobRecord.State.DISCARDED,
+                                        0,
+                                        "flushed",
+                                        coordinator.nowMs()));
             }
         }
         for (String name : jobTable.paused()) {
             jobTable.resume(name);
-            store.insist(new StoreOperation.Note(PAUSED, name, null));
+            store.submitWithRetry(new StoreOperation.PutMetadata(PAUSED, name, null));
         }
         drop(link, gone, 0);
     }
@@ -319,18 +330,19 @@
             return;
         }
         List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
-        store.ask(
-                new StoreOperation.Drop(part),
+        store.submit(
+                new StoreOperation.Delete(part),
                 done -> drop(link, ids, from + BATCH),
                 () -> {
                     for (int i = from; i < ids.size(); i += BATCH) {
-                        store.insist(
-                                new StoreOperation.Drop(
+                        store.submitWithRetry(
+                                new StoreOperation.Delete(
                                         ids.subList(i, Math.min(ids.size(), i + BATCH))));
                     }
                     link.reply(
                             Reply.error(
-                                    "ERR the store is down; all is forgotten here and goes there once it is back"));
+                                    "ERR the store is down; all is forgotten here and goes there"
+                                            + " once it is back"));
                 });
     }
 
@@ -340,7 +352,7 @@
         ObjectNode info =
                 Json.MAPPER.createObjectNode().put("server_utc_time", CLOCK.format(Instant.now()));
         ObjectNode jobs = info.putObject("faktory");
-        var queues = jobTable.queues();
+        var queues = jobTable.queueSizes();
         jobs.put("default_size", queues.getOrDefault("default", 0))
                 .put("total_enqueued", jobTable.size(JobRecord.State.QUEUED))
                 .put("total_queues", queues.size())
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -9,8 +9,8 @@
 import damsonslip.engine.Request;
 import damsonslip.engine.Response;
 import damsonslip.engine.SchedulerEngine;
+import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.JobTable;
-import damsonslip.faktory.jobs.JobTable.Entry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.policy.api.Idempotency;
@@ -133,7 +133,7 @@
         return loop.now() / 1000;
     }
 
-    JobClass classOf(Entry entry) {
+    JobClass classOf(JobEntry entry) {
         return site.settings().classes().get(entry.jobClass());
     }
 
@@ -146,9 +146,9 @@
 
     /** Adds a job that the store has recorded; returns an immediate rejection, or null. */
     String admit(JobRecord record, int jobClass) {
-        Entry entry = jobTable.add(record, jobClass);
-        jobTable.enqueued(entry, record.state() == JobRecord.State.QUEUED ? nowMs() : 0);
-        if (record.state() == JobRecord.State.QUEUED && record.awaited()) {
+        JobEntry entry = jobTable.add(record, jobClass);
+        jobTable.setEnqueuedMs(entry, record.state() == JobRecord.State.QUEUED ? nowMs() : 0);
+        if (record.state() == JobRecord.State.QUEUED && record.hasWaitingClient()) {
             return dispatch(entry);
         }
         dispatchSoon();
@@ -156,10 +156,10 @@
     }
 
     /** Appends a job to its queue. */
-    void enqueue(Entry entry) {
-        jobTable.move(entry, entry.record().queued(jobTable.nextSeq(), nowMs()));
-        jobTable.enqueued(entry, nowMs());
-        if (entry.record().awaited()) {
+    void enqueue(JobEntry entry) {
+        jobTable.move(entry, entry.record().enqueued(jobTable.nextSequence(), nowMs()));
+        jobTable.setEnqueuedMs(entry, nowMs());
+        if (entry.record().hasWaitingClient()) {
             dispatch(entry);
         }
     }
@@ -169,27 +169,28 @@
      *
      * @param acknowledge called once the store has recorded it, with an error or null
      */
-    void transition(Entry entry, JobRecord next, Consumer<String> acknowledge) {
+    void transition(JobEntry entry, JobRecord next, Consumer<String> acknowledge) {
         if (next.state().isFinal()) {
             jobTable.remove(entry);
         } else {
             jobTable.move(entry, next);
         }
-        store.keep(
+        store.write(
                 next,
                 () -> acknowledge.accept(null),
                 () ->
                         acknowledge.accept(
-                                "ERR the store is down; the word is kept here and written once it is back"));
-        if (!next.facts().bid().isEmpty()) {
-            batchListener.accept(next.facts().bid());
+                                "ERR the store is down; the word is kept here and written once it"
+                                        + " is back"));
+        if (!next.options().batchId().isEmpty()) {
+            batchListener.accept(next.options().batchId());
         }
         if (next.state() == JobRecord.State.SUCCESS) {
             successListener.accept(next);
         }
     }
 
-    void transition(Entry entry, JobRecord next) {
+    void transition(JobEntry entry, JobRecord next) {
         transition(entry, next, error -> {});
     }
 
@@ -208,12 +209,14 @@
     }
 
     private void dispatchWaiting() {
-        if (phase.atLeast(State.FINISHING) || !store.up() || store.waiting() > MAX_STORE_BACKLOG) {
+        if (phase.atLeast(State.FINISHING)
+                || !store.isAvailable()
+                || store.pendingCount() > MAX_STORE_BACKLOG) {
             return;
         }
         for (FetchDirectory.WaitingFetch fetch : List.copyOf(fetchDirectory.waitingFetches())) {
             IntPredicate open = jobClass -> mayDispatch(jobClass, fetch.sinceUs());
-            Entry next = jobTable.next(fetch.queues(), fair, nowMs(), open);
+            JobEntry next = jobTable.next(fetch.queues(), fair, nowMs(), open);
             while (next != null && fetchDirectory.isFetchWaiting(fetch.queues())) {
                 if (!discardIfExpired(next)) {
                     dispatch(next);
@@ -253,8 +256,8 @@
         }
     }
 
-    private boolean discardIfExpired(Entry entry) {
-        long until = entry.record().facts().expiresMs();
+    private boolean discardIfExpired(JobEntry entry) {
+        long until = entry.record().options().expiresMs();
         if (until == 0 || until > nowMs()) {
             return false;
         }
@@ -262,7 +265,8 @@
         transition(
                 entry,
                 entry.record()
-                        .to(JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
+                        .withState(
+                                JobRecord.State.DISCARDED, 0, "its time to run was over", nowMs()));
         return true;
     }
 
@@ -274,7 +278,7 @@
      *
      * @return an immediate rejection, or null
      */
-    private String dispatch(Entry entry) {
+    private String dispatch(JobEntry entry) {
         JobRecord record = entry.record();
         if (driver.holds(record.id())) { // its previous attempt has not ended there yet
             jobTable.undispatch(entry, nowMs() + REDISPATCH_DELAY_MS);
@@ -283,7 +287,7 @@
         if (!RetryPolicy.mayRun(record, classOf(entry), nowMs())) { // holds whoever enqueued it
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD,
                             nowMs(),
                             "it may have run and must not run twice",
@@ -291,22 +295,22 @@
             return null;
         }
         Idempotency effect = classOf(entry).idempotency();
-        int retries = Math.max(0, record.facts().retry());
+        int retries = Math.max(0, record.options().retryLimit());
         boolean once =
                 effect == Idempotency.NOT_IDEMPOTENT
-                        || (effect == Idempotency.IDEMPOTENT && !record.awaited());
+                        || (effect == Idempotency.IDEMPOTENT && !record.hasWaitingClient());
         int maxAttempts = once ? 1 : retries + 1;
         long deadlineMs =
-                record.awaited()
-                        ? record.facts().deadlineMs()
+                record.hasWaitingClient()
+                        ? record.options().deadlineMs()
                         : nowMs()
                                 + Math.max(
                                         site.deadlineUs(entry.jobClass()) / 1000,
-                                        record.facts().reserveMs() + RESERVATION_MARGIN_MS);
-        String queue = record.facts().queue();
+                                        record.options().reservationMs() + RESERVATION_MARGIN_MS);
+        String queue = record.options().queue();
         DispatchedJob dispatched = new DispatchedJob(entry, loop.now());
         jobTable.dispatch(entry);
-        if (!record.awaited()) {
+        if (!record.hasWaitingClient()) {
             unawaited.add(dispatched);
         }
         String[] rejection = new String[1];
@@ -318,7 +322,7 @@
                                 0,
                                 deadlineMs * 1000,
                                 deadlineMs * 1000,
-                                record.facts().slots(),
+                                record.options().slots(),
                                 0,
                                 null,
                                 maxAttempts,
@@ -332,7 +336,7 @@
 
     /** Handles the decision module's final answer; returns a rejection, or null. */
     private String finish(DispatchedJob dispatched, Response answer) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         unawaited.remove(dispatched);
         if (jobTable.get(entry.id()) != entry) {
             return null; // discarded by an operator meanwhile
@@ -342,8 +346,10 @@
         dispatched.acknowledge = null;
         if (answer.kind() == Response.Kind.SERVED) {
             transition(
-                    entry, entry.record().to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
-        } else if (entry.record().awaited()) {
+                    entry,
+                    entry.record().withState(JobRecord.State.SUCCESS, 0, "", nowMs()),
+                    acknowledge);
+        } else if (entry.record().hasWaitingClient()) {
             return finishAwaited(dispatched, answer, acknowledge);
         } else if (dispatched.ran) {
             jobTable.undispatch(entry, 0);
@@ -364,19 +370,19 @@
 
     /** Returns a reserved job to its queue if it provably never left for the worker. */
     void returnUnrun(DispatchedJob dispatched) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         if (jobTable.get(entry.id()) == entry
                 && entry.record().state() == JobRecord.State.RESERVED
                 && !dispatched.ran) {
-            jobTable.move(entry, entry.record().handedBack(dispatched.ranBefore, nowMs()));
-            store.keep(entry.record());
+            jobTable.move(entry, entry.record().returned(dispatched.ranBefore, nowMs()));
+            store.write(entry.record());
         }
     }
 
     /** Ends an awaited job that was not served; returns a rejection, or null. */
     private String finishAwaited(
             DispatchedJob dispatched, Response answer, Consumer<String> acknowledge) {
-        Entry entry = dispatched.entry;
+        JobEntry entry = dispatched.entry;
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
         String message =
                 describe(answer)
@@ -390,14 +396,14 @@
         if (mayHaveRun && classOf(entry).idempotency() != Idempotency.IDEMPOTENT) {
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD, nowMs(), "it may have run; " + message, nowMs()),
                     acknowledge);
             return null;
         }
         boolean rejected = answer.kind() == Response.Kind.THROTTLED;
-        JobRecord.State state = rejected ? JobRecord.State.REFUSED : JobRecord.State.FAILED;
-        transition(entry, record.to(state, 0, message, nowMs()), acknowledge);
+        JobRecord.State state = rejected ? JobRecord.State.REJECTED : JobRecord.State.FAILED;
+        transition(entry, record.withState(state, 0, message, nowMs()), acknowledge);
         return rejected ? "ERR " + message : null;
     }
 
@@ -416,13 +422,15 @@
     }
 
     /** Applies the retry policy to an unawaited job whose run has failed. */
-    private void retryOrEnd(Entry entry, RunFailure how, Consumer<String> acknowledge) {
+    private void retryOrEnd(JobEntry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.RUNS_FAILED);
         RetryPolicy.NextState next =
-                RetryPolicy.failed(entry.record(), classOf(entry), how, nowMs(), random);
-        JobRecord failed = entry.record().failed(next.failure());
+                RetryPolicy.nextState(entry.record(), classOf(entry), how, nowMs(), random);
+        JobRecord failed = entry.record().withFailure(next.failure());
         transition(
-                entry, failed.to(next.state(), next.dueMs(), next.message(), nowMs()), acknowledge);
+                entry,
+                failed.withState(next.state(), next.dueMs(), next.message(), nowMs()),
+                acknowledge);
     }
 
     // ---- reports on jobs that are not dispatched
@@ -438,13 +446,13 @@
      */
     boolean reportUndispatched(
             String worker, String jid, RunFailure how, Consumer<String> acknowledge) {
-        Entry entry = jobTable.get(jid);
+        JobEntry entry = jobTable.get(jid);
         if (entry == null || entry.isDispatched() || !entry.record().worker().equals(worker)) {
             return false;
         }
         JobRecord record = entry.record();
         boolean succeededLate =
-                !record.awaited()
+                !record.hasWaitingClient()
                         && how == null
                         && (record.state() == JobRecord.State.RETRY
                                 || record.state() == JobRecord.State.DEAD);
@@ -453,7 +461,8 @@
         }
         if (how == null) {
             counters.add(Count.ANSWERS_SERVED);
-            transition(entry, record.to(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
+            transition(
+                    entry, record.withState(JobRecord.State.SUCCESS, 0, "", nowMs()), acknowledge);
         } else {
             endLostRun(entry, how, acknowledge);
         }
@@ -461,20 +470,20 @@
     }
 
     /** Ends a run whose job is not dispatched any more. */
-    private void endLostRun(Entry entry, RunFailure how, Consumer<String> acknowledge) {
+    private void endLostRun(JobEntry entry, RunFailure how, Consumer<String> acknowledge) {
         counters.add(Count.ANSWERS_FAILED);
         JobRecord record = entry.record();
-        if (!record.awaited()) {
+        if (!record.hasWaitingClient()) {
             retryOrEnd(entry, how, acknowledge);
         } else if (classOf(entry).idempotency() == Idempotency.IDEMPOTENT) {
             transition(
                     entry,
-                    record.to(JobRecord.State.FAILED, 0, how.message(), nowMs()),
+                    record.withState(JobRecord.State.FAILED, 0, how.message(), nowMs()),
                     acknowledge);
         } else {
             transition(
                     entry,
-                    record.to(
+                    record.withState(
                             JobRecord.State.DEAD,
                             nowMs(),
                             "it may have run before a restart; " + how.message(),
@@ -487,19 +496,19 @@
      * Awaits the report of a worker that had the job before a restart; a worker that does not
      * reconnect has a minute.
      */
-    void awaitReport(Entry entry) {
+    void awaitReport(JobEntry entry) {
         long untilMs = RetryPolicy.reportDeadlineMs(entry.record());
         loop.at(
                 Math.min(untilMs, nowMs() + RetryPolicy.ORPHAN_TIMEOUT_MS) * 1000,
                 () -> checkReport(entry, untilMs));
     }
 
-    private void checkReport(Entry entry, long untilMs) {
+    private void checkReport(JobEntry entry, long untilMs) {
         JobRecord.State state = entry.record().state();
         boolean open = state == JobRecord.State.RESERVED || state == JobRecord.State.QUEUED;
         if (jobTable.get(entry.id()) != entry
                 || entry.isDispatched()
-                || entry.record().neverRan()
+                || entry.record().hasNeverRun()
                 || !open) {
             return;
         }
@@ -525,7 +534,7 @@
                                             transition(
                                                     entry,
                                                     entry.record()
-                                                            .to(
+                                                            .withState(
                                                                     JobRecord.State.DISCARDED,
                                                                     0,
                                                                     "dead for too long",
@@ -543,8 +552,8 @@
      * start treats a scheduled job that is due like a queued one.
      */
     private void enqueueDue() {
-        List<Entry> due = jobTable.due(nowMs(), DUE_BATCH);
-        for (Entry entry : due) {
+        List<JobEntry> due = jobTable.due(nowMs(), DUE_BATCH);
+        for (JobEntry entry : due) {
             if (!discardIfExpired(entry)) {
                 enqueue(entry);
             }
