--- a/src/main/java/damsonslip/engine/Counters.java
+++ b/src/main/java/damsonslip/engine/Counters.java
@@ -17,45 +17,85 @@
      * tools read them there, so they stay as they are.
      */
     public enum Count {
+        /** Requests and jobs that were accepted. */
         QUERIES_TAKEN,
+        /** Messages of clients that were rejected as invalid. */
         QUERIES_BAD,
+        /** Requests whose client disconnected before the final response. */
         QUERIES_GONE,
+        /** Final responses with a worker's result. */
         ANSWERS_SERVED,
+        /** Final responses that reject a request because of overload. */
         ANSWERS_THROTTLED,
+        /** Final responses to requests that failed. */
         ANSWERS_FAILED,
+        /** Attempts that the decision module has sent. */
         EXECUTIONS_SENT,
+        /** Attempts whose last byte was written to the worker. */
         EXECUTIONS_WRITTEN,
+        /** Attempts that a worker has served. */
         EXECUTIONS_SERVED,
+        /** Attempts that a worker answered with an error. */
         EXECUTIONS_ERROR,
+        /** Attempts that a worker rejected because it had no capacity. */
         EXECUTIONS_FULL,
+        /** Attempts that exceeded their time limit. */
         EXECUTIONS_TIMED_OUT,
+        /** Attempts for which no connection could be established. */
         EXECUTIONS_NOT_CONNECTED,
+        /** Attempts whose connection ended before the response. */
         EXECUTIONS_RESET,
+        /** Attempts that the decision module has cancelled. */
         EXECUTIONS_CANCELLED,
+        /** Attempts that ended before they were written. */
         EXECUTIONS_NEVER_SENT,
+        /** Health checks that the decision module has asked for. */
         PROBES_SENT,
+        /** Connections to workers that were established. */
         SERVER_LINKS_OPENED,
+        /** Connections to workers that were closed after an idle time. */
         SERVER_LINKS_CLOSED_IDLE,
+        /** Connections to workers that were evicted in favour of another one. */
         SERVER_LINKS_CLOSED_FOR_ROOM,
+        /** Connections that clients have opened. */
         CLIENT_LINKS_OPENED,
+        /** Worker lists, and changes to them, from discovery. */
         LIST_UPDATES,
+        /** Calls to discovery, and watches on it, that have ended. */
         LIST_FAILURES,
+        /** Attempts that were not written because the worker may no longer be sent to. */
         DRAINED_SENDS_STOPPED,
+        /** Fetches of Faktory workers that were answered with a job. */
         FETCHES_ANSWERED,
+        /** Pushes of jobs that were accepted before. */
         PUSHES_REPEATED,
+        /** Pushes of jobs that were rejected. */
         PUSHES_REFUSED,
+        /** Reports of Faktory workers on jobs that they no longer hold. */
         WORDS_LATE,
+        /** Failed runs of jobs that no producer waits for. */
         RUNS_FAILED,
+        /** Jobs that were discarded because they had expired. */
         JOBS_EXPIRED,
+        /** Connections with a wrong password. */
         PASSWORDS_WRONG,
+        /** Connection attempts to workers that were abandoned. */
         SERVER_DIALS_GIVEN_UP,
+        /** Peers that were disconnected because they read too slowly. */
         SLOW_READERS_LET_GO,
+        /** Peers that were disconnected because they sent too slowly. */
         SLOW_SENDERS_LET_GO,
+        /** Uploads that were abandoned because the worker took them too slowly. */
         UPLOADS_GIVEN_UP,
+        /** Reloads of the settings that were applied. */
         RELOADS_DONE,
+        /** Reloads of the settings that were rejected. */
         RELOADS_REFUSED,
+        /** Violations of invariants. */
         INVARIANTS_VIOLATED,
+        /** Actions of the decision module whose execution failed. */
         ACTIONS_FAILED,
+        /** Tasks of the event loop that failed. */
         TASKS_FAILED
     }
 
