--- a/src/main/java/damsonslip/transport/AcceptBackOff.java
+++ b/src/main/java/damsonslip/transport/AcceptBackOff.java
@@ -1,28 +1,27 @@
 package damsonslip.transport;
 
 /**
- * How long a listener rests after an accept that failed: the system is out of descriptors or
- * memory, and would refuse the next one as well. Doubles with each failure in a row. No I/O, no
- * clock; not safe for use by several threads.
+ * Exponential backoff of a listener after a failed accept: the system is out of descriptors or
+ * memory, and would refuse the next one as well. No I/O and no clock; not thread-safe.
  */
 final class AcceptBackOff {
-    /** The shortest rest: where only single accepts fail, nobody who connects waits noticeably. */
-    static final long FIRST_US = 1_000;
+    /** Where only single accepts fail, no client waits noticeably. */
+    static final long INITIAL_DELAY_US = 1_000;
 
-    /** The longest rest: 30 failing accepts a second cost a fraction of a percent of a core. */
-    static final long LONGEST_US = 32_000;
+    /** 30 failed accepts a second take a fraction of a percent of a core. */
+    static final long MAX_DELAY_US = 32_000;
 
-    private long nextUs = FIRST_US;
+    private long nextDelayUs = INITIAL_DELAY_US;
 
-    /** An accept has failed; gives the time to rest. */
+    /** Records a failed accept; returns the delay before the next one. */
     long failed() {
-        long rest = nextUs;
-        nextUs = Math.min(LONGEST_US, 2 * nextUs);
-        return rest;
+        long delayUs = nextDelayUs;
+        nextDelayUs = Math.min(MAX_DELAY_US, 2 * nextDelayUs);
+        return delayUs;
     }
 
-    /** An accept has gone well, or found nobody. */
+    /** Records that an accept returned a connection, or found none. */
     void succeeded() {
-        nextUs = FIRST_US;
+        nextDelayUs = INITIAL_DELAY_US;
     }
 }
--- a/src/main/java/damsonslip/transport/ArrivalBound.java
+++ b/src/main/java/damsonslip/transport/ArrivalBound.java
@@ -1,50 +1,51 @@
 package damsonslip.transport;
 
 /**
- * The last moment at which a socket, or a listener's queue, was seen empty: what is read from it
- * now came later. Where the process was held up that may be long ago, and whoever waits there has
- * that much less time than it says.
+ * The last moment at which a socket, or a listener's accept queue, was seen empty: what is read
+ * from it now came later. If the process was suspended, that may be long ago, and the deadline of a
+ * request that waits there is closer than the request says.
  *
- * <p>{@link #seenEmpty} and {@link #arrivedAfterUs} are safe for several threads; the others belong
- * to the selector's.
+ * <p>{@link #seenEmpty} and {@link #arrivedAfterUs} are thread-safe; the other methods are called
+ * on the selector's thread.
  */
 final class ArrivalBound {
     private static final long NEVER = Long.MAX_VALUE;
 
     private final RoundClock rounds;
     private volatile long emptyAtUs;
-    private long watchedFrom = NEVER;
+    private long watchedFromRound = NEVER;
 
-    /** Begins as seen empty at this time. */
+    /** Creates a bound for a socket that was empty at this time. */
     ArrivalBound(RoundClock rounds, long emptyAtUs) {
         this.rounds = rounds;
         this.emptyAtUs = emptyAtUs;
     }
 
-    /** A read or an accept found nothing. */
+    /** Records that a read or an accept found nothing. */
     void seenEmpty(long nowUs) {
         emptyAtUs = Math.max(emptyAtUs, nowUs);
     }
 
-    /** Whether the selector watches it from the next round on. */
-    void watched(boolean so) {
-        if (!so) {
-            watchedFrom = NEVER;
-        } else if (watchedFrom == NEVER) {
-            watchedFrom = rounds.round() + 1;
+    /** Records whether the selector watches the socket from the next round on. */
+    void setWatched(boolean watched) {
+        if (!watched) {
+            watchedFromRound = NEVER;
+        } else if (watchedFromRound == NEVER) {
+            watchedFromRound = rounds.round() + 1;
         }
     }
 
     /**
-     * The newest round has reported it: so the one before, if it was watched there, found it empty.
+     * Records that the current round has reported the socket: so the previous one, if it watched
+     * the socket, found it empty.
      */
     void reported() {
-        if (watchedFrom < rounds.round()) {
-            seenEmpty(rounds.beganBeforeUs());
+        if (watchedFromRound < rounds.round()) {
+            seenEmpty(rounds.previousRoundStartUs());
         }
     }
 
-    /** What is there to read now came after this time, in microseconds of the loop's clock. */
+    /** Returns the time, in microseconds of the loop's clock, after which what is there came. */
     long arrivedAfterUs() {
         return emptyAtUs;
     }
--- a/src/main/java/damsonslip/transport/ConnectFailure.java
+++ b/src/main/java/damsonslip/transport/ConnectFailure.java
@@ -3,22 +3,19 @@
 import java.net.ConnectException;
 import java.net.NoRouteToHostException;
 
-/** Why a connection did not come up. */
+/** Why a connection could not be opened. */
 public enum ConnectFailure {
-    /** The other side, or the network on the way there, refused it or said nothing. */
+    /** The peer, or the network on the way there, refused it or did not answer. */
     UNREACHABLE,
-    /**
-     * This machine had no socket, port or memory for it, so that nothing is known of the other
-     * side.
-     */
+    /** This machine had no socket, port or memory for it, so that nothing is known of the peer. */
     LOCAL,
     /**
-     * It came up, and this machine did not hear of it within the limit: it was held up, or did not
-     * watch the socket.
+     * The connection was established, but this process did not notice within the timeout: it was
+     * suspended, or the system did not watch the socket.
      */
     UNHEARD;
 
-    /** Tells by what the call threw that was to begin the connection. */
+    /** Classifies what the call threw that was to open the connection. */
     static ConnectFailure of(Exception thrown) {
         return thrown instanceof ConnectException || thrown instanceof NoRouteToHostException
                 ? UNREACHABLE
--- a/src/main/java/damsonslip/transport/ConnectionLimiter.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -11,116 +11,128 @@
 import java.util.function.Predicate;
 
 /**
- * The connections that there is room for. Guards usual clients against those that open hundreds and
- * say nothing: when it is full, the newest is let in and the one that is missed least has to go.
- * All but {@link #admit}, {@link #hasRoom} and {@link #turnedBack} is called on the loop.
+ * Limits the number of open connections of one kind. At the limit a new connection is accepted and
+ * the least important one is evicted, so that clients that open hundreds of connections and send
+ * nothing do not keep others out. A few more than the limit, the overflow, may be open while
+ * evicted ones close.
+ *
+ * <p>{@link #admit}, {@link #hasRoom} and {@link #turnedBack} are thread-safe; all other methods
+ * are called on the event loop.
  */
 public final class ConnectionLimiter<L extends EventLoopConnection> {
-    private volatile int most;
+    private volatile int limit;
     private volatile int overflow;
-    private final Predicate<L> mayGo;
-    private final Comparator<L> missed;
+    private final Predicate<L> evictable;
+    private final Comparator<L> evictionOrder;
     private final Set<L> open = new LinkedHashSet<>();
-    private final AtomicInteger held = new AtomicInteger();
+
+    /** Connections that were admitted and not closed yet. */
+    private final AtomicInteger admitted = new AtomicInteger();
 
     /**
-     * @param most so many stay
-     * @param overflow so many more may be held for the moment until one has gone
-     * @param mayGo whether a connection may be ended to make room
-     * @param missed the order in which they go
+     * Creates a limiter.
+     *
+     * @param limit how many connections stay open
+     * @param overflow how many more may be open until evicted ones have closed
+     * @param evictable whether a connection may be evicted
+     * @param evictionOrder orders connections by importance; the least is evicted first
      */
-    public ConnectionLimiter(int most, int overflow, Predicate<L> mayGo, Comparator<L> missed) {
-        this.most = most;
+    public ConnectionLimiter(
+            int limit, int overflow, Predicate<L> evictable, Comparator<L> evictionOrder) {
+        this.limit = limit;
         this.overflow = overflow;
-        this.mayGo = mayGo;
-        this.missed = missed;
+        this.evictable = evictable;
+        this.evictionOrder = evictionOrder;
     }
 
-    /** There is room for so many from now on; who is in stays until others come. */
-    public void resize(int stay, int more) {
-        most = stay;
-        overflow = more;
+    /** Changes the limits; open connections stay until new ones come. */
+    public void resize(int newLimit, int newOverflow) {
+        limit = newLimit;
+        overflow = newOverflow;
     }
 
     /**
-     * Takes room for one more, if it can be held at all; it will be told as opened and closed, or
-     * as turned back. Guards against a crowd accepted at one go: counted only once each is set up,
-     * it would pass a look at the count together.
+     * Counts one more connection if the limit and the overflow allow it; it will be reported by
+     * {@link #opened} and {@link #closed}, or by {@link #turnedBack}. Connections are counted here
+     * and not when they are set up, since many are accepted before the first of them is.
      */
     public boolean admit() {
-        int limit = most + overflow;
-        return held.getAndUpdate(count -> count < limit ? count + 1 : count) < limit;
+        int maxAdmitted = limit + overflow;
+        int before = admitted.getAndUpdate(count -> count < maxAdmitted ? count + 1 : count);
+        return before < maxAdmitted;
     }
 
-    /** Whether one more could be held; the next {@link #admit} on the same thread finds it so. */
+    /** Whether one more would be admitted; holds for the next {@link #admit} on the same thread. */
     public boolean hasRoom() {
-        return held.get() < most + overflow;
+        return admitted.get() < limit + overflow;
     }
 
-    /** What was admitted never came to be opened. */
+    /** Records that an admitted connection failed before it was opened. */
     public void turnedBack() {
-        held.decrementAndGet();
+        admitted.decrementAndGet();
     }
 
     /**
-     * Takes it in; if all others are needed, it is the one that goes. Who says goodbye holds half
-     * of the overflow at the most. Guards against a crowd that never closes its side: its goodbyes
-     * would fill all the room there is.
+     * Adds a connection and evicts one if there are too many. Lingering ones may take half of the
+     * overflow; more are closed at once, since peers that never close their side would otherwise
+     * use all of it.
      */
-    public void opened(L link) {
-        open.add(link);
+    public void opened(L connection) {
+        open.add(connection);
         List<L> lingering = open.stream().filter(EventLoopConnection::isLingering).toList();
-        int staying = open.size() - lingering.size();
-        lingering.stream()
-                .limit(Math.max(0, lingering.size() - overflow / 2))
-                .forEach(EventLoopConnection::end);
-        if (staying > most) {
-            makeRoom(link);
+        int active = open.size() - lingering.size();
+        int excess = Math.max(0, lingering.size() - overflow / 2);
+        lingering.stream().limit(excess).forEach(EventLoopConnection::end);
+        if (active > limit) {
+            evictOne(connection);
         }
     }
 
     /**
-     * Ends the one that is missed least; the newest if all others are needed, and nobody if that is
-     * needed as well.
+     * Evicts the least important connection; the new one if no other is evictable, and none if that
+     * is not either.
      */
-    private void makeRoom(L newest) {
-        Set<L> needed = new HashSet<>();
-        needed.add(newest);
-        boolean made = false;
-        while (!made) {
-            Optional<L> next =
+    private void evictOne(L newest) {
+        Set<L> considered = new HashSet<>();
+        considered.add(newest);
+        boolean done = false;
+        while (!done) {
+            Optional<L> candidate =
                     open.stream()
-                            .filter(other -> !other.isLingering() && !needed.contains(other))
-                            .filter(mayGo)
-                            .min(missed);
-            made = makeWay(next.orElse(newest)) || next.isEmpty();
-            next.ifPresent(needed::add);
+                            .filter(other -> !other.isLingering() && !considered.contains(other))
+                            .filter(evictable)
+                            .min(evictionOrder);
+            done = evictIfUnneeded(candidate.orElse(newest)) || candidate.isEmpty();
+            candidate.ifPresent(considered::add);
         }
     }
 
     /**
-     * Ends this one, unless it turns out to be needed. Guards against the loss of a request that
-     * has come and that nobody has read yet: an end would drop it.
+     * Evicts a connection unless it turns out to be needed: a request that has come and was not
+     * read yet would be lost, so what has come is read first. Returns whether the connection is
+     * closing.
      */
-    private boolean makeWay(L link) {
-        link.look();
-        boolean goes = !link.isClosed() && mayGo.test(link);
-        if (goes) {
-            link.evict();
+    private boolean evictIfUnneeded(L connection) {
+        connection.look();
+        boolean evicted = !connection.isClosed() && evictable.test(connection);
+        if (evicted) {
+            connection.evict();
         }
-        return goes || link.isClosed();
+        return evicted || connection.isClosed();
     }
 
-    public void closed(L link) {
-        open.remove(link);
-        held.decrementAndGet();
+    /** Removes a connection that was closed. */
+    public void closed(L connection) {
+        open.remove(connection);
+        admitted.decrementAndGet();
     }
 
-    /** Whether none is left, nor one that was admitted and is not set up yet. */
+    /** Whether no connection is open, and none was admitted that is not set up yet. */
     public boolean isEmpty() {
-        return held.get() == 0;
+        return admitted.get() == 0;
     }
 
+    /** Returns the open connections, in the order in which they were opened; a live view. */
     public Collection<L> all() {
         return open;
     }
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -7,134 +7,114 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.SelectableChannel;
 import java.nio.channels.SelectionKey;
-import java.nio.channels.Selector;
 import java.nio.channels.SocketChannel;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.LinkedBlockingQueue;
-import java.util.concurrent.ThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.io.Connection;
 import org.eclipse.jetty.io.EndPoint;
 import org.eclipse.jetty.io.ManagedSelector;
 import org.eclipse.jetty.io.SelectorManager;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** Opens and accepts {@link EventLoopConnection}s, over one selector of Jetty's. */
+/**
+ * Opens and accepts {@link EventLoopConnection}s, over one selector of Jetty's. Methods that Jetty
+ * calls run on the selector's thread or on one of its pool; callbacks to connections and factories
+ * run on the event loop unless they say otherwise.
+ */
 public final class ConnectionManager extends SelectorManager {
-    private static final Logger LOG = LoggerFactory.getLogger(ConnectionManager.class);
-
     /**
-     * What the system may hold of a message for a server that does not take it. Small, so that the
-     * last byte of a large one has not left while the peer stands still; a head and the usual body
-     * fit in several times.
+     * Send buffer of connections to workers. Small, so that the last byte of a large request has
+     * not left while the worker reads nothing; a head and the usual body fit in several times.
      */
-    private static final int SEND_BUFFER = 16 * 1024;
+    private static final int REQUEST_SEND_BUFFER_BYTES = 16 * 1024;
 
     /**
-     * The same for peers that connect to us, whose links are longer: 0.6 MB/s at 0.1 s, and any
+     * Send buffer of accepted connections, whose round trips are longer: 0.6 MB/s at 0.1 s, and any
      * usual answer whole.
      */
-    private static final int ANSWER_BUFFER = 64 * 1024;
-
-    /**
-     * A selector, what it hands over, and two to spare while either waits. The JDK's pool, since
-     * Jetty's own makes code for its threads' names and looks for a security manager: a tenth of a
-     * start's CPU.
-     */
-    private static final int MOST_THREADS = 4;
-
-    /**
-     * The selector looks this often though nothing happens. So it is known of every socket that it
-     * was empty two rounds ago at the latest, and only a process that was held up has to reckon
-     * with more ({@link EventLoopConnection#TOLERATED_WAIT_US}).
-     */
-    private static final long ROUND_MS = 40;
-
-    /**
-     * A round that took so long was held up: what comes behind it would count as old as its begin.
-     */
-    private static final long HELD_UP_US = 2 * ROUND_MS * 1_000;
+    private static final int ANSWER_SEND_BUFFER_BYTES = 64 * 1024;
 
     /**
-     * Sockets that stay quiet are looked at this often, since the system may not watch them
-     * (epoll_ctl(2)). Below the half second by which an answer may be late at the most (STANDING).
+     * Interval of the checks for sockets that the system does not watch (epoll_ctl(2)). Below the
+     * half second by which an answer may be late (STANDING).
      */
-    private static final long LOOK_US = 400_000;
+    private static final long UNREPORTED_CHECK_US = 400_000;
 
     private final EventLoop loop;
     private final RoundClock rounds;
 
-    /** All that were opened, and some that are closed since the last look; touched on the loop. */
-    private final List<EventLoopConnection> open = new ArrayList<>();
+    /** Open connections, and some that were closed since the last check; used on the loop. */
+    private final List<EventLoopConnection> connections = new ArrayList<>();
 
     private final Listeners listeners;
 
-    /** Accepted, and not yet set up. */
-    private final Map<SelectableChannel, Admission> admitted = new ConcurrentHashMap<>();
+    /** Connections that were accepted and are not set up yet. */
+    private final Map<SelectableChannel, Accepted> accepted = new ConcurrentHashMap<>();
 
     private volatile ManagedSelector selector;
 
-    /** A connection that was accepted, and when it has come at the earliest. */
-    private record Admission(ListeningSocket listener, long arrivedAfterUs) {}
+    /** An accepted connection's listener, and a time at which its first bytes had not come yet. */
+    private record Accepted(ListeningSocket listener, long arrivedAfterUs) {}
 
-    /** Makes the link for a connection that is up. */
+    /** Creates the object that speaks the protocol of a connection. */
     public interface ConnectionFactory {
+        /** Creates the connection; called on a thread of Jetty's. */
         EventLoopConnection open(EndPoint endPoint);
 
-        /** The connection never came up; told on the loop. */
-        default void failed(ConnectFailure why) {}
+        /** Called on the loop if the connection could not be established. */
+        default void failed(ConnectFailure failure) {}
     }
 
-    /** Decides on connections that come in. */
+    /** Decides which connections are accepted. */
     public interface ConnectionAcceptor extends ConnectionFactory {
         /**
-         * Whether a connection may be accepted now; who comes meanwhile waits to be. Called on the
-         * selector's thread.
+         * Whether a connection may be accepted now; others wait in the listener's queue. Called on
+         * the selector's thread.
          */
         default boolean hasRoom() {
             return true;
         }
 
         /**
-         * Takes room for one more, if there is any: it will be opened or turned back. Called on any
-         * thread.
+         * Counts one more connection if the limit allows it: it will be opened, or reported by
+         * {@link #turnedBack}. Called on any thread.
          */
         boolean admit();
 
-        /** What was admitted has failed before it was opened. Called on any thread. */
+        /** Called on any thread when an admitted connection failed before it was opened. */
         void turnedBack();
     }
 
     private ConnectionManager(EventLoop loop) {
-        super(threads(), new ScheduledExecutorScheduler(loop.executor()), 1);
+        super(SelectorThreads.start(), new ScheduledExecutorScheduler(loop.executor()), 1);
         this.loop = loop;
         this.rounds = new RoundClock(loop::now);
-        this.listeners = new Listeners(loop, () -> selector, this::accepted);
+        this.listeners = new Listeners(loop, () -> selector, this::setUpAccepted);
     }
 
     /**
-     * Starts the selector; waits where the system has no descriptors to give just now. Not to be
-     * called on the loop.
+     * Starts a selector; blocks while the system has no descriptors. Must not be called on the
+     * loop.
+     *
+     * @throws IOException if the system refuses for another reason, or for too long
      */
     public static ConnectionManager start(EventLoop loop, long connectTimeoutMs)
             throws IOException {
-        ConnectionManager links = DescriptorShortage.outlast(() -> started(loop, connectTimeoutMs));
-        loop.in(LOOK_US, links::lookBehindSelector);
-        return links;
+        ConnectionManager manager =
+                DescriptorShortage.retryWhileShort(() -> startOnce(loop, connectTimeoutMs));
+        loop.in(UNREPORTED_CHECK_US, manager::checkUnreported);
+        return manager;
     }
 
-    private static ConnectionManager started(EventLoop loop, long connectTimeoutMs)
+    private static ConnectionManager startOnce(EventLoop loop, long connectTimeoutMs)
             throws IOException {
-        ConnectionManager links = new ConnectionManager(loop);
-        links.setConnectTimeout(connectTimeoutMs);
+        ConnectionManager manager = new ConnectionManager(loop);
+        manager.setConnectTimeout(connectTimeoutMs);
         try {
-            links.start();
-            return links;
+            manager.start();
+            return manager;
         } catch (IOException | RuntimeException e) {
             throw e;
         } catch (Exception e) { // Jetty declares no narrower type
@@ -142,96 +122,82 @@
         }
     }
 
-    private void lookBehindSelector() {
-        open.removeIf(EventLoopConnection::isClosed);
-        List.copyOf(open).forEach(EventLoopConnection::checkUnreported);
-        selector.submit(listeners::acceptUnnoticed);
-        loop.in(LOOK_US, this::lookBehindSelector);
-    }
-
-    /**
-     * All are there from the start: one that cannot be started later would cost the connection that
-     * asked for it.
-     */
-    private static ThreadPoolExecutor threads() {
-        ThreadPoolExecutor threads =
-                new ThreadPoolExecutor(
-                        MOST_THREADS,
-                        MOST_THREADS,
-                        0,
-                        TimeUnit.SECONDS,
-                        new LinkedBlockingQueue<>(),
-                        ConnectionManager::thread);
-        threads.prestartAllCoreThreads();
-        return threads;
-    }
-
-    private static Thread thread(Runnable task) {
-        Thread thread = new Thread(task, "net");
-        thread.setDaemon(true);
-        return thread;
+    /** Checks all sockets for what the selector has not reported. */
+    private void checkUnreported() {
+        connections.removeIf(EventLoopConnection::isClosed);
+        List.copyOf(connections).forEach(EventLoopConnection::checkUnreported);
+        selector.submit(listeners::acceptUnreported);
+        loop.in(UNREPORTED_CHECK_US, this::checkUnreported);
     }
 
+    /** Returns the event loop on which all connections are used. */
     public EventLoop loop() {
         return loop;
     }
 
     /**
-     * Listens there until the result is closed; waits where the system has no socket to give just
-     * now. Not to be called on the loop.
+     * Listens at an address until the result is closed; blocks while the system has no socket. Must
+     * not be called on the loop.
+     *
+     * @throws IOException if the address is not available
      */
-    public Closeable listen(InetSocketAddress address, ConnectionAcceptor taker)
+    public Closeable listen(InetSocketAddress address, ConnectionAcceptor acceptor)
             throws IOException {
-        return DescriptorShortage.outlast(() -> open(address, taker, false));
+        return DescriptorShortage.retryWhileShort(() -> open(address, acceptor, false));
     }
 
     /**
-     * Listens there until the listener is shut.
+     * Listens at an address until the port is closed.
      *
      * @param shared whether another process may listen there as well
+     * @throws IOException if the address is not available, or the system has no socket
      */
-    public ListeningPort open(InetSocketAddress address, ConnectionAcceptor taker, boolean shared)
+    public ListeningPort open(
+            InetSocketAddress address, ConnectionAcceptor acceptor, boolean shared)
             throws IOException {
-        ListeningSocket socket =
-                listeners.bind(address, taker, shared, new ArrivalBound(rounds, loop.now()));
-        Closeable acceptor = acceptor(socket.server());
-        selector.submit(
-                watching -> socket.queue().watched(true)); // behind the acceptor's own registration
-        return new ListeningPort(loop, listeners, socket, acceptor);
+        ArrivalBound queueArrival = new ArrivalBound(rounds, loop.now());
+        ListeningSocket socket = listeners.bind(address, acceptor, shared, queueArrival);
+        Closeable registration = acceptor(socket.server());
+        // runs after the registration that acceptor() has submitted
+        selector.submit(registered -> socket.queueArrival().setWatched(true));
+        return new ListeningPort(loop, listeners, socket, registration);
     }
 
     /**
-     * Opens a connection; the opening is told on the loop how that went.
+     * Opens a connection; the factory learns on the loop whether that succeeded.
      *
-     * @return gives the dial up and frees its descriptor, if it has not come up yet; whether that
-     *     is told is left open
+     * @return abandons the attempt and frees its descriptor, if the connection is not established
+     *     yet; the factory may or may not be told of that
      */
-    public Closeable connect(InetSocketAddress address, ConnectionFactory opening) {
+    public Closeable connect(InetSocketAddress address, ConnectionFactory factory) {
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
-            channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            channel.setOption(StandardSocketOptions.SO_SNDBUF, SEND_BUFFER);
+            configure(channel, REQUEST_SEND_BUFFER_BYTES);
             if (channel.connect(address)) {
-                accept(channel, opening);
+                accept(channel, factory);
             } else {
-                connect(
-                        channel,
-                        new PendingConnect(channel, opening, loop, getConnectTimeout() * 1_000));
+                long timeoutUs = getConnectTimeout() * 1_000;
+                connect(channel, new PendingConnect(channel, factory, loop, timeoutUs));
             }
         } catch (IOException | RuntimeException e) {
             close(channel);
-            ConnectFailure why = ConnectFailure.of(e);
-            loop.execute(() -> opening.failed(why));
+            ConnectFailure failure = ConnectFailure.of(e);
+            loop.execute(() -> factory.failed(failure));
         }
-        SocketChannel dialled = channel;
-        return () -> close(dialled);
+        SocketChannel attempt = channel;
+        return () -> close(attempt);
+    }
+
+    private static void configure(SocketChannel channel, int sendBufferBytes) throws IOException {
+        channel.configureBlocking(false);
+        channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
+        channel.setOption(StandardSocketOptions.SO_SNDBUF, sendBufferBytes);
     }
 
     /**
-     * Takes the next connection on the selector's thread. Where the system refuses, this says that
-     * nobody waits: Jetty answers a failure by closing the connection that it accepted before,
+     * Returns the next connection, on the selector's thread, or null if none waits or the system
+     * refuses. Jetty would answer an exception by closing the connection that it accepted before,
      * whose request would be lost.
      */
     @Override
@@ -241,21 +207,19 @@
 
     @Override
     protected void accepted(SelectableChannel channel) throws IOException {
-        SocketChannel accepted = (SocketChannel) channel;
-        accepted(accepted, listeners.at(accepted.getLocalAddress()));
+        SocketChannel connection = (SocketChannel) channel;
+        setUpAccepted(connection, listeners.at(connection.getLocalAddress()));
     }
 
-    private void accepted(SocketChannel channel, ListeningSocket listener) throws IOException {
-        if (listener == null || !listener.taker().admit()) {
+    private void setUpAccepted(SocketChannel channel, ListeningSocket listener) throws IOException {
+        if (listener == null || !listener.acceptor().admit()) {
             close(channel);
             return;
         }
-        admitted.put(channel, new Admission(listener, listener.queue().arrivedAfterUs()));
+        accepted.put(channel, new Accepted(listener, listener.queueArrival().arrivedAfterUs()));
         try {
-            channel.configureBlocking(false);
-            channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-            channel.setOption(StandardSocketOptions.SO_SNDBUF, ANSWER_BUFFER);
-            accept(channel, listener.taker());
+            configure(channel, ANSWER_SEND_BUFFER_BYTES);
+            accept(channel, listener.acceptor());
         } catch (IOException | RuntimeException e) {
             onAcceptFailed(channel, e);
             throw e;
@@ -264,55 +228,43 @@
 
     @Override
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause) {
-        Admission admission = admitted.remove(channel);
-        if (admission != null) {
-            admission.listener().taker().turnedBack();
+        Accepted failed = accepted.remove(channel);
+        if (failed != null) {
+            failed.listener().acceptor().turnedBack();
         }
     }
 
-    /** The selector, in rounds of bounded length whose times are known. */
     @Override
     protected ManagedSelector newSelector(int id) {
-        selector =
-                new ManagedSelector(this, id) {
-                    @Override
-                    protected int nioSelect(Selector asked, boolean now) throws IOException {
-                        rounds.begins();
-                        boolean heldUp =
-                                rounds.lastTookUs()
-                                        > HELD_UP_US; // then at once a round that is known to be
-                        // short
-                        return now || heldUp ? asked.selectNow() : asked.select(ROUND_MS);
-                    }
-                };
+        selector = new TimedSelector(this, id, rounds);
         return selector;
     }
 
     @Override
     protected EndPoint newEndPoint(
-            SelectableChannel channel, ManagedSelector selecting, SelectionKey key) {
-        Admission admission = admitted.get(channel);
-        long afterUs = admission == null ? loop.now() : admission.arrivedAfterUs();
+            SelectableChannel channel, ManagedSelector managedSelector, SelectionKey key) {
+        Accepted origin = accepted.get(channel);
+        long arrivedAfterUs = origin == null ? loop.now() : origin.arrivedAfterUs();
         return new LoopEndPoint(
                 (SocketChannel) channel,
-                selecting,
+                managedSelector,
                 new RearmableKey(key),
                 getScheduler(),
                 loop,
-                new ArrivalBound(rounds, afterUs));
+                new ArrivalBound(rounds, arrivedAfterUs));
     }
 
     @Override
     public Connection newConnection(
             SelectableChannel channel, EndPoint endPoint, Object attachment) {
-        admitted.remove(channel);
-        EventLoopConnection link = ((ConnectionFactory) attachment).open(endPoint);
-        loop.execute(() -> open.add(link));
-        return link;
+        accepted.remove(channel);
+        EventLoopConnection connection = ((ConnectionFactory) attachment).open(endPoint);
+        loop.execute(() -> connections.add(connection));
+        return connection;
     }
 
     @Override
-    protected void connectionFailed(SelectableChannel channel, Throwable ex, Object attachment) {
+    protected void connectionFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         close(channel);
         loop.execute(() -> ((ConnectionFactory) attachment).failed(ConnectFailure.UNREACHABLE));
     }
@@ -323,7 +275,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // a connection that is given up anyway
+            // the connection is abandoned anyway, and its descriptor is released
         }
     }
 }
--- a/src/main/java/damsonslip/transport/DescriptorShortage.java
+++ b/src/main/java/damsonslip/transport/DescriptorShortage.java
@@ -8,45 +8,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the system cannot give just now: sockets or descriptors, for lack of memory, buffers or room
- * in its tables (socket(2), epoll_create(2)). That passes, and a start that ended for it would have
- * to be made again by somebody else.
+ * Retries what the system refuses for the moment: sockets or descriptors, for lack of memory,
+ * buffers or entries in its tables (socket(2), epoll_create(2)). A start that failed for it would
+ * have to be repeated by the platform.
  */
 public final class DescriptorShortage {
     private static final Logger LOG = LoggerFactory.getLogger(DescriptorShortage.class);
 
-    /** So long until the next try. */
+    /** Delay before the next attempt, in milliseconds. */
     public static final long AGAIN_MS = 100;
 
     /** Below the 30 s within which a process has to be ready (STANDING). */
-    private static final long LONGEST_MS = 25_000;
+    private static final long TIMEOUT_MS = 25_000;
 
-    /** Something that takes a socket. */
+    /** An operation that needs a socket or descriptor. */
     interface Attempt<T> {
-        T make() throws IOException;
+        T run() throws IOException;
     }
 
     private DescriptorShortage() {}
 
-    /**
-     * Whether this failure is one that passes; an address that is taken or cannot be had does not.
-     */
+    /** Whether the failure is transient; an address that is in use or not available is not. */
     public static boolean mayPass(IOException failure) {
-        boolean refused = failure instanceof BindException;
-        return !refused
+        boolean addressUnavailable = failure instanceof BindException;
+        return !addressUnavailable
                 && (failure instanceof SocketException || failure.getClass() == IOException.class);
     }
 
     /**
-     * Makes the attempt until it goes well, fails for good, or the start would be too late anyway.
+     * Repeats the attempt until it succeeds, fails for another reason, or 25 s have passed. Blocks
+     * the calling thread.
+     *
+     * @throws IOException the last failure
      */
-    static <T> T outlast(Attempt<T> attempt) throws IOException {
-        long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LONGEST_MS);
+    static <T> T retryWhileShort(Attempt<T> attempt) throws IOException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
         while (true) {
             try {
-                return attempt.make();
+                return attempt.run();
             } catch (IOException e) {
-                if (!mayPass(e) || System.nanoTime() > endNs || !pause()) {
+                if (!mayPass(e) || System.nanoTime() > deadlineNs || !sleep()) {
                     throw e;
                 }
                 LOG.warn("event=no_socket_yet error=\"{}\"", e.getMessage());
@@ -54,7 +55,7 @@
         }
     }
 
-    private static boolean pause() {
+    private static boolean sleep() {
         try {
             Thread.sleep(AGAIN_MS);
             return true;
--- a/src/main/java/damsonslip/transport/EventLoopConnection.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -4,6 +4,7 @@
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.io.AbstractConnection;
 import org.eclipse.jetty.io.EndPoint;
+import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
@@ -27,6 +28,11 @@
     static final long TOLERATED_WAIT_US = 100_000;
 
     private final EventLoop loop;
+    private final Callback readable =
+            Callback.from(
+                    Invocable.InvocationType.NON_BLOCKING,
+                    this::onFillable,
+                    this::onFillInterestedFailed);
     private final ConnectionReader reader;
     private final WriteQueue writes;
     private ConnectionState state = ConnectionState.OPEN;
@@ -268,9 +274,10 @@
         loop.execute(this::broken);
     }
 
+    /** Has the selector report the next bytes, without a thread to hand them over. */
     @Override
-    public Invocable.InvocationType getInvocationType() {
-        return Invocable.InvocationType.NON_BLOCKING;
+    public void fillInterested() {
+        getEndPoint().fillInterested(readable);
     }
 
     private final class WriteListener implements WriteQueue.Listener {
--- a/src/main/java/damsonslip/transport/LimitedAcceptor.java
+++ b/src/main/java/damsonslip/transport/LimitedAcceptor.java
@@ -1,47 +1,47 @@
 package damsonslip.transport;
 
 /**
- * Accepts connections of one kind into a {@link ConnectionLimiter}, which bounds their number;
- * those beyond it wait in the listener's queue until the event loop has let others go. {@link
- * #hasRoom}, {@link #admit} and {@link #turnedBack} are called on any thread, {@link #opened} and
- * {@link #closed} by the connections, on the event loop.
+ * Accepts connections of one kind up to the limit of a {@link ConnectionLimiter}; those beyond it
+ * wait in the listener's queue until others have been closed. {@link #hasRoom}, {@link #admit} and
+ * {@link #turnedBack} are called on any thread, {@link #opened} and {@link #closed} by the
+ * connections, on the event loop.
  */
 public abstract class LimitedAcceptor<L extends EventLoopConnection>
         implements ConnectionManager.ConnectionAcceptor {
-    private final ConnectionLimiter<L> room;
+    private final ConnectionLimiter<L> limiter;
 
-    /** Accepts connections into this room. */
-    protected LimitedAcceptor(ConnectionLimiter<L> room) {
-        this.room = room;
+    /** Creates an acceptor for connections that this limiter counts. */
+    protected LimitedAcceptor(ConnectionLimiter<L> limiter) {
+        this.limiter = limiter;
     }
 
-    /** The accepted connections. */
+    /** Returns the limiter, which knows the open connections. */
     protected final ConnectionLimiter<L> room() {
-        return room;
+        return limiter;
     }
 
     @Override
     public final boolean hasRoom() {
-        return room.hasRoom();
+        return limiter.hasRoom();
     }
 
     @Override
     public final boolean admit() {
-        return room.admit();
+        return limiter.admit();
     }
 
     @Override
     public final void turnedBack() {
-        room.turnedBack();
+        limiter.turnedBack();
     }
 
     /** Called when a connection of this kind has been set up. */
-    public void opened(L link) {
-        room.opened(link);
+    public void opened(L connection) {
+        limiter.opened(connection);
     }
 
-    /** Called when a connection of this kind has ended. */
-    public void closed(L link) {
-        room.closed(link);
+    /** Called when a connection of this kind has been closed. */
+    public void closed(L connection) {
+        limiter.closed(connection);
     }
 }
--- a/src/main/java/damsonslip/transport/LineDecoder.java
+++ b/src/main/java/damsonslip/transport/LineDecoder.java
@@ -6,41 +6,46 @@
 import java.util.List;
 
 /**
- * Cuts a body into its lines; bounded, so that a peer that never ends one cannot fill the memory.
+ * Splits a byte stream into lines of UTF-8 text without surrounding white space. An unfinished line
+ * is bounded, so that a peer that never ends one cannot exhaust the memory. Not thread-safe.
  */
 public final class LineDecoder {
-    private final int most;
-    private ByteArrayOutputStream begun = new ByteArrayOutputStream();
+    private final int maxLineBytes;
+    private ByteArrayOutputStream unfinished = new ByteArrayOutputStream();
 
-    public LineDecoder(int most) {
-        this.most = most;
+    /**
+     * Creates a decoder.
+     *
+     * @param maxLineBytes the bound on a line without its end
+     */
+    public LineDecoder(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
-    /** The lines that end in this part; null if one is too long. */
-    public List<String> take(byte[] part) {
+    /** Returns the lines that end in these bytes; null if the unfinished line is too long. */
+    public List<String> take(byte[] bytes) {
         List<String> lines = new ArrayList<>(2);
-        int from = 0;
-        for (int i = 0; i < part.length; i++) {
-            if (part[i] == '\n') {
-                begun.write(part, from, i - from);
-                lines.add(begun.toString(StandardCharsets.UTF_8).trim());
-                begun = new ByteArrayOutputStream();
-                from = i + 1;
+        int lineStart = 0;
+        for (int i = 0; i < bytes.length; i++) {
+            if (bytes[i] == '\n') {
+                unfinished.write(bytes, lineStart, i - lineStart);
+                lines.add(rest());
+                lineStart = i + 1;
             }
         }
-        begun.write(part, from, part.length - from);
-        return begun.size() > most ? null : lines;
+        unfinished.write(bytes, lineStart, bytes.length - lineStart);
+        return unfinished.size() > maxLineBytes ? null : lines;
     }
 
-    /** Bytes of a line whose end has not come yet. */
+    /** Returns the number of bytes of the unfinished line. */
     public int begun() {
-        return begun.size();
+        return unfinished.size();
     }
 
-    /** What came after the last line end. */
+    /** Returns the unfinished line and forgets it. */
     public String rest() {
-        String rest = begun.toString(StandardCharsets.UTF_8).trim();
-        begun = new ByteArrayOutputStream();
-        return rest;
+        String line = unfinished.toString(StandardCharsets.UTF_8).trim();
+        unfinished = new ByteArrayOutputStream();
+        return line;
     }
 }
--- a/src/main/java/damsonslip/transport/Listeners.java
+++ b/src/main/java/damsonslip/transport/Listeners.java
@@ -17,55 +17,54 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The listening sockets of one selector: binds them, accepts from them, and has the selector leave
- * one alone for a while after an accept that failed.
+ * The listening sockets of one selector: binds them, accepts from them, and suspends one for a
+ * while after a failed accept, or while its connections are at their limit.
  */
 final class Listeners {
     private static final Logger LOG = LoggerFactory.getLogger(Listeners.class);
+
+    /** How many connections the system queues for each socket. */
     private static final int BACKLOG = 512;
 
-    /**
-     * So long until a listener whose connections fill their room is looked at again: some turns of
-     * the loop.
-     */
-    private static final long FULL_REST_US = 2_000;
+    /** Suspension of a listener at its limit: some turns of the loop. */
+    private static final long FULL_DELAY_US = 2_000;
 
     private final Map<SelectableChannel, ListeningSocket> sockets = new ConcurrentHashMap<>();
     private final EventLoop loop;
     private final Supplier<ManagedSelector> selector;
-    private final Admission admission;
+    private final AcceptHandler acceptHandler;
 
     /** Sets up a connection that was accepted, or closes it. */
-    interface Admission {
+    interface AcceptHandler {
         void accepted(SocketChannel connection, ListeningSocket listener) throws IOException;
     }
 
     /**
      * @param selector the selector, once it has been started
      */
-    Listeners(EventLoop loop, Supplier<ManagedSelector> selector, Admission admission) {
+    Listeners(EventLoop loop, Supplier<ManagedSelector> selector, AcceptHandler acceptHandler) {
         this.loop = loop;
         this.selector = selector;
-        this.admission = admission;
+        this.acceptHandler = acceptHandler;
     }
 
     /**
-     * Begins to listen there; accepting is left to the selector.
+     * Begins to listen at an address; accepting is left to the selector.
      *
      * @param shared whether another process may listen there as well
-     * @param queue when those who wait in its queue have come at the earliest
+     * @param queueArrival the bound on when the connections in its queue came
      */
     ListeningSocket bind(
             InetSocketAddress address,
-            ConnectionManager.ConnectionAcceptor taker,
+            ConnectionManager.ConnectionAcceptor acceptor,
             boolean shared,
-            ArrivalBound queue)
+            ArrivalBound queueArrival)
             throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         try {
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
-                share(server);
+                allowSharing(server);
             }
             server.bind(address, BACKLOG);
             server.configureBlocking(false);
@@ -73,17 +72,17 @@
             server.close();
             throw e;
         }
-        ListeningSocket listener = new ListeningSocket(server, taker, queue);
+        ListeningSocket listener = new ListeningSocket(server, acceptor, queueArrival);
         sockets.put(server, listener);
         return listener;
     }
 
     /**
-     * Lets other processes listen there as well. The JDK asks once, as it loads, whether the system
-     * can do that, and takes a socket that it is not given for a no. Serving alone goes before: an
-     * upgrade beside this process will not start.
+     * Lets other processes listen at the same address. The JDK asks once, as it loads, whether the
+     * system supports that, and concludes that it does not if it gets no socket for the question.
+     * This process serves nevertheless; an upgrade beside it will not start.
      */
-    private static void share(ServerSocketChannel server) throws IOException {
+    private static void allowSharing(ServerSocketChannel server) throws IOException {
         if (server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
@@ -92,13 +91,13 @@
         }
     }
 
-    /** Ends a listening socket; who waits in its queue is reset. */
+    /** Closes a listening socket; connections in its queue are reset. */
     void close(ListeningSocket listener) throws IOException {
         listener.server().close();
         sockets.remove(listener.server());
     }
 
-    /** The one that listens there, or null. */
+    /** Returns the socket that listens at an address, or null. */
     ListeningSocket at(SocketAddress address) throws IOException {
         for (ListeningSocket listener : sockets.values()) {
             if (address.equals(listener.server().getLocalAddress())) {
@@ -109,7 +108,7 @@
     }
 
     /**
-     * Takes the next connection, or null where nobody waits or the system refuses; called on the
+     * Returns the next connection, or null if none waits or the system refuses; called on the
      * selector's thread.
      */
     SocketChannel acceptNext(SelectableChannel server) {
@@ -117,53 +116,54 @@
         if (listener == null) { // it is being closed
             return null;
         }
-        listener.queue().reported();
-        if (!listener.taker().hasRoom()) {
-            rest(listener, FULL_REST_US);
+        listener.queueArrival().reported();
+        if (!listener.acceptor().hasRoom()) {
+            suspend(listener, FULL_DELAY_US);
             return null;
         }
         try {
             return listener.accept(loop.now());
         } catch (ListeningSocket.AcceptFailedException e) {
-            rest(listener, e.restUs());
+            suspend(listener, e.retryDelayUs());
             return null;
         }
     }
 
-    /** Takes in all who wait there; tells whether there was anybody. */
+    /** Accepts all connections that wait, up to the limit; returns whether there were any. */
     boolean acceptAll(ListeningSocket listener) throws IOException {
         boolean any = false;
-        SocketChannel next = acceptIfRoom(listener);
+        SocketChannel next = acceptIfBelowLimit(listener);
         while (next != null) {
             any = true;
-            admission.accepted(next, listener);
-            next = acceptIfRoom(listener);
+            acceptHandler.accepted(next, listener);
+            next = acceptIfBelowLimit(listener);
         }
         return any;
     }
 
-    private SocketChannel acceptIfRoom(ListeningSocket listener)
+    private SocketChannel acceptIfBelowLimit(ListeningSocket listener)
             throws ListeningSocket.AcceptFailedException {
-        return listener.taker().hasRoom() ? listener.accept(loop.now()) : null;
+        return listener.acceptor().hasRoom() ? listener.accept(loop.now()) : null;
     }
 
     /**
-     * Takes in who waits without the selector's notice; called on its thread, which alone accepts.
+     * Accepts connections that the selector has not reported; called on its thread, which alone
+     * accepts.
      */
-    void acceptUnnoticed(Selector opened) {
+    void acceptUnreported(Selector current) {
         for (ListeningSocket listener : sockets.values()) {
-            if (listener.isWatched(opened) && acceptUnnoticed(listener)) {
-                listener.watch(opened, false);
-                selector.get().submit(again -> listener.watch(again, true));
+            if (listener.isWatched(current) && acceptUnreported(listener)) {
+                listener.setWatched(current, false);
+                selector.get().submit(nextRound -> listener.setWatched(nextRound, true));
             }
         }
     }
 
-    private boolean acceptUnnoticed(ListeningSocket listener) {
+    private boolean acceptUnreported(ListeningSocket listener) {
         try {
             return acceptAll(listener);
         } catch (ListeningSocket.AcceptFailedException e) {
-            rest(listener, e.restUs());
+            suspend(listener, e.retryDelayUs());
             return false;
         } catch (IOException | RuntimeException e) {
             LOG.warn("event=connection_not_set_up error=\"{}\"", e.getMessage());
@@ -171,13 +171,10 @@
         }
     }
 
-    /**
-     * The selector does not look at the listener for a while: it would be ready at once, and again
-     * at once.
-     */
-    private void rest(ListeningSocket listener, long restUs) {
-        ManagedSelector looking = selector.get();
-        listener.watch(looking.getSelector(), false);
-        loop.in(restUs, () -> looking.submit(opened -> listener.watch(opened, true)));
+    /** Has the selector ignore the listener for a while: it would report it again and again. */
+    private void suspend(ListeningSocket listener, long delayUs) {
+        ManagedSelector managed = selector.get();
+        listener.setWatched(managed.getSelector(), false);
+        loop.in(delayUs, () -> managed.submit(current -> listener.setWatched(current, true)));
     }
 }
--- a/src/main/java/damsonslip/transport/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -7,21 +7,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An address where connections are accepted, which can be given up without turning away anybody who
- * came before that.
+ * An address where connections are accepted, which can be closed without a reset of those that wait
+ * in its queue.
  */
 public final class ListeningPort implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningPort.class);
-    private static final long LOOK_US = 1_000;
+    private static final long RETRY_DELAY_US = 1_000;
 
     private final EventLoop loop;
     private final Listeners listeners;
     private final ListeningSocket socket;
     private final Closeable acceptor;
-    private boolean shut;
+    private boolean closed;
 
     /**
-     * @param acceptor has the selector let go of the socket
+     * @param acceptor has the selector release the socket when it is closed
      */
     ListeningPort(EventLoop loop, Listeners listeners, ListeningSocket socket, Closeable acceptor) {
         this.loop = loop;
@@ -30,7 +30,7 @@
         this.acceptor = acceptor;
     }
 
-    /** Ends it at once; who waits in its queue is reset. */
+    /** Closes the address at once; connections in its queue are reset. */
     @Override
     public void close() throws IOException {
         acceptor.close();
@@ -38,44 +38,44 @@
     }
 
     /**
-     * Shuts it; called on the loop. Guards against connections that the system has accepted and
-     * nobody has taken: a close resets them. The JVM puts the close off until the selector has let
-     * go of the socket, and all who come until then would be lost; so the selector lets go first,
-     * then all are taken, and the close follows at once.
+     * Closes the address gracefully; called on the loop. A close resets the connections that wait
+     * in the queue, and the JVM delays it until the selector has released the socket, so that all
+     * that come until then would be reset as well. So the selector releases the socket first, then
+     * all connections are accepted, and the close follows at once.
      */
     public void shut() {
         try {
             acceptor.close();
         } catch (IOException e) {
-            LOG.warn("the selector did not let go of the listener: {}", e.getMessage());
+            LOG.warn("event=listener_not_released error=\"{}\"", e.getMessage());
         }
-        letGo();
+        drainAndClose();
     }
 
-    /** Whether all who came before it was shut have been taken in; read on the loop. */
+    /** Whether the graceful close is complete; called on the loop. */
     public boolean isShut() {
-        return shut;
+        return closed;
     }
 
     /**
-     * While accepts fail it stays open: its close would reset who waits, and they may go well in a
-     * moment.
+     * Accepts what waits, and closes the socket once it is released. While accepts fail it stays
+     * open: its close would reset connections that can soon be accepted.
      */
-    private void letGo() {
-        boolean free = !socket.server().isRegistered();
+    private void drainAndClose() {
+        boolean released = !socket.server().isRegistered();
         try {
             listeners.acceptAll(socket);
-            if (free) {
+            if (released) {
                 listeners.close(socket);
-                shut = true;
+                closed = true;
                 return;
             }
-            loop.in(LOOK_US, this::letGo);
+            loop.in(RETRY_DELAY_US, this::drainAndClose);
         } catch (ListeningSocket.AcceptFailedException e) {
-            loop.in(e.restUs(), this::letGo);
+            loop.in(e.retryDelayUs(), this::drainAndClose);
         } catch (IOException e) {
-            LOG.warn("the listener did not close: {}", e.getMessage());
-            loop.in(LOOK_US, this::letGo);
+            LOG.warn("event=listener_not_closed error=\"{}\"", e.getMessage());
+            loop.in(RETRY_DELAY_US, this::drainAndClose);
         }
     }
 }
--- a/src/main/java/damsonslip/transport/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -10,119 +10,118 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A listening socket and what became of its accepts. An accept may fail because the system is out
- * of descriptors, buffers or memory (accept(2)); who waits in the queue is not lost then, and is
- * taken in once an accept goes well again.
+ * A listening socket and its accepts. An accept may fail because the system is out of descriptors,
+ * buffers or memory (accept(2)); the connections in the queue are not lost then, and are accepted
+ * once that succeeds again.
  *
- * <p>{@link #accept} is called by one thread at a time: the selector's, and the loop once the
- * selector has let go.
+ * <p>{@link #accept} is called by one thread at a time: the selector's, and the loop's once the
+ * selector has released the socket.
  */
 final class ListeningSocket {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningSocket.class);
 
-    /** A line each second at the most, however many accepts fail. */
-    private static final long LOG_EVERY_US = 1_000_000;
+    /** At most one line a second, however many accepts fail. */
+    private static final long LOG_INTERVAL_US = 1_000_000;
 
     private final ServerSocketChannel server;
-    private final ConnectionManager.ConnectionAcceptor taker;
-    private final ArrivalBound queue;
+    private final ConnectionManager.ConnectionAcceptor acceptor;
+    private final ArrivalBound queueArrival;
     private final AcceptBackOff backOff = new AcceptBackOff();
-    private volatile long failures;
-    private long loggedUs = Long.MIN_VALUE / 2;
+    private long failures;
+    private long lastLoggedUs = Long.MIN_VALUE / 2;
 
     ListeningSocket(
             ServerSocketChannel server,
-            ConnectionManager.ConnectionAcceptor taker,
-            ArrivalBound queue) {
+            ConnectionManager.ConnectionAcceptor acceptor,
+            ArrivalBound queueArrival) {
         this.server = server;
-        this.taker = taker;
-        this.queue = queue;
+        this.acceptor = acceptor;
+        this.queueArrival = queueArrival;
     }
 
     ServerSocketChannel server() {
         return server;
     }
 
-    /** Who is told of its connections. */
-    ConnectionManager.ConnectionAcceptor taker() {
-        return taker;
+    /** Returns what decides on its connections. */
+    ConnectionManager.ConnectionAcceptor acceptor() {
+        return acceptor;
     }
 
-    /** When those who wait in its queue have come at the earliest. */
-    ArrivalBound queue() {
-        return queue;
+    /** Returns the bound on when the connections in its queue came. */
+    ArrivalBound queueArrival() {
+        return queueArrival;
     }
 
     /**
-     * Takes the next connection, or null where nobody waits.
+     * Returns the next connection, or null if none waits.
      *
-     * @throws AcceptFailedException if the system refuses, with the time to rest before the next
-     *     try
+     * @throws AcceptFailedException if the system refuses, with the delay before the next attempt
      */
     SocketChannel accept(long nowUs) throws AcceptFailedException {
         try {
             SocketChannel accepted = server.accept();
             backOff.succeeded();
             if (accepted == null) {
-                queue.seenEmpty(nowUs);
+                queueArrival.seenEmpty(nowUs);
             }
             return accepted;
         } catch (IOException e) {
             failures++;
-            long restUs = backOff.failed();
-            log(nowUs, restUs, e);
-            throw new AcceptFailedException(restUs, e);
+            long delayUs = backOff.failed();
+            logFailure(nowUs, delayUs, e);
+            throw new AcceptFailedException(delayUs, e);
         }
     }
 
-    private void log(long nowUs, long restUs, IOException cause) {
-        if (nowUs >= loggedUs + LOG_EVERY_US) {
-            loggedUs = nowUs;
+    private void logFailure(long nowUs, long delayUs, IOException cause) {
+        if (nowUs >= lastLoggedUs + LOG_INTERVAL_US) {
+            lastLoggedUs = nowUs;
             LOG.warn(
                     "event=accept_failed listener={} failures={} rest_us={} error=\"{}\"",
                     server,
                     failures,
-                    restUs,
+                    delayUs,
                     cause.getMessage());
         }
     }
 
-    /** Whether the selector is to watch it; called on the selector's thread. */
+    /** Whether the selector watches the socket; called on the selector's thread. */
     boolean isWatched(Selector selector) {
         SelectionKey key = server.keyFor(selector);
         try {
             return key != null && key.interestOps() != 0;
-        } catch (CancelledKeyException e) { // it is being shut
+        } catch (CancelledKeyException e) { // it is being closed
             return false;
         }
     }
 
-    /** Has the selector watch it, or not; called on the selector's thread. */
-    void watch(Selector selector, boolean so) {
+    /** Sets whether the selector watches the socket; called on the selector's thread. */
+    void setWatched(Selector selector, boolean watched) {
         SelectionKey key = server.keyFor(selector);
         try {
             if (key != null) {
-                key.interestOps(so ? SelectionKey.OP_ACCEPT : 0);
-                queue.watched(so);
+                key.interestOps(watched ? SelectionKey.OP_ACCEPT : 0);
+                queueArrival.setWatched(watched);
             }
         } catch (CancelledKeyException e) {
-            // the selector has let go of it: it is being shut
+            // the selector has released it: it is being closed
         }
     }
 
     /** The system refused to hand over a connection. */
     static final class AcceptFailedException extends IOException {
         private static final long serialVersionUID = 1L;
-        private final long restUs;
+        private final long retryDelayUs;
 
-        AcceptFailedException(long restUs, IOException cause) {
+        AcceptFailedException(long retryDelayUs, IOException cause) {
             super(cause);
-            this.restUs = restUs;
+            this.retryDelayUs = retryDelayUs;
         }
 
-        /** How long to rest before the next try. */
-        long restUs() {
-            return restUs;
+        /** Returns how long to wait before the next attempt. */
+        long retryDelayUs() {
+            return retryDelayUs;
         }
     }
 }
--- a/src/main/java/damsonslip/transport/LoopEndPoint.java
+++ b/src/main/java/damsonslip/transport/LoopEndPoint.java
@@ -13,29 +13,26 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A connection whose selector only tells what it is ready for; that is then done on the loop.
- * Guards against a write that is finished on the selector's thread and told of later than it
- * happened: a reset that is read in between would find that the last byte had not left, and what
- * must run once would be sent elsewhere.
+ * An end point whose selector only reports what it is ready for; reads and writes then happen on
+ * the event loop. If a write completed on the selector's thread and was reported to the loop later,
+ * a reset that is read in between would find that the last byte had not left, and a request that
+ * must run once would be sent to another worker.
  */
 final class LoopEndPoint extends SocketChannelEndPoint {
-    /**
-     * What {@link #fill} gives where the system could not read just now; below the end of the
-     * stream.
-     */
+    /** What {@link #fill} returns if the system could not read just now. */
     static final int NOT_NOW = -2;
 
     /**
-     * For so long, and so many times, a connection's transfers fail in a row until it counts as
-     * broken. A failure that tells of its end tells so again at once or by the end of the stream;
-     * one for lack of memory passes. The time alone would not do: where the process is held up, it
-     * may be over before the second try.
+     * A connection counts as broken once its transfers have failed in a row for this long and at
+     * least {@link #MIN_FAILURES} times. A failure for lack of memory passes; any other is repeated
+     * at once, or followed by the end of the stream. The time alone would not do: if the process is
+     * suspended, it may be over before the second attempt.
      */
-    private static final long FAILING_US = 50_000;
+    private static final long MIN_FAILING_US = 50_000;
 
-    private static final int MOST_FAILURES = 16;
+    private static final int MIN_FAILURES = 16;
     private static final long NEVER = Long.MIN_VALUE;
-    private static final int END = -1;
+    private static final int END_OF_STREAM = -1;
 
     private final EventLoop loop;
     private final ManagedSelector selector;
@@ -58,75 +55,75 @@
         this.arrival = arrival;
     }
 
-    /** When the bytes that can be read now have come at the earliest. */
+    /** Returns the bound on when the bytes came that can be read now. */
     ArrivalBound arrival() {
         return arrival;
     }
 
     /**
-     * Reads once. Where the system fails the read for lack of memory (recv(2)) or a signal
-     * interrupts it, the connection stands, and this gives {@link #NOT_NOW}; Jetty would take
-     * either for the end of the stream.
+     * Reads once. If the system fails the read for lack of memory (recv(2)) or a signal interrupts
+     * it, the connection stays open and this returns {@link #NOT_NOW}; Jetty would treat either as
+     * the end of the stream.
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
         if (isInputShutdown()) {
-            return END;
+            return END_OF_STREAM;
         }
         int position = BufferUtil.flipToFill(buffer);
         try {
-            int got = getChannel().read(buffer);
-            wentWell();
-            if (got == END) {
+            int bytes = getChannel().read(buffer);
+            transferred();
+            if (bytes == END_OF_STREAM) {
                 shutdownInput();
             }
-            return got < END ? NOT_NOW : got;
-        } catch (SocketException e) { // the JDK's word for a reset
+            return bytes < END_OF_STREAM ? NOT_NOW : bytes;
+        } catch (SocketException e) { // how the JDK reports a reset
             shutdownInput();
-            return END;
+            return END_OF_STREAM;
         } catch (IOException e) {
-            if (mayPass()) {
+            if (mayRetryAfterFailure()) {
                 return NOT_NOW;
             }
             shutdownInput();
-            return END;
+            return END_OF_STREAM;
         } finally {
             BufferUtil.flipToFlush(buffer, position);
         }
     }
 
     /**
-     * Writes what the system takes; what it refuses for lack of memory (send(2)) is offered again.
+     * Writes what the system takes; what it refuses for lack of memory (send(2)) is written later.
      */
     @Override
     public boolean flush(ByteBuffer... buffers) throws IOException {
         try {
             boolean all = super.flush(buffers);
-            wentWell();
+            transferred();
             return all;
         } catch (SocketException e) {
             throw e;
-        } catch (IOException e) { // Jetty's own exceptions have this as their cause
-            if (mayPass() && isOpen()) {
+        } catch (IOException e) { // or one of Jetty's with this as its cause
+            if (mayRetryAfterFailure() && isOpen()) {
                 return false;
             }
             throw e;
         }
     }
 
-    private void wentWell() {
+    private void transferred() {
         failingSinceUs = NEVER;
         failures = 0;
     }
 
-    /** Counts a failed transfer; tells whether the next one may go well. */
-    private boolean mayPass() {
+    /** Counts a failed transfer; returns whether the next one may succeed. */
+    private boolean mayRetryAfterFailure() {
         long now = loop.now();
         if (failingSinceUs == NEVER) {
             failingSinceUs = now;
         }
         failures++;
-        return now - failingSinceUs < FAILING_US || failures < MOST_FAILURES;
+        return now - failingSinceUs < MIN_FAILING_US || failures < MIN_FAILURES;
     }
 
     @Override
@@ -136,8 +133,8 @@
         if (ready != null) {
             loop.execute(
                     () -> {
-                        if (getConnection() instanceof EventLoopConnection link) {
-                            link.selected();
+                        if (getConnection() instanceof EventLoopConnection connection) {
+                            connection.selected();
                         }
                         ready.run();
                     });
@@ -146,21 +143,21 @@
     }
 
     /**
-     * Goes on with a write that waits for room, though the selector has not told of any; called on
-     * the loop.
+     * Continues a write that waits for space in the send buffer, though the selector has not
+     * reported any. Called on the loop.
      */
     void tryWriting() {
         getWriteFlusher().completeWrite();
     }
 
-    /** Has the system watch the socket anew, as it seems not to; safe for several threads. */
+    /** Has the system watch the socket again, as it seems not to; thread-safe. */
     void watchAnew() {
         selector.submit(
-                before -> {
+                thisRound -> {
                     if (key.isValid()) {
                         key.disarm();
-                        arrival.watched(false);
-                        selector.submit(behind -> rearm());
+                        arrival.setWatched(false);
+                        selector.submit(nextRound -> rearm());
                     }
                 });
     }
@@ -168,14 +165,14 @@
     private void rearm() {
         if (key.isValid()) {
             key.rearm();
-            arrival.watched(watchesReads());
+            arrival.setWatched(watchesReads());
         }
     }
 
     @Override
     public void updateKey() {
         super.updateKey();
-        arrival.watched(watchesReads());
+        arrival.setWatched(watchesReads());
     }
 
     private boolean watchesReads() {
--- a/src/main/java/damsonslip/transport/OutboundRateMonitor.java
+++ b/src/main/java/damsonslip/transport/OutboundRateMonitor.java
@@ -7,77 +7,87 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches one message being written to a peer, by what the system has not taken yet, and tells when
- * the peer is too slow. Most messages are taken at once, and nothing is set up for those.
+ * Watches one message being written to a peer, by the bytes that the system has not taken yet, and
+ * reports a peer that is too slow. Most messages are taken at once and need no timer. Called on the
+ * event loop.
  */
 public final class OutboundRateMonitor {
-    /** A message under way is looked at this often: short beside every grace. */
-    private static final long LOOK_US = 50_000;
+    /** Interval of the checks; short beside every grace period. */
+    private static final long CHECK_INTERVAL_US = 50_000;
 
     private final EventLoop loop;
-    private final MinimumDataRate pace;
-    private final LongSupplier backlog;
+    private final MinimumDataRate rate;
+    private final LongSupplier backlogBytes;
     private final Runnable tooSlow;
-    private EventLoop.Timer next;
-    private long seen;
+    private EventLoop.Timer nextCheck;
+    private long lastBacklogBytes;
 
     /**
-     * Watches nothing yet.
+     * Creates a monitor that watches nothing yet.
      *
-     * @param backlog how much the system has not taken
-     * @param tooSlow what to do when the peer does not keep up; told once for each message
+     * @param backlogBytes how much the system has not taken
+     * @param tooSlow runs when the peer does not keep up; once for each message
      */
     public OutboundRateMonitor(
-            EventLoop loop, MinimumDataRate.Limits limits, LongSupplier backlog, Runnable tooSlow) {
+            EventLoop loop,
+            MinimumDataRate.Limits limits,
+            LongSupplier backlogBytes,
+            Runnable tooSlow) {
         this.loop = loop;
-        this.pace = new MinimumDataRate(limits);
-        this.backlog = backlog;
+        this.rate = new MinimumDataRate(limits);
+        this.backlogBytes = backlogBytes;
         this.tooSlow = tooSlow;
     }
 
-    /** A message was handed to the system; if that has not taken all of it, the rest is watched. */
+    /** Begins to watch a message that was just written, if the system has not taken all of it. */
     public void begin() {
-        seen = backlog.getAsLong();
-        if (seen > 0) {
-            pace.begin(loop.now());
-            next = loop.in(LOOK_US, this::look);
+        lastBacklogBytes = backlogBytes.getAsLong();
+        if (lastBacklogBytes > 0) {
+            rate.begin(loop.now());
+            scheduleCheck();
         }
     }
 
-    /** Whether a message stands there that the peer has yet to take. */
+    /** Whether a message is being watched that the peer has not taken yet. */
     public boolean waits() {
-        return next != null;
+        return nextCheck != null;
     }
 
-    /** Bytes of it that the system has not taken, and bytes a second that it took of them. */
-    public <L> BufferBudget.Holding<L> holding(L link) {
-        return new BufferBudget.Holding<>(link, backlog.getAsLong(), pace.rate(loop.now()));
+    /** Returns the connection's use of buffers: bytes not taken, and the rate of those taken. */
+    public <L> BufferBudget.Holding<L> holding(L connection) {
+        return new BufferBudget.Holding<>(
+                connection, backlogBytes.getAsLong(), rate.rate(loop.now()));
     }
 
-    /** The same for people to read. */
+    /** Returns the state of the transfer for operators. */
     public SlowPeer shown(String what, String peer) {
+        long nowUs = loop.now();
         return new SlowPeer(
-                what, peer, backlog.getAsLong(), pace.rate(loop.now()), pace.leftUs(loop.now()));
+                what, peer, backlogBytes.getAsLong(), rate.rate(nowUs), rate.leftUs(nowUs));
     }
 
-    private void look() {
-        long left = backlog.getAsLong();
-        pace.moved(loop.now(), Math.max(0, seen - left));
-        seen = left;
-        if (pace.isTooSlow(loop.now())) {
+    private void scheduleCheck() {
+        nextCheck = loop.in(CHECK_INTERVAL_US, this::check);
+    }
+
+    private void check() {
+        long backlog = backlogBytes.getAsLong();
+        rate.moved(loop.now(), Math.max(0, lastBacklogBytes - backlog));
+        lastBacklogBytes = backlog;
+        if (rate.isTooSlow(loop.now())) {
             end();
             tooSlow.run();
         } else {
-            next = loop.in(LOOK_US, this::look);
+            scheduleCheck();
         }
     }
 
-    /** All of it is taken, or nobody wants it any more. */
+    /** Stops watching: all of the message is taken, or it is abandoned. */
     public void end() {
-        pace.end();
-        if (next != null) {
-            next.cancel();
-            next = null;
+        rate.end();
+        if (nextCheck != null) {
+            nextCheck.cancel();
+            nextCheck = null;
         }
     }
 }
--- a/src/main/java/damsonslip/transport/PendingConnect.java
+++ b/src/main/java/damsonslip/transport/PendingConnect.java
@@ -6,57 +6,57 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection on its way. The system may not watch it (epoll_ctl(2) fails for lack of memory), or
- * the selector may be held up; then nothing is heard when it comes up, and its time limit passes.
- * That says nothing of the other side.
+ * A connection that is being established. The system may not watch its socket (epoll_ctl(2) fails
+ * for lack of memory), or the selector may be delayed; then nothing is reported when it is
+ * established, and its timeout passes, which says nothing of the peer. So the socket itself is
+ * checked just before the timeout.
  */
 final class PendingConnect implements ConnectionManager.ConnectionFactory {
-    /** It is looked at this long before its limit. */
-    private static final long LOOK_BEFORE_US = 20_000;
+    private static final long CHECK_BEFORE_TIMEOUT_US = 20_000;
 
     private final SocketChannel channel;
-    private final ConnectionManager.ConnectionFactory opening;
-    private final EventLoop.Timer look;
+    private final ConnectionManager.ConnectionFactory factory;
+    private final EventLoop.Timer check;
     private boolean failed;
 
     PendingConnect(
             SocketChannel channel,
-            ConnectionManager.ConnectionFactory opening,
+            ConnectionManager.ConnectionFactory factory,
             EventLoop loop,
-            long limitUs) {
+            long timeoutUs) {
         this.channel = channel;
-        this.opening = opening;
-        this.look = loop.in(limitUs - LOOK_BEFORE_US, this::lookBehindSelector);
+        this.factory = factory;
+        this.check = loop.in(timeoutUs - CHECK_BEFORE_TIMEOUT_US, this::checkUnreported);
     }
 
     /**
-     * What is found here the selector does not find any more, and its limit passes without a word:
-     * so it ends here.
+     * Ends the attempt if the connection is established: after this check the selector does not
+     * find it any more, and would only report its timeout.
      */
-    private void lookBehindSelector() {
+    private void checkUnreported() {
         try {
             if (channel.isConnectionPending() && channel.finishConnect()) {
                 channel.close();
                 failed(ConnectFailure.UNHEARD);
             }
-        } catch (IOException e) {
-            failed(ConnectFailure.UNREACHABLE); // refused or reset, as the selector would have told
+        } catch (IOException e) { // refused or reset, as the selector would have reported
+            failed(ConnectFailure.UNREACHABLE);
         }
     }
 
     @Override
     public EventLoopConnection open(EndPoint endPoint) {
-        look.cancel();
-        return opening.open(endPoint);
+        check.cancel();
+        return factory.open(endPoint);
     }
 
-    /** Told on the loop; the look and the selector may both find a failure. */
+    /** Called on the loop; the check and the selector may both find a failure. */
     @Override
-    public void failed(ConnectFailure why) {
-        look.cancel();
+    public void failed(ConnectFailure failure) {
+        check.cancel();
         if (!failed) {
             failed = true;
-            opening.failed(why);
+            factory.failed(failure);
         }
     }
 }
--- a/src/main/java/damsonslip/transport/RearmableKey.java
+++ b/src/main/java/damsonslip/transport/RearmableKey.java
@@ -5,45 +5,42 @@
 import java.nio.channels.Selector;
 
 /**
- * A selection key whose registration with the system can be made again. Where epoll_ctl(2) fails
- * for lack of memory, the JDK takes the socket for registered all the same, and asks the system
- * again only once the interest has changed.
+ * A selection key whose registration with the system can be renewed. Where epoll_ctl(2) fails for
+ * lack of memory, the JDK considers the socket registered all the same, and calls the system again
+ * only once the interest set has changed. So {@link #disarm} clears the interest set, and {@link
+ * #rearm} restores it after the selector's next round.
  *
  * <p>Used on the selector's thread.
  */
 final class RearmableKey extends SelectionKey {
     private final SelectionKey key;
 
-    /**
-     * What the selector is to report; the key itself has none while it is being registered anew.
-     */
-    private int wanted;
+    /** The interest set; the key itself has an empty one between disarm and rearm. */
+    private int interestOps;
 
-    private boolean rearming;
+    private boolean disarmed;
 
     RearmableKey(SelectionKey key) {
         this.key = key;
-        this.wanted = key.interestOps();
+        this.interestOps = key.interestOps();
     }
 
-    /**
-     * Takes the registration back; {@link #rearm} makes it again, behind the selector's next round.
-     */
+    /** Cancels the registration with the system until {@link #rearm}. */
     void disarm() {
-        rearming = true;
+        disarmed = true;
         key.interestOps(0);
     }
 
-    /** Makes the registration again, for what is wanted by now. */
+    /** Registers with the system again, for the interest set as it is by now. */
     void rearm() {
-        rearming = false;
-        key.interestOps(wanted);
+        disarmed = false;
+        key.interestOps(interestOps);
     }
 
     @Override
     public SelectionKey interestOps(int ops) {
-        wanted = ops;
-        if (!rearming) {
+        interestOps = ops;
+        if (!disarmed) {
             key.interestOps(ops);
         }
         return this;
@@ -51,7 +48,7 @@
 
     @Override
     public int interestOps() {
-        return wanted;
+        return interestOps;
     }
 
     @Override
--- a/src/main/java/damsonslip/transport/RoundClock.java
+++ b/src/main/java/damsonslip/transport/RoundClock.java
@@ -3,42 +3,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * Numbers a selector's rounds and remembers when the last two began. A socket that was watched in a
- * round and not reported by it was empty at some moment after that round began: whatever is found
- * there later has come after that. The time at which a round returned would not do, since the
- * thread may be held up between the system's look and its own. Used on the selector's thread.
+ * Numbers a selector's rounds and remembers when the last two started. A socket that was watched in
+ * a round and not reported by it was empty at some moment after that round started: whatever is
+ * found there later has come after that. The time at which a round returned would not do, since the
+ * thread may be suspended between the system's check and its own. Used on the selector's thread.
  */
 final class RoundClock {
     private final LongSupplier nowUs;
     private long round;
-    private long beganUs;
-    private long beganBeforeUs;
+    private long roundStartUs;
+    private long previousRoundStartUs;
 
+    /**
+     * @param nowUs the event loop's clock, in microseconds
+     */
     RoundClock(LongSupplier nowUs) {
         this.nowUs = nowUs;
-        this.beganUs = nowUs.getAsLong();
-        this.beganBeforeUs = beganUs;
+        this.roundStartUs = nowUs.getAsLong();
+        this.previousRoundStartUs = roundStartUs;
     }
 
-    /** The system is asked once more. */
-    void begins() {
+    /** Records that the selector is about to ask the system once more. */
+    void startRound() {
         round++;
-        beganBeforeUs = beganUs;
-        beganUs = nowUs.getAsLong();
+        previousRoundStartUs = roundStartUs;
+        roundStartUs = nowUs.getAsLong();
     }
 
-    /** The number of the newest round. */
+    /** Returns the number of the current round. */
     long round() {
         return round;
     }
 
-    /** How long it took from the begin of the round before to that of the newest one. */
-    long lastTookUs() {
-        return beganUs - beganBeforeUs;
+    /** Returns how long the previous round took, up to the start of the current one. */
+    long lastRoundUs() {
+        return roundStartUs - previousRoundStartUs;
     }
 
-    /** When the round before the newest one began, in microseconds of the loop's clock. */
-    long beganBeforeUs() {
-        return beganBeforeUs;
+    /** Returns when the previous round started, in microseconds of the loop's clock. */
+    long previousRoundStartUs() {
+        return previousRoundStartUs;
     }
 }
--- a/src/main/java/damsonslip/transport/datarate/BufferBudget.java
+++ b/src/main/java/damsonslip/transport/datarate/BufferBudget.java
@@ -29,24 +29,24 @@
     /**
      * Chooses the connections to close.
      *
-     * @param most the bound on all buffered bytes together
+     * @param maxBytes the bound on all buffered bytes together
      * @return connections in descending order of weight; none while the bound holds, and no more
      *     than needed
      */
-    public static <L> List<L> over(long most, List<Holding<L>> all) {
-        long held = all.stream().mapToLong(Holding::waiting).sum();
-        if (held <= most) {
+    public static <L> List<L> over(long maxBytes, List<Holding<L>> all) {
+        long bufferedBytes = all.stream().mapToLong(Holding::waiting).sum();
+        if (bufferedBytes <= maxBytes) {
             return List.of();
         }
+        List<Holding<L>> heaviestFirst = new ArrayList<>(all);
+        heaviestFirst.sort(Comparator.comparingDouble(Holding<L>::weight).reversed());
         List<L> chosen = new ArrayList<>();
-        for (Holding<L> next :
-                all.stream()
-                        .sorted(Comparator.comparingDouble(Holding<L>::weight).reversed())
-                        .toList()) {
-            if (held > most) {
-                held -= next.waiting();
-                chosen.add(next.link());
+        for (Holding<L> holding : heaviestFirst) {
+            if (bufferedBytes <= maxBytes) {
+                break;
             }
+            bufferedBytes -= holding.waiting();
+            chosen.add(holding.link());
         }
         return chosen;
     }
--- a/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
@@ -40,10 +40,11 @@
     private final Limits limits;
     private boolean active;
     private long leftUs;
-    private long atUs;
-    private long moved;
-    private long sinceUs;
+    private long drainedAtUs;
+    private long transferredBytes;
+    private long startedUs;
 
+    /** Creates a rate without a transfer under way. */
     public MinimumDataRate(Limits limits) {
         this.limits = limits;
     }
@@ -53,9 +54,9 @@
         if (!active) {
             active = true;
             leftUs = limits.graceUs();
-            sinceUs = nowUs;
-            atUs = nowUs;
-            moved = 0;
+            startedUs = nowUs;
+            drainedAtUs = nowUs;
+            transferredBytes = 0;
         }
     }
 
@@ -72,7 +73,7 @@
     public void moved(long nowUs, long bytes) {
         if (active) {
             drain(nowUs);
-            moved += bytes;
+            transferredBytes += bytes;
             // an empty bucket stays empty: bytes that come after it ran out do not refill it
             if (leftUs > 0) {
                 leftUs =
@@ -98,7 +99,7 @@
 
     /** The mean rate since the transfer started, in bytes a second; 0 if none is under way. */
     public double rate(long nowUs) {
-        return !active ? 0 : moved * 1e6 / Math.max(1, nowUs - sinceUs);
+        return !active ? 0 : transferredBytes * 1e6 / Math.max(1, nowUs - startedUs);
     }
 
     /**
@@ -106,12 +107,12 @@
      * under way.
      */
     public long leftUs(long nowUs) {
-        return active ? Math.max(0, leftUs - Math.max(0, nowUs - atUs)) : Long.MAX_VALUE;
+        return active ? Math.max(0, leftUs - Math.max(0, nowUs - drainedAtUs)) : Long.MAX_VALUE;
     }
 
     /** Drains the bucket by the time that has passed; a clock that steps back drains nothing. */
     private void drain(long nowUs) {
-        leftUs -= Math.max(0, nowUs - atUs);
-        atUs = nowUs;
+        leftUs -= Math.max(0, nowUs - drainedAtUs);
+        drainedAtUs = nowUs;
     }
 }
