--- a/src/test/java/damsonslip/transport/RoomTest.java
+++ b/src/test/java/damsonslip/transport/ConnectionLimiterTest.java
@@ -9,19 +9,20 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** How many connections are held. */
-class RoomTest {
-    private final ConnectionLimiter<EventLoopConnection> room =
-            new ConnectionLimiter<>(30, 10, link -> true, Comparator.comparingInt(link -> 0));
+/** How many connections are admitted. */
+class ConnectionLimiterTest {
+    private final ConnectionLimiter<EventLoopConnection> limiter =
+            new ConnectionLimiter<>(
+                    30, 10, connection -> true, Comparator.comparingInt(connection -> 0));
 
-    /** A crowd is accepted at one go, long before the first of it is set up. */
+    /** Many connections are accepted at once, long before the first of them is set up. */
     @Test
-    void aCrowdThatComesAtOnceTakesNoMoreThanThereIs() throws Exception {
+    void admitsNoMoreThanLimitAndOverflowAtOnce() throws Exception {
         AtomicInteger admitted = new AtomicInteger();
         CountDownLatch begin = new CountDownLatch(1);
-        Thread[] doors = new Thread[4];
-        for (int i = 0; i < doors.length; i++) {
-            doors[i] =
+        Thread[] acceptors = new Thread[4];
+        for (int i = 0; i < acceptors.length; i++) {
+            acceptors[i] =
                     new Thread(
                             () -> {
                                 try {
@@ -30,26 +31,26 @@
                                     return;
                                 }
                                 for (int k = 0; k < 50; k++) {
-                                    admitted.addAndGet(room.admit() ? 1 : 0);
+                                    admitted.addAndGet(limiter.admit() ? 1 : 0);
                                 }
                             });
-            doors[i].start();
+            acceptors[i].start();
         }
         begin.countDown();
-        for (Thread door : doors) {
-            door.join();
+        for (Thread acceptor : acceptors) {
+            acceptor.join();
         }
         assertEquals(40, admitted.get());
     }
 
     @Test
-    void whatIsTurnedBackMakesRoomAgain() {
+    void admitsAnotherAfterFailedSetUp() {
         for (int i = 0; i < 40; i++) {
-            assertTrue(room.admit());
+            assertTrue(limiter.admit());
         }
-        assertFalse(room.admit());
-        room.turnedBack();
-        assertTrue(room.admit());
-        assertFalse(room.admit());
+        assertFalse(limiter.admit());
+        limiter.turnedBack();
+        assertTrue(limiter.admit());
+        assertFalse(limiter.admit());
     }
 }
--- a/src/test/java/damsonslip/transport/MakeWayTest.java
+++ b/src/test/java/damsonslip/transport/EvictionTest.java
@@ -16,16 +16,16 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-/** Which connection ends where there is no room for all. */
-class MakeWayTest {
-    private static final long QUIET_MS = 200;
+/** Which connection is evicted above the limit. */
+class EvictionTest {
+    private static final long ARRIVAL_MS = 200;
 
-    /** Needed from the first byte that it has read on. */
-    private static final class Answering extends EventLoopConnection {
+    /** A connection that is not evictable once it has read a byte. */
+    private static final class RequestConnection extends EventLoopConnection {
         private final CountDownLatch up = new CountDownLatch(1);
-        private volatile boolean asked;
+        private volatile boolean requestRead;
 
-        Answering(EndPoint endPoint, EventLoop loop) {
+        RequestConnection(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
         }
 
@@ -36,7 +36,7 @@
 
         @Override
         protected void received(ByteBuffer bytes) {
-            asked = true;
+            requestRead = true;
             bytes.position(bytes.limit());
         }
 
@@ -44,48 +44,52 @@
         protected void lost() {}
     }
 
-    private static Answering connect(ConnectionManager links, EventLoop loop, ServerSocket server)
+    private static RequestConnection connect(
+            ConnectionManager manager, EventLoop loop, ServerSocket server)
             throws InterruptedException {
-        Answering[] made = new Answering[1];
-        links.connect(
+        RequestConnection[] made = new RequestConnection[1];
+        manager.connect(
                 (InetSocketAddress) server.getLocalSocketAddress(),
-                endPoint -> made[0] = new Answering(endPoint, loop));
-        Program.await("it is made", () -> made[0] != null);
+                endPoint -> made[0] = new RequestConnection(endPoint, loop));
+        Program.await("the connection is created", () -> made[0] != null);
         assertTrue(made[0].up.await(5, TimeUnit.SECONDS));
         return made[0];
     }
 
-    /** The request is there before the newcomer is let in, and the loop has not come to read it. */
+    /** The request has come before the second connection opens, and was not read yet. */
     @Test
-    void whoHasAskedAndWasNotReadYetDoesNotMakeWay() throws Exception {
+    void keepsConnectionWhoseRequestWasNotReadYet() throws Exception {
         EventLoop loop = new EventLoop();
-        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            ConnectionManager links = ConnectionManager.start(loop, 1_000);
-            ConnectionLimiter<Answering> room =
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            ConnectionManager manager = ConnectionManager.start(loop, 1_000);
+            ConnectionLimiter<RequestConnection> limiter =
                     new ConnectionLimiter<>(
-                            1, 8, link -> !link.asked, Comparator.comparingInt(link -> 0));
-            Answering first = connect(links, loop, server);
+                            1,
+                            8,
+                            connection -> !connection.requestRead,
+                            Comparator.comparingInt(connection -> 0));
+            RequestConnection first = connect(manager, loop, server);
             Socket peer = server.accept();
-            Answering second = connect(links, loop, server);
+            RequestConnection second = connect(manager, loop, server);
             CountDownLatch done = new CountDownLatch(1);
             loop.execute(
                     () -> {
-                        room.opened(first);
+                        limiter.opened(first);
                         try {
                             peer.getOutputStream().write('Q');
-                            Thread.sleep(QUIET_MS);
+                            Thread.sleep(ARRIVAL_MS);
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
-                        room.opened(second);
+                        limiter.opened(second);
                         done.countDown();
                     });
             assertTrue(done.await(5, TimeUnit.SECONDS));
-            Program.await("what was asked is read", () -> first.asked);
-            assertFalse(first.isLingering() || first.isClosed(), "it has asked and is not ended");
+            Program.await("the request is read", () -> first.requestRead);
+            assertFalse(first.isLingering() || first.isClosed(), "it has a request and stays open");
             assertTrue(
                     second.isLingering() || second.isClosed(),
-                    "the newcomer goes, since the other is needed");
+                    "the new one is evicted, since the other is needed");
             peer.close();
         } finally {
             loop.stop();
--- /dev/null
+++ b/src/test/java/damsonslip/transport/LineDecoderTest.java
@@ -0,0 +1,34 @@
+package damsonslip.transport;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Lines of a byte stream that comes in parts. */
+class LineDecoderTest {
+    private static final int MAX_LINE_BYTES = 8;
+
+    private final LineDecoder decoder = new LineDecoder(MAX_LINE_BYTES);
+
+    private List<String> decode(String part) {
+        return decoder.take(part.getBytes(StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void joinsLineThatComesInParts() {
+        assertEquals(List.of(), decode("on"));
+        assertEquals(2, decoder.begun());
+        assertEquals(List.of("one", "two"), decode("e\r\ntwo\nth"));
+        assertEquals("th", decoder.rest());
+        assertEquals(0, decoder.begun());
+    }
+
+    @Test
+    void rejectsUnfinishedLineAboveBound() {
+        assertEquals(List.of(), decode("12345678"));
+        assertNull(decode("9"));
+    }
+}
--- a/src/test/java/damsonslip/transport/WrittenOrderTest.java
+++ b/src/test/java/damsonslip/transport/WriteCompletionOrderTest.java
@@ -19,22 +19,16 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-/**
- * Whether the last byte of a message has left is known before anything else that happens on its
- * connection.
- */
-class WrittenOrderTest {
-    /**
-     * More than the system takes at once, and below the mark above which nothing is read from a
-     * peer.
-     */
-    private static final int LARGE = 200_000;
+/** The completion of a write is known before any later event of its connection. */
+class WriteCompletionOrderTest {
+    /** More than the system takes at once, and below the high watermark. */
+    private static final int MESSAGE_BYTES = 200_000;
 
     private static final int QUIET_MS = 400;
 
     private final AtomicBoolean written = new AtomicBoolean();
-    private final AtomicReference<Boolean> knownAtLoss = new AtomicReference<>();
-    private final CountDownLatch up = new CountDownLatch(1);
+    private final AtomicReference<Boolean> writtenWhenLost = new AtomicReference<>();
+    private final CountDownLatch opened = new CountDownLatch(1);
 
     private final class Upload extends EventLoopConnection {
         Upload(EndPoint endPoint, EventLoop loop) {
@@ -43,8 +37,8 @@
 
         @Override
         protected void opened() {
-            write(() -> written.set(true), ByteBuffer.allocate(LARGE));
-            up.countDown();
+            write(() -> written.set(true), ByteBuffer.allocate(MESSAGE_BYTES));
+            opened.countDown();
         }
 
         @Override
@@ -54,71 +48,71 @@
 
         @Override
         protected void lost() {
-            knownAtLoss.set(written.get());
+            writtenWhenLost.set(written.get());
         }
     }
 
     /**
-     * The peer says something while the message is under way, takes as much of it as comes, and
-     * resets; all of that while the loop is held up, so that whatever is told to it is found in one
-     * heap. With writes finished elsewhere, the peer has every byte by then, and the reset is read
-     * before the loop hears of that.
+     * The peer sends a byte while the message is being written, reads as much of it as comes, and
+     * resets the connection; all of that while the loop is blocked, so that it finds all events at
+     * once. If writes completed on another thread, the peer would have every byte by then, and the
+     * reset would be read before the loop learns of the completion.
      */
     @Test
-    void aResetBehindTheLastByteIsNotTakenForOneBeforeIt() throws Exception {
+    void reportsCompletedWriteBeforeReset() throws Exception {
         EventLoop loop = new EventLoop();
         try (ServerSocket server = new ServerSocket()) {
             server.setReceiveBufferSize(4 * 1024);
-            server.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             ConnectionManager.start(loop, 1_000)
                     .connect(
                             (InetSocketAddress) server.getLocalSocketAddress(),
                             endPoint -> new Upload(endPoint, loop));
-            CountDownLatch held = new CountDownLatch(1);
+            CountDownLatch blocked = new CountDownLatch(1);
             CountDownLatch release = new CountDownLatch(1);
-            int got = 0;
+            int received = 0;
             try (Socket peer = server.accept()) {
-                assertTrue(up.await(5, TimeUnit.SECONDS));
+                assertTrue(opened.await(5, TimeUnit.SECONDS));
                 loop.execute(
                         () -> {
-                            held.countDown();
+                            blocked.countDown();
                             try {
                                 release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-                assertTrue(held.await(5, TimeUnit.SECONDS));
+                assertTrue(blocked.await(5, TimeUnit.SECONDS));
                 peer.getOutputStream().write('H');
                 Thread.sleep(QUIET_MS);
-                got = all(peer);
+                received = readAll(peer);
                 peer.setSoLinger(true, 0);
             }
             Thread.sleep(QUIET_MS);
             release.countDown();
-            Program.await("the reset is told", () -> knownAtLoss.get() != null);
+            Program.await("the reset is reported", () -> writtenWhenLost.get() != null);
             assertEquals(
-                    got == LARGE,
-                    knownAtLoss.get(),
-                    "the peer has " + got + " of " + LARGE + " bytes");
+                    received == MESSAGE_BYTES,
+                    writtenWhenLost.get(),
+                    "the peer has " + received + " of " + MESSAGE_BYTES + " bytes");
         } finally {
             loop.stop();
         }
     }
 
-    /** Reads what comes until nothing more does; gives how much that was. */
-    private static int all(Socket peer) throws Exception {
+    /** Reads until nothing more comes; returns the number of bytes. */
+    private static int readAll(Socket peer) throws Exception {
         peer.setSoTimeout(QUIET_MS);
         InputStream in = peer.getInputStream();
-        byte[] part = new byte[64 * 1024];
-        int got = 0;
+        byte[] buffer = new byte[64 * 1024];
+        int received = 0;
         try {
-            while (got < LARGE) {
-                got += Math.max(0, in.read(part));
+            while (received < MESSAGE_BYTES) {
+                received += Math.max(0, in.read(buffer));
             }
         } catch (SocketTimeoutException e) {
-            return got; // the rest does not come
+            return received; // the rest does not come
         }
-        return got;
+        return received;
     }
 }
--- a/src/test/java/damsonslip/transport/datarate/BufferBudgetTest.java
+++ b/src/test/java/damsonslip/transport/datarate/BufferBudgetTest.java
@@ -6,6 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which connections are closed when buffers exceed the budget. */
 class BufferBudgetTest {
     private static final List<Holding<String>> ALL =
             List.of(
@@ -15,12 +16,12 @@
                     new Holding<>("crawls", 900, 10));
 
     @Test
-    void nobodyGoesWithinTheBudget() {
+    void choosesNoneWithinBudget() {
         assertEquals(List.of(), BufferBudget.over(2_800, ALL));
     }
 
     @Test
-    void whoHoldsMostForLeastProgressGoesFirstAndNoMoreThanNeeded() {
+    void choosesLargestWithLeastProgressAndNoMoreThanNeeded() {
         assertEquals(List.of("still"), BufferBudget.over(2_799, ALL));
         assertEquals(List.of("still", "crawls"), BufferBudget.over(1_000, ALL));
         assertEquals(List.of("still", "crawls", "small", "moves"), BufferBudget.over(0, ALL));
