--- /dev/null
+++ b/src/main/java/damsonslip/faktory/CommandCallback.java
@@ -0,0 +1,27 @@
+package damsonslip.faktory;
+
+import damsonslip.faktory.codec.CommandError;
+import damsonslip.faktory.codec.Reply;
+import java.util.Optional;
+
+/** Called once the store has recorded what a command changed, or with the error if it did not. */
+@FunctionalInterface
+interface CommandCallback {
+    /** Does nothing, for changes that no peer waits for. */
+    CommandCallback IGNORE = error -> {};
+
+    void completed(Optional<CommandError> error);
+
+    default void succeeded() {
+        completed(Optional.empty());
+    }
+
+    default void failed(CommandError error) {
+        completed(Optional.of(error));
+    }
+
+    /** Replies with OK or with the error. */
+    static CommandCallback replyTo(FaktoryConnection connection) {
+        return error -> connection.reply(error.isPresent() ? Reply.error(error.get()) : Reply.ok());
+    }
+}
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -2,10 +2,10 @@
 
 import damsonslip.engine.Request;
 import damsonslip.engine.RequestContext;
+import damsonslip.faktory.codec.CommandError;
 import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.store.JobRecord;
-import java.util.function.Consumer;
 
 /**
  * A job while the decision module or a worker has it, with what is known of its runs. Confined to
@@ -18,7 +18,7 @@
     final long dispatchedUs;
 
     /** Its request in the engine; null until the engine has accepted it. */
-    RequestContext exchange;
+    RequestContext context;
 
     /** Whether a worker may have run it before this dispatch. */
     final boolean ranBefore;
@@ -29,11 +29,11 @@
     /** How the last of these runs failed; null if that is not known. */
     RunFailure failure;
 
-    /**
-     * Acknowledges the worker's report once the store has recorded it: called with an error, or
-     * null. Null while there is no report.
-     */
-    Consumer<String> acknowledge;
+    /** Why the decision module has rejected it; null if it has not. */
+    CommandError rejection;
+
+    /** Acknowledges the worker's report once the store has recorded it; null without a report. */
+    private CommandCallback reportCallback;
 
     DispatchedJob(JobEntry entry, long dispatchedUs) {
         this.entry = entry;
@@ -52,4 +52,21 @@
     JobRecord record() {
         return entry.record();
     }
+
+    /**
+     * Records a worker's report.
+     *
+     * @param runFailure how the run failed; null if it succeeded
+     */
+    void reported(RunFailure runFailure, CommandCallback callback) {
+        failure = runFailure;
+        reportCallback = callback;
+    }
+
+    /** Removes and returns the callback of the last report; one that does nothing if none waits. */
+    CommandCallback takeReportCallback() {
+        CommandCallback callback = reportCallback;
+        reportCallback = null;
+        return callback == null ? CommandCallback.IGNORE : callback;
+    }
 }
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -3,6 +3,8 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.SlowPeer;
 import damsonslip.faktory.codec.Command;
+import damsonslip.faktory.codec.CommandDecoder;
+import damsonslip.faktory.codec.CommandError;
 import damsonslip.faktory.codec.MalformedCommandException;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.transport.EventLoopConnection;
@@ -100,7 +102,7 @@
         bytes.get(part);
         List<String> whole = lines.take(part);
         if (whole == null || (!isGreeted && lines.begun() > MAX_HELLO_BYTES)) {
-            closeWithError("ERR a line too long");
+            closeWithError("a line too long");
             return;
         }
         faktory.addBuffered(lines.begun() - incompleteBytes);
@@ -108,7 +110,7 @@
         measureSending(part.length, !whole.isEmpty());
         long maxBuffered = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
         if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered) {
-            closeWithError("ERR too much is being sent here at once; come back in a moment");
+            closeWithError("too much is being sent here at once; come back in a moment");
             return;
         }
         pending.addAll(whole);
@@ -161,7 +163,7 @@
                     this,
                     Count.SLOW_SENDERS_LET_GO,
                     "sends a command at " + (long) sendRate.rate(nowUs) + " bytes/s");
-            closeWithError("ERR too slow: a command that has begun has to go on");
+            closeWithError("too slow: a command that has begun has to go on");
         }
     }
 
@@ -179,7 +181,7 @@
             answering = true;
             sendRate.end();
             try {
-                Command command = Command.decode(line);
+                Command command = CommandDecoder.decode(line);
                 if (isGreeted) {
                     faktory.handle(this, command);
                 } else {
@@ -187,9 +189,9 @@
                 }
             } catch (MalformedCommandException e) {
                 if (isGreeted) {
-                    reply(Reply.error("ERR " + e.getMessage()));
+                    reply(Reply.error(CommandError.error(e.getMessage())));
                 } else {
-                    closeWithError("ERR " + e.getMessage());
+                    closeWithError(e.getMessage());
                 }
             }
             return; // the next one follows the reply
@@ -221,7 +223,7 @@
             throw new MalformedCommandException("invalid password");
         }
         isGreeted = true;
-        worker = hello.wid().isEmpty() ? null : faktory.consumers().register(hello, this);
+        worker = hello.wid().isEmpty() ? null : faktory.register(hello, this);
         reply(Reply.ok());
     }
 
@@ -237,8 +239,8 @@
     }
 
     /** Sends an error and closes the connection. */
-    void closeWithError(String error) {
-        write(() -> {}, Reply.error(error));
+    void closeWithError(String message) {
+        write(() -> {}, Reply.error(CommandError.error(message)));
         endWhenWritten();
     }
 
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/JobLifecycle.java
@@ -0,0 +1,150 @@
+package damsonslip.faktory;
+
+import damsonslip.config.SiteSettings;
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.EventLoop;
+import damsonslip.faktory.codec.CommandError;
+import damsonslip.faktory.jobs.JobEntry;
+import damsonslip.faktory.jobs.JobTable;
+import damsonslip.faktory.jobs.JobTransitions;
+import damsonslip.policy.api.JobClass;
+import damsonslip.store.AsyncStore;
+import damsonslip.store.JobRecord;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Moves jobs between their states, in the job table and in the store, and notifies the listeners.
+ * Confined to the event loop.
+ */
+final class JobLifecycle {
+    private static final Logger LOG = LoggerFactory.getLogger(JobLifecycle.class);
+
+    private static final CommandError NOT_RECORDED =
+            CommandError.error(
+                    "the store is down; the word is kept here and written once it is back");
+
+    private final EventLoop loop;
+    private final SiteSettings site;
+    private final AsyncStore store;
+    private final Counters counters;
+    private final JobTable jobTable;
+    private Consumer<String> batchListener = batchId -> {};
+    private Consumer<JobRecord> successListener = record -> {};
+
+    JobLifecycle(
+            EventLoop loop,
+            SiteSettings site,
+            AsyncStore store,
+            Counters counters,
+            JobTable jobTable) {
+        this.loop = loop;
+        this.site = site;
+        this.store = store;
+        this.counters = counters;
+        this.jobTable = jobTable;
+    }
+
+    /**
+     * Sets the listeners for batches whose jobs have changed, by id, and for jobs that have
+     * succeeded.
+     */
+    void setListeners(Consumer<String> batches, Consumer<JobRecord> successes) {
+        batchListener = batches;
+        successListener = successes;
+    }
+
+    JobTable jobTable() {
+        return jobTable;
+    }
+
+    /** The time of the event loop, in milliseconds since the Unix epoch. */
+    long nowMs() {
+        return loop.now() / 1000;
+    }
+
+    JobClass classOf(JobEntry entry) {
+        return site.settings().classes().get(entry.jobClass());
+    }
+
+    /**
+     * Moves a job to another state, possibly a final one, and records that in the store.
+     *
+     * @param callback called after the first attempt to record it; later ones follow by themselves
+     */
+    void transition(JobEntry entry, JobRecord next, CommandCallback callback) {
+        checkTransition(entry, next);
+        if (next.state().isFinal()) {
+            jobTable.remove(entry);
+        } else {
+            jobTable.move(entry, next);
+        }
+        store.write(next, callback::succeeded, () -> callback.failed(NOT_RECORDED));
+        if (!next.options().batchId().isEmpty()) {
+            batchListener.accept(next.options().batchId());
+        }
+        if (next.state() == JobRecord.State.SUCCESS) {
+            successListener.accept(next);
+        }
+    }
+
+    private static void checkTransition(JobEntry entry, JobRecord next) {
+        JobRecord.State from = entry.record().state();
+        if (!JobTransitions.isAllowed(from, next.state())) {
+            LOG.error("unexpected_transition jid={} from={} to={}", next.id(), from, next.state());
+        }
+    }
+
+    /** Ends a job successfully. */
+    void succeed(JobEntry entry, CommandCallback callback) {
+        JobRecord next = entry.record().withState(JobRecord.State.SUCCESS, 0, "", nowMs());
+        transition(entry, next, callback);
+    }
+
+    /** Ends an awaited job without success. */
+    void fail(JobEntry entry, String detail, CommandCallback callback) {
+        JobRecord next = entry.record().withState(JobRecord.State.FAILED, 0, detail, nowMs());
+        transition(entry, next, callback);
+    }
+
+    /** Moves a job to the dead set. */
+    void kill(JobEntry entry, String detail, CommandCallback callback) {
+        JobRecord next = entry.record().withState(JobRecord.State.DEAD, nowMs(), detail, nowMs());
+        transition(entry, next, callback);
+    }
+
+    /** Discards a job. Its record is retained, so that a repeated push does not run it again. */
+    void discard(JobEntry entry, String detail, CommandCallback callback) {
+        JobRecord next = entry.record().withState(JobRecord.State.DISCARDED, 0, detail, nowMs());
+        transition(entry, next, callback);
+    }
+
+    /** Discards a job whose expiry has passed; returns whether it has. */
+    boolean discardIfExpired(JobEntry entry) {
+        long expiresMs = entry.record().options().expiresMs();
+        if (expiresMs == 0 || expiresMs > nowMs()) {
+            return false;
+        }
+        counters.add(Count.JOBS_EXPIRED);
+        discard(entry, "its time to run was over", CommandCallback.IGNORE);
+        return true;
+    }
+
+    /** Appends a job to its queue, in memory only; see {@link JobCoordinator#enqueue}. */
+    void moveToQueue(JobEntry entry) {
+        jobTable.move(entry, entry.record().enqueued(jobTable.nextSequence(), nowMs()));
+        jobTable.setEnqueuedMs(entry, nowMs());
+    }
+
+    /** Returns a reserved job to its queue if it provably never left for the worker. */
+    void returnUnrun(DispatchedJob dispatched) {
+        JobEntry entry = dispatched.entry;
+        boolean reserved = entry.record().state() == JobRecord.State.RESERVED;
+        if (jobTable.contains(entry) && reserved && !dispatched.ran) {
+            jobTable.move(entry, entry.record().returned(dispatched.ranBefore, nowMs()));
+            store.write(entry.record());
+        }
+    }
+}
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -4,10 +4,10 @@
 import damsonslip.engine.Counters;
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLoop;
-import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.JobEntry;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.routing.Routes;
+import damsonslip.policy.api.JobClass;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
 import damsonslip.store.StoreOperation;
@@ -22,12 +22,12 @@
  */
 final class Recovery {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
-    private static final long RETRY_US = 500_000;
+    private static final long RETRY_DELAY_US = 500_000;
 
     /**
      * Records that are read with one request to the store and recovered in one task of the loop.
      */
-    private static final int BATCH = 400;
+    private static final int BATCH_SIZE = 400;
 
     private final EventLoop loop;
     private final SiteSettings site;
@@ -36,8 +36,8 @@
     private final Routes routes;
     private final JobCoordinator coordinator;
     private final BatchService batches;
-    private final Runnable done;
-    private int recovered;
+    private final Runnable onCompletion;
+    private int recoveredJobs;
 
     Recovery(
             EventLoop loop,
@@ -47,7 +47,7 @@
             Routes routes,
             JobCoordinator coordinator,
             BatchService batches,
-            Runnable done) {
+            Runnable onCompletion) {
         this.loop = loop;
         this.site = site;
         this.store = store;
@@ -55,7 +55,7 @@
         this.routes = routes;
         this.coordinator = coordinator;
         this.batches = batches;
-        this.done = done;
+        this.onCompletion = onCompletion;
     }
 
     /**
@@ -63,95 +63,107 @@
      * accepted either.
      */
     void begin() {
+        loadPausedQueues();
+    }
+
+    private void loadPausedQueues() {
         store.submit(
-                new StoreOperation.GetMetadata(AdminCommands.PAUSED),
+                new StoreOperation.GetMetadata(QueueCommands.PAUSED_KIND),
                 paused -> {
                     paused.keySet().forEach(coordinator.jobTable()::pause);
-                    store.submit(
-                            new StoreOperation.GetMetadata(BatchService.NOTE),
-                            notes -> {
-                                batches.load(notes);
-                                store.submit(
-                                        new StoreOperation.ListOpen(),
-                                        ids -> load(new ArrayList<>(ids), 0),
-                                        this::retry);
-                            },
-                            this::retry);
+                    loadBatches();
+                },
+                this::beginAgain);
+    }
+
+    private void loadBatches() {
+        store.submit(
+                new StoreOperation.GetMetadata(BatchService.METADATA_KIND),
+                texts -> {
+                    batches.load(texts);
+                    listJobs();
                 },
-                this::retry);
+                this::beginAgain);
     }
 
-    private void retry() {
-        loop.in(RETRY_US, this::begin);
+    private void listJobs() {
+        store.submit(
+                new StoreOperation.ListOpen(),
+                ids -> loadJobs(new ArrayList<>(ids), 0),
+                this::beginAgain);
     }
 
-    private void load(List<String> ids, int from) {
+    private void beginAgain() {
+        loop.in(RETRY_DELAY_US, this::begin);
+    }
+
+    private void loadJobs(List<String> ids, int from) {
         if (from >= ids.size()) {
-            LOG.info("{} jobs taken up from the store", recovered);
-            done.run();
+            LOG.info("{} jobs taken up from the store", recoveredJobs);
+            onCompletion.run();
             return;
         }
-        List<String> part = ids.subList(from, Math.min(ids.size(), from + BATCH));
+        int to = Math.min(ids.size(), from + BATCH_SIZE);
         store.submit(
-                new StoreOperation.LoadOpen(part),
+                new StoreOperation.LoadOpen(ids.subList(from, to)),
                 records -> {
                     records.forEach(this::recover);
-                    load(ids, from + BATCH);
+                    loadJobs(ids, to);
                 },
-                () -> loop.in(RETRY_US, () -> load(ids, from)));
+                () -> loop.in(RETRY_DELAY_US, () -> loadJobs(ids, from)));
     }
 
     private void recover(JobRecord record) {
-        JobTable jobTable = coordinator.jobTable();
-        if (jobTable.get(record.id()) != null) {
+        if (coordinator.jobTable().get(record.id()) != null) {
             return; // pushed, or reported on, since the start
         }
-        recovered++;
-        JobRecord.Options facts = record.options();
-        int jobClass = routes.classOf(facts.className(), facts.queue(), facts.jobtype());
-        if (jobClass < 0) {
-            jobClass =
-                    routes.classOf(
-                            "",
-                            facts.queue(),
-                            facts.jobtype()); // its class is no longer configured
-        }
+        recoveredJobs++;
+        int jobClass = classOf(record.options());
         if (jobClass < 0) {
-            LOG.warn(
-                    "job {} from the store cannot be taken up: no class of the name {}",
-                    record.id(),
-                    facts.className());
-            store.write(
-                    record.withState(
-                            JobRecord.State.FAILED,
-                            0,
-                            "no class of the name " + facts.className(),
-                            coordinator.nowMs()));
-            return;
+            failWithoutClass(record);
+        } else {
+            recover(record, jobClass);
         }
-        switch (RetryPolicy.recoveryAction(
-                record, site.settings().classes().get(jobClass), coordinator.nowMs())) {
+    }
+
+    /** The job's class, or the one that its route leads to if its own is configured no more. */
+    private int classOf(JobRecord.Options options) {
+        int named = routes.classOf(options.className(), options.queue(), options.jobtype());
+        return named >= 0 ? named : routes.classOf("", options.queue(), options.jobtype());
+    }
+
+    private void failWithoutClass(JobRecord record) {
+        String className = record.options().className();
+        LOG.warn(
+                "job {} from the store cannot be taken up: no class of the name {}",
+                record.id(),
+                className);
+        String detail = "no class of the name " + className;
+        store.write(record.withState(JobRecord.State.FAILED, 0, detail, coordinator.nowMs()));
+    }
+
+    private void recover(JobRecord record, int jobClass) {
+        JobClass settings = site.settings().classes().get(jobClass);
+        switch (RetryPolicy.recoveryAction(record, settings, coordinator.nowMs())) {
             case RESTORE -> coordinator.admit(record, jobClass);
-            case DISPATCH ->
-                    coordinator.admit(
-                            record.enqueued(record.sequence(), coordinator.nowMs()), jobClass);
-            case AWAIT_REPORT -> {
-                counters.add(Count.QUERIES_TAKEN);
-                JobEntry entry =
-                        jobTable.add(
-                                record.state() == JobRecord.State.RESERVED
-                                        ? record
-                                        : record.reserved(record.worker(), record.updatedMs()),
-                                jobClass);
-                coordinator.awaitReport(entry);
+            case DISPATCH -> {
+                JobRecord queued = record.enqueued(record.sequence(), coordinator.nowMs());
+                coordinator.admit(queued, jobClass);
             }
+            case AWAIT_REPORT -> awaitReport(record, jobClass);
             case EXPIRE -> {
-                JobEntry entry = jobTable.add(record, jobClass);
-                coordinator.transition(
-                        entry,
-                        record.withState(
-                                JobRecord.State.FAILED, 0, "out of time", coordinator.nowMs()));
+                JobEntry entry = coordinator.jobTable().add(record, jobClass);
+                coordinator.lifecycle().fail(entry, "out of time", CommandCallback.IGNORE);
             }
         }
     }
+
+    private void awaitReport(JobRecord record, int jobClass) {
+        counters.add(Count.QUERIES_TAKEN);
+        JobRecord reserved =
+                record.state() == JobRecord.State.RESERVED
+                        ? record
+                        : record.reserved(record.worker(), record.updatedMs());
+        coordinator.lateReports().await(coordinator.jobTable().add(reserved, jobClass));
+    }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/ReportHandler.java
@@ -0,0 +1,97 @@
+package damsonslip.faktory;
+
+import damsonslip.engine.Counters;
+import damsonslip.engine.Counters.Count;
+import damsonslip.faktory.codec.Command;
+import damsonslip.faktory.codec.CommandError;
+import damsonslip.faktory.codec.Reply;
+import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Handles ACK and FAIL: workers' reports on their jobs. A report that comes after the job's end, or
+ * from a worker that no longer has the job, is counted and changes nothing, since the final answer
+ * has been given. Confined to the event loop.
+ */
+final class ReportHandler {
+    /** Reports that are kept until the recovery from the store has ended. */
+    private static final int MAX_EARLY_REPORTS = 10_000;
+
+    /** Characters kept of a failure, since it stays in memory while the job waits for its retry. */
+    private static final int MAX_ERROR_TYPE_CHARACTERS = 256;
+
+    private static final int MAX_ERROR_MESSAGE_CHARACTERS = 2_048;
+
+    private static final CommandError NOT_A_WORKER =
+            CommandError.error("only a worker may tell how a job ended");
+
+    private static final CommandError RECOVERING =
+            CommandError.error("what is in the store is being taken up; tell it again in a moment");
+
+    private final Reservations reservations;
+    private final LateReports lateReports;
+    private final Counters counters;
+
+    /** Reports that came before the recovery has ended. */
+    private final List<Runnable> earlyReports = new ArrayList<>();
+
+    private boolean recovered;
+
+    ReportHandler(Reservations reservations, LateReports lateReports, Counters counters) {
+        this.reservations = reservations;
+        this.lateReports = lateReports;
+        this.counters = counters;
+    }
+
+    void acknowledge(FaktoryConnection connection, Command.Ack ack) {
+        report(connection, ack.jid(), null);
+    }
+
+    void fail(FaktoryConnection connection, Command.Fail fail) {
+        RunFailure failure =
+                new RunFailure(
+                        truncate(fail.type(), MAX_ERROR_TYPE_CHARACTERS),
+                        truncate(fail.message(), MAX_ERROR_MESSAGE_CHARACTERS),
+                        fail.backtrace());
+        report(connection, fail.jid(), failure);
+    }
+
+    private static String truncate(String text, int maxCharacters) {
+        return text.length() <= maxCharacters ? text : text.substring(0, maxCharacters);
+    }
+
+    /**
+     * Handles a report.
+     *
+     * @param failure how the run failed; null if it succeeded
+     */
+    private void report(FaktoryConnection connection, String jid, RunFailure failure) {
+        if (connection.worker() == null) {
+            connection.reply(Reply.error(NOT_A_WORKER));
+        } else if (recovered) {
+            reportNow(connection, jid, failure);
+        } else if (earlyReports.size() < MAX_EARLY_REPORTS) {
+            earlyReports.add(() -> reportNow(connection, jid, failure));
+        } else {
+            connection.reply(Reply.error(RECOVERING));
+        }
+    }
+
+    private void reportNow(FaktoryConnection connection, String jid, RunFailure failure) {
+        Worker worker = connection.worker();
+        CommandCallback callback = CommandCallback.replyTo(connection);
+        if (!reservations.report(worker, jid, failure, callback)
+                && !lateReports.report(worker.wid, jid, failure, callback)) {
+            counters.add(Count.WORDS_LATE);
+            connection.reply(Reply.ok());
+        }
+    }
+
+    /** Called once the recovery has ended; handles the reports that waited for it. */
+    void recovered() {
+        recovered = true;
+        earlyReports.forEach(Runnable::run);
+        earlyReports.clear();
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/UnconfirmedPushes.java
@@ -0,0 +1,92 @@
+package damsonslip.faktory;
+
+import damsonslip.engine.EventLoop;
+import damsonslip.faktory.jobs.JobTable;
+import damsonslip.store.AsyncStore;
+import damsonslip.store.JobRecord;
+import damsonslip.store.StoreOperation;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Pushes that the store may have recorded although its answer was lost, so that the producer got an
+ * error. Such a job is deleted again, unless the producer repeats the push. Confined to the event
+ * loop.
+ */
+final class UnconfirmedPushes {
+    private static final long RETRY_DELAY_US = 500_000;
+
+    private final EventLoop loop;
+    private final AsyncStore store;
+    private final JobTable jobTable;
+
+    /** The number of pushes of each id that the store has not answered. */
+    private final Map<String, Integer> pendingAdds = new HashMap<>();
+
+    /** The records that the store may have, by job id. */
+    private final Map<String, Set<JobRecord>> unconfirmed = new HashMap<>();
+
+    UnconfirmedPushes(EventLoop loop, AsyncStore store, JobTable jobTable) {
+        this.loop = loop;
+        this.store = store;
+        this.jobTable = jobTable;
+    }
+
+    /** Called when a push is submitted to the store. */
+    void addStarted(String jid) {
+        pendingAdds.merge(jid, 1, Integer::sum);
+    }
+
+    /** Called when the store has answered a push, or has failed to. */
+    void addEnded(String jid) {
+        pendingAdds.computeIfPresent(jid, (id, count) -> count == 1 ? null : count - 1);
+    }
+
+    /** Called when the store has failed to answer a push. */
+    void addFailed(JobRecord record) {
+        Set<JobRecord> records = unconfirmed.computeIfAbsent(record.id(), id -> new HashSet<>());
+        if (records.isEmpty()) {
+            loop.in(RETRY_DELAY_US, () -> delete(record.id()));
+        }
+        records.add(record);
+    }
+
+    /** Ends the uncertainty about a job that the store has; returns the records in question. */
+    Set<JobRecord> confirm(String jid) {
+        Set<JobRecord> records = unconfirmed.remove(jid);
+        return records == null ? Set.of() : records;
+    }
+
+    /** Deletes a job that the store may have recorded, so that it does not run unasked. */
+    private void delete(String jid) {
+        Set<JobRecord> records = unconfirmed.get(jid);
+        if (records != null) {
+            store.submit(
+                    new StoreOperation.Get(jid),
+                    found -> deleteIfUnconfirmed(jid, records, found),
+                    () -> loop.in(RETRY_DELAY_US, () -> delete(jid)));
+        }
+    }
+
+    private void deleteIfUnconfirmed(String jid, Set<JobRecord> records, JobRecord found) {
+        if (!isCurrent(jid, records)) {
+            return; // pushed again meanwhile, and accepted
+        }
+        if (pendingAdds.containsKey(jid)) { // being pushed again: that push decides
+            loop.in(RETRY_DELAY_US, () -> delete(jid));
+            return;
+        }
+        unconfirmed.remove(jid);
+        if (records.contains(found) && jobTable.get(jid) == null) {
+            store.submitWithRetry(new StoreOperation.Delete(List.of(jid)));
+        }
+    }
+
+    @SuppressWarnings("ReferenceEquality") // a later push of the job may have failed alike
+    private boolean isCurrent(String jid, Set<JobRecord> records) {
+        return unconfirmed.get(jid) == records;
+    }
+}
--- a/src/main/java/damsonslip/faktory/Worker.java
+++ b/src/main/java/damsonslip/faktory/Worker.java
@@ -1,7 +1,7 @@
 package damsonslip.faktory;
 
 import damsonslip.engine.Attempt;
-import damsonslip.engine.EventLoop;
+import damsonslip.policy.api.LoadReport;
 import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerStatus;
 import java.util.ArrayDeque;
@@ -17,58 +17,66 @@
  * to the event loop.
  */
 final class Worker {
-    /** A FETCH that waits for a job. */
-    record WaitingFetchRequest(
-            FaktoryConnection link, List<String> queues, EventLoop.Timer timeout, long sinceUs) {}
-
     /** Queue names remembered for one worker, which bounds the memory that a faulty one can use. */
     private static final int MAX_QUEUES = 1_000;
 
     final String wid;
+
+    /** Its host and process id, which tell a restart apart. */
     final String process;
-    final int zone;
-    final int kind;
+
     final Set<FaktoryConnection> connections = new HashSet<>();
-    final ArrayDeque<WaitingFetchRequest> waitingFetches = new ArrayDeque<>();
+    final ArrayDeque<PendingFetch> pendingFetches = new ArrayDeque<>();
 
     /** Attempts that the decision module has placed here and that wait for a FETCH. */
     final List<Attempt> placedAttempts = new ArrayList<>();
 
     WorkerStatus status = WorkerStatus.RUNNING;
+
+    /** When it started, as far as known, in the loop's microseconds. */
     long startedUs;
+
+    /** When it sent its last heartbeat or FETCH, in the loop's microseconds. */
     long lastHeartbeatUs;
 
     /** Slots of the jobs that it has, or that are about to be handed to it. */
     int slotsInUse;
 
-    private int slots;
-
     /** Its memory by its last heartbeat, in KiB; 0 if it reports none. */
     long rssKb;
 
-    /** The time of its last FETCH from each queue, in the loop's microseconds. */
-    private final Map<String, Long> lastFetchUs = new HashMap<>();
-
     /**
      * The state that an operator requests, sent in the reply to its next heartbeat; empty if none.
      */
     String requestedState = "";
 
+    private final int zone;
+    private final int kind;
+    private int slots;
+
+    /** The time of its last FETCH from each queue, in the loop's microseconds. */
+    private final Map<String, Long> lastFetchUs = new HashMap<>();
+
     Worker(String wid, String process, int zone, int kind, long startedUs) {
         this.wid = wid;
         this.process = process;
         this.zone = zone;
         this.kind = kind;
         this.startedUs = startedUs;
+        this.lastHeartbeatUs = startedUs;
     }
 
     boolean isRunning() {
         return status == WorkerStatus.RUNNING;
     }
 
+    private int shownSlots() {
+        return pendingFetches.size() + slotsInUse;
+    }
+
     /** Its number of slots, offered and used; a slot between two fetches still counts. */
-    int slots() {
-        slots = Math.max(slots, waitingFetches.size() + slotsInUse);
+    private int slots() {
+        slots = Math.max(slots, shownSlots());
         return slots;
     }
 
@@ -77,10 +85,11 @@
      * periodically.
      */
     void decaySlots() {
-        slots = Math.max(waitingFetches.size() + slotsInUse, slots - 1);
+        slots = Math.max(shownSlots(), slots - 1);
     }
 
     void recordFetch(List<String> queues, long nowUs) {
+        lastHeartbeatUs = nowUs; // a FETCH shows that it is alive
         queues.forEach(queue -> lastFetchUs.put(queue, nowUs));
         if (lastFetchUs.size() > MAX_QUEUES) {
             lastFetchUs.values().removeIf(at -> at < nowUs);
@@ -89,26 +98,21 @@
 
     /** Whether it has fetched from this queue since then, or a FETCH from it waits. */
     boolean fetches(String queue, long sinceUs) {
-        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || waitingFetches(queue);
+        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || offers(queue);
     }
 
     /** Whether a FETCH from this queue waits. */
-    boolean waitingFetches(String queue) {
-        for (WaitingFetchRequest offer : waitingFetches) {
-            if (offer.queues().contains(queue) && !offer.link().isClosed()) {
-                return true;
-            }
-        }
-        return false;
+    boolean offers(String queue) {
+        return pendingFetches.stream().anyMatch(fetch -> fetch.accepts(queue));
     }
 
     /** Removes and returns the first waiting FETCH from this queue; null if there is none. */
-    WaitingFetchRequest takeWaitingFetch(String queue) {
-        for (WaitingFetchRequest offer : waitingFetches) {
-            if (offer.queues().contains(queue) && !offer.link().isClosed()) {
-                waitingFetches.remove(offer);
-                offer.timeout().cancel();
-                return offer;
+    PendingFetch takePendingFetch(String queue) {
+        for (PendingFetch fetch : pendingFetches) {
+            if (fetch.accepts(queue)) {
+                pendingFetches.remove(fetch);
+                fetch.cancelTimeout();
+                return fetch;
             }
         }
         return null;
@@ -118,4 +122,17 @@
     WorkerEntry entry() {
         return new WorkerEntry(wid, zone, 0, kind, status, startedUs);
     }
+
+    /** Its free slots and the slots in use. */
+    LoadReport loadReport() {
+        int freeSlots = Math.max(0, pendingFetches.size() - placedAttempts.size());
+        return new LoadReport(freeSlots, Double.NaN, slotsInUse);
+    }
+
+    /** As {@link #loadReport}, with its number of slots in all, which only a FETCH shows. */
+    LoadReport loadReportWithCapacity() {
+        LoadReport free = loadReport();
+        return LoadReport.fromOfferedSlots(
+                free.freeSlots(), free.freeMemory(), free.reservedMemory(), Math.max(1, slots()));
+    }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -0,0 +1,247 @@
+package damsonslip.faktory;
+
+import damsonslip.config.SiteSettings;
+import damsonslip.engine.Attempt;
+import damsonslip.engine.EventLoop;
+import damsonslip.engine.SchedulerEngine;
+import damsonslip.faktory.codec.Command;
+import damsonslip.faktory.codec.CommandError;
+import damsonslip.faktory.codec.Reply;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
+import damsonslip.store.AsyncStore;
+import damsonslip.store.StoreOperation;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Stream;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The registered worker processes, from HELLO until they disconnect, drain or stop their
+ * heartbeats. Keeps the decision module's worker list up to date. Confined to the event loop.
+ */
+final class WorkerRegistry implements FetchDirectory {
+    private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
+
+    /** A worker without any connection is removed after this time. */
+    private static final long RECONNECT_TIMEOUT_US = 2_000_000;
+
+    /** A worker without a heartbeat is removed after this time; from Faktory's protocol. */
+    private static final long HEARTBEAT_TIMEOUT_US = 60_000_000;
+
+    private static final long SWEEP_INTERVAL_US = 500_000;
+
+    /** A worker counts as fetching from a queue for this time, since its runs may take a while. */
+    private static final long FETCH_MEMORY_US = 30_000_000;
+
+    private final EventLoop loop;
+    private final SiteSettings site;
+    private final SchedulerEngine engine;
+    private final AsyncStore store;
+    private final Reservations reservations;
+    private final Map<String, Worker> workers = new HashMap<>();
+
+    WorkerRegistry(
+            EventLoop loop,
+            SiteSettings site,
+            SchedulerEngine engine,
+            AsyncStore store,
+            Reservations reservations) {
+        this.loop = loop;
+        this.site = site;
+        this.engine = engine;
+        this.store = store;
+        this.reservations = reservations;
+        loop.in(SWEEP_INTERVAL_US, this::sweep);
+    }
+
+    Collection<Worker> all() {
+        return workers.values();
+    }
+
+    /** The registered worker of this id, or null. */
+    Worker get(String wid) {
+        return workers.get(wid);
+    }
+
+    /**
+     * Registers a worker's connection after its HELLO. A worker counts as cold until the store
+     * knows an earlier start. A new process with the id of another replaces it.
+     */
+    Worker register(Command.Hello hello, FaktoryConnection connection) {
+        Worker registered = workers.get(hello.wid());
+        if (registered != null && registered.process.equals(hello.process())) {
+            registered.connections.add(connection);
+            return registered;
+        }
+        if (registered != null) {
+            stop(registered, WorkerStatus.REMOVED);
+        }
+        Worker worker =
+                new Worker(
+                        hello.wid(),
+                        hello.process(),
+                        labelIndex(site.zoneNames(), hello.labels()),
+                        labelIndex(site.kindNames(), hello.labels()),
+                        loop.now());
+        worker.connections.add(connection);
+        workers.put(hello.wid(), worker);
+        publish(worker);
+        lookUpStart(worker);
+        return worker;
+    }
+
+    private static int labelIndex(List<String> names, List<String> labels) {
+        return labels.stream().mapToInt(names::indexOf).filter(i -> i >= 0).findFirst().orElse(0);
+    }
+
+    /** Asks the store for an earlier start of this process, before a restart of the scheduler. */
+    private void lookUpStart(Worker worker) {
+        String id = worker.wid + "@" + worker.process;
+        store.submit(
+                new StoreOperation.RecordFirstSeen(id, worker.startedUs / 1000),
+                firstSeenMs -> {
+                    if (firstSeenMs * 1000 < worker.startedUs) {
+                        worker.startedUs = firstSeenMs * 1000;
+                        publish(worker);
+                    }
+                },
+                () -> {});
+    }
+
+    private void publish(Worker worker) {
+        engine.listed(WorkerListChange.CHANGES, List.of(worker.entry()));
+    }
+
+    void disconnected(Worker worker, FaktoryConnection connection) {
+        worker.connections.remove(connection);
+        if (worker.pendingFetches.removeIf(fetch -> fetch.connection() == connection)) {
+            engine.probed(worker.wid, ProbeResult.HEALTHY, worker.loadReport());
+        }
+        if (worker.connections.isEmpty()) {
+            loop.in(RECONNECT_TIMEOUT_US, () -> removeIfDisconnected(worker));
+        }
+    }
+
+    private void removeIfDisconnected(Worker worker) {
+        if (worker.connections.isEmpty()) {
+            stop(worker, WorkerStatus.REMOVED);
+        }
+    }
+
+    void heartbeat(FaktoryConnection connection, Command.Heartbeat heartbeat) {
+        Worker worker = workers.get(heartbeat.wid());
+        if (worker == null || worker != connection.worker()) {
+            CommandError error = CommandError.error("unknown worker " + heartbeat.wid());
+            connection.reply(Reply.error(error));
+            return;
+        }
+        worker.lastHeartbeatUs = loop.now();
+        worker.rssKb = heartbeat.rssKb();
+        if (heartbeat.state().equals("quiet") || heartbeat.state().equals("terminate")) {
+            stop(worker, WorkerStatus.DRAINING);
+        }
+        connection.reply(
+                worker.requestedState.isEmpty()
+                        ? Reply.ok()
+                        : Reply.bulk("{\"state\":\"" + worker.requestedState + "\"}"));
+    }
+
+    /** Drains a worker; the reply to its next heartbeat requests that from it. */
+    void drain(String wid) {
+        Worker worker = workers.get(wid);
+        if (worker != null) {
+            worker.requestedState = "quiet";
+            stop(worker, WorkerStatus.DRAINING);
+        }
+    }
+
+    /**
+     * Stops a worker: its waiting fetches get no job, and attempts that were not handed out return
+     * unrun, also those whose reservation is just being recorded. A worker that is removed loses
+     * the jobs that it has.
+     */
+    private void stop(Worker worker, WorkerStatus status) {
+        if (worker.status == status || worker.status == WorkerStatus.REMOVED) {
+            return;
+        }
+        worker.status = status;
+        publish(worker);
+        returnPlacedAttempts(worker);
+        endPendingFetches(worker);
+        if (status == WorkerStatus.REMOVED) {
+            workers.remove(worker.wid);
+            reservations.endAllOf(worker);
+        }
+    }
+
+    private void returnPlacedAttempts(Worker worker) {
+        List<Attempt> placed = List.copyOf(worker.placedAttempts);
+        worker.placedAttempts.clear();
+        placed.forEach(attempt -> engine.ended(attempt, Attempt.End.of(AttemptOutcome.FULL)));
+    }
+
+    private static void endPendingFetches(Worker worker) {
+        while (!worker.pendingFetches.isEmpty()) {
+            PendingFetch fetch = worker.pendingFetches.poll();
+            fetch.cancelTimeout();
+            fetch.connection().reply(Reply.nullBulk());
+        }
+    }
+
+    private void sweep() {
+        long silentSinceUs = loop.now() - HEARTBEAT_TIMEOUT_US;
+        for (Worker worker : new ArrayList<>(workers.values())) {
+            if (worker.lastHeartbeatUs < silentSinceUs) {
+                LOG.info("worker {} has stopped beating", worker.wid);
+                stop(worker, WorkerStatus.REMOVED);
+            }
+            worker.decaySlots();
+        }
+        loop.in(SWEEP_INTERVAL_US, this::sweep);
+    }
+
+    private Stream<Worker> running() {
+        return workers.values().stream().filter(Worker::isRunning);
+    }
+
+    @Override
+    public boolean fetches(String wid, String queue) {
+        Worker worker = workers.get(wid);
+        return worker != null && worker.fetches(queue, loop.now() - FETCH_MEMORY_US);
+    }
+
+    @Override
+    public Collection<WaitingFetch> waitingFetches() {
+        Map<List<String>, WaitingFetch> byQueues = new LinkedHashMap<>();
+        running()
+                .flatMap(worker -> worker.pendingFetches.stream())
+                .map(fetch -> new WaitingFetch(fetch.queues(), fetch.sinceUs()))
+                .forEach(fetch -> byQueues.putIfAbsent(fetch.queues(), fetch));
+        return byQueues.values();
+    }
+
+    @Override
+    public boolean isFetchWaiting(List<String> queues) {
+        return running()
+                .flatMap(worker -> worker.pendingFetches.stream())
+                .anyMatch(fetch -> fetch.queues().equals(queues));
+    }
+
+    @Override
+    public boolean isFetchWaiting(String queue) {
+        return running().anyMatch(worker -> worker.offers(queue));
+    }
+
+    @Override
+    public boolean isPresent(String wid) {
+        return workers.containsKey(wid);
+    }
+}
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/codec/CommandDecoder.java
@@ -0,0 +1,203 @@
+package damsonslip.faktory.codec;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+
+/** Decodes the lines that producers, workers and operators send into {@link Command}s. */
+public final class CommandDecoder {
+    /** Characters of an unknown command that the error repeats. */
+    private static final int MAX_ECHOED_CHARACTERS = 20;
+
+    /** Jobs in one PUSHB at most, so that one line does not hold up other connections. */
+    private static final int MAX_BULK_JOBS = 5_000;
+
+    private static final String DEFAULT_QUEUE = "default";
+
+    private CommandDecoder() {}
+
+    /**
+     * Decodes a line.
+     *
+     * @throws MalformedCommandException if it is not a command; the message says why in one line
+     */
+    public static Command decode(String line) throws MalformedCommandException {
+        int space = line.indexOf(' ');
+        String verb = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
+        String arguments = space < 0 ? "" : line.substring(space + 1).trim();
+        return switch (verb) {
+            case "HELLO" -> hello(object(arguments));
+            case "PUSH" -> new Command.Push(List.of(object(arguments)), false);
+            case "PUSHB" -> new Command.Push(array(arguments), true);
+            case "FETCH" ->
+                    new Command.Fetch(
+                            arguments.isEmpty()
+                                    ? List.of(DEFAULT_QUEUE)
+                                    : List.of(arguments.split("\\s+")));
+            case "ACK" -> new Command.Ack(Json.requiredText(object(arguments), "jid"));
+            case "FAIL" -> fail(object(arguments));
+            case "BEAT" -> beat(object(arguments));
+            case "TRACK" -> track(arguments);
+            case "INFO" -> new Command.Info();
+            case "END" -> new Command.End();
+            case "FLUSH" -> new Command.Flush();
+            case "MUTATE" -> mutate(object(arguments));
+            case "QUEUE" -> queue(arguments);
+            case "BATCH" -> batch(arguments);
+            default ->
+                    throw new MalformedCommandException(
+                            "unknown command "
+                                    + verb.substring(
+                                            0, Math.min(MAX_ECHOED_CHARACTERS, verb.length())));
+        };
+    }
+
+    private static Command.Hello hello(JsonNode hello) {
+        List<String> labels = new ArrayList<>();
+        hello.path("labels").forEach(label -> labels.add(label.asText()));
+        return new Command.Hello(
+                hello.path("v").asInt(0),
+                hello.path("wid").asText(""),
+                hello.path("hostname").asText("") + ":" + hello.path("pid").asText(""),
+                hello.path("pwdhash").asText(""),
+                labels);
+    }
+
+    private static Command.Fail fail(JsonNode failure) throws MalformedCommandException {
+        List<String> backtrace = new ArrayList<>();
+        failure.path("backtrace").forEach(line -> backtrace.add(line.asText()));
+        return new Command.Fail(
+                Json.requiredText(failure, "jid"),
+                failure.path("errtype").asText(""),
+                failure.path("message").asText(""),
+                backtrace);
+    }
+
+    private static Command.Heartbeat beat(JsonNode beat) throws MalformedCommandException {
+        return new Command.Heartbeat(
+                Json.requiredText(beat, "wid"),
+                beat.path("current_state").asText(""),
+                beat.path("rss_kb").asLong(0));
+    }
+
+    private static Command track(String arguments) throws MalformedCommandException {
+        String[] words = arguments.split("\\s+", 2);
+        if (words.length == 2 && words[0].equalsIgnoreCase("GET")) {
+            return new Command.TrackGet(words[1]);
+        }
+        if (words.length == 2 && words[0].equalsIgnoreCase("SET")) {
+            JsonNode set = object(words[1]);
+            String until = Json.text(set, "reserve_until", "");
+            return new Command.TrackSet(
+                    Json.requiredText(set, "jid"),
+                    Json.integer(set, "percent", 0, 0, 100),
+                    Json.text(set, "desc", ""),
+                    until.isEmpty() ? 0 : Json.parseTime(until, "reserve_until"));
+        }
+        throw new MalformedCommandException("TRACK takes GET jid, or SET and an object");
+    }
+
+    private static Command.Mutate mutate(JsonNode mutation) throws MalformedCommandException {
+        Command.Mutate.Verb verb =
+                enumConstant(
+                        Command.Mutate.Verb.class, Json.requiredText(mutation, "cmd"), "MUTATE");
+        Command.Mutate.Target target =
+                enumConstant(
+                        Command.Mutate.Target.class,
+                        Json.requiredText(mutation, "target"),
+                        "target");
+        JsonNode filter = mutation.path("filter");
+        List<String> jids = new ArrayList<>();
+        for (JsonNode jid : filter.path("jids")) {
+            jids.add(jid.asText());
+        }
+        return new Command.Mutate(
+                verb,
+                target,
+                new Command.Mutate.Filter(
+                        Json.text(filter, "jobtype", ""), jids, Json.text(filter, "regexp", "")));
+    }
+
+    private static Command.Queue queue(String arguments) throws MalformedCommandException {
+        String[] words = arguments.split("\\s+");
+        if (words.length < 2) {
+            throw new MalformedCommandException("QUEUE takes PAUSE, RESUME or REMOVE and names");
+        }
+        return new Command.Queue(
+                enumConstant(Command.Queue.Verb.class, words[0], "QUEUE"),
+                List.of(words).subList(1, words.length));
+    }
+
+    private static Command batch(String arguments) throws MalformedCommandException {
+        String[] words = arguments.split("\\s+", 2);
+        if (words.length < 2) {
+            throw new MalformedCommandException(
+                    "BATCH takes NEW, OPEN, COMMIT or STATUS and what it concerns");
+        }
+        return switch (words[0].toUpperCase(Locale.ROOT)) {
+            case "NEW" -> {
+                JsonNode batch = object(words[1]);
+                yield new Command.BatchNew(
+                        Json.text(batch, "parent_bid", ""),
+                        Json.text(batch, "description", ""),
+                        callback(batch, "success"),
+                        callback(batch, "complete"));
+            }
+            case "OPEN" -> new Command.BatchOpen(words[1]);
+            case "COMMIT" -> new Command.BatchCommit(words[1]);
+            case "STATUS" -> new Command.BatchStatus(words[1]);
+            default ->
+                    throw new MalformedCommandException(
+                            "unknown command BATCH "
+                                    + words[0].substring(
+                                            0, Math.min(MAX_ECHOED_CHARACTERS, words[0].length())));
+        };
+    }
+
+    private static JsonNode callback(JsonNode batch, String name) throws MalformedCommandException {
+        JsonNode job = batch.path(name);
+        if (job.isMissingNode() || job.isNull()) {
+            return null;
+        }
+        if (!job.isObject()) {
+            throw new MalformedCommandException(name + ": not a job");
+        }
+        return job;
+    }
+
+    private static <E extends Enum<E>> E enumConstant(Class<E> type, String word, String what)
+            throws MalformedCommandException {
+        for (E each : type.getEnumConstants()) {
+            if (each.name().equalsIgnoreCase(word)) {
+                return each;
+            }
+        }
+        throw new MalformedCommandException(
+                what
+                        + ": unknown: "
+                        + word.substring(0, Math.min(MAX_ECHOED_CHARACTERS, word.length())));
+    }
+
+    private static JsonNode object(String text) throws MalformedCommandException {
+        JsonNode node = Json.read(text);
+        if (!node.isObject()) {
+            throw new MalformedCommandException("not a JSON object");
+        }
+        return node;
+    }
+
+    private static List<JsonNode> array(String text) throws MalformedCommandException {
+        JsonNode node = Json.read(text);
+        if (!node.isArray()) {
+            throw new MalformedCommandException("not a JSON array");
+        }
+        if (node.size() > MAX_BULK_JOBS) {
+            throw new MalformedCommandException(
+                    "more than " + MAX_BULK_JOBS + " jobs at once; push them in parts");
+        }
+        List<JsonNode> entries = new ArrayList<>(node.size());
+        node.forEach(entries::add);
+        return entries;
+    }
+}
--- a/src/main/java/damsonslip/faktory/codec/JobText.java
+++ b/src/main/java/damsonslip/faktory/codec/JobText.java
@@ -4,41 +4,48 @@
 import damsonslip.store.JobRecord;
 
 /**
- * The job as a worker, or an operator's filter, sees it: its body with what has become of it since.
+ * The text of a job as a worker, or an operator's filter, sees it: its body with what has become of
+ * it since it was pushed.
  */
 public final class JobText {
+    private static final String EMPTY_OBJECT = "{}";
+
     private JobText() {}
 
     /**
-     * Puts the two together. The body is an object that was written by {@link PushedJob}, so that
-     * what is added goes before its last brace without reading it again.
+     * Merges a job's body with its record. The fields are inserted before the body's last brace,
+     * which {@link PushedJob} has written, so that the body is not decoded again.
+     *
+     * @param enqueuedMs when it entered its queue, in milliseconds since the Unix epoch; 0 to omit
+     *     that
      */
     public static String merge(String body, JobRecord record, long enqueuedMs) {
         ObjectNode added = Json.MAPPER.createObjectNode();
         if (enqueuedMs > 0) {
-            added.put("enqueued_at", Json.time(enqueuedMs));
+            added.put("enqueued_at", Json.formatTime(enqueuedMs));
         }
         if (record.state() == JobRecord.State.SCHEDULED) {
-            added.put("at", Json.time(record.dueMs()));
+            added.put("at", Json.formatTime(record.dueMs()));
         }
-        JobRecord.Failure failure = record.failure();
-        if (failure != null) {
-            ObjectNode how =
-                    added.putObject("failure")
-                            .put("retry_count", failure.count())
-                            .put(
-                                    "remaining",
-                                    Math.max(0, record.options().retryLimit() - failure.count()))
-                            .put("failed_at", Json.time(failure.failedMs()));
-            if (failure.nextMs() > 0) {
-                how.put("next_at", Json.time(failure.nextMs()));
-            }
-            how.put("errtype", failure.type()).put("message", failure.message());
-            failure.backtrace().forEach(how.withArray("backtrace")::add);
+        if (record.failure() != null) {
+            putFailure(added.putObject("failure"), record);
         }
-        String more = added.toString();
-        return more.length() == 2
+        String fields = added.toString();
+        return fields.equals(EMPTY_OBJECT)
                 ? body
-                : body.substring(0, body.length() - 1) + "," + more.substring(1);
+                : body.substring(0, body.length() - 1) + "," + fields.substring(1);
+    }
+
+    private static void putFailure(ObjectNode target, JobRecord record) {
+        JobRecord.Failure failure = record.failure();
+        int remaining = Math.max(0, record.options().retryLimit() - failure.count());
+        target.put("retry_count", failure.count())
+                .put("remaining", remaining)
+                .put("failed_at", Json.formatTime(failure.failedMs()));
+        if (failure.nextMs() > 0) {
+            target.put("next_at", Json.formatTime(failure.nextMs()));
+        }
+        target.put("errtype", failure.type()).put("message", failure.message());
+        failure.backtrace().forEach(target.withArray("backtrace")::add);
     }
 }
--- a/src/main/java/damsonslip/faktory/codec/Json.java
+++ b/src/main/java/damsonslip/faktory/codec/Json.java
@@ -48,7 +48,7 @@
     }
 
     /** A moment in RFC 3339, with any offset and fraction, in Unix milliseconds. */
-    public static long time(String text, String what) throws MalformedCommandException {
+    public static long parseTime(String text, String what) throws MalformedCommandException {
         try {
             return OffsetDateTime.parse(text).toInstant().toEpochMilli();
         } catch (DateTimeParseException | ArithmeticException e) {
@@ -56,7 +56,7 @@
         }
     }
 
-    public static String time(long ms) {
+    public static String formatTime(long ms) {
         return Instant.ofEpochMilli(ms).toString();
     }
 
--- a/src/main/java/damsonslip/faktory/codec/PushedJob.java
+++ b/src/main/java/damsonslip/faktory/codec/PushedJob.java
@@ -90,7 +90,7 @@
             throw new MalformedCommandException("queue: not a name");
         }
         String at = Json.text(job, "at", "");
-        long atMs = at.isEmpty() ? 0 : Json.time(at, "at");
+        long atMs = at.isEmpty() ? 0 : Json.parseTime(at, "at");
         atMs = atMs <= nowMs ? 0 : atMs;
         int reserveS =
                 Math.max(
@@ -154,7 +154,7 @@
             throw new MalformedCommandException(
                     "custom." + name + ": neither an instant nor seconds");
         }
-        return Json.time(value.textValue(), "custom." + name);
+        return Json.parseTime(value.textValue(), "custom." + name);
     }
 
     /** All that was pushed, less what the server itself says about a job. */
@@ -164,7 +164,7 @@
         body.remove("failure");
         body.remove("at");
         String created = Json.text(job, "created_at", "");
-        body.put("created_at", created.isEmpty() ? Json.time(nowMs) : created);
+        body.put("created_at", created.isEmpty() ? Json.formatTime(nowMs) : created);
         if (Json.text(job, "queue", "").isEmpty()) {
             body.put("queue", "default");
         }
--- a/src/main/java/damsonslip/faktory/codec/Reply.java
+++ b/src/main/java/damsonslip/faktory/codec/Reply.java
@@ -22,9 +22,9 @@
         return bytes("+" + text + "\r\n");
     }
 
-    /** An error; what it says fits on one line whatever it was made from. */
-    public static ByteBuffer error(String text) {
-        return bytes("-" + text.replaceAll("[\\r\\n]+", " ") + "\r\n");
+    /** An error reply; line breaks in its message are replaced, since it has to be one line. */
+    public static ByteBuffer error(CommandError error) {
+        return bytes("-" + error.text().replaceAll("[\\r\\n]+", " ") + "\r\n");
     }
 
     public static ByteBuffer bulk(String text) {
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/jobs/Batch.java
@@ -0,0 +1,86 @@
+package damsonslip.faktory.jobs;
+
+/**
+ * A batch of jobs. Immutable; stored as JSON with the components' names.
+ *
+ * @param bid its id
+ * @param parent the id of the enclosing batch; empty if there is none
+ * @param description a text of its creator
+ * @param success the success callback, a job as JSON; empty if there is none
+ * @param complete the completion callback, a job as JSON; empty if there is none
+ * @param committed whether its creator has finished pushing jobs
+ * @param total the number of jobs pushed into it
+ * @param onComplete the state of the completion callback
+ * @param onSuccess the state of the success callback
+ * @param createdMs when it was created, in milliseconds since the Unix epoch
+ */
+public record Batch(
+        String bid,
+        String parent,
+        String description,
+        String success,
+        String complete,
+        boolean committed,
+        int total,
+        CallbackState onComplete,
+        CallbackState onSuccess,
+        long createdMs) {
+    private static final String SUCCESS_SUFFIX = "-success";
+    private static final String COMPLETE_SUFFIX = "-complete";
+
+    Batch withCommitted(boolean isCommitted) {
+        return new Batch(
+                bid,
+                parent,
+                description,
+                success,
+                complete,
+                isCommitted,
+                total,
+                onComplete,
+                onSuccess,
+                createdMs);
+    }
+
+    Batch withTotal(int jobs) {
+        return new Batch(
+                bid,
+                parent,
+                description,
+                success,
+                complete,
+                committed,
+                jobs,
+                onComplete,
+                onSuccess,
+                createdMs);
+    }
+
+    Batch withCallbackState(boolean ofSuccess, CallbackState state) {
+        return new Batch(
+                bid,
+                parent,
+                description,
+                success,
+                complete,
+                committed,
+                total,
+                ofSuccess ? onComplete : state,
+                ofSuccess ? state : onSuccess,
+                createdMs);
+    }
+
+    /**
+     * The job id of a callback: the same at each attempt, so that the callback is pushed once.
+     *
+     * @param ofSuccess whether the success callback is meant
+     */
+    public String callbackJobId(boolean ofSuccess) {
+        return bid + (ofSuccess ? SUCCESS_SUFFIX : COMPLETE_SUFFIX);
+    }
+
+    /** Whether the callback with this job id is a success callback. */
+    public static boolean isSuccessCallback(String jobId) {
+        return jobId.endsWith(SUCCESS_SUFFIX);
+    }
+}
--- a/src/main/java/damsonslip/faktory/jobs/BatchTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchTable.java
@@ -5,6 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
+import java.util.concurrent.TimeUnit;
 
 /**
  * Batches of jobs and their callbacks. The completion callback is due when each job has been run
@@ -14,118 +16,26 @@
  */
 public final class BatchTable {
     /** Retention of a batch from its creation, whatever its state. */
-    public static final long RETENTION_MS = 30L * 24 * 3600 * 1000;
+    private static final long RETENTION_MS = TimeUnit.DAYS.toMillis(30);
 
     /** Retention of a batch that has ended, from its creation. */
-    private static final long ENDED_RETENTION_MS = 3_600_000;
-
-    /** The state of a callback. */
-    public enum CallbackState {
-        NOT_YET,
-        DUE,
-        DONE
-    }
-
-    /**
-     * A batch.
-     *
-     * @param bid its id
-     * @param parent the id of the enclosing batch; empty if there is none
-     * @param description a text of its creator
-     * @param success the success callback, a job as JSON; empty if there is none
-     * @param complete the completion callback, a job as JSON; empty if there is none
-     * @param committed whether its creator has finished pushing jobs
-     * @param total the number of jobs pushed into it
-     * @param onComplete the state of the completion callback
-     * @param onSuccess the state of the success callback
-     * @param createdMs when it was created, in milliseconds since the Unix epoch
-     */
-    public record Batch(
-            String bid,
-            String parent,
-            String description,
-            String success,
-            String complete,
-            boolean committed,
-            int total,
-            CallbackState onComplete,
-            CallbackState onSuccess,
-            long createdMs) {
-        private Batch committed(boolean is) {
-            return new Batch(
-                    bid,
-                    parent,
-                    description,
-                    success,
-                    complete,
-                    is,
-                    total,
-                    onComplete,
-                    onSuccess,
-                    createdMs);
-        }
-
-        private Batch total(int jobs) {
-            return new Batch(
-                    bid,
-                    parent,
-                    description,
-                    success,
-                    complete,
-                    committed,
-                    jobs,
-                    onComplete,
-                    onSuccess,
-                    createdMs);
-        }
-
-        private Batch withCallback(boolean ofSuccess, CallbackState now) {
-            return new Batch(
-                    bid,
-                    parent,
-                    description,
-                    success,
-                    complete,
-                    committed,
-                    total,
-                    ofSuccess ? onComplete : now,
-                    ofSuccess ? now : onSuccess,
-                    createdMs);
-        }
-
-        /**
-         * The job id of a callback: the same at each attempt, so that the callback is pushed once.
-         */
-        public String callbackJobId(boolean ofSuccess) {
-            return bid + (ofSuccess ? "-success" : "-complete");
-        }
-    }
-
-    /**
-     * A callback that has become due.
-     *
-     * @param batch the batch in its new state
-     * @param success whether it is the success callback
-     */
-    public record DueCallback(Batch batch, boolean success) {
-        /** The callback as JSON; empty if the batch has none. */
-        public String job() {
-            return success ? batch.success() : batch.complete();
-        }
-    }
+    private static final long ENDED_RETENTION_MS = TimeUnit.HOURS.toMillis(1);
 
     private final JobTable jobTable;
     private final Map<String, Batch> all = new LinkedHashMap<>();
     private final Map<String, List<String>> children = new HashMap<>();
 
+    /** Creates an empty table, which reads the number of open jobs from the job table. */
     public BatchTable(JobTable jobTable) {
         this.jobTable = jobTable;
     }
 
+    /** The batch of this id, or null. */
     public Batch get(String bid) {
         return all.get(bid);
     }
 
+    /** The number of batches. */
     public int size() {
         return all.size();
     }
@@ -140,14 +50,16 @@
     /** Why no job may be pushed into a batch now; null if one may. */
     public String rejectionReason(String bid) {
         Batch batch = all.get(bid);
-        return batch == null
-                ? "no such batch: " + bid
-                : batch.committed() ? "batch " + bid + " is committed; open it first" : null;
+        if (batch == null) {
+            return "no such batch: " + bid;
+        }
+        return batch.committed() ? "batch " + bid + " is committed; open it first" : null;
     }
 
     /** Counts a job that was pushed into a batch. */
     public Batch countPushedJob(String bid) {
-        return change(all.get(bid).total(all.get(bid).total() + 1));
+        Batch batch = all.get(bid);
+        return replace(batch.withTotal(batch.total() + 1));
     }
 
     /**
@@ -156,9 +68,7 @@
      * recording its batch.
      */
     public void correctTotals() {
-        all.replaceAll(
-                (bid, batch) ->
-                        batch.total(Math.max(batch.total(), jobTable.batchCounts(bid).open())));
+        all.replaceAll((bid, batch) -> batch.withTotal(Math.max(batch.total(), pendingJobs(bid))));
     }
 
     /** Opens a batch for further jobs; returns null if its completion callback has become due. */
@@ -166,15 +76,16 @@
         Batch batch = all.get(bid);
         return batch == null || batch.onComplete() != CallbackState.NOT_YET
                 ? null
-                : change(batch.committed(false));
+                : replace(batch.withCommitted(false));
     }
 
+    /** Commits a batch: its creator has finished pushing jobs; returns null if it is unknown. */
     public Batch commit(String bid) {
         Batch batch = all.get(bid);
-        return batch == null ? null : change(batch.committed(true));
+        return batch == null ? null : replace(batch.withCommitted(true));
     }
 
-    private Batch change(Batch next) {
+    private Batch replace(Batch next) {
         all.put(next.bid(), next);
         return next;
     }
@@ -185,53 +96,61 @@
      */
     public List<DueCallback> collectDueCallbacks(String bid) {
         List<DueCallback> due = new ArrayList<>();
-        String at = bid;
-        for (int depth = 0;
-                depth <= all.size() && all.containsKey(at);
-                depth++) { // bounded, as parents might form a cycle
-            collectDueCallbacks(at, due);
-            at = all.get(at).parent();
+        String current = bid;
+        int depth = 0; // bounded, as parents might form a cycle
+        while (depth <= all.size() && all.containsKey(current)) {
+            collectDueCallbacks(current, due);
+            current = all.get(current).parent();
+            depth++;
         }
         return due;
     }
 
     private void collectDueCallbacks(String bid, List<DueCallback> due) {
+        if (isComplete(bid)) {
+            due.add(setDue(all.get(bid), false));
+        }
+        if (isSuccessful(bid)) {
+            due.add(setDue(all.get(bid), true));
+        }
+    }
+
+    /** Whether a batch's completion callback is to become due. */
+    private boolean isComplete(String bid) {
         Batch batch = all.get(bid);
-        BatchCounters.Counts jobs = jobTable.batchCounts(bid);
-        if (batch.onComplete() == CallbackState.NOT_YET
+        return batch.onComplete() == CallbackState.NOT_YET
                 && batch.committed()
-                && jobs.neverFailed() == 0
+                && jobTable.batchCounts(bid).neverFailed() == 0
                 && nestedIn(bid).stream()
-                        .allMatch(child -> child.onComplete() == CallbackState.DONE)) {
-            batch = begin(batch, false, due);
-        }
-        if (batch.onSuccess() == CallbackState.NOT_YET
+                        .allMatch(nested -> nested.onComplete() == CallbackState.DONE);
+    }
+
+    /** Whether a batch's success callback is to become due. */
+    private boolean isSuccessful(String bid) {
+        Batch batch = all.get(bid);
+        return batch.onSuccess() == CallbackState.NOT_YET
                 && batch.onComplete() != CallbackState.NOT_YET
-                && jobs.open() == 0
+                && pendingJobs(bid) == 0
                 && nestedIn(bid).stream()
-                        .allMatch(child -> child.onSuccess() == CallbackState.DONE)) {
-            begin(batch, true, due);
-        }
+                        .allMatch(nested -> nested.onSuccess() == CallbackState.DONE);
     }
 
-    private Batch begin(Batch batch, boolean success, List<DueCallback> due) {
-        boolean none = (success ? batch.success() : batch.complete()).isEmpty();
-        Batch next =
-                change(batch.withCallback(success, none ? CallbackState.DONE : CallbackState.DUE));
-        due.add(new DueCallback(next, success));
-        return next;
+    private DueCallback setDue(Batch batch, boolean success) {
+        boolean hasCallback = !(success ? batch.success() : batch.complete()).isEmpty();
+        CallbackState state = hasCallback ? CallbackState.DUE : CallbackState.DONE;
+        return new DueCallback(replace(batch.withCallbackState(success, state)), success);
     }
 
     /** Records that a callback has succeeded; returns the batch, or null if it is unknown. */
     public Batch markCallbackDone(String bid, boolean success) {
         Batch batch = all.get(bid);
-        return batch == null ? null : change(batch.withCallback(success, CallbackState.DONE));
+        return batch == null ? null : replace(batch.withCallbackState(success, CallbackState.DONE));
     }
 
     private List<Batch> nestedIn(String bid) {
         return children.getOrDefault(bid, List.of()).stream()
                 .map(all::get)
-                .filter(child -> child != null)
+                .filter(Objects::nonNull)
                 .toList();
     }
 
@@ -249,6 +168,7 @@
         return found;
     }
 
+    /** All batches, in the order of their creation or recovery. */
     public List<Batch> all() {
         return List.copyOf(all.values());
     }
@@ -269,26 +189,33 @@
      * their ids.
      */
     public List<String> removeExpired(long nowMs) {
-        List<String> gone = new ArrayList<>();
+        List<String> removed = new ArrayList<>();
         for (Batch batch : List.copyOf(all.values())) {
-            boolean over =
-                    batch.onSuccess() == CallbackState.DONE
-                            && !all.containsKey(batch.parent())
-                            && nestedIn(batch.bid()).isEmpty();
-            long retentionMs = over ? ENDED_RETENTION_MS : RETENTION_MS;
+            long retentionMs = hasEnded(batch) ? ENDED_RETENTION_MS : RETENTION_MS;
             if (batch.createdMs() + retentionMs < nowMs) {
-                all.remove(batch.bid());
-                children.remove(batch.bid());
-                List<String> siblings = children.get(batch.parent());
-                if (siblings != null) {
-                    siblings.remove(batch.bid());
-                }
-                gone.add(batch.bid());
+                remove(batch);
+                removed.add(batch.bid());
             }
         }
-        return gone;
+        return removed;
+    }
+
+    private boolean hasEnded(Batch batch) {
+        return batch.onSuccess() == CallbackState.DONE
+                && !all.containsKey(batch.parent())
+                && nestedIn(batch.bid()).isEmpty();
+    }
+
+    private void remove(Batch batch) {
+        all.remove(batch.bid());
+        children.remove(batch.bid());
+        List<String> siblings = children.get(batch.parent());
+        if (siblings != null) {
+            siblings.remove(batch.bid());
+        }
     }
 
+    /** Removes all batches. */
     public void clear() {
         all.clear();
         children.clear();
--- /dev/null
+++ b/src/main/java/damsonslip/faktory/jobs/DueCallback.java
@@ -0,0 +1,14 @@
+package damsonslip.faktory.jobs;
+
+/**
+ * A callback that has become due.
+ *
+ * @param batch the batch in its new state
+ * @param success whether it is the success callback; otherwise it is the completion callback
+ */
+public record DueCallback(Batch batch, boolean success) {
+    /** The callback as JSON; empty if the batch has none. */
+    public String job() {
+        return success ? batch.success() : batch.complete();
+    }
+}
--- a/src/main/java/damsonslip/faktory/routing/Routes.java
+++ b/src/main/java/damsonslip/faktory/routing/Routes.java
@@ -4,30 +4,37 @@
 import java.util.List;
 
 /**
- * The operator's table from queues and jobtypes to classes. The first route that fits decides; what
- * fits none belongs to the default class, if there is one.
+ * The operator's routes from queues and jobtypes to job classes. The first route that matches
+ * decides; a job that none matches belongs to the default class, if there is one. Immutable.
  *
  * @param routes in the operator's order
- * @param defaultClass the class of all else, or -1 for none
+ * @param defaultClass the index of the default class, or {@link #NO_CLASS}
  * @param classNames the classes' names, by index
  */
 public record Routes(List<Route> routes, int defaultClass, List<String> classNames) {
-    /** Jobs whose queue and jobtype both fit belong to this class. */
-    public record Route(Glob queue, Glob jobtype, int jobClass) {}
+    /** Stands for the index of a class where there is none. */
+    public static final int NO_CLASS = -1;
+
+    /** Jobs whose queue and jobtype both match belong to this class. */
+    public record Route(Glob queue, Glob jobtype, int jobClass) {
+        boolean matches(String queueName, String type) {
+            return queue.matches(queueName) && jobtype.matches(type);
+        }
+    }
 
     /**
-     * The index of a job's class; -1 if it has none. A class that the job itself names comes before
-     * the table.
+     * The index of a job's class; {@link #NO_CLASS} if it has none.
+     *
+     * @param className the class that the job itself names, which precedes the routes; may be empty
      */
-    public int classOf(String named, String queue, String jobtype) {
-        if (!named.isEmpty()) {
-            return classNames.indexOf(named);
-        }
-        for (Route route : routes) {
-            if (route.queue().matches(queue) && route.jobtype().matches(jobtype)) {
-                return route.jobClass();
-            }
+    public int classOf(String className, String queue, String jobtype) {
+        if (!className.isEmpty()) {
+            return classNames.indexOf(className);
         }
-        return defaultClass;
+        return routes.stream()
+                .filter(route -> route.matches(queue, jobtype))
+                .mapToInt(Route::jobClass)
+                .findFirst()
+                .orElse(defaultClass);
     }
 }
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -130,13 +130,14 @@
     @Test
     void commandsAreDecoded() throws MalformedCommandException {
         assertEquals(
-                java.util.List.of("default"), ((Command.Fetch) Command.decode("FETCH")).queues());
+                java.util.List.of("default"),
+                ((Command.Fetch) CommandDecoder.decode("FETCH")).queues());
         assertEquals(
                 java.util.List.of("a", "b"),
-                ((Command.Fetch) Command.decode("FETCH a  b")).queues());
+                ((Command.Fetch) CommandDecoder.decode("FETCH a  b")).queues());
         Command.Mutate mutate =
                 (Command.Mutate)
-                        Command.decode(
+                        CommandDecoder.decode(
                                 "MUTATE"
                                     + " {\"cmd\":\"kill\",\"target\":\"retries\",\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
         assertEquals(Command.Mutate.Verb.KILL, mutate.verb());
@@ -144,16 +145,17 @@
         assertEquals("*y*", mutate.filter().glob());
         assertEquals(
                 7,
-                ((Command.Heartbeat) Command.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}")).rssKb());
+                ((Command.Heartbeat) CommandDecoder.decode("BEAT {\"wid\":\"w\",\"rss_kb\":7}"))
+                        .rssKb());
         assertEquals(
                 3_600_000,
                 ((Command.TrackSet)
-                                Command.decode(
+                                CommandDecoder.decode(
                                         "TRACK SET"
                                             + " {\"jid\":\"j\",\"reserve_until\":\"1970-01-01T01:00:00Z\"}"))
                         .reserveUntilMs());
-        assertInstanceOf(Command.BatchCommit.class, Command.decode("BATCH COMMIT b-1"));
-        assertInstanceOf(Command.Flush.class, Command.decode("flush"));
+        assertInstanceOf(Command.BatchCommit.class, CommandDecoder.decode("BATCH COMMIT b-1"));
+        assertInstanceOf(Command.Flush.class, CommandDecoder.decode("flush"));
     }
 
     @ParameterizedTest
@@ -183,7 +185,7 @@
             })
     void aLineThatIsNotInOrderIsRefusedInOneLine(String line) {
         MalformedCommandException refused =
-                assertThrows(MalformedCommandException.class, () -> Command.decode(line));
+                assertThrows(MalformedCommandException.class, () -> CommandDecoder.decode(line));
         assertTrue(
                 refused.getMessage().lines().count() == 1 && refused.getMessage().length() < 200);
     }
@@ -192,15 +194,15 @@
     void depthNumbersAndBulkAreBounded() {
         assertThrows(
                 MalformedCommandException.class,
-                () -> Command.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
+                () -> CommandDecoder.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
         assertThrows(
                 MalformedCommandException.class,
-                () -> Command.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
+                () -> CommandDecoder.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
         String many = "{},".repeat(100_000);
         MalformedCommandException refused =
                 assertThrows(
                         MalformedCommandException.class,
-                        () -> Command.decode("PUSHB [" + many + "{}]"));
+                        () -> CommandDecoder.decode("PUSHB [" + many + "{}]"));
         assertTrue(refused.getMessage().contains("in parts"), refused.getMessage());
     }
 
@@ -239,7 +241,7 @@
                 }
             }
             try {
-                Command command = Command.decode(line.toString());
+                Command command = CommandDecoder.decode(line.toString());
                 decoded++;
                 if (command instanceof Command.Push push && !push.jobs().isEmpty()) {
                     PushedJob.decode(push.jobs().get(0), 0, 60);
--- a/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -5,8 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.jobs.BatchTable.Batch;
-import damsonslip.faktory.jobs.BatchTable.CallbackState;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
@@ -14,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When callbacks are due. */
-class BatchesTest {
+class BatchTableTest {
     private final JobTable jobTable = new JobTable(1, new JobTable.Limits(100, 100, 100, 1_000));
     private final BatchTable batches = new BatchTable(jobTable);
 
