--- /dev/null
+++ b/src/test/java/damsonslip/platform/client/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code damsonslip.platform.client}, without sockets. */
+package damsonslip.platform.client;
--- /dev/null
+++ b/src/test/java/damsonslip/platform/codec/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code damsonslip.platform.codec}, without sockets. */
+package damsonslip.platform.codec;
--- a/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
+++ b/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
@@ -17,8 +17,10 @@
     private static final long MINUTE = 60_000_000;
     private static final String SETTINGS =
             """
-            {"instances":1,"azs":["z"],"shapes":["k"],"registry_mode":"on_request","guarantees":{"drain_grace_s":0.5},
-            "lanes":[{"name":"read","aim_s":0.5,"hard_limit_s":5,"semantics":"repeatable","value":1}]}\
+            {"instances":1,"azs":["z"],"shapes":["k"],"registry_mode":"on_request",
+            "guarantees":{"drain_grace_s":0.5},
+            "lanes":[{"name":"read","aim_s":0.5,"hard_limit_s":5,
+            "semantics":"repeatable","value":1}]}\
             """;
 
     private WorkerRegistry registry;
--- /dev/null
+++ b/src/test/java/damsonslip/platform/discovery/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code damsonslip.platform.discovery}, without sockets. */
+package damsonslip.platform.discovery;
--- /dev/null
+++ b/src/test/java/damsonslip/platform/worker/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of {@code damsonslip.platform.worker}, without sockets. */
+package damsonslip.platform.worker;
