--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -18,7 +18,6 @@
 import damsonslip.transport.OutboundRateMonitor;
 import damsonslip.transport.datarate.MinimumDataRate;
 import java.nio.ByteBuffer;
-import java.util.Comparator;
 import org.eclipse.jetty.io.EndPoint;
 
 /**
@@ -26,11 +25,6 @@
  * holds its states. Used on the event loop only.
  */
 final class ClientConnection extends EventLoopConnection implements ResponseListener {
-    /** The order in which connections are closed where there are too many. */
-    static final Comparator<ClientConnection> EVICTION_ORDER =
-            Comparator.comparing(ClientConnection::usage)
-                    .thenComparingLong(connection -> connection.idleSinceUs);
-
     /** How much a connection has been used; the least used are closed first. */
     private enum Usage {
         LINGERING,
@@ -379,4 +373,13 @@
         }
         return isLingering() ? "said goodbye" : "given up";
     }
+
+    /**
+     * Compares two connections by the order in which they are closed where there are too many. Not
+     * built of {@code Comparator}'s factories: their lambdas would be generated at each start.
+     */
+    static int compareForEviction(ClientConnection one, ClientConnection other) {
+        int byUsage = one.usage().compareTo(other.usage());
+        return byUsage != 0 ? byUsage : Long.compare(one.idleSinceUs, other.idleSinceUs);
+    }
 }
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -84,7 +84,7 @@
                         maxConnections,
                         overflow,
                         ClientConnection::isEvictable,
-                        ClientConnection.EVICTION_ORDER);
+                        ClientConnection::compareForEviction);
     }
 
     /**
