--- a/src/main/java/damsonslip/cli/FleetLogs.java
+++ b/src/main/java/damsonslip/cli/FleetCommand.java
@@ -22,8 +22,8 @@
  * The command {@code fleet}: reads a folder of schedulers' logs, one file each, and prints what
  * they did together.
  */
-final class FleetLogs {
-    private FleetLogs() {}
+final class FleetCommand {
+    private FleetCommand() {}
 
     /**
      * A scheduler's log and its next line; logs are read side by side, since together they may not
@@ -53,6 +53,11 @@
         }
     }
 
+    /**
+     * Prints the report over all log files in this folder.
+     *
+     * @throws ConfigurationException if this is no folder, or holds no traces
+     */
     static void run(Path folder, PrintStream out) throws ConfigurationException, IOException {
         if (!Files.isDirectory(folder)) {
             throw new ConfigurationException("fleet: not a folder of logs: " + folder);
--- a/src/main/java/damsonslip/cli/Main.java
+++ b/src/main/java/damsonslip/cli/Main.java
@@ -24,8 +24,16 @@
                 + " conformance HOST:PORT | bench HOST:PORT | fleet FOLDER | lab COMMAND | simhost"
                 + " | rehearse";
 
+    private static final int SUCCEEDED = 0;
+    private static final int FAILED = 1;
+    private static final int WRONG_USAGE = 2;
+
+    /** The process goes on after {@link #run} has returned. */
+    private static final int KEEPS_RUNNING = -1;
+
     private Main() {}
 
+    /** Runs the command that the arguments name, and exits unless it has started a scheduler. */
     public static void main(String[] args) {
         int code =
                 run(
@@ -33,70 +41,81 @@
                         new FileInputStream(FileDescriptor.in),
                         new FileOutputStream(FileDescriptor.out),
                         System.err);
-        if (code >= 0) {
+        if (code != KEEPS_RUNNING) {
             System.exit(code);
         }
     }
 
     /**
-     * Runs the command and returns its exit code: 1 on bad input, 2 on usage, -1 while it goes on
-     * serving.
+     * Runs the command.
+     *
+     * @return the exit code: 0 if it succeeded, 1 on a configuration or I/O error, 2 on wrong
+     *     usage; {@link #KEEPS_RUNNING} if it has started a scheduler
      */
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
-        String command = args.length == 0 ? "" : args[0];
-        boolean withFile = args.length == 2 && command.equals("serve");
-        boolean withMore =
-                List.of("console", "conformance", "bench", "lab").contains(command)
-                        || args.length == 2 && command.equals("fleet");
-        if (args.length != 1 && !withFile && !withMore) {
+        if (!isUsage(args)) {
             err.println(USAGE);
-            return 2;
+            return WRONG_USAGE;
         }
+        PrintStream text = new PrintStream(out, true, StandardCharsets.UTF_8);
+        List<String> options = List.of(args).subList(1, args.length);
         try {
-            switch (command) {
-                case "simhost" -> new SimHost(in, out).run();
-                case "serve" -> {
-                    Serve.start(withFile ? args[1] : null, System.getenv());
-                    return -1;
-                }
-                case "rehearse" -> Rehearsal.run();
-                case "fleet" -> {
-                    if (args.length != 2) {
-                        err.println(USAGE);
-                        return 2;
-                    }
-                    FleetLogs.run(
-                            Path.of(args[1]), new PrintStream(out, true, StandardCharsets.UTF_8));
-                }
-                case "console" ->
-                        ConsoleClient.run(
-                                List.of(args).subList(1, args.length),
-                                new PrintStream(out, true, StandardCharsets.UTF_8));
-                case "conformance" -> {
-                    return Conformance.run(
-                            List.of(args).subList(1, args.length),
-                            new PrintStream(out, true, StandardCharsets.UTF_8));
-                }
-                case "bench" -> {
-                    return Bench.run(
-                            List.of(args).subList(1, args.length),
-                            new PrintStream(out, true, StandardCharsets.UTF_8));
-                }
-                case "lab" -> {
-                    return Lab.run(
-                            List.of(args).subList(1, args.length),
-                            new PrintStream(out, true, StandardCharsets.UTF_8),
-                            err);
-                }
-                default -> {
-                    err.println(USAGE);
-                    return 2;
-                }
-            }
-            return 0;
+            return switch (args[0]) {
+                case "serve" -> serve(options);
+                case "simhost" -> simulate(in, out);
+                case "rehearse" -> rehearse();
+                case "fleet" -> reportFleet(options, text);
+                case "console" -> openConsole(options, text);
+                case "conformance" -> Conformance.run(options, text);
+                case "bench" -> Bench.run(options, text);
+                case "lab" -> Lab.run(options, text, err);
+                default -> throw new IllegalStateException("not a command: " + args[0]);
+            };
         } catch (ConfigurationException | IOException e) {
             err.println("damsonslip: " + e.getMessage());
-            return 1;
+            return FAILED;
+        }
+    }
+
+    /** Whether there is such a command with this number of arguments. */
+    private static boolean isUsage(String[] args) {
+        if (args.length == 0) {
+            return false;
         }
+        return switch (args[0]) {
+            case "serve" -> args.length <= 2;
+            case "fleet" -> args.length == 2;
+            case "simhost", "rehearse" -> args.length == 1;
+            case "console", "conformance", "bench", "lab" -> true;
+            default -> false;
+        };
+    }
+
+    private static int serve(List<String> options) throws ConfigurationException, IOException {
+        ServeCommand.start(options.isEmpty() ? null : options.get(0), System.getenv());
+        return KEEPS_RUNNING;
+    }
+
+    private static int simulate(InputStream in, OutputStream out)
+            throws ConfigurationException, IOException {
+        new SimHost(in, out).run();
+        return SUCCEEDED;
+    }
+
+    private static int rehearse() throws ConfigurationException, IOException {
+        Rehearsal.run();
+        return SUCCEEDED;
+    }
+
+    private static int reportFleet(List<String> options, PrintStream out)
+            throws ConfigurationException, IOException {
+        FleetCommand.run(Path.of(options.get(0)), out);
+        return SUCCEEDED;
+    }
+
+    private static int openConsole(List<String> options, PrintStream out)
+            throws ConfigurationException, IOException {
+        ConsoleClient.run(options, out);
+        return SUCCEEDED;
     }
 }
--- a/src/main/java/damsonslip/cli/Rehearsal.java
+++ b/src/main/java/damsonslip/cli/Rehearsal.java
@@ -16,27 +16,28 @@
 import sun.misc.Signal;
 
 /**
- * Serves a few queries to itself, on loopback, and ends: the build runs it so that the JVM can
- * archive the classes that serving needs (class data sharing). On half a core a start without that
- * archive takes more than two seconds, most of it loading classes, and a restarting scheduler's
- * clients find nobody for as long.
+ * The command {@code rehearse}: a scheduler serves a few requests on loopback and exits. The build
+ * runs it so that the JVM can archive the classes that serving needs (class data sharing), without
+ * which most of a start is spent loading classes.
  */
 final class Rehearsal {
-    private static final String LOOPBACK = "127.0.0.1";
-    private static final int QUERIES = 3;
-    private static final int PATIENCE_MS = 3_000;
+    private static final String ID_FIELD = "X-Correlation-Id: ";
+    private static final int REQUESTS = 3;
+    private static final int TIMEOUT_MS = 3_000;
     private static final String CONFIG =
             """
-            {"name":"rehearsal","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","mgmt":"127.0.0.1:%d","seed":"1",
-            "limits":{"sockets":256},
-            "settings":{"instances":1,"azs":["z"],"shapes":["k"],"lanes":[{"name":"any","aim_s":1,"hard_limit_s":2,
-            "semantics":"repeatable","value":1}],"limits":{"send_cap":2,"may_cancel":true},"registry_mode":"on_request",
+            {"name":"rehearsal","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d",
+            "mgmt":"127.0.0.1:%d","seed":"1","limits":{"sockets":256},
+            "settings":{"instances":1,"azs":["z"],"shapes":["k"],
+            "lanes":[{"name":"any","aim_s":1,"hard_limit_s":2,"semantics":"repeatable","value":1}],
+            "limits":{"send_cap":2,"may_cancel":true},"registry_mode":"on_request",
             "reporting":{"how":"piggyback"},"specifics":{"tells_start":true}},
-            "known":{"generation":1,"reset":true,"instances":[{"instanceId":"w","hostPort":"127.0.0.1:%d","zone":"z",
-            "machineType":"k","cell":0,"lifecycle":"ready","weight":1.0,"startedAtMs":0}]}}\
+            "known":{"generation":1,"reset":true,
+            "instances":[{"instanceId":"w","hostPort":"127.0.0.1:%d","zone":"z","machineType":"k",
+            "cell":0,"lifecycle":"ready","weight":1.0,"startedAtMs":0}]}}\
             """;
 
-    private static final String QUERY =
+    private static final String REQUEST =
             """
             POST /api HTTP/1.1
             Host: rehearsal
@@ -52,8 +53,8 @@
     private Rehearsal() {}
 
     /**
-     * Starts as a scheduler does, with a second address, and is used; the exit that follows is its
-     * stop.
+     * Starts a scheduler with a management port and sends it requests, a reload and commands. The
+     * exit of the process shuts it down.
      */
     static void run() throws ConfigurationException, IOException {
         Path folder = Files.createTempDirectory("rehearsal");
@@ -66,28 +67,19 @@
                     {"id":"%1$s","state":"done","result":"r","load":{"util":0.5,"eps":0,"x0":3}}
                     """);
             serve(discovery, "%2$s");
-            int port = freePort();
-            int second = freePort();
+            int clientPort = freePort();
+            int managementPort = freePort();
             Path config =
                     Files.writeString(
                             folder.resolve("config.json"),
                             CONFIG.formatted(
-                                    port, discovery.getLocalPort(), second, worker.getLocalPort()));
-            Serve.start(
+                                    clientPort,
+                                    discovery.getLocalPort(),
+                                    managementPort,
+                                    worker.getLocalPort()));
+            ServeCommand.start(
                     null, Map.of("ROUTER_CONFIG", config.toString(), "TMPDIR", folder.toString()));
-            for (int i = 0; i < QUERIES; i++) {
-                String answer = ask(port, QUERY.formatted(i).replace("\n", "\r\n"));
-                if (!answer.startsWith("HTTP/1.1 200")) {
-                    throw new IOException(
-                            "the rehearsal was not served: "
-                                    + answer.lines().findFirst().orElse(""));
-                }
-            }
-            ask(port, "nonsense\r\n\r\n");
-            Signal.raise(new Signal("HUP"));
-            for (String call : List.of("READY", "STATS", "nonsense")) {
-                ask(second, call + "\n");
-            }
+            use(clientPort, managementPort);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder())
@@ -96,8 +88,24 @@
         }
     }
 
+    /** Sends requests, a malformed one among them, a reload and management commands. */
+    private static void use(int clientPort, int managementPort) throws IOException {
+        for (int i = 0; i < REQUESTS; i++) {
+            String answer = ask(clientPort, REQUEST.formatted(i).replace("\n", "\r\n"));
+            if (!answer.startsWith("HTTP/1.1 200")) {
+                throw new IOException(
+                        "the rehearsal was not served: " + answer.lines().findFirst().orElse(""));
+            }
+        }
+        ask(clientPort, "nonsense\r\n\r\n");
+        Signal.raise(new Signal("HUP"));
+        for (String command : List.of("READY", "STATS", "nonsense")) {
+            ask(managementPort, command + "\n");
+        }
+    }
+
     private static ServerSocket socket() throws IOException {
-        return new ServerSocket(0, 0, InetAddress.getByName(LOOPBACK));
+        return new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
     }
 
     private static int freePort() throws IOException {
@@ -107,7 +115,7 @@
     }
 
     /**
-     * Answers whatever is asked with these lines: a worker, or discovery with an empty list of
+     * Answers every request with these lines: as a worker, or as discovery with an empty list of
      * changes.
      */
     private static void serve(ServerSocket server, String lines) {
@@ -118,7 +126,7 @@
                                 try (Socket peer = server.accept()) {
                                     answer(peer, lines);
                                 } catch (IOException e) {
-                                    // the next one, unless the rehearsal is over
+                                    // accepts the next connection, unless the rehearsal has ended
                                 }
                             }
                         },
@@ -135,8 +143,8 @@
                         0,
                         Math.max(0, peer.getInputStream().read(bytes)),
                         StandardCharsets.UTF_8);
-        int at = asked.indexOf("X-Correlation-Id: ");
-        String id = at < 0 ? "" : asked.substring(at, asked.indexOf('\r', at)).split(" ")[1];
+        int at = asked.indexOf(ID_FIELD);
+        String id = at < 0 ? "" : asked.substring(at + ID_FIELD.length(), asked.indexOf('\r', at));
         String body =
                 String.format(lines, id, "{\"generation\":2,\"reset\":false,\"instances\":[]}\n");
         peer.getOutputStream()
@@ -153,8 +161,9 @@
 
     private static String ask(int port, String text) throws IOException {
         try (Socket client = new Socket()) {
-            client.connect(new InetSocketAddress(LOOPBACK, port), PATIENCE_MS);
-            client.setSoTimeout(PATIENCE_MS);
+            client.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MS);
+            client.setSoTimeout(TIMEOUT_MS);
             client.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return new String(client.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/src/main/java/damsonslip/cli/SignalTable.java
+++ b/src/main/java/damsonslip/cli/SignalTable.java
@@ -18,6 +18,7 @@
  * for. Where it is not open, or another JDK keeps its handlers elsewhere, the JDK's own table stays
  * and one line of the log says so.
  */
+@SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK's field is one
 final class SignalTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
     private static final Logger LOG = LoggerFactory.getLogger(SignalTable.class);
--- a/src/main/java/damsonslip/cli/SignalThread.java
+++ b/src/main/java/damsonslip/cli/SignalThread.java
@@ -18,9 +18,11 @@
     private final Action action;
     private final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
 
-    /** What a signal asks for. */
+    /** What to do on a signal. */
     interface Action {
         /**
+         * Handles one signal.
+         *
          * @param receivedNs when the process received it, by {@link System#nanoTime}
          */
         void run(Signal signal, long receivedNs);
@@ -55,10 +57,7 @@
         thread.start();
     }
 
-    /**
-     * Takes note of a signal; called on the JDK's thread that dispatches signals, which must not
-     * wait.
-     */
+    /** Queues a signal; called on the JDK's thread that dispatches signals, which must not wait. */
     void receive(Signal signal) {
         received.add(new Received(signal, System.nanoTime()));
     }
@@ -69,7 +68,7 @@
                 Received next = received.take();
                 action.run(next.signal(), next.atNs());
             } catch (InterruptedException e) {
-                return; // nobody interrupts it but a JVM that ends
+                return; // only a JVM that ends interrupts this thread
             } catch (RuntimeException | Error e) {
                 LOG.error("event=signal_action_failed", e);
             }
--- a/src/main/java/damsonslip/config/ConfigurationException.java
+++ b/src/main/java/damsonslip/config/ConfigurationException.java
@@ -1,9 +1,10 @@
 package damsonslip.config;
 
-/** Input that cannot be acted on; the message is one line that says what is wrong. */
+/** A configuration or input that cannot be used. The message is one line that names the error. */
 public class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    /** Creates an exception with a message of one line. */
     public ConfigurationException(String message) {
         super(message);
     }
--- a/src/main/java/damsonslip/config/ConfigurationTree.java
+++ b/src/main/java/damsonslip/config/ConfigurationTree.java
@@ -12,9 +12,9 @@
 import java.io.UncheckedIOException;
 
 /**
- * Reads JSON into the library's tree by the library's parser, without its mapper: to set one up,
- * with all that it may map to, takes a part of a start that clients notice, and nothing here is
- * mapped. Depth and lengths are the parser's bounds.
+ * Reads JSON text into Jackson's tree with the parser alone. Jackson's {@code ObjectMapper} would
+ * make starts longer, and nothing is mapped here. Nesting depth and lengths are bounded by the
+ * parser.
  */
 public final class ConfigurationTree {
     private static final JsonFactory PARSERS = new JsonFactory();
@@ -29,7 +29,7 @@
         } catch (JsonProcessingException e) {
             throw e;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // a text has none
+            throw new UncheckedIOException(e); // reading a string does no I/O
         }
     }
 
@@ -38,7 +38,7 @@
             case START_OBJECT -> object(parser);
             case START_ARRAY -> array(parser);
             case VALUE_STRING -> NODES.textNode(parser.getText());
-            case VALUE_NUMBER_INT -> whole(parser);
+            case VALUE_NUMBER_INT -> integer(parser);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(parser.getDoubleValue());
             case VALUE_TRUE -> NODES.booleanNode(true);
             case VALUE_FALSE -> NODES.booleanNode(false);
@@ -46,7 +46,7 @@
         };
     }
 
-    private static JsonNode whole(JsonParser parser) throws IOException {
+    private static JsonNode integer(JsonParser parser) throws IOException {
         return switch (parser.getNumberType()) {
             case INT -> NODES.numberNode(parser.getIntValue());
             case LONG -> NODES.numberNode(parser.getLongValue());
--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /**
- * What a real scheduler is told at its start.
+ * The configuration of a platform scheduler.
  *
  * @param name its name
- * @param listen where clients connect
- * @param discovery where the list of workers is
- * @param seed for random numbers
- * @param sockets how many descriptors it may hold
- * @param known the list of workers as it had it last, undecoded
- * @param site the deployment
- * @param mgmt where the operators' tools call; empty: nowhere
+ * @param listen the address on which clients connect
+ * @param discovery the address of discovery
+ * @param seed the seed of the random numbers
+ * @param sockets how many file descriptors the process may hold
+ * @param known the cached endpoint list of an earlier process, undecoded
+ * @param site the settings of the deployment
+ * @param mgmt the address of the management port; empty for none
  */
 public record SchedulerConfig(
         String name,
@@ -29,11 +29,11 @@
         JsonNode known,
         SiteSettings site,
         String mgmt) {
-    private static final int FEWEST_SOCKETS = 128;
+    private static final int MIN_SOCKETS = 128;
 
     /**
-     * Reads the file that the environment names; the environment's own figures stand in for absent
-     * ones.
+     * Reads the file that {@code ROUTER_CONFIG} names. Keys that the file lacks are taken from the
+     * environment.
      */
     public static SchedulerConfig read(Map<String, String> environment)
             throws ConfigurationException {
@@ -46,10 +46,10 @@
                 root.path("name").asText(environment.getOrDefault("ROUTER_NAME", "scheduler"));
         return new SchedulerConfig(
                 name,
-                needed(root, "listen", environment.get("ROUTER_LISTEN")),
-                needed(root, "discovery", environment.get("ROUTER_DISCOVERY")),
+                required(root, "listen", environment.get("ROUTER_LISTEN")),
+                required(root, "discovery", environment.get("ROUTER_DISCOVERY")),
                 seed(root.path("seed").asText("0")),
-                Math.max(FEWEST_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
+                Math.max(MIN_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
                 root.path("known"),
                 SiteSettings.read(root.path("settings")),
                 root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
@@ -75,7 +75,7 @@
         }
     }
 
-    private static String needed(JsonNode root, String name, String fallback)
+    private static String required(JsonNode root, String name, String fallback)
             throws ConfigurationException {
         String value = root.path(name).asText(fallback == null ? "" : fallback);
         if (value.isBlank()) {
--- a/src/main/java/damsonslip/config/SettingsReader.java
+++ b/src/main/java/damsonslip/config/SettingsReader.java
@@ -12,12 +12,20 @@
 import java.util.List;
 
 /**
- * Turns the wire's settings into the library's; unknown keys are ignored, absent ones take
- * defaults.
+ * Reads the settings of the decisions from their form on the wire. Unknown keys are ignored,
+ * missing ones have defaults. This is the only place that knows the wire's names of these settings.
  */
 public final class SettingsReader {
+    private static final int ANY_KIND = -1;
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private SettingsReader() {}
 
+    /**
+     * Reads a settings object.
+     *
+     * @throws ConfigurationException if a setting has a value that cannot be used
+     */
     public static Settings read(JsonNode conf) throws ConfigurationException {
         if (conf == null || !conf.isObject()) {
             throw new ConfigurationException("settings: conf is not an object");
@@ -33,8 +41,8 @@
                     quotas(conf),
                     limits(conf),
                     guarantees(conf.path("guarantees")),
-                    reporting(conf),
-                    listOnRequest(conf.path("registry_mode")),
+                    loadReporting(conf),
+                    pollsWorkerList(conf.path("registry_mode")),
                     conf.path("specifics").path("tells_start").asBoolean(false),
                     micros(conf, "tick_s", 0.001));
         } catch (IllegalArgumentException e) {
@@ -43,48 +51,48 @@
     }
 
     private static List<JobClass> classes(JsonNode conf) throws ConfigurationException {
-        JsonNode specifics = conf.path("specifics");
         List<JobClass> classes = new ArrayList<>();
         for (JsonNode lane : conf.path("lanes")) {
-            int i = classes.size();
-            double stretch =
-                    specifics
-                            .path("class_stretch")
-                            .path(i)
-                            .asDouble(number(lane, "aim_stretch", 0));
-            String semantics = lane.path("semantics").asText("once");
-            Idempotency effect =
-                    switch (semantics) {
-                        case "repeatable" -> Idempotency.IDEMPOTENT;
-                        case "by_key" -> Idempotency.IDEMPOTENT_WITH_KEY;
-                        case "once" -> Idempotency.NOT_IDEMPOTENT;
-                        default ->
-                                throw new ConfigurationException(
-                                        "settings: lanes.semantics: " + semantics);
-                    };
-            String scope = lane.path("dedup_scope").asText("cell");
-            IdempotencyScope group =
-                    switch (scope) {
-                        case "all" -> IdempotencyScope.ALL_WORKERS;
-                        case "zone" -> IdempotencyScope.ZONE;
-                        case "cell" -> IdempotencyScope.CELL;
-                        default ->
-                                throw new ConfigurationException(
-                                        "settings: lanes.dedup_scope: " + scope);
-                    };
-            classes.add(
-                    new JobClass(
-                            micros(lane, "aim_s", 1),
-                            stretch,
-                            number(lane, "value", 1),
-                            effect,
-                            group,
-                            micros(lane, "window_s", 0),
-                            specifics.path("class_kind").path(i).asInt(-1)));
+            classes.add(jobClass(lane, conf.path("specifics"), classes.size()));
         }
         return classes;
     }
 
+    private static JobClass jobClass(JsonNode lane, JsonNode specifics, int index)
+            throws ConfigurationException {
+        double runTimeFactor = number(lane, "aim_stretch", 0);
+        Idempotency idempotency = idempotency(lane);
+        IdempotencyScope idempotencyScope = idempotencyScope(lane);
+        return new JobClass(
+                micros(lane, "aim_s", 1),
+                specifics.path("class_stretch").path(index).asDouble(runTimeFactor),
+                number(lane, "value", 1),
+                idempotency,
+                idempotencyScope,
+                micros(lane, "window_s", 0),
+                specifics.path("class_kind").path(index).asInt(ANY_KIND));
+    }
+
+    private static Idempotency idempotency(JsonNode lane) throws ConfigurationException {
+        String semantics = lane.path("semantics").asText("once");
+        return switch (semantics) {
+            case "repeatable" -> Idempotency.IDEMPOTENT;
+            case "by_key" -> Idempotency.IDEMPOTENT_WITH_KEY;
+            case "once" -> Idempotency.NOT_IDEMPOTENT;
+            default -> throw new ConfigurationException("settings: lanes.semantics: " + semantics);
+        };
+    }
+
+    private static IdempotencyScope idempotencyScope(JsonNode lane) throws ConfigurationException {
+        String scope = lane.path("dedup_scope").asText("cell");
+        return switch (scope) {
+            case "all" -> IdempotencyScope.ALL_WORKERS;
+            case "zone" -> IdempotencyScope.ZONE;
+            case "cell" -> IdempotencyScope.CELL;
+            default -> throw new ConfigurationException("settings: lanes.dedup_scope: " + scope);
+        };
+    }
+
     private static List<Double> quotas(JsonNode conf) throws ConfigurationException {
         List<Double> quotas = new ArrayList<>();
         for (JsonNode realm : conf.path("realms")) {
@@ -104,18 +112,18 @@
                 number(prices, "cross_zone", 0));
     }
 
-    private static Guarantees guarantees(JsonNode figures) throws ConfigurationException {
+    private static Guarantees guarantees(JsonNode limits) throws ConfigurationException {
         return new Guarantees(
-                micros(figures, "grace_to_answer_s", 0),
-                micros(figures, "drain_grace_s", 0),
-                micros(figures, "ask_every_s", 10),
-                number(figures, "cold_share", 1),
-                micros(figures, "cold_s", 0),
-                number(figures, "fall_multiple", 1),
-                micros(figures, "fall_s", 1));
+                micros(limits, "grace_to_answer_s", 0),
+                micros(limits, "drain_grace_s", 0),
+                micros(limits, "ask_every_s", 10),
+                number(limits, "cold_share", 1),
+                micros(limits, "cold_s", 0),
+                number(limits, "fall_multiple", 1),
+                micros(limits, "fall_s", 1));
     }
 
-    private static boolean listOnRequest(JsonNode mode) throws ConfigurationException {
+    private static boolean pollsWorkerList(JsonNode mode) throws ConfigurationException {
         return switch (mode.asText("pushed")) {
             case "on_request" -> true;
             case "pushed" -> false;
@@ -123,7 +131,7 @@
         };
     }
 
-    private static LoadReporting reporting(JsonNode conf) throws ConfigurationException {
+    private static LoadReporting loadReporting(JsonNode conf) throws ConfigurationException {
         String how = conf.path("reporting").path("how").asText("silent");
         return switch (how) {
             case "piggyback" -> LoadReporting.WITH_RESPONSES;
@@ -140,7 +148,7 @@
 
     private static long micros(JsonNode node, String name, double fallback)
             throws ConfigurationException {
-        return Math.round(number(node, name, fallback) * 1e6);
+        return Math.round(number(node, name, fallback) * MICROS_PER_SECOND);
     }
 
     private static double number(JsonNode node, String name, double fallback)
--- a/src/main/java/damsonslip/config/SiteSettings.java
+++ b/src/main/java/damsonslip/config/SiteSettings.java
@@ -6,18 +6,18 @@
 import java.util.List;
 
 /**
- * The settings that the decisions go by, with the names and limits that only the sockets need.
+ * The settings of a deployment: those of the decisions, with names and limits for the network.
  *
- * @param settings for the decisions
+ * @param settings the settings of the decisions
  * @param classNames the job classes' names, by index
  * @param tenantNames the tenants' names, by index; empty where there are none
- * @param deadlinesUs how long clients wait at the most, by class
+ * @param deadlinesUs the longest time budget of a request, by class
  * @param zoneNames the zones' names, by index
  * @param kindNames the machine kinds' names, by index
- * @param idleUs after this time a worker closes an idle connection
- * @param connectUs within this time a connection has to be up
- * @param probeUs within this time a probe has to be answered
- * @param retryAfter whether clients are told when to come back
+ * @param idleUs the idle timeout of workers, after which they close a connection
+ * @param connectUs the connect timeout
+ * @param probeUs the timeout of a probe
+ * @param retryAfter whether rejections carry Retry-After
  */
 public record SiteSettings(
         Settings settings,
@@ -30,16 +30,17 @@
         long connectUs,
         long probeUs,
         boolean retryAfter) {
+    /** Older load reports are of no use. */
+    private static final double PROBE_TIMEOUT_S = 0.5;
+
     /**
-     * A report that has taken longer is too old to go by. The settings do not say how long workers
-     * take.
+     * Reads the settings object of a configuration.
+     *
+     * @throws ConfigurationException if a setting is missing or wrong
      */
-    private static final double PROBE_S = 0.5;
-
     public static SiteSettings read(JsonNode conf) throws ConfigurationException {
-        if (conf.isObject()
-                && !conf.path("instances")
-                        .isNumber()) { // all shares follow from it: no guess is safe
+        // no default is safe: every quota and threshold is divided by the number of schedulers
+        if (conf.isObject() && !conf.path("instances").isNumber()) {
             throw new ConfigurationException(
                     "settings: instances, the number of schedulers, is missing");
         }
@@ -57,10 +58,11 @@
                 names(conf.path("shapes"), null),
                 micros(conf.path("limits"), "conn_idle_s", 15),
                 micros(conf.path("limits"), "dial_timeout_s", 0.25),
-                Math.round(PROBE_S * 1e6),
+                Math.round(PROBE_TIMEOUT_S * 1e6),
                 conf.path("limits").path("retry_after").asBoolean(true));
     }
 
+    /** The longest time budget of a request of this class. */
     public long deadlineUs(int jobClass) {
         return deadlinesUs.get(jobClass);
     }
--- a/src/main/java/damsonslip/config/UnreadableConfigurationException.java
+++ b/src/main/java/damsonslip/config/UnreadableConfigurationException.java
@@ -1,8 +1,8 @@
 package damsonslip.config;
 
 /**
- * A file that could not be read just now: the system may give it later, where its content cannot be
- * used at all.
+ * A configuration file that could not be read. Unlike one with wrong content it may be readable
+ * later, so reading it is worth a retry.
  */
 public final class UnreadableConfigurationException extends ConfigurationException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/damsonslip/tools/fleetreport/package-info.java
+++ b/src/main/java/damsonslip/tools/fleetreport/package-info.java
@@ -5,6 +5,6 @@
  * damsonslip.tools.fleetreport.Second} holds the sums of one second, {@link
  * damsonslip.tools.fleetreport.Loss} names why a query earned nothing, and {@link
  * damsonslip.tools.fleetreport.Report} puts it into words. No files, no clock: the command that
- * reads the folder is {@code damsonslip.cli.FleetLogs}.
+ * reads the folder is {@code damsonslip.cli.FleetCommand}.
  */
 package damsonslip.tools.fleetreport;
--- a/src/test/java/damsonslip/cli/FleetLogsTest.java
+++ b/src/test/java/damsonslip/cli/FleetCommandTest.java
@@ -16,7 +16,7 @@
  * The command that sums a folder of logs: two schedulers, two workers, one query for each way to
  * end.
  */
-class FleetLogsTest {
+class FleetCommandTest {
     private static final String START =
             """
             settings dispatchers=2 number=0 zone=0 atUs=36000000000 coldUs=5000000.0 fallUs=1000000 fallMultiple=2.0
