--- a/src/main/java/damsonslip/admin/console/ConsoleCommands.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleCommands.java
@@ -30,9 +30,12 @@
             counters   what was taken in, sent and answered since the start
             phase      where the program stands between its start and its exit
             waits      how long the loop has made things wait for their turn, since the start
-            slow       peers that something is due from: what waits for them, their pace, how long they may go on
-            events [ID] the newest events, or those of one request: taken, sent, ended, answered, closed and why
-            invariants how often each rule was broken by what the program did; nought, or there is a fault
+            slow       peers that something is due from: what waits for them, their pace, \
+            how long they may go on
+            events [ID] the newest events, or those of one request: taken, sent, ended, \
+            answered, closed and why
+            invariants how often each rule was broken by what the program did; nought, or \
+            there is a fault
             stats      the figures that the second address gives, by class
             disable ID nothing new goes to this worker from now on
             enable ID  this worker is used again, as one that has just started
--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -52,12 +52,12 @@
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        List<String> whole = lines.take(part);
-        if (whole == null) {
+        List<String> complete = lines.take(part);
+        if (complete == null) {
             end();
             return;
         }
-        commands.addAll(whole);
+        commands.addAll(complete);
         next();
     }
 
--- a/src/main/java/damsonslip/admin/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -13,7 +13,7 @@
  */
 final class ManagementConnection extends EventLoopConnection {
     /** Bytes of a request: a verb and a worker's id. */
-    private static final int LONGEST_LINE = 512;
+    private static final int MAX_LINE_LENGTH = 512;
 
     /**
      * Time for a complete request, and again for reading the response: twice what a response may
@@ -22,17 +22,17 @@
     private static final long REQUEST_TIMEOUT_US = 2_000_000;
 
     /**
-     * A request is answered within a second (DAYS), also where the disk takes longer; saying it
-     * again is harmless.
+     * Operators' tools expect a response within a second, also where the disk takes longer; a
+     * repeated request is harmless.
      */
     private static final long RESPONSE_TIMEOUT_US = 900_000;
 
     private final ManagementServer server;
-    private final LineDecoder lines = new LineDecoder(LONGEST_LINE);
+    private final LineDecoder lines = new LineDecoder(MAX_LINE_LENGTH);
     private EventLoop.Timer timeout;
 
-    /** The request has come whole, or too late. */
-    private boolean taken;
+    /** A complete request was received, or the time for it is over. */
+    private boolean requestEnded;
 
     private boolean responded;
     long openedUs;
@@ -57,14 +57,15 @@
     protected void received(ByteBuffer bytes) {
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        if (taken) {
+        if (requestEnded) {
             return;
         }
-        List<String> whole = lines.take(part);
-        if (whole == null || whole.stream().anyMatch(line -> line.length() > LONGEST_LINE)) {
+        List<String> complete = lines.take(part);
+        if (complete == null
+                || complete.stream().anyMatch(line -> line.length() > MAX_LINE_LENGTH)) {
             finish(ManagementResponse.no("the line is too long"));
-        } else if (!whole.isEmpty()) {
-            taken = true;
+        } else if (!complete.isEmpty()) {
+            requestEnded = true;
             timeout.cancel();
             timeout =
                     server.loop()
@@ -74,18 +75,18 @@
                                             respond(
                                                     ManagementResponse.no(
                                                             "not done yet; say it again")));
-            server.answer(whole.get(0), this::respond);
+            server.answer(complete.get(0), this::respond);
         }
     }
 
     /** Whether its request is being carried out. */
     boolean awaitsResult() {
-        return taken && !responded;
+        return requestEnded && !responded;
     }
 
     private void finish(ByteBuffer response) {
-        if (!taken) {
-            taken = true;
+        if (!requestEnded) {
+            requestEnded = true;
             respond(response);
         }
     }
@@ -116,7 +117,7 @@
      * then the oldest.
      */
     static int closingOrder(ManagementConnection one, ManagementConnection other) {
-        int leaves = Boolean.compare(other.isLingering(), one.isLingering());
-        return leaves != 0 ? leaves : Long.compare(one.openedUs, other.openedUs);
+        int byLingering = Boolean.compare(other.isLingering(), one.isLingering());
+        return byLingering != 0 ? byLingering : Long.compare(one.openedUs, other.openedUs);
     }
 }
--- a/src/main/java/damsonslip/admin/management/ManagementRequest.java
+++ b/src/main/java/damsonslip/admin/management/ManagementRequest.java
@@ -34,7 +34,7 @@
 
     /** Decodes a line; blanks around and between its words do not matter. */
     static ManagementRequest decode(String line) throws MalformedException {
-        String[] words = line.strip().split("[ \t]+");
+        String[] words = line.strip().split("[ \t]+", 0);
         Verb verb = null;
         for (Verb known : Verb.values()) {
             verb = known.name().equals(words[0]) ? known : verb;
--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -57,7 +57,7 @@
     /**
      * Starts to listen; requests are answered with {@code NO} until {@link #serve}.
      *
-     * @throws BadInput if the address is malformed or cannot be bound
+     * @throws ConfigurationException if the address is malformed or cannot be bound
      */
     public void listen(String address) throws ConfigurationException {
         try {
@@ -70,12 +70,12 @@
         }
     }
 
-    /** Carries requests out from now on; called on the loop. */
-    public void serve(Operations by) {
-        operations = by;
+    /** Executes requests from now on; called on the loop. */
+    public void serve(Operations newOperations) {
+        operations = newOperations;
     }
 
-    /** Carries a request out; the response is told on the loop, then or later. */
+    /** Executes a request; calls {@code response} on the loop, at once or later. */
     void answer(String line, Consumer<ByteBuffer> response) {
         if (operations == null) {
             response.accept(ManagementResponse.no("starting"));
@@ -89,14 +89,15 @@
     }
 
     private void answer(ManagementRequest request, Consumer<ByteBuffer> response) {
-        Consumer<OperationResult> result = done -> response.accept(ManagementResponse.of(done));
+        Consumer<OperationResult> onResult =
+                result -> response.accept(ManagementResponse.of(result));
         switch (request.verb()) {
-            case READY -> result.accept(operations.ready());
+            case READY -> onResult.accept(operations.ready());
             case STATS -> response.accept(ManagementResponse.of(operations.metrics()));
-            case DISABLE -> operations.disable(request.workerId(), result);
-            case ENABLE -> operations.enable(request.workerId(), result);
-            case DRAIN -> result.accept(operations.drain());
-            case UNDRAIN -> result.accept(operations.undrain());
+            case DISABLE -> operations.disable(request.workerId(), onResult);
+            case ENABLE -> operations.enable(request.workerId(), onResult);
+            case DRAIN -> onResult.accept(operations.drain());
+            case UNDRAIN -> onResult.accept(operations.undrain());
         }
     }
 
--- a/src/main/java/damsonslip/admin/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -30,18 +30,18 @@
      * process.
      */
     public interface OverrideStore {
-        /** Keeps nothing beyond the process. */
+        /** Stores nothing: changes end with the process. */
         OverrideStore NONE =
-                (change, kept, failed) -> {
+                (change, stored, failed) -> {
                     change.run();
-                    kept.run();
+                    stored.run();
                 };
 
         /**
-         * Applies the change and tells on the event loop, then or later, that it is kept or that it
-         * could not be.
+         * Applies and stores the change. Calls {@code stored} or {@code failed} on the event loop,
+         * at once or later.
          */
-        void change(Runnable change, Runnable kept, Consumer<IOException> failed);
+        void change(Runnable change, Runnable stored, Consumer<IOException> failed);
     }
 
     private final LifecyclePhase phase;
@@ -49,6 +49,7 @@
     private final Frontend front;
     private final OverrideStore overrides;
 
+    /** Creates the commands of the scheduler behind this front. */
     public Operations(
             LifecyclePhase phase, Counters counters, Frontend front, OverrideStore overrides) {
         this.phase = phase;
@@ -64,16 +65,16 @@
     }
 
     /**
-     * Disables a worker: no further requests are sent to it until {@link #enable}; tells on the
-     * loop, then or later.
+     * Disables a worker: no further requests are sent to it until {@link #enable}; {@code done} is
+     * called on the loop, at once or later.
      */
     public void disable(String id, Consumer<OperationResult> done) {
         change(id, front.driver()::disable, id + " gets nothing new", done);
     }
 
     /**
-     * Enables a disabled worker, which is treated as one that has just started; tells on the loop,
-     * then or later.
+     * Enables a disabled worker, which is treated as one that has just started; {@code done} is
+     * called on the loop, at once or later.
      */
     public void enable(String id, Consumer<OperationResult> done) {
         change(id, front.driver()::enable, id + " is used again", done);
@@ -81,27 +82,27 @@
 
     private void change(
             String id, Predicate<String> change, String changed, Consumer<OperationResult> done) {
-        AtomicBoolean isKnown = new AtomicBoolean();
+        AtomicBoolean isListed = new AtomicBoolean();
         overrides.change(
-                () -> isKnown.set(change.test(id)),
-                () -> done.accept(kept(id, isKnown.get(), changed)),
+                () -> isListed.set(change.test(id)),
+                () -> done.accept(result(id, isListed.get(), changed)),
                 error -> {
-                    LOG.warn("the bans cannot be kept: {}", error.getMessage());
+                    LOG.warn("event=overrides_not_stored error=\"{}\"", error.getMessage());
                     done.accept(
                             OperationResult.failure(
                                     "it cannot be kept for other processes; say it again"));
                 });
     }
 
-    private static OperationResult kept(String id, boolean isKnown, String changed) {
-        if (!isKnown) {
+    private static OperationResult result(String id, boolean isListed, String changed) {
+        if (!isListed) {
             return OperationResult.failure("no such worker: " + id);
         }
         LOG.info("operator: {}", changed);
         return OperationResult.success(changed);
     }
 
-    /** Starts connection draining: clients are sent away while the process stays up. */
+    /** Starts connection draining: connections of clients are closed while the process stays up. */
     public OperationResult drain() {
         if (phase.atLeast(State.LEAVING)) {
             return OperationResult.success("leaving already");
@@ -123,19 +124,19 @@
 
     /** A snapshot of all metrics. */
     public List<Metric> metrics() {
-        SchedulerEngine driver = front.driver();
+        SchedulerEngine engine = front.driver();
         List<Metric> metrics = new ArrayList<>();
-        for (int i = 0; i < driver.classes(); i++) {
+        for (int i = 0; i < engine.classes(); i++) {
             String name = front.className(i);
-            metrics.add(Metric.counter("success." + name, driver.answers(i, Kind.SERVED)));
-            metrics.add(Metric.counter("overload." + name, driver.answers(i, Kind.THROTTLED)));
-            metrics.add(Metric.counter("error." + name, driver.answers(i, Kind.FAILED)));
+            metrics.add(Metric.counter("success." + name, engine.answers(i, Kind.SERVED)));
+            metrics.add(Metric.counter("overload." + name, engine.answers(i, Kind.THROTTLED)));
+            metrics.add(Metric.counter("error." + name, engine.answers(i, Kind.FAILED)));
         }
         metrics.add(Metric.counter("dispatches", counters.get(Count.EXECUTIONS_WRITTEN)));
-        metrics.add(Metric.gauge("concurrent", driver.open()));
-        Set<String> targets = driver.targets();
+        metrics.add(Metric.gauge("concurrent", engine.open()));
+        Set<String> targets = engine.targets();
         Map<String, WorkerState> states =
-                driver.workers().stream()
+                engine.workers().stream()
                         .collect(Collectors.toMap(WorkerState::id, worker -> worker));
         metrics.add(Metric.gauge("targets", targets.size()));
         metrics.add(
