--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -84,7 +84,7 @@
     }
 
     boolean isEligible(Worker worker) {
-        return request.eligibleWorkers(worker.id());
+        return request.isEligible(worker.id());
     }
 
     /** Whether only some workers are eligible. */
--- a/src/main/java/damsonslip/policy/api/Action.java
+++ b/src/main/java/damsonslip/policy/api/Action.java
@@ -1,5 +1,5 @@
 package damsonslip.policy.api;
 
-/** What a dispatcher shall do. */
+/** An action that the policy asks its caller to carry out. */
 public sealed interface Action
         permits Send, Cancel, Reject, Fail, ProbeWorker, SetTimer, WatchWorkerList, Log {}
--- a/src/main/java/damsonslip/policy/api/AttemptOutcome.java
+++ b/src/main/java/damsonslip/policy/api/AttemptOutcome.java
@@ -1,14 +1,22 @@
 package damsonslip.policy.api;
 
-/** How an attempt ended. */
+/** Outcome of an attempt. */
 public enum AttemptOutcome {
+    /** The worker ran the job. */
     SERVED,
+    /** The worker answered with an error. */
     ERROR,
+    /** The worker rejected the job for lack of room. */
     FULL,
+    /** No answer came in time. */
     TIMED_OUT,
+    /** No connection to the worker came up. */
     NOT_CONNECTED,
+    /** The connection broke before the answer was complete. */
     RESET,
+    /** The policy cancelled it. */
     CANCELLED,
+    /** It ended before anything was sent. */
     NEVER_SENT;
 
     /** Whether this outcome proves that the job did not run. */
--- a/src/main/java/damsonslip/policy/api/AttemptStarted.java
+++ b/src/main/java/damsonslip/policy/api/AttemptStarted.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** An attempt's job has started. */
+/** The worker has said that it started to run an attempt's job. */
 public record AttemptStarted(String job, int attempt) implements Event {}
--- a/src/main/java/damsonslip/policy/api/Cancel.java
+++ b/src/main/java/damsonslip/policy/api/Cancel.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Call an attempt off. */
+/** Cancel an attempt. */
 public record Cancel(String job, int attempt) implements Action {}
--- a/src/main/java/damsonslip/policy/api/ConnectionLost.java
+++ b/src/main/java/damsonslip/policy/api/ConnectionLost.java
@@ -1,7 +1,4 @@
 package damsonslip.policy.api;
 
-/**
- * The other side, or the network, has ended a connection to a worker on which nothing was under
- * way.
- */
+/** An idle connection to a worker was closed by the worker or the network. */
 public record ConnectionLost(String worker) implements Event {}
--- a/src/main/java/damsonslip/policy/api/DiscoveryAddressChanged.java
+++ b/src/main/java/damsonslip/policy/api/DiscoveryAddressChanged.java
@@ -1,8 +1,9 @@
 package damsonslip.policy.api;
 
 /**
- * News of discovery's address; {@code sinceUs} is when the operators asked for the reload that
- * brought them.
+ * The configured address of discovery has changed, or could not be read.
+ *
+ * @param reloadRequestedUs when the operator asked for the reload
  */
 public record DiscoveryAddressChanged(DiscoveryAddressState state, long reloadRequestedUs)
         implements Event {}
--- a/src/main/java/damsonslip/policy/api/DiscoveryAddressState.java
+++ b/src/main/java/damsonslip/policy/api/DiscoveryAddressState.java
@@ -1,13 +1,13 @@
 package damsonslip.policy.api;
 
-/** What is known of discovery's address after the operators have asked for a reload. */
+/** What is known of discovery's address after a requested reload. */
 public enum DiscoveryAddressState {
     /** The configuration cannot be read at the moment, and may name another address. */
     UNREAD,
     /** The configuration was read, or refused for what it says. */
     READ,
-    /** It names another address, where discovery has yet to tell its list. */
+    /** It names another address, which has not sent a worker list yet. */
     MOVED,
-    /** Discovery has told its list at its new address. */
+    /** The new address has sent a worker list. */
     HEARD
 }
--- a/src/main/java/damsonslip/policy/api/Event.java
+++ b/src/main/java/damsonslip/policy/api/Event.java
@@ -1,6 +1,6 @@
 package damsonslip.policy.api;
 
-/** What happens to a dispatcher. */
+/** An event that the policy has to handle. */
 public sealed interface Event
         permits WorkerListUpdate,
                 DiscoveryAddressChanged,
--- a/src/main/java/damsonslip/policy/api/Fail.java
+++ b/src/main/java/damsonslip/policy/api/Fail.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Final answer: failed, with no promise. */
+/** Final answer: the job has failed and may have run. */
 public record Fail(String job) implements Action {}
--- a/src/main/java/damsonslip/policy/api/Guarantees.java
+++ b/src/main/java/damsonslip/policy/api/Guarantees.java
@@ -4,12 +4,13 @@
  * The figures of the four rules.
  *
  * @param responseGraceUs how long after the client's deadline a final answer still counts
- * @param drainGraceUs how soon sends to a draining worker must end
- * @param maxPollIntervalUs how often a list that is not watched has to be asked for at the least
- * @param slowStartShare the share of its capacity that a worker starts with
- * @param slowStartUs when it is warm
- * @param overloadFactor more than this multiple of its present capacity,
- * @param overloadWindowUs for this long, pushes a cold worker over
+ * @param drainGraceUs how soon sending to a draining worker has to end
+ * @param maxPollIntervalUs longest time between two polls of a worker list that is not watched
+ * @param slowStartShare share of its capacity that a worker starts with, above 0 and up to 1
+ * @param slowStartUs time until a worker has its full capacity
+ * @param overloadFactor a worker that warms up is overloaded by more than this multiple of its
+ *     present capacity
+ * @param overloadWindowUs for this long
  */
 public record Guarantees(
         long responseGraceUs,
@@ -19,6 +20,7 @@
         long slowStartUs,
         double overloadFactor,
         long overloadWindowUs) {
+    /** Checks the ranges of all figures. */
     public Guarantees {
         Requirements.require(responseGraceUs >= 0, "settings: grace to answer: " + responseGraceUs);
         Requirements.require(drainGraceUs >= 0, "settings: drain grace: " + drainGraceUs);
@@ -31,8 +33,9 @@
         Requirements.require(overloadWindowUs > 0, "settings: fall time: " + overloadWindowUs);
     }
 
-    /** The worst share of its capacity that a worker may have at this age. */
-    public double slowStartShareAt(long age) {
-        return Math.min(1, slowStartShare + (1 - slowStartShare) * Math.max(0, age) / slowStartUs);
+    /** Returns the least share of its capacity that a worker has this long after its start. */
+    public double slowStartShareAt(long ageUs) {
+        return Math.min(
+                1, slowStartShare + (1 - slowStartShare) * Math.max(0, ageUs) / slowStartUs);
     }
 }
--- a/src/main/java/damsonslip/policy/api/Idempotency.java
+++ b/src/main/java/damsonslip/policy/api/Idempotency.java
@@ -1,10 +1,10 @@
 package damsonslip.policy.api;
 
-/** What a repeat of a job does. */
+/** What happens if a job of a class runs twice. */
 public enum Idempotency {
     /** May run any number of times. */
     IDEMPOTENT,
-    /** Repeats are dropped within a group of workers and a window of time. */
+    /** Workers that share the idempotency key drop a repeat within a window of time. */
     IDEMPOTENT_WITH_KEY,
     /** Must not run twice. */
     NOT_IDEMPOTENT
--- a/src/main/java/damsonslip/policy/api/IdempotencyScope.java
+++ b/src/main/java/damsonslip/policy/api/IdempotencyScope.java
@@ -1,8 +1,11 @@
 package damsonslip.policy.api;
 
-/** The workers that drop a keyed job's repeats: all, those of one zone, or those of one cell. */
+/** The workers that share idempotency keys. */
 public enum IdempotencyScope {
+    /** All workers. */
     ALL_WORKERS,
+    /** The workers of one zone. */
     ZONE,
+    /** The workers of one cell. */
     CELL
 }
--- a/src/main/java/damsonslip/policy/api/JobArrived.java
+++ b/src/main/java/damsonslip/policy/api/JobArrived.java
@@ -3,9 +3,17 @@
 import java.util.function.Predicate;
 
 /**
- * A client's job; {@code subject} is null where jobs belong to no program or data set, and {@code
- * mostRuns} bounds the attempts that may have run below what its class allows; {@code fits} tells
- * which workers can take the job at all, by id, and is null if each can.
+ * A client's job has arrived.
+ *
+ * @param job id, which no unfinished job has
+ * @param jobClass index of its class in the settings
+ * @param tenant index of its tenant's quota in the settings; 0 if there are none
+ * @param affinityKey the program or data set that it uses, or null
+ * @param deadlineUs when the client gives up
+ * @param slots slots that it needs at a worker, at least 1
+ * @param memory memory that it needs, in the unit of the load reports
+ * @param maxRuns most attempts that may have run, if its class allows so many
+ * @param eligibleWorkers tells by id which workers can run it; null if each can
  */
 public record JobArrived(
         String job,
@@ -18,25 +26,36 @@
         int maxRuns,
         Predicate<String> eligibleWorkers)
         implements Event {
+    /** Checks the ranges. */
     public JobArrived {
         Requirements.require(job != null, "a job without an id");
         Requirements.require(slots >= 1, "slots of a job: " + slots);
         Requirements.require(maxRuns >= 1, "runs of a job: " + maxRuns);
     }
 
+    /** Creates a job that any worker can run, as often as its class allows. */
     public JobArrived(
             String job,
             int jobClass,
             int tenant,
-            Long subject,
+            Long affinityKey,
             long deadlineUs,
             int slots,
             double memory) {
-        this(job, jobClass, tenant, subject, deadlineUs, slots, memory, Integer.MAX_VALUE, null);
+        this(
+                job,
+                jobClass,
+                tenant,
+                affinityKey,
+                deadlineUs,
+                slots,
+                memory,
+                Integer.MAX_VALUE,
+                null);
     }
 
-    /** Whether this worker can take it. */
-    public boolean eligibleWorkers(String worker) {
+    /** Returns whether this worker can run it. */
+    public boolean isEligible(String worker) {
         return eligibleWorkers == null || eligibleWorkers.test(worker);
     }
 }
--- a/src/main/java/damsonslip/policy/api/Limits.java
+++ b/src/main/java/damsonslip/policy/api/Limits.java
@@ -1,13 +1,13 @@
 package damsonslip.policy.api;
 
 /**
- * What is allowed.
+ * Limits and prices of what the policy may do.
  *
- * @param maxAttempts attempts for one job
- * @param mayCancel whether attempts may be called off
+ * @param maxAttempts most attempts for one job, at least 1
+ * @param mayCancel whether attempts may be cancelled
  * @param mayProbe whether workers may be probed
- * @param probePrice points of service for one probe a job
- * @param crossZonePrice points of service for an attempt that crosses zones, a job
+ * @param probePrice points of service that a probe for each job costs
+ * @param crossZonePrice points of service that an attempt across zones for each job costs
  */
 public record Limits(
         int maxAttempts,
@@ -15,6 +15,7 @@
         boolean mayProbe,
         double probePrice,
         double crossZonePrice) {
+    /** Checks the ranges. */
     public Limits {
         Requirements.require(maxAttempts >= 1, "settings: attempts: " + maxAttempts);
         Requirements.require(probePrice >= 0, "settings: price of a probe: " + probePrice);
--- a/src/main/java/damsonslip/policy/api/LoadReport.java
+++ b/src/main/java/damsonslip/policy/api/LoadReport.java
@@ -1,8 +1,10 @@
 package damsonslip.policy.api;
 
 /**
- * A load report; a figure that it does not hold is NaN. {@code slots} are all that the worker has,
- * as a worker tells that offers them by itself; {@code errors} are those a second.
+ * A worker's load report; a figure that it does not hold is NaN.
+ *
+ * @param totalSlots all slots, as stated by a worker that fetches jobs
+ * @param errorsPerSecond jobs that failed there
  */
 public record LoadReport(
         double freeSlots,
@@ -10,13 +12,14 @@
         double reservedMemory,
         double totalSlots,
         double errorsPerSecond) {
-    public LoadReport(double freeSlots, double freeMemory, double held) {
-        this(freeSlots, freeMemory, held, Double.NaN, Double.NaN);
+    /** Creates a report without total slots and errors. */
+    public LoadReport(double freeSlots, double freeMemory, double reservedMemory) {
+        this(freeSlots, freeMemory, reservedMemory, Double.NaN, Double.NaN);
     }
 
-    /** A report of a worker that offers its slots by itself. */
+    /** Creates a report of a worker that fetches jobs and states its slots. */
     public static LoadReport fromOfferedSlots(
-            double freeSlots, double freeMemory, double held, double slots) {
-        return new LoadReport(freeSlots, freeMemory, held, slots, Double.NaN);
+            double freeSlots, double freeMemory, double reservedMemory, double totalSlots) {
+        return new LoadReport(freeSlots, freeMemory, reservedMemory, totalSlots, Double.NaN);
     }
 }
--- a/src/main/java/damsonslip/policy/api/Log.java
+++ b/src/main/java/damsonslip/policy/api/Log.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Leave a line in the dispatcher's log. */
+/** Write a line to the scheduler's log. */
 public record Log(String text) implements Action {}
--- a/src/main/java/damsonslip/policy/api/ProbeResult.java
+++ b/src/main/java/damsonslip/policy/api/ProbeResult.java
@@ -1,24 +1,24 @@
 package damsonslip.policy.api;
 
-/** How a probe of a worker ended. */
+/** Result of a probe of a worker. */
 public enum ProbeResult {
-    /** Answered with 200: it takes work. */
+    /** Answered with 200: the worker takes work. */
     HEALTHY,
     /**
-     * The same, over a connection that has stood since discovery was last heard: it has not been
-     * started anew since.
+     * The same over a connection that has lasted since discovery was last heard: the worker has not
+     * been restarted since.
      */
     HEALTHY_THROUGHOUT,
-    /** Answered otherwise: it drains, or is in trouble. */
+    /** Answered otherwise: the worker drains or has a fault. */
     UNHEALTHY,
     /** No connection came up, it broke, or no answer came in time. */
     UNREACHABLE,
-    /** No connection has stood since discovery was last heard; none was probed. */
+    /** No connection has lasted since discovery was last heard, so nothing was sent. */
     NO_LASTING_CONNECTION,
-    /** This scheduler had no connection to spare for it just now. */
+    /** This scheduler had no connection to spare for it. */
     NOT_SENT;
 
-    /** Whether the worker takes work. */
+    /** Returns whether the worker takes work. */
     public boolean isHealthy() {
         return this == HEALTHY || this == HEALTHY_THROUGHOUT;
     }
--- a/src/main/java/damsonslip/policy/api/ProbeWorker.java
+++ b/src/main/java/damsonslip/policy/api/ProbeWorker.java
@@ -1,7 +1,9 @@
 package damsonslip.policy.api;
 
 /**
- * Ask a worker for its load, and whether it takes work; over a connection that came up by that
- * time, or over any if that is {@link Long#MAX_VALUE}.
+ * Probe a worker: request its load, and whether it takes work.
+ *
+ * @param connectedBeforeUs the connection has to have come up by this time; {@link Long#MAX_VALUE}
+ *     if any will do
  */
 public record ProbeWorker(String worker, long connectedBeforeUs) implements Action {}
--- a/src/main/java/damsonslip/policy/api/Reject.java
+++ b/src/main/java/damsonslip/policy/api/Reject.java
@@ -1,4 +1,8 @@
 package damsonslip.policy.api;
 
-/** Final answer: turned away, trying again is harmless and makes sense after this long. */
+/**
+ * Final answer: the job is rejected and may be retried without risk.
+ *
+ * @param retryAfterUs time after which a retry makes sense
+ */
 public record Reject(String job, long retryAfterUs) implements Action {}
--- a/src/main/java/damsonslip/policy/api/Requirements.java
+++ b/src/main/java/damsonslip/policy/api/Requirements.java
@@ -1,6 +1,6 @@
 package damsonslip.policy.api;
 
-/** Checks of the values that settings and events are made of. */
+/** Checks of arguments. */
 final class Requirements {
     private Requirements() {}
 
--- a/src/main/java/damsonslip/policy/api/SchedulersChanged.java
+++ b/src/main/java/damsonslip/policy/api/SchedulersChanged.java
@@ -1,7 +1,8 @@
 package damsonslip.policy.api;
 
 /**
- * From now on so many dispatchers count as sharing the workers, and this one has that number among
- * them.
+ * The number of schedulers that share the workers has changed.
+ *
+ * @param schedulerIndex this scheduler's number among them, from 0
  */
 public record SchedulersChanged(int schedulers, int schedulerIndex) implements Event {}
--- a/src/main/java/damsonslip/policy/api/SetTimer.java
+++ b/src/main/java/damsonslip/policy/api/SetTimer.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Wake this dispatcher with {@link TimerDue} at this time. */
+/** Deliver {@link TimerDue} with this label at this time. */
 public record SetTimer(long atUs, String label) implements Action {}
--- a/src/main/java/damsonslip/policy/api/Settings.java
+++ b/src/main/java/damsonslip/policy/api/Settings.java
@@ -3,23 +3,23 @@
 import java.util.List;
 
 /**
- * What the dispatcher is told once, before anything else.
+ * Settings of one scheduler.
  *
- * @param schedulers how many dispatchers share the workers
+ * @param schedulers how many schedulers share the workers
  * @param schedulerIndex this one's number among them, from 0
  * @param zone this one's zone
- * @param zones how many zones there are
- * @param kinds how many kinds of worker there are
+ * @param zones number of zones
+ * @param kinds number of kinds of worker
  * @param classes the job classes
- * @param tenantQuotas jobs a second within each tenant's share, over all dispatchers; or empty
- * @param limits what is allowed
+ * @param tenantQuotas jobs a second that each tenant may send over all schedulers; or empty
+ * @param limits limits and prices
  * @param guarantees the figures of the four rules
  * @param loadReporting where load reports come from
- * @param pollsWorkerList whether the list of workers comes only when asked for
+ * @param pollsWorkerList whether the worker list comes only when it is polled
  * @param reportsJobStart whether workers say when a job starts
- * @param tickUs the least time between two events of a dispatcher
- * @param probesReportDraining whether a worker that drains does not answer a probe as one that
- *     takes work
+ * @param tickUs least time between two events of a scheduler
+ * @param probesReportDraining whether a draining worker's answer to a probe differs from that of
+ *     one that takes work
  */
 public record Settings(
         int schedulers,
@@ -36,6 +36,7 @@
         boolean reportsJobStart,
         long tickUs,
         boolean probesReportDraining) {
+    /** Checks the ranges. */
     public Settings {
         classes = List.copyOf(classes);
         tenantQuotas = List.copyOf(tenantQuotas);
@@ -62,10 +63,10 @@
         }
     }
 
-    /** Settings of a site where probes tell nothing of drains. */
+    /** Creates settings of a site where probes do not show draining. */
     public Settings(
-            int dispatchers,
-            int number,
+            int schedulers,
+            int schedulerIndex,
             int zone,
             int zones,
             int kinds,
@@ -73,13 +74,13 @@
             List<Double> tenantQuotas,
             Limits limits,
             Guarantees guarantees,
-            LoadReporting reporting,
-            boolean listOnRequest,
-            boolean tellsStart,
+            LoadReporting loadReporting,
+            boolean pollsWorkerList,
+            boolean reportsJobStart,
             long tickUs) {
         this(
-                dispatchers,
-                number,
+                schedulers,
+                schedulerIndex,
                 zone,
                 zones,
                 kinds,
@@ -87,18 +88,18 @@
                 tenantQuotas,
                 limits,
                 guarantees,
-                reporting,
-                listOnRequest,
-                tellsStart,
+                loadReporting,
+                pollsWorkerList,
+                reportsJobStart,
                 tickUs,
                 false);
     }
 
-    /** The same for one of so many dispatchers. */
-    public Settings withSchedulers(SchedulersChanged e) {
+    /** Returns these settings with another number of schedulers. */
+    public Settings withSchedulers(SchedulersChanged change) {
         return new Settings(
-                e.schedulers(),
-                e.schedulerIndex(),
+                change.schedulers(),
+                change.schedulerIndex(),
                 zone,
                 zones,
                 kinds,
@@ -113,7 +114,7 @@
                 probesReportDraining);
     }
 
-    /** The same where a worker that drains does not answer a probe as one that takes work. */
+    /** Returns these settings for a site where probes show draining. */
     public Settings withProbesReportingDraining() {
         return new Settings(
                 schedulers,
@@ -132,13 +133,15 @@
                 true);
     }
 
-    /** Whether workers can be asked themselves whether they take work, where no list holds. */
+    /** Returns whether workers are probed for leases while no worker list is valid. */
     public boolean leasesWorkersByProbe() {
         return probesReportDraining && pollsWorkerList && limits.mayProbe();
     }
 
     /**
-     * Rejects an event that names a class, tenant, zone or kind that these settings do not have.
+     * Checks an event against these settings.
+     *
+     * @throws IllegalArgumentException if it names an unknown class, tenant, zone or kind
      */
     public void validate(Event event) {
         if (event instanceof JobArrived e) {
--- a/src/main/java/damsonslip/policy/api/SlowStartLoad.java
+++ b/src/main/java/damsonslip/policy/api/SlowStartLoad.java
@@ -1,7 +1,9 @@
 package damsonslip.policy.api;
 
 /**
- * What a cold worker was sent from here in its window, and what it bears there from all
- * dispatchers; both in requests of mean work.
+ * Load of a worker that warms up, in requests of mean work.
+ *
+ * @param requests sent there by this scheduler in the window at hand
+ * @param capacity what the worker bears in it from all schedulers
  */
 public record SlowStartLoad(double requests, double capacity) {}
--- a/src/main/java/damsonslip/policy/api/WatchWorkerList.java
+++ b/src/main/java/damsonslip/policy/api/WatchWorkerList.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Ask for changes of the list from now on. */
+/** Call discovery for the worker list, and watch it from then on. */
 public record WatchWorkerList() implements Action {}
--- a/src/main/java/damsonslip/policy/api/WorkerEntry.java
+++ b/src/main/java/damsonslip/policy/api/WorkerEntry.java
@@ -1,12 +1,15 @@
 package damsonslip.policy.api;
 
 /**
- * A worker as the list names it.
+ * An entry of the worker list.
  *
+ * @param cell the group that shares idempotency keys of {@link IdempotencyScope#CELL}
+ * @param kind index of its kind, from 0
  * @param startedUs when it last started, or {@link Long#MIN_VALUE} if long past
  */
 public record WorkerEntry(
         String id, int zone, int cell, int kind, WorkerStatus status, long startedUs) {
+    /** Checks the ranges. */
     public WorkerEntry {
         Requirements.require(id != null, "a worker without an id");
         Requirements.require(kind >= 0, "kind of a worker: " + kind);
--- a/src/main/java/damsonslip/policy/api/WorkerListChange.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListChange.java
@@ -1,6 +1,6 @@
 package damsonslip.policy.api;
 
-/** What a list update holds: workers, or the way in which a call or a watch ended. */
+/** What a {@link WorkerListUpdate} reports: workers, or how a call or a watch ended. */
 public enum WorkerListChange {
     /** Workers that have changed. */
     CHANGES,
@@ -14,22 +14,22 @@
     FAILED,
     /** No connection to discovery came up. */
     UNREACHABLE,
-    /** An open watch fell silent. */
+    /** An open watch has been silent for too long. */
     SILENT,
     /** This machine could not make the call. */
     NOT_CALLED;
 
-    /** Whether a worker that the update does not name has been removed. */
+    /** Returns whether a worker that the update does not name has been removed. */
     public boolean isComplete() {
         return this == COMPLETE || this == KEPT;
     }
 
-    /** Whether the update was received from discovery just now. */
+    /** Returns whether the update was received from discovery just now. */
     public boolean isFromDiscovery() {
         return this == CHANGES || this == COMPLETE;
     }
 
-    /** Whether the update reports the end of a call or a watch instead of workers. */
+    /** Returns whether the update reports the end of a call or a watch instead of workers. */
     public boolean isFailure() {
         return switch (this) {
             case FAILED, UNREACHABLE, SILENT, NOT_CALLED -> true;
--- a/src/main/java/damsonslip/policy/api/WorkerListUpdate.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListUpdate.java
@@ -3,17 +3,21 @@
 import java.util.List;
 
 /**
- * The list of workers, or changes to it, or the end of a call or a watch; {@code heardUs} tells for
- * a watch that fell silent when it last said something, and for a list that was kept when the
- * process that begins with it was launched.
+ * The worker list, or changes to it, or the end of a call or a watch.
+ *
+ * @param lastReceivedUs for {@link WorkerListChange#SILENT}, when the watch was last heard; for
+ *     {@link WorkerListChange#KEPT}, when the process that starts with the list was launched; else
+ *     {@link Long#MAX_VALUE}
  */
 public record WorkerListUpdate(
         WorkerListChange change, List<WorkerEntry> workers, long lastReceivedUs) implements Event {
+    /** Copies the list. */
     public WorkerListUpdate {
         workers = List.copyOf(workers);
     }
 
-    public WorkerListUpdate(WorkerListChange mode, List<WorkerEntry> workers) {
-        this(mode, workers, Long.MAX_VALUE);
+    /** Creates an update whose times do not matter. */
+    public WorkerListUpdate(WorkerListChange change, List<WorkerEntry> workers) {
+        this(change, workers, Long.MAX_VALUE);
     }
 }
--- a/src/main/java/damsonslip/policy/api/WorkerState.java
+++ b/src/main/java/damsonslip/policy/api/WorkerState.java
@@ -1,9 +1,14 @@
 package damsonslip.policy.api;
 
 /**
- * How a worker stands, as far as this dispatcher knows; {@code pool} is a class or -1, {@code
- * coldPartUs} the work that it may send there in the window at hand while the worker is cold, in
- * microseconds of slots.
+ * State of a worker as this scheduler knows it, for people to read.
+ *
+ * @param paused whether nothing is sent there after a failure, or because it was full
+ * @param outstanding own attempts that have not ended
+ * @param freeSlots free slots, estimated; below 0 if own jobs wait there to start
+ * @param pool index of the job class that it is dealt to, or -1
+ * @param slowStartBudgetUs work that may be sent there in the window at hand while it warms up, in
+ *     microseconds of slots; else 0
  */
 public record WorkerState(
         String id,
--- a/src/main/java/damsonslip/policy/api/WorkerStatus.java
+++ b/src/main/java/damsonslip/policy/api/WorkerStatus.java
@@ -1,8 +1,11 @@
 package damsonslip.policy.api;
 
-/** What the list of workers says about one of them. */
+/** Status of a worker on the worker list. */
 public enum WorkerStatus {
+    /** Takes work. */
     RUNNING,
+    /** Finishes its work and takes no more. */
     DRAINING,
+    /** Is gone. */
     REMOVED
 }
