--- a/src/test/java/damsonslip/policy/ThresholdTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionThresholdTest.java
@@ -8,18 +8,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The threshold search against the paper's figure 1 and against a direct summation. */
-class ThresholdTest {
+class AdmissionThresholdTest {
     private static final double FINE = 1e-12;
 
     @ParameterizedTest
     @CsvSource({"10, 7.5, 19", "7, 5, 14", "13, 10, 24", "4, 2, 9", "16, 13, 28"})
-    void agreesWithThePapersFigure1(int n, double load, int k) {
+    void matchesFigure1OfThePaper(int n, double load, int k) {
         assertEquals(k, AdmissionThreshold.search(n, load, 1, 2, 100, AdmissionThreshold.EPSILON));
     }
 
     @ParameterizedTest
     @CsvSource({"1, 0.5, 2", "1, 2, 3", "2, 1.5, 1.5", "3, 2, 2.5", "5, 8, 2", "8, 6, 3"})
-    void agreesWithADirectSummation(int n, double load, double q) {
+    void matchesDirectSummation(int n, double load, double q) {
         int found = AdmissionThreshold.search(n, load, 1, q, 1, FINE);
         double at = revenue(n, load, q, found);
         assertTrue(at >= revenue(n, load, q, found - 1), "K is no worse than one less");
--- /dev/null
+++ b/src/test/java/damsonslip/policy/AttemptMigrationTest.java
@@ -0,0 +1,84 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.IDEMPOTENT;
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.jobClass;
+import static damsonslip.policy.ScriptedScheduler.sentTo;
+import static damsonslip.policy.ScriptedScheduler.settings;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Cancel;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Send;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Migrates jobs that do not start. */
+class AttemptMigrationTest {
+    /**
+     * A silent worker's jobs go elsewhere, once, if they may be repeated; a subject's stay with its
+     * worker.
+     */
+    @Test
+    void migratesIdempotentJobThatDoesNotStart() {
+        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
+        ScriptedScheduler scheduler =
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, once)).workers(4);
+        scheduler.jobArrives("a");
+        scheduler.attemptStarts("a", 0);
+        assertTrue(
+                actionsOfType(scheduler.advance(SECOND / 2), Cancel.class).isEmpty(),
+                "a started job stays");
+        scheduler.jobArrives("b", 1, 0, null);
+        scheduler.jobArrives("c", 0, 0, 5L);
+        assertTrue(
+                actionsOfType(scheduler.advance(SECOND / 2), Cancel.class).isEmpty(),
+                "neither may move");
+        String first = sentTo(scheduler.jobArrives("d"), "d");
+        assertEquals(
+                List.of(new Cancel("d", 0)),
+                actionsOfType(scheduler.advance(SECOND / 10), Cancel.class));
+        List<Action> after =
+                new ArrayList<>(scheduler.attemptEnds("d", 0, AttemptOutcome.CANCELLED));
+        after.addAll(scheduler.advance(SECOND / 20));
+        assertFalse(first.equals(sentTo(after, "d")), "not to the one that did not start it");
+        assertEquals(1, actionsOfType(after, Send.class).size());
+    }
+
+    /**
+     * Of so many jobs one starts 150 ms after it was sent, wherever that is, and the others at
+     * once. Guards against moving where queues are everywhere: where workers run on what was called
+     * off, the moves are the load that keeps them up.
+     */
+    @ParameterizedTest
+    @CsvSource({"1, 0, 3", "2, 0, 10", "10, 35, 40"})
+    void migratesJobsWhileMostStartPromptly(int of, int least, int most) {
+        ScriptedScheduler scheduler = new ScriptedScheduler(settings(14, 0, IDEMPOTENT)).workers(8);
+        int moved = 0;
+        for (int i = 0; i < 400; i++) {
+            String job = "j" + i;
+            scheduler.jobArrives(job);
+            int attempt = 0;
+            if (i % of == of - 1) {
+                while (!actionsOfType(scheduler.advance(150_000), Cancel.class).isEmpty()) {
+                    scheduler.attemptEnds(job, attempt++, AttemptOutcome.CANCELLED);
+                }
+                moved += attempt > 0 ? 1 : 0;
+            }
+            scheduler.attemptStarts(job, attempt);
+            scheduler.advance(50_000);
+            scheduler.attemptEnds(job, attempt, AttemptOutcome.SERVED);
+        }
+        assertTrue(moved >= least && moved <= most, moved + " are moved");
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/policy/BorrowingTest.java
@@ -0,0 +1,141 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.IDEMPOTENT;
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.sentTo;
+import static damsonslip.policy.ScriptedScheduler.settings;
+import static damsonslip.policy.ScriptedScheduler.workersUsedByClass;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
+import damsonslip.policy.api.JobClass;
+import damsonslip.policy.api.Reject;
+import damsonslip.policy.api.Send;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Sends jobs to the pools of other classes. */
+class BorrowingTest {
+    /**
+     * A threshold bounds what waits for the own pool; beside a pool that is mostly free nobody is
+     * turned away.
+     */
+    @Test
+    void borrowsFromMostlyFreePoolInsteadOfRejecting() {
+        ScriptedScheduler scheduler =
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(10);
+        workersUsedByClass(scheduler, 600);
+        List<Action> all = new ArrayList<>();
+        for (int i = 0; i < 34; i++) {
+            all.addAll(scheduler.jobArrives("burst" + i, 0, 0, null));
+        }
+        assertEquals(0, actionsOfType(all, Reject.class).size());
+        assertTrue(
+                actionsOfType(all, Send.class).stream().map(Send::worker).distinct().count() > 5,
+                "beyond the own five");
+    }
+
+    /**
+     * Where a class's whole pool is slow its mean tells nothing: what it lends elsewhere shows how
+     * long jobs take.
+     */
+    @Test
+    void borrowsWhenAllWorkersOfThePoolAreSlow() {
+        ScriptedScheduler scheduler =
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(4);
+        int[] late = new int[2];
+        for (int round = 0; round < 120; round++) {
+            String prefix = "job" + round + "-";
+            Set<String> slow = new TreeSet<>();
+            for (int j = 0; j < 12; j++) {
+                String id = prefix + j;
+                scheduler.jobArrives(id, j % 2, 0, null);
+            }
+            scheduler.advance(SECOND / 20);
+            for (Send send : actionsOfType(scheduler.actions, Send.class)) {
+                if (send.job().startsWith(prefix)) {
+                    scheduler.attemptStarts(send.job(), 0);
+                    if (send.worker().compareTo("w2") < 0) {
+                        slow.add(send.job());
+                    }
+                }
+            }
+            scheduler.advance(SECOND / 10);
+            actionsOfType(scheduler.actions, Send.class).stream()
+                    .map(Send::job)
+                    .filter(job -> job.startsWith(prefix) && !slow.contains(job))
+                    .forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
+            scheduler.advance(SECOND);
+            slow.forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
+            late[round < 60 ? 0 : 1] += slow.size();
+        }
+        assertTrue(
+                late[0] > 0 && late[1] < late[0] / 2,
+                late[0] + ", then " + late[1] + " at slow workers");
+    }
+
+    /**
+     * Guards against turning away, beside slots seen free, what a small pool cannot take while its
+     * one worker is out.
+     */
+    @Test
+    void borrowsAnyFreeSlotWhenThePoolIsOut() {
+        ScriptedScheduler scheduler =
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
+        for (int i = 0; i < 100; i++) {
+            scheduler.reportedFreeSlots =
+                    i % 20 == 0 ? 4 : 1.4; // of four: less than a pool lends in good times
+            scheduler.jobArrives("j" + i, i % 20 == 0 ? 1 : 0, 0, null);
+            scheduler.advance(100_000);
+            scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
+        }
+        String own = sentTo(scheduler.jobArrives("x", 1, 0, null), "x");
+        scheduler.attemptEnds("x", 0, AttemptOutcome.NOT_CONNECTED);
+        String lent = sentTo(scheduler.advance(110_000), "x");
+        assertTrue(lent != null && !lent.equals(own), "sent to " + own + ", then to " + lent);
+    }
+
+    /**
+     * Guards against turning away what earns much in little time beside slots that a cheaper class
+     * leaves free.
+     */
+    @ParameterizedTest
+    @ValueSource(doubles = {0.2, 5})
+    void borrowsAnyFreeSlotForMoreValuableClass(double worth) {
+        JobClass first =
+                new JobClass(
+                        200_000,
+                        2,
+                        worth,
+                        Idempotency.IDEMPOTENT,
+                        IdempotencyScope.ALL_WORKERS,
+                        5 * SECOND,
+                        -1);
+        ScriptedScheduler scheduler =
+                new ScriptedScheduler(settings(1, 0, first, IDEMPOTENT)).workers(8);
+        for (int i = 0; i < 200; i++) {
+            scheduler.reportedFreeSlots =
+                    i % 20 < 2 ? 4 : 1.4; // of four: less than a pool lends in good times
+            scheduler.jobArrives("j" + i, i % 2, 0, null);
+            scheduler.advance(100_000);
+            scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
+        }
+        List<Action> actions = new ArrayList<>();
+        for (int i = 0; i < 40; i++) {
+            actions.addAll(scheduler.jobArrives("x" + i, 0, 0, null));
+        }
+        long used =
+                actionsOfType(actions, Send.class).stream().map(Send::worker).distinct().count();
+        assertEquals(worth > 1, used > 4, "half of the workers are its own: it used " + used);
+    }
+}
--- a/src/test/java/damsonslip/policy/ProbedCandidatesTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -1,10 +1,10 @@
 package damsonslip.policy;
 
-import static damsonslip.policy.Script.SECOND;
-import static damsonslip.policy.Script.jobClass;
-import static damsonslip.policy.Script.only;
-import static damsonslip.policy.Script.sentTo;
-import static damsonslip.policy.Script.worker;
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.jobClass;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.sentTo;
+import static damsonslip.policy.ScriptedScheduler.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -33,13 +33,13 @@
  * Where only probes tell of loads, a job asks some workers before it goes to one: older reports are
  * of little use.
  */
-class ProbedCandidatesTest {
+class CandidateProbingTest {
     private static final int WORKERS = 8;
     private static final int CANDIDATES = 4;
-    private static final long LOOK_US = 40_000;
+    private static final long WAIT_US = 40_000;
 
-    private final Script script =
-            new Script(
+    private final ScriptedScheduler scheduler =
+            new ScriptedScheduler(
                     new Settings(
                             100,
                             0,
@@ -55,54 +55,55 @@
                             false,
                             true,
                             4_000));
-    private final List<String> asked = new ArrayList<>();
-    private List<Action> first;
+    private final List<String> probedWorkers = new ArrayList<>();
+    private List<Action> firstActions;
 
     @BeforeEach
-    void aJobComes() {
-        script.list(
+    void jobArrives() {
+        scheduler.updateWorkerList(
                 WorkerListChange.KEPT,
                 IntStream.range(0, WORKERS)
                         .mapToObj(i -> worker("w" + i))
                         .toArray(WorkerEntry[]::new));
-        first = script.job("j1");
-        only(first, ProbeWorker.class).forEach(probe -> asked.add(probe.worker()));
+        firstActions = scheduler.jobArrives("j1");
+        actionsOfType(firstActions, ProbeWorker.class)
+                .forEach(probe -> probedWorkers.add(probe.worker()));
     }
 
-    private List<Action> reports(String worker, double free) {
-        return script.give(
+    private List<Action> reportsFreeSlots(String worker, double free) {
+        return scheduler.handle(
                 new ProbeEnded(
                         worker, ProbeResult.HEALTHY, new LoadReport(free, Double.NaN, Double.NaN)));
     }
 
     @Test
-    void asksSomeWorkersAndSendsToTheOneWithMostRoom() {
-        assertEquals(CANDIDATES, asked.size());
-        assertNull(sentTo(first, "j1"));
-        assertNull(sentTo(reports(asked.get(0), 0), "j1"));
-        assertNull(sentTo(reports(asked.get(1), 3), "j1"));
-        assertNull(sentTo(reports(asked.get(2), 1), "j1"));
-        assertEquals(asked.get(1), sentTo(reports(asked.get(3), 0), "j1"));
+    void probesCandidatesAndSendsToTheOneWithMostFreeSlots() {
+        assertEquals(CANDIDATES, probedWorkers.size());
+        assertNull(sentTo(firstActions, "j1"));
+        assertNull(sentTo(reportsFreeSlots(probedWorkers.get(0), 0), "j1"));
+        assertNull(sentTo(reportsFreeSlots(probedWorkers.get(1), 3), "j1"));
+        assertNull(sentTo(reportsFreeSlots(probedWorkers.get(2), 1), "j1"));
+        assertEquals(probedWorkers.get(1), sentTo(reportsFreeSlots(probedWorkers.get(3), 0), "j1"));
     }
 
     @Test
-    void waitsNoLongerThanALookTakes() {
-        reports(asked.get(2), 2);
-        assertEquals(asked.get(2), sentTo(script.pass(2 * LOOK_US), "j1"));
+    void waitsForAnswersOnlyForALimitedTime() {
+        reportsFreeSlots(probedWorkers.get(2), 2);
+        assertEquals(probedWorkers.get(2), sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
     @Test
-    void isSentThoughNobodyAnswers() {
-        assertNotNull(sentTo(script.pass(2 * LOOK_US), "j1"));
+    void sendsJobThoughNoCandidateAnswers() {
+        assertNotNull(sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
     /** A report that has just come is as good as the answer to a probe. */
     @Test
-    void asksNobodyWhoHasJustReported() {
-        asked.forEach(worker -> reports(worker, 4));
-        List<Action> second = script.job("j2");
+    void doesNotProbeWorkersThatHaveJustReported() {
+        probedWorkers.forEach(worker -> reportsFreeSlots(worker, 4));
+        List<Action> second = scheduler.jobArrives("j2");
         assertTrue(
-                only(second, ProbeWorker.class).stream()
-                        .noneMatch(probe -> asked.contains(probe.worker())));
+                actionsOfType(second, ProbeWorker.class).stream()
+                        .noneMatch(probe -> probedWorkers.contains(probe.worker())));
     }
 }
--- a/src/test/java/damsonslip/policy/ColdFleetTest.java
+++ b/src/test/java/damsonslip/policy/ColdFleetTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Rule 4 over a whole fleet: whatever all dispatchers together send to a worker while it is cold
+ * Rule 4 over a whole fleet: whatever all schedulers together send to a worker while it is cold
  * stays, in any span of the rule's length, within N + 2 x root of N + 2 requests of mean work, or
  * came mostly from those that could not know.
  */
@@ -106,7 +106,7 @@
      * more comes in than cold workers may take.
      */
     static Site anySite(SplittableRandom random, int mostClasses) {
-        int dispatchers = new int[] {20, 30, 100}[random.nextInt(3)];
+        int schedulers = new int[] {20, 30, 100}[random.nextInt(3)];
         Guarantees guarantees =
                 guarantees(
                         0.05 + 0.45 * random.nextDouble(),
@@ -128,18 +128,12 @@
         LoadReporting reporting =
                 random.nextBoolean() ? LoadReporting.WITH_RESPONSES : LoadReporting.BY_PROBE;
         Site site =
-                new Site(dispatchers, dispatchers, guarantees, reporting, workerSlots, traffic, 1);
+                new Site(schedulers, schedulers, guarantees, reporting, workerSlots, traffic, 1);
         double slots = workerSlots * guarantees.slowStartShareAt(4 * SECOND);
         double allowed = guarantees.overloadFactor() * slots * SECOND / site.meanWork();
         double jobsPerSecond = Math.min(1_200, 6 * allowed);
         return new Site(
-                dispatchers,
-                dispatchers,
-                guarantees,
-                reporting,
-                workerSlots,
-                traffic,
-                jobsPerSecond);
+                schedulers, schedulers, guarantees, reporting, workerSlots, traffic, jobsPerSecond);
     }
 
     /** Two workers start cold, half a second apart, while all others are full. */
@@ -154,7 +148,7 @@
 
     @ParameterizedTest
     @EnumSource(Trouble.class)
-    void aWholeFleetSparesColdWorkers(Trouble trouble) {
+    void keepsWholeFleetWithinTheSlowStartBound(Trouble trouble) {
         int requests = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
             Site site = anySite(new SplittableRandom(seed), 1);
@@ -172,7 +166,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
-    void smallColdWorkersAreSparedByDispatchersThatHaveJustStarted(int workerSlots) {
+    void keepsNewSchedulersWithinTheBoundOfSmallWorkers(int workerSlots) {
         Site site =
                 new Site(
                         100,
@@ -188,11 +182,11 @@
     }
 
     /**
-     * Shows that the tests above can fail: thirty dispatchers that take themselves for ten spend
+     * Shows that the tests above can fail: thirty schedulers that take themselves for ten spend
      * three budgets.
      */
     @Test
-    void aFleetThatCountsItselfTooSmallPushesAColdWorkerOver() {
+    void overloadsWorkerIfSchedulersAreMiscounted() {
         Site site =
                 new Site(
                         30,
--- a/src/test/java/damsonslip/policy/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -24,20 +24,31 @@
  * of them take.
  */
 class FetchingWorkersTest {
-    private static Script script() {
-        return new Script(
-                Script.settings(
+    private static ScriptedScheduler newScheduler() {
+        return new ScriptedScheduler(
+                ScriptedScheduler.settings(
                         1,
                         0,
-                        Script.jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS),
-                        Script.jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
+                        ScriptedScheduler.jobClass(
+                                Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS),
+                        ScriptedScheduler.jobClass(
+                                Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
     }
 
-    private static List<String> send(Script script, String id, Predicate<String> fits) {
+    private static List<String> send(
+            ScriptedScheduler scheduler, String id, Predicate<String> fits) {
         return sent(
-                script.give(
+                scheduler.handle(
                         new JobArrived(
-                                id, 0, 0, null, script.now + 10 * Script.SECOND, 1, 0, 1, fits)));
+                                id,
+                                0,
+                                0,
+                                null,
+                                scheduler.now + 10 * ScriptedScheduler.SECOND,
+                                1,
+                                0,
+                                1,
+                                fits)));
     }
 
     private static List<String> sent(List<Action> actions) {
@@ -48,96 +59,100 @@
         return workers;
     }
 
-    private static void offers(Script script, String worker, int free, int slots) {
-        script.give(
+    private static void offersSlots(
+            ScriptedScheduler scheduler, String worker, int free, int slots) {
+        scheduler.handle(
                 new ProbeEnded(
                         worker,
                         ProbeResult.HEALTHY,
                         LoadReport.fromOfferedSlots(free, Double.NaN, slots - free, slots)));
     }
 
-    private static void ended(Script script, String id, AttemptOutcome outcome) {
-        script.give(new AttemptEnded(id, 0, outcome, outcome == AttemptOutcome.SERVED, null));
+    private static void attemptEnds(
+            ScriptedScheduler scheduler, String id, AttemptOutcome outcome) {
+        scheduler.handle(new AttemptEnded(id, 0, outcome, outcome == AttemptOutcome.SERVED, null));
     }
 
     @Test
-    void aJobGoesOnlyToAWorkerThatFitsEvenIfNoneOfItsOwnPoolDoes() {
-        Script script = script().workers(4);
+    void sendsJobToItsOnlyEligibleWorkerInAnyPool() {
+        ScriptedScheduler scheduler = newScheduler().workers(4);
         for (int i = 0; i < 4; i++) {
             String only = "w" + i;
-            List<String> went = new ArrayList<>(send(script, "j" + i, only::equals));
-            went.addAll(sent(script.pass(3 * Script.SECOND)));
+            List<String> went = new ArrayList<>(send(scheduler, "j" + i, only::equals));
+            went.addAll(sent(scheduler.advance(3 * ScriptedScheduler.SECOND)));
             assertEquals(List.of(only), went, "whichever pool that worker is in");
-            ended(script, "j" + i, AttemptOutcome.SERVED);
+            attemptEnds(scheduler, "j" + i, AttemptOutcome.SERVED);
         }
     }
 
     @Test
-    void aWorkerIsAsLargeAsItSays() {
-        Script script = script().workers(1);
-        offers(script, "w0", 20, 20);
+    void usesTheSlotsThatAWorkerStates() {
+        ScriptedScheduler scheduler = newScheduler().workers(1);
+        offersSlots(scheduler, "w0", 20, 20);
         int went = 0;
         for (int i = 0; i < 20; i++) {
-            went += send(script, "j" + i, null).size();
+            went += send(scheduler, "j" + i, null).size();
         }
         assertEquals(20, went, "though nothing of its kind was ever seen before");
-        WorkerState state = script.rules.workers(script.now).get(0);
+        WorkerState state = scheduler.policy.workers(scheduler.now).get(0);
         assertEquals(0, state.freeSlots(), 0.01);
-        ended(script, "j0", AttemptOutcome.SERVED);
+        attemptEnds(scheduler, "j0", AttemptOutcome.SERVED);
         assertEquals(
                 0,
-                script.rules.workers(script.now).get(0).freeSlots(),
+                scheduler.policy.workers(scheduler.now).get(0).freeSlots(),
                 0.01,
                 "its slot is free once it is offered");
-        offers(script, "w0", 1, 20);
-        assertEquals(1, script.rules.workers(script.now).get(0).freeSlots(), 0.01);
+        offersSlots(scheduler, "w0", 1, 20);
+        assertEquals(1, scheduler.policy.workers(scheduler.now).get(0).freeSlots(), 0.01);
     }
 
     @Test
-    void aWorkerWithOneLongJobIsNotSilentWhileItOffersSlots() {
-        Script script = script().workers(1);
-        offers(script, "w0", 2, 2);
-        assertEquals(1, send(script, "long", null).size());
-        script.started("long", 0);
-        script.pass(60 * Script.SECOND / 10);
-        offers(script, "w0", 1, 2);
-        assertEquals(List.of("w0"), send(script, "next", null), "it asked for another");
+    void keepsUsingBusyWorkerThatOffersSlots() {
+        ScriptedScheduler scheduler = newScheduler().workers(1);
+        offersSlots(scheduler, "w0", 2, 2);
+        assertEquals(1, send(scheduler, "long", null).size());
+        scheduler.attemptStarts("long", 0);
+        scheduler.advance(60 * ScriptedScheduler.SECOND / 10);
+        offersSlots(scheduler, "w0", 1, 2);
+        assertEquals(List.of("w0"), send(scheduler, "next", null), "it asked for another");
     }
 
     @Test
-    void aFailedJobIsNotAFailingWorkerButSeveralInARowAre() {
-        Script script = script().workers(1);
-        offers(script, "w0", 4, 4);
+    void pausesWorkerOnlyAfterSeveralFailedJobsInARow() {
+        ScriptedScheduler scheduler = newScheduler().workers(1);
+        offersSlots(scheduler, "w0", 4, 4);
         for (int i = 0; i < 3; i++) {
-            send(script, "f" + i, null);
-            ended(script, "f" + i, AttemptOutcome.ERROR);
-            assertTrue(!script.rules.workers(script.now).get(0).paused(), "after " + (i + 1));
-            offers(script, "w0", 4, 4);
+            send(scheduler, "f" + i, null);
+            attemptEnds(scheduler, "f" + i, AttemptOutcome.ERROR);
+            assertTrue(
+                    !scheduler.policy.workers(scheduler.now).get(0).paused(), "after " + (i + 1));
+            offersSlots(scheduler, "w0", 4, 4);
         }
-        send(script, "good", null);
-        ended(script, "good", AttemptOutcome.SERVED);
+        send(scheduler, "good", null);
+        attemptEnds(scheduler, "good", AttemptOutcome.SERVED);
         for (int i = 0; i < 4; i++) {
             assertTrue(
-                    !script.rules.workers(script.now).get(0).paused(),
+                    !scheduler.policy.workers(scheduler.now).get(0).paused(),
                     "what was done between counts");
-            offers(script, "w0", 4, 4);
-            send(script, "g" + i, null);
-            ended(script, "g" + i, AttemptOutcome.ERROR);
+            offersSlots(scheduler, "w0", 4, 4);
+            send(scheduler, "g" + i, null);
+            attemptEnds(scheduler, "g" + i, AttemptOutcome.ERROR);
         }
         assertTrue(
-                script.rules.workers(script.now).get(0).paused(), "four with nothing done between");
+                scheduler.policy.workers(scheduler.now).get(0).paused(),
+                "four with nothing done between");
     }
 
     @Test
-    void chanceInVeryShortJobsDoesNotMakeAWorkerSlow() {
-        Script script = script().workers(1);
-        offers(script, "w0", 4, 4);
+    void toleratesNoiseInVeryShortRunTimes() {
+        ScriptedScheduler scheduler = newScheduler().workers(1);
+        offersSlots(scheduler, "w0", 4, 4);
         for (int i = 0; i < 40; i++) {
-            send(script, "q" + i, null);
-            script.now += i % 4 == 0 ? 4_000 : 200; // now and then twenty times as long as usual
-            ended(script, "q" + i, AttemptOutcome.SERVED);
-            offers(script, "w0", 4, 4);
+            send(scheduler, "q" + i, null);
+            scheduler.now += i % 4 == 0 ? 4_000 : 200; // now and then twenty times as long as usual
+            attemptEnds(scheduler, "q" + i, AttemptOutcome.SERVED);
+            offersSlots(scheduler, "w0", 4, 4);
         }
-        assertEquals(List.of("w0"), send(script, "last", null), "at once");
+        assertEquals(List.of("w0"), send(scheduler, "last", null), "at once");
     }
 }
--- /dev/null
+++ b/src/test/java/damsonslip/policy/LeaseProbingTest.java
@@ -0,0 +1,314 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.jobClass;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.sentTo;
+import static damsonslip.policy.ScriptedScheduler.worker;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.ConnectionLost;
+import damsonslip.policy.api.Idempotency;
+import damsonslip.policy.api.IdempotencyScope;
+import damsonslip.policy.api.ProbeEnded;
+import damsonslip.policy.api.ProbeResult;
+import damsonslip.policy.api.ProbeWorker;
+import damsonslip.policy.api.Reject;
+import damsonslip.policy.api.Settings;
+import damsonslip.policy.api.WatchWorkerList;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import damsonslip.policy.api.WorkerStatus;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/**
+ * What is sent while no list of discovery holds: nothing but to workers that have just said that
+ * they take work.
+ */
+class LeaseProbingTest {
+    /**
+     * The list of a watch that was lost holds for 6.35 s; discovery fails all calls from then on.
+     */
+    private static final long NO_LIST_US = 7 * SECOND;
+
+    /** The grace of a drain, less what bytes need to leave. */
+    private static final long LEASE_US = 350_000;
+
+    private final ScriptedScheduler scheduler = new ScriptedScheduler(settings());
+
+    private static Settings settings() {
+        return ScriptedScheduler.settings(
+                        1,
+                        0,
+                        List.of(),
+                        true,
+                        jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS))
+                .withProbesReportingDraining();
+    }
+
+    /** Two workers whose list holds no more, and was heard until its watch was lost. */
+    private void loseWorkerList() {
+        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
+        scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
+        long end = scheduler.now + NO_LIST_US;
+        while (scheduler.now < end) {
+            if (!actionsOfType(scheduler.advance(SECOND / 10), WatchWorkerList.class).isEmpty()) {
+                scheduler.handle(
+                        new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
+            }
+        }
+    }
+
+    private static String probedWorker(List<Action> actions) {
+        List<ProbeWorker> probes = actionsOfType(actions, ProbeWorker.class);
+        return probes.isEmpty() ? null : probes.get(0).worker();
+    }
+
+    private List<Action> probeEnds(String worker, ProbeResult result) {
+        return scheduler.handle(new ProbeEnded(worker, result, null));
+    }
+
+    @Test
+    void sendsToWorkerWhoseProbeIsHealthy() {
+        loseWorkerList();
+        List<Action> first = scheduler.jobArrives("j1");
+        assertNull(sentTo(first, "j1"), "nobody vouches for its worker");
+        String asked = probedWorker(first);
+        assertNotNull(asked);
+        scheduler.advance(LEASE_US / 2);
+        assertEquals(asked, sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+    }
+
+    /** A drain that began when the probe was sent ends its grace so long after that. */
+    @Test
+    void startsLeaseWhenTheProbeWasSent() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        scheduler.advance(LEASE_US - 10_000);
+        probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT);
+        assertTrue(scheduler.policy.mayUse(asked, scheduler.now));
+        assertFalse(scheduler.policy.mayUse(asked, scheduler.now + 10_000));
+        scheduler.advance(20_000);
+        assertNull(sentTo(scheduler.jobArrives("j2"), "j2"));
+    }
+
+    @Test
+    void grantsNoLeaseForLateAnswer() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        scheduler.advance(LEASE_US);
+        assertNull(sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+    }
+
+    @Test
+    void probesNextWorkerAfterUnhealthyOne() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        List<Action> after = probeEnds(asked, ProbeResult.UNHEALTHY);
+        assertNull(sentTo(after, "j1"));
+        String other = probedWorker(after);
+        assertNotNull(other);
+        assertFalse(asked.equals(other));
+        assertEquals(other, sentTo(probeEnds(other, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+    }
+
+    /** Who was out of reach since discovery was heard may have started anew, and is cold then. */
+    @Test
+    void waitsForWorkerListAfterUnreachableProbe() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        String other = probedWorker(probeEnds(asked, ProbeResult.UNREACHABLE));
+        probeEnds(other, ProbeResult.UNREACHABLE);
+        List<Action> all = new ArrayList<>(scheduler.advance(3 * SECOND));
+        all.addAll(scheduler.jobArrives("j2"));
+        assertTrue(actionsOfType(all, ProbeWorker.class).isEmpty());
+        assertEquals(
+                1,
+                actionsOfType(all, Reject.class).stream()
+                        .filter(refused -> refused.job().equals("j2"))
+                        .count(),
+                "nobody can be asked: it is answered at once");
+        scheduler.updateWorkerList(WorkerListChange.CHANGES);
+        assertNotNull(sentTo(scheduler.jobArrives("j3"), "j3"), "a list tells of restarts");
+    }
+
+    /**
+     * A new connection does not tell whether its worker was started anew, or removed, meanwhile.
+     */
+    @ParameterizedTest
+    @EnumSource(
+            value = ProbeResult.class,
+            names = {"HEALTHY", "NO_LASTING_CONNECTION"})
+    void grantsLeaseOnlyOverLastingConnection(ProbeResult result) {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        assertNull(sentTo(probeEnds(asked, result), "j1"));
+        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+    }
+
+    /** The longer an outage lasts, the more has changed that no worker can tell. */
+    @Test
+    void stopsProbingLongAfterDiscoveryWasHeard() {
+        loseWorkerList();
+        scheduler.advance(20 * SECOND);
+        List<Action> at = scheduler.jobArrives("j1");
+        assertNull(probedWorker(at));
+        assertEquals(1, actionsOfType(at, Reject.class).size());
+    }
+
+    @Test
+    void endsLeaseWhenAnAttemptIsReset() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT);
+        assertTrue(scheduler.policy.mayUse(asked, scheduler.now));
+        scheduler.attemptEnds("j1", 0, AttemptOutcome.RESET);
+        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+    }
+
+    /**
+     * Which of the two came first cannot be told: the answer may be of the process before the
+     * break.
+     */
+    @Test
+    void grantsNoLeaseAfterLostConnection() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        scheduler.handle(new ConnectionLost(asked));
+        assertNull(sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+    }
+
+    /**
+     * A worker that starts anew breaks the connections that rest; it is cold then, which only a
+     * list tells.
+     */
+    @Test
+    void doesNotProbeWorkerWhoseIdleConnectionBroke() {
+        loseWorkerList();
+        scheduler.handle(new ConnectionLost("a"));
+        scheduler.handle(new ConnectionLost("b"));
+        List<Action> at = scheduler.jobArrives("j1");
+        assertNull(probedWorker(at));
+        assertEquals(1, actionsOfType(at, Reject.class).size());
+    }
+
+    /** Discovery was heard behind it: a list that still stands would tell of a start. */
+    @Test
+    void probesWorkerWhoseConnectionBrokeBeforeTheLastList() {
+        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
+        scheduler.handle(new ConnectionLost("a"));
+        scheduler.handle(new ConnectionLost("b"));
+        scheduler.advance(SECOND);
+        loseWorkerList();
+        assertNotNull(probedWorker(scheduler.jobArrives("j1")));
+    }
+
+    @Test
+    void probesOneWorkerAtATimeForAJob() {
+        loseWorkerList();
+        List<Action> all = new ArrayList<>(scheduler.jobArrives("j1"));
+        all.addAll(scheduler.advance(LEASE_US));
+        assertEquals(1, actionsOfType(all, ProbeWorker.class).size());
+    }
+
+    /** A probe that this machine cannot send says nothing of the worker, which is asked again. */
+    @Test
+    void probesAgainWhenAProbeWasNotSent() {
+        loseWorkerList();
+        String asked = probedWorker(scheduler.jobArrives("j1"));
+        String other = probedWorker(probeEnds(asked, ProbeResult.NOT_SENT));
+        probeEnds(other, ProbeResult.NOT_SENT);
+        String again = probedWorker(scheduler.advance(SECOND / 5));
+        assertNotNull(again);
+        assertEquals(again, sentTo(probeEnds(again, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+    }
+
+    /** While a list holds nobody is asked. */
+    @Test
+    void doesNotProbeWhileTheListIsValid() {
+        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
+        assertNotNull(sentTo(scheduler.jobArrives("j1"), "j1"));
+        assertTrue(actionsOfType(scheduler.actions, ProbeWorker.class).isEmpty());
+    }
+
+    /**
+     * A process that has just started may have a list of long ago: a zone that was lost comes back
+     * with its schedulers and its workers, which are well, and which discovery has removed
+     * meanwhile.
+     */
+    @Test
+    void doesNotProbeOwnZoneBeforeTheFirstList() {
+        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        List<Action> all = new ArrayList<>(scheduler.jobArrives("j1"));
+        all.addAll(scheduler.advance(SECOND));
+        scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
+        scheduler.advance(NO_LIST_US);
+        all.addAll(scheduler.jobArrives("j2"));
+        assertTrue(actionsOfType(all, ProbeWorker.class).isEmpty());
+        assertNull(sentTo(all, "j2"));
+    }
+
+    /**
+     * A worker of another zone was not lost together with this scheduler, and answers for itself.
+     */
+    @Test
+    void probesOtherZonesBeforeTheFirstList() {
+        scheduler.updateWorkerList(
+                WorkerListChange.KEPT,
+                worker("a"),
+                worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
+        assertEquals("far", probedWorker(scheduler.jobArrives("j1")));
+        assertEquals("far", sentTo(probeEnds("far", ProbeResult.HEALTHY), "j1"));
+        assertFalse(scheduler.policy.mayUse("a", scheduler.now));
+    }
+
+    /**
+     * Who was cut off from discovery may be cut off together with workers that it has removed
+     * meanwhile.
+     */
+    @Test
+    void doesNotProbeWhenDiscoveryWasUnreachable() {
+        loseWorkerList();
+        scheduler.handle(
+                new WorkerListUpdate(WorkerListChange.UNREACHABLE, List.of(), scheduler.now));
+        scheduler.advance(NO_LIST_US);
+        scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
+        assertTrue(actionsOfType(scheduler.jobArrives("j1"), ProbeWorker.class).isEmpty());
+    }
+
+    /** Where probes tell nothing of drains, or a worker is told as draining, none counts. */
+    @ParameterizedTest
+    @EnumSource(ProbeResult.class)
+    void sendsNothingWhereProbesDoNotShowDraining(ProbeResult result) {
+        ScriptedScheduler other =
+                new ScriptedScheduler(
+                        ScriptedScheduler.settings(
+                                1,
+                                0,
+                                List.of(),
+                                true,
+                                jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
+        other.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+        other.updateWorkerList(WorkerListChange.COMPLETE, worker("a"));
+        other.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), other.now));
+        other.now += NO_LIST_US;
+        other.handle(new ProbeEnded("a", result, null));
+        List<Action> at = other.jobArrives("j1");
+        assertNull(sentTo(at, "j1"));
+        assertEquals(1, actionsOfType(at, Reject.class).size());
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -0,0 +1,125 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.IDEMPOTENT;
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.settings;
+import static damsonslip.policy.ScriptedScheduler.worker;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.JobArrived;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerListUpdate;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.IntStream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Schedulers that start or fail together do not act in step. */
+class SchedulerDesynchronizationTest {
+    /**
+     * Discovery fails for all at once, again and again: what they do next does not come in step.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {14, 100})
+    void spreadsDiscoveryCallsAndDealsAfterFailures(int schedulers) {
+        List<Long> calls = new ArrayList<>();
+        List<Long> deals = new ArrayList<>();
+        for (int number = 0; number < schedulers; number++) {
+            SchedulingPolicy policy =
+                    new SchedulingPolicy(
+                            settings(schedulers, number, List.of(), true, IDEMPOTENT),
+                            1_000 + number);
+            List<Action> actions = new ArrayList<>();
+            for (int failure = 0; failure < 4; failure++) {
+                actions.clear();
+                policy.handle(
+                        SECOND + failure,
+                        new WorkerListUpdate(WorkerListChange.FAILED, List.of()),
+                        actions);
+                actionsOfType(actions, SetTimer.class)
+                        .forEach(
+                                timer -> {
+                                    if (timer.label().equals("deal")) {
+                                        deals.add(timer.atUs());
+                                    }
+                                });
+            }
+            calls.add(actionsOfType(actions, SetTimer.class).get(0).atUs());
+        }
+        assertTrue(
+                maxWithin(calls, 100_000) < schedulers / 5 + 3,
+                "calls in a tenth of a second: " + maxWithin(calls, 100_000));
+        assertTrue(
+                maxWithin(deals, 50_000) < schedulers / 5 + 3,
+                "deals in a twentieth: " + maxWithin(deals, 50_000));
+    }
+
+    /**
+     * All start at once with the same list and get a query each: neither first calls nor links fall
+     * together.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {14, 100})
+    void spreadsFirstCallsDealsAndConnections(int schedulers) {
+        List<Long> calls = new ArrayList<>();
+        List<Long> deals = new ArrayList<>();
+        Map<String, Integer> opened = new HashMap<>();
+        for (int number = 0; number < schedulers; number++) {
+            SchedulingPolicy policy =
+                    new SchedulingPolicy(
+                            settings(schedulers, number, List.of(), true, IDEMPOTENT),
+                            1_000 + number);
+            List<Action> actions = new ArrayList<>();
+            policy.handle(
+                    SECOND,
+                    new WorkerListUpdate(
+                            WorkerListChange.KEPT,
+                            IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList()),
+                    actions);
+            policy.handle(
+                    SECOND,
+                    new WorkerListUpdate(WorkerListChange.CHANGES, List.of()),
+                    actions); // nothing is sent before
+            policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
+            for (SetTimer timer : actionsOfType(actions, SetTimer.class)) {
+                if (timer.label().equals("list")) {
+                    calls.add(timer.atUs());
+                } else if (timer.label().equals("deal")) {
+                    deals.add(timer.atUs());
+                }
+            }
+            opened.merge(actionsOfType(actions, Send.class).get(0).worker(), 1, Integer::sum);
+        }
+        assertEquals(schedulers, calls.size());
+        assertTrue(
+                maxWithin(calls, 50_000) < schedulers / 4 + 3,
+                "calls in a twentieth: " + maxWithin(calls, 50_000));
+        assertTrue(
+                maxWithin(deals, 50_000) < schedulers / 5 + 3,
+                "deals in a twentieth: " + maxWithin(deals, 50_000));
+        int most = opened.values().stream().max(Integer::compare).orElseThrow();
+        assertTrue(
+                most < schedulers / 10 + 3,
+                most + " of " + schedulers + " go to one of 40 workers first");
+    }
+
+    /** The most of them that fall into any stretch of this length. */
+    private static long maxWithin(List<Long> times, long length) {
+        return times.stream()
+                .mapToLong(
+                        from ->
+                                times.stream()
+                                        .filter(at -> at >= from && at < from + length)
+                                        .count())
+                .max()
+                .orElseThrow();
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/policy/SlowStartTest.java
@@ -0,0 +1,191 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.IDEMPOTENT;
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.sentTo;
+import static damsonslip.policy.ScriptedScheduler.settings;
+import static damsonslip.policy.ScriptedScheduler.worker;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.policy.api.Action;
+import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.SchedulersChanged;
+import damsonslip.policy.api.Send;
+import damsonslip.policy.api.WorkerEntry;
+import damsonslip.policy.api.WorkerListChange;
+import damsonslip.policy.api.WorkerStatus;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Rule 4: all schedulers together do not overload a worker that warms up. */
+class SlowStartTest {
+    @Test
+    void keepsAllSchedulersWithinTheSlowStartBudget() {
+        int schedulers = 20;
+        long start = SECOND;
+        List<Long> sends = new ArrayList<>();
+        double jobUs = 200_000;
+        for (int number = 0; number < schedulers; number++) {
+            ScriptedScheduler scheduler =
+                    new ScriptedScheduler(settings(schedulers, number, IDEMPOTENT));
+            scheduler.updateWorkerList(
+                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, start));
+            for (int i = 0; i < 400; i++) {
+                String id = "job" + i;
+                if (sentTo(scheduler.jobArrives(id), id) != null) {
+                    sends.add(scheduler.now);
+                    scheduler.attemptEnds(id, 0, AttemptOutcome.FULL);
+                }
+                scheduler.advance(20_000);
+            }
+        }
+        assertFalse(sends.isEmpty(), "a cold worker gets something");
+        for (long from = start; from < start + 6 * SECOND; from += 100_000) {
+            long begin = from;
+            double work =
+                    sends.stream().filter(t -> t >= begin && t < begin + 2 * SECOND).count()
+                            * jobUs;
+            double capacity = 4 * (0.25 + 0.75 * (begin - start) / (8.0 * SECOND));
+            assertTrue(work <= 3 * capacity * 2 * SECOND, work + " at " + (begin - start));
+        }
+    }
+
+    /** An upgrade: together two processes send a cold worker no more than one would. */
+    @Test
+    void dividesTheBudgetAmongProcessesOfAScheduler() {
+        int alone = sendsToWarmingUpWorker(1);
+        int divided = sendsToWarmingUpWorker(2);
+        assertTrue(divided > 0, "it still gets something");
+        assertTrue(divided <= 1.1 * alone, divided + " against " + alone);
+    }
+
+    private static int sendsToWarmingUpWorker(int processes) {
+        int sends = 0;
+        for (int number = 0; number < 3 * processes; number++) {
+            ScriptedScheduler scheduler =
+                    new ScriptedScheduler(settings(3, number / processes, IDEMPOTENT));
+            scheduler.updateWorkerList(
+                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
+            if (processes > 1) {
+                scheduler.handle(new SchedulersChanged(3 * processes, number));
+            }
+            for (int i = 0; i < 400; i++) {
+                List<Action> actions = new ArrayList<>(scheduler.jobArrives("job" + i));
+                actions.addAll(scheduler.advance(20_000));
+                List<Send> open = new ArrayList<>(actionsOfType(actions, Send.class));
+                for (int next = 0;
+                        next < open.size();
+                        next++) { // each end may lead to the next send
+                    sends++;
+                    open.addAll(
+                            actionsOfType(
+                                    scheduler.attemptEnds(
+                                            open.get(next).job(), 0, AttemptOutcome.SERVED),
+                                    Send.class));
+                }
+            }
+        }
+        return sends;
+    }
+
+    @Test
+    void startsSlowlyAfterAWorkerRestart() {
+        int sent = 0;
+        for (int number = 0; number < 40; number++) {
+            ScriptedScheduler scheduler = new ScriptedScheduler(settings(40, number, IDEMPOTENT));
+            scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+            assertEquals("a", sentTo(scheduler.jobArrives("x"), "x"));
+            scheduler.advance(SECOND / 5);
+            scheduler.attemptEnds("x", 0, AttemptOutcome.SERVED);
+            scheduler.updateWorkerList(
+                    WorkerListChange.CHANGES,
+                    worker("a", 0, 0, WorkerStatus.RUNNING, scheduler.now));
+            sent += sentTo(scheduler.jobArrives("y"), "y") == null ? 0 : 1;
+        }
+        assertTrue(
+                sent > 0 && sent <= 10,
+                sent + " of 40 take their turn, where the budget holds 11 jobs");
+    }
+
+    /**
+     * Workers of one release are all cold together: a scheduler shall not have its turn at all or
+     * none of them.
+     */
+    @Test
+    void spreadsTurnsOverWarmingUpWorkers() {
+        ScriptedScheduler scheduler = new ScriptedScheduler(settings(40, 3, IDEMPOTENT));
+        List<WorkerEntry> fresh = new ArrayList<>();
+        for (int i = 0; i < 24; i++) {
+            fresh.add(worker("w" + i, 0, 0, WorkerStatus.RUNNING, SECOND));
+        }
+        scheduler.updateWorkerList(WorkerListChange.KEPT, fresh.toArray(WorkerEntry[]::new));
+        for (int turn = 0; turn < 3; turn++) {
+            Set<String> reached = new HashSet<>();
+            sendsOfSteps(scheduler, 90, "turn" + turn)
+                    .forEach(sends -> sends.forEach(send -> reached.add(send.worker())));
+            scheduler.advance(10 * 20_000); // to the next turn
+            assertTrue(
+                    reached.size() > 2 && reached.size() < 20,
+                    "turn " + turn + ": " + reached.size() + " of 24");
+        }
+    }
+
+    /**
+     * However many there are, all together keep within what a cold worker bears, in any window of
+     * the rule's length.
+     */
+    @ParameterizedTest
+    @ValueSource(ints = {1, 3, 14, 100})
+    void keepsAnyNumberOfSchedulersWithinTheBudget(int schedulers) {
+        double[] sent = new double[500];
+        for (int number = 0; number < schedulers; number++) {
+            ScriptedScheduler scheduler =
+                    new ScriptedScheduler(settings(schedulers, number, IDEMPOTENT));
+            scheduler.updateWorkerList(
+                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
+            List<List<Send>> steps = sendsOfSteps(scheduler, 400, "job");
+            for (int i = 0; i < 400; i++) {
+                sent[i] +=
+                        0.2
+                                * steps.get(i)
+                                        .size(); // what a job of this class takes, in core-seconds
+            }
+        }
+        for (int from = 0; from < 290; from++) {
+            double inWindow = 0;
+            for (int i = from; i < from + 100; i++) {
+                inWindow += sent[i];
+            }
+            double warmth = 0.25 + 0.75 * (from * 0.02 + 1) / 8; // in the middle of the window
+            assertTrue(inWindow <= 3 * warmth * 4 * 2, "from " + from + ": " + inWindow);
+        }
+    }
+
+    /** A job every 20 ms, each of which takes 200 ms; gives what was sent in each step. */
+    private static List<List<Send>> sendsOfSteps(
+            ScriptedScheduler scheduler, int count, String name) {
+        List<List<Send>> all = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            List<Action> actions = new ArrayList<>(scheduler.jobArrives(name + i));
+            actions.addAll(scheduler.advance(20_000));
+            all.add(actionsOfType(actions, Send.class));
+            all.get(i).forEach(send -> scheduler.attemptStarts(send.job(), 0));
+            if (i >= 10) {
+                all.get(i - 10)
+                        .forEach(
+                                send ->
+                                        scheduler.attemptEnds(
+                                                send.job(), 0, AttemptOutcome.SERVED));
+            }
+        }
+        return all;
+    }
+}
--- a/src/test/java/embedding/EmbeddingTest.java
+++ b/src/test/java/embedding/EmbeddingTest.java
@@ -52,9 +52,9 @@
                     false,
                     1_000);
 
-    private static List<Send> sends(SchedulingPolicy rules, long now, Event event) {
+    private static List<Send> sends(SchedulingPolicy policy, long now, Event event) {
         List<Action> actions = new ArrayList<>();
-        rules.handle(now, event, actions);
+        policy.handle(now, event, actions);
         return actions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
     }
 
@@ -64,18 +64,19 @@
     }
 
     @Test
-    void aJobFromArrivalToAnswerADrainAndARestart() {
-        SchedulingPolicy rules = new SchedulingPolicy(SETTINGS, 42);
+    void runsAJobDrainsAWorkerAndRestarts() {
+        SchedulingPolicy policy = new SchedulingPolicy(SETTINGS, 42);
         assertTrue(
-                sends(rules, 0, list(WorkerListChange.KEPT, "a", WorkerStatus.RUNNING)).isEmpty());
-        sends(rules, 1_000, list(WorkerListChange.CHANGES, "b", WorkerStatus.RUNNING));
-        List<Send> sent = sends(rules, 2_000, new JobArrived("job-1", 0, 0, null, 5_000_000, 1, 0));
+                sends(policy, 0, list(WorkerListChange.KEPT, "a", WorkerStatus.RUNNING)).isEmpty());
+        sends(policy, 1_000, list(WorkerListChange.CHANGES, "b", WorkerStatus.RUNNING));
+        List<Send> sent =
+                sends(policy, 2_000, new JobArrived("job-1", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("job-1", sent.get(0).job());
         LoadReport report = new LoadReport(4, Double.NaN, Double.NaN);
-        sends(rules, 90_000, new AttemptEnded("job-1", 0, AttemptOutcome.SERVED, true, report));
+        sends(policy, 90_000, new AttemptEnded("job-1", 0, AttemptOutcome.SERVED, true, report));
 
-        sends(rules, 100_000, list(WorkerListChange.CHANGES, "a", WorkerStatus.DRAINING));
-        sent = sends(rules, 110_000, new JobArrived("job-2", 0, 0, null, 5_000_000, 1, 0));
+        sends(policy, 100_000, list(WorkerListChange.CHANGES, "a", WorkerStatus.DRAINING));
+        sent = sends(policy, 110_000, new JobArrived("job-2", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("b", sent.get(0).worker());
 
         SchedulingPolicy restarted = new SchedulingPolicy(SETTINGS, 43);
