--- a/src/test/java/damsonslip/policy/AdmissionTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionTest.java
@@ -37,7 +37,7 @@
         assertEquals("job4", released.get(0).job(), "the oldest held");
     }
 
-    /** Incident ifa450e: in arrival order under overload, all started just too late. */
+    /** Incident ifa450e: in arrival order under overload, all jobs started just too late. */
     @Test
     void rejectsLateQueuedJobWhileOthersWait() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
@@ -50,7 +50,7 @@
         assertEquals(4, actionsOfType(scheduler.actions, Send.class).size());
     }
 
-    /** One tenant's excess took the places of those within their share. */
+    /** Guards against one tenant's excess crowding out those within their quotas. */
     @Test
     void protectsTenantsWithinQuotaFromOneBeyondIt() {
         ScriptedScheduler scheduler =
--- a/src/test/java/damsonslip/policy/AttemptMigrationTest.java
+++ b/src/test/java/damsonslip/policy/AttemptMigrationTest.java
@@ -25,10 +25,7 @@
 
 /** Migrates jobs that do not start. */
 class AttemptMigrationTest {
-    /**
-     * A silent worker's jobs go elsewhere, once, if they may be repeated; a subject's stay with its
-     * worker.
-     */
+    /** Only idempotent jobs migrate, and those with an affinity key stay with their worker. */
     @Test
     void migratesIdempotentJobThatDoesNotStart() {
         JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
@@ -56,9 +53,9 @@
     }
 
     /**
-     * Of so many jobs one starts 150 ms after it was sent, wherever that is, and the others at
-     * once. Guards against moving where queues are everywhere: where workers run on what was called
-     * off, the moves are the load that keeps them up.
+     * One of so many jobs starts 150 ms after it was sent, at any worker, and the others at once.
+     * Guards against migrations where all workers have queues: they add load where workers go on to
+     * run cancelled jobs.
      */
     @ParameterizedTest
     @CsvSource({"1, 0, 3", "2, 0, 10", "10, 35, 40"})
--- a/src/test/java/damsonslip/policy/BorrowingTest.java
+++ b/src/test/java/damsonslip/policy/BorrowingTest.java
@@ -27,8 +27,7 @@
 /** Sends jobs to the pools of other classes. */
 class BorrowingTest {
     /**
-     * A threshold bounds what waits for the own pool; beside a pool that is mostly free nobody is
-     * turned away.
+     * The threshold bounds the queue of the own pool; beside a mostly free pool no job is rejected.
      */
     @Test
     void borrowsFromMostlyFreePoolInsteadOfRejecting() {
@@ -46,8 +45,8 @@
     }
 
     /**
-     * Where a class's whole pool is slow its mean tells nothing: what it lends elsewhere shows how
-     * long jobs take.
+     * If the whole pool of a class is slow, its mean run time does not show that; the run times at
+     * borrowed workers do.
      */
     @Test
     void borrowsWhenAllWorkersOfThePoolAreSlow() {
@@ -85,8 +84,8 @@
     }
 
     /**
-     * Guards against turning away, beside slots seen free, what a small pool cannot take while its
-     * one worker is out.
+     * Guards against rejecting jobs beside reported free slots while the only worker of a small
+     * pool fails.
      */
     @Test
     void borrowsAnyFreeSlotWhenThePoolIsOut() {
@@ -106,17 +105,17 @@
     }
 
     /**
-     * Guards against turning away what earns much in little time beside slots that a cheaper class
-     * leaves free.
+     * Guards against rejecting jobs of a valuable class beside slots that a cheaper one leaves
+     * free.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 5})
-    void borrowsAnyFreeSlotForMoreValuableClass(double worth) {
+    void borrowsAnyFreeSlotForMoreValuableClass(double priorityWeight) {
         JobClass first =
                 new JobClass(
                         200_000,
                         2,
-                        worth,
+                        priorityWeight,
                         Idempotency.IDEMPOTENT,
                         IdempotencyScope.ALL_WORKERS,
                         5 * SECOND,
@@ -136,6 +135,7 @@
         }
         long used =
                 actionsOfType(actions, Send.class).stream().map(Send::worker).distinct().count();
-        assertEquals(worth > 1, used > 4, "half of the workers are its own: it used " + used);
+        assertEquals(
+                priorityWeight > 1, used > 4, "half of the workers are its own: it used " + used);
     }
 }
--- a/src/test/java/damsonslip/policy/CandidateProbingTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where only probes tell of loads, a job asks some workers before it goes to one: older reports are
- * of little use.
+ * Probes some workers before a job is sent, where only probes report load: older reports are of
+ * little use.
  */
 class CandidateProbingTest {
     private static final int WORKERS = 8;
@@ -97,7 +97,7 @@
         assertNotNull(sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
-    /** A report that has just come is as good as the answer to a probe. */
+    /** A fresh report is as good as the answer to a probe. */
     @Test
     void doesNotProbeWorkersThatHaveJustReported() {
         probedWorkers.forEach(worker -> reportsFreeSlots(worker, 4));
--- a/src/test/java/damsonslip/policy/CapacityEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/CapacityEstimatorTest.java
@@ -15,10 +15,7 @@
 
 /** Estimates free slots where each of many schedulers sees few reports. */
 class CapacityEstimatorTest {
-    /**
-     * Guards against sending into the queues of workers of which nothing was heard as though they
-     * were idle.
-     */
+    /** Guards against taking workers that have not reported for idle. */
     @Test
     void assumesUnreportedWorkersAreAsFullAsTheRest() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(14, 0, IDEMPOTENT)).workers(8);
@@ -37,7 +34,10 @@
                 "no report says that anybody has room: " + far);
     }
 
-    /** Guards against figures from before a release: soon after it the same workers are full. */
+    /**
+     * Guards against reports from before a rolling restart, soon after which the same workers are
+     * full.
+     */
     @Test
     void discountsOldLoadReports() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(14, 0, IDEMPOTENT)).workers(8);
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Guards against sending job after job to full workers while no report comes: what does not
-     * start tells as much.
+     * Guards against sending job after job to full workers while no report comes: a job that does
+     * not start shows as much.
      */
     @Test
     void lowersFreeSlotsOfSimilarWorkersWhenAJobDoesNotStart() {
--- a/src/test/java/damsonslip/policy/ColdFleetTest.java
+++ b/src/test/java/damsonslip/policy/ColdFleetTest.java
@@ -22,24 +22,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Rule 4 over a whole fleet: whatever all schedulers together send to a worker while it is cold
- * stays, in any span of the rule's length, within N + 2 x root of N + 2 requests of mean work, or
- * came mostly from those that could not know.
+ * Rule 4 over a whole fleet: the work that all schedulers together send to a worker that warms up
+ * stays, in any window of the rule's length, within N + 2 sqrt(N) + 2 requests of mean work, or
+ * came mostly from schedulers that could not know of the start.
  */
 class ColdFleetTest {
-    /** By now each class has been timed and each worker's reports seen, where traffic allows it. */
+    /** By then run times and load reports have been seen, where traffic allows it. */
     private static final long START = 6 * SECOND;
 
     private static final long END = 16 * SECOND;
     private static final int SEEDS = 4;
 
-    /** What happens beside two workers that start cold while all others are full. */
+    /** Fault beside two workers that warm up while all others are full. */
     enum Trouble {
         NONE((fleet, fall) -> {}),
         LATE_LISTS((fleet, fall) -> fleet.listDelay = 2 * SECOND),
         /**
-         * All are told just before a window of the budget ends, and may spend this one and the next
-         * at once.
+         * All schedulers learn of the start just before a window of the budget ends, and may spend
+         * this one and the next at once.
          */
         NEWS_AT_THE_END_OF_A_WINDOW((fleet, fall) -> fleet.listEarliest = fall - 30_000),
         MOST_RESTART_AT_ONCE(
@@ -102,8 +102,8 @@
     }
 
     /**
-     * Any deployment, with up to so many classes: cold workers, classes and reports differ, and
-     * more comes in than cold workers may take.
+     * A random deployment with up to so many classes, whose traffic exceeds what workers that warm
+     * up may take.
      */
     static Site anySite(SplittableRandom random, int mostClasses) {
         int schedulers = new int[] {20, 30, 100}[random.nextInt(3)];
@@ -136,7 +136,7 @@
                 schedulers, schedulers, guarantees, reporting, workerSlots, traffic, jobsPerSecond);
     }
 
-    /** Two workers start cold, half a second apart, while all others are full. */
+    /** Two workers start half a second apart while all others are full. */
     static List<Worst> play(Site site, long seed, BiConsumer<ColdFleet, Long> trouble) {
         ColdFleet fleet = new ColdFleet(site, seed).warm(4);
         fleet.at(START, fleet::fillWarm);
@@ -160,10 +160,7 @@
         assertTrue(requests > 50 * SEEDS, "cold workers get something: " + requests);
     }
 
-    /**
-     * Guards against budgets that rest on a guess: without reports nobody is taken to have four
-     * slots.
-     */
+    /** Guards against budgets that rest on the default number of slots. */
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void keepsNewSchedulersWithinTheBoundOfSmallWorkers(int workerSlots) {
@@ -182,8 +179,8 @@
     }
 
     /**
-     * Shows that the tests above can fail: thirty schedulers that take themselves for ten spend
-     * three budgets.
+     * Shows that the tests above can fail: thirty schedulers that are configured as ten spend three
+     * budgets.
      */
     @Test
     void overloadsWorkerIfSchedulersAreMiscounted() {
--- a/src/test/java/damsonslip/policy/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -20,8 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the module makes of workers that offer their slots by themselves, and of jobs that not all
- * of them take.
+ * Workers that fetch jobs and state their slots, and jobs for which not all of them are eligible.
  */
 class FetchingWorkersTest {
     private static ScriptedScheduler newScheduler() {
--- a/src/test/java/damsonslip/policy/LeaseProbingTest.java
+++ b/src/test/java/damsonslip/policy/LeaseProbingTest.java
@@ -32,16 +32,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What is sent while no list of discovery holds: nothing but to workers that have just said that
- * they take work.
+ * While no worker list is valid, jobs are sent only to workers whose probe has just granted a
+ * lease.
  */
 class LeaseProbingTest {
-    /**
-     * The list of a watch that was lost holds for 6.35 s; discovery fails all calls from then on.
-     */
+    /** The list of a lost watch is valid for 6.35 s; discovery fails all calls from then on. */
     private static final long NO_LIST_US = 7 * SECOND;
 
-    /** The grace of a drain, less what bytes need to leave. */
+    /** Duration of a lease: the grace of a drain less the time to send. */
     private static final long LEASE_US = 350_000;
 
     private final ScriptedScheduler scheduler = new ScriptedScheduler(settings());
@@ -56,7 +54,7 @@
                 .withProbesReportingDraining();
     }
 
-    /** Two workers whose list holds no more, and was heard until its watch was lost. */
+    /** Lists two workers, loses the watch and lets the list expire. */
     private void loseWorkerList() {
         scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
@@ -90,7 +88,7 @@
         assertEquals(asked, sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
-    /** A drain that began when the probe was sent ends its grace so long after that. */
+    /** The grace of a drain may have begun when the probe was sent. */
     @Test
     void startsLeaseWhenTheProbeWasSent() {
         loseWorkerList();
@@ -123,7 +121,7 @@
         assertEquals(other, sentTo(probeEnds(other, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
-    /** Who was out of reach since discovery was heard may have started anew, and is cold then. */
+    /** A worker that was unreachable may have been restarted, and warms up then. */
     @Test
     void waitsForWorkerListAfterUnreachableProbe() {
         loseWorkerList();
@@ -143,9 +141,7 @@
         assertNotNull(sentTo(scheduler.jobArrives("j3"), "j3"), "a list tells of restarts");
     }
 
-    /**
-     * A new connection does not tell whether its worker was started anew, or removed, meanwhile.
-     */
+    /** A new connection does not show whether its worker was restarted or removed meanwhile. */
     @ParameterizedTest
     @EnumSource(
             value = ProbeResult.class,
@@ -157,7 +153,7 @@
         assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
     }
 
-    /** The longer an outage lasts, the more has changed that no worker can tell. */
+    /** The longer an outage lasts, the more has changed that a worker cannot know. */
     @Test
     void stopsProbingLongAfterDiscoveryWasHeard() {
         loseWorkerList();
@@ -177,10 +173,7 @@
         assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
     }
 
-    /**
-     * Which of the two came first cannot be told: the answer may be of the process before the
-     * break.
-     */
+    /** The answer may be that of the process before the break. */
     @Test
     void grantsNoLeaseAfterLostConnection() {
         loseWorkerList();
@@ -190,10 +183,7 @@
         assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
     }
 
-    /**
-     * A worker that starts anew breaks the connections that rest; it is cold then, which only a
-     * list tells.
-     */
+    /** A restart breaks idle connections, and the worker warms up then, which only a list shows. */
     @Test
     void doesNotProbeWorkerWhoseIdleConnectionBroke() {
         loseWorkerList();
@@ -204,7 +194,7 @@
         assertEquals(1, actionsOfType(at, Reject.class).size());
     }
 
-    /** Discovery was heard behind it: a list that still stands would tell of a start. */
+    /** Discovery was heard after it, so that the last list would show a restart. */
     @Test
     void probesWorkerWhoseConnectionBrokeBeforeTheLastList() {
         scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
@@ -224,7 +214,7 @@
         assertEquals(1, actionsOfType(all, ProbeWorker.class).size());
     }
 
-    /** A probe that this machine cannot send says nothing of the worker, which is asked again. */
+    /** A probe that this machine could not send says nothing about the worker. */
     @Test
     void probesAgainWhenAProbeWasNotSent() {
         loseWorkerList();
@@ -236,7 +226,6 @@
         assertEquals(again, sentTo(probeEnds(again, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
-    /** While a list holds nobody is asked. */
     @Test
     void doesNotProbeWhileTheListIsValid() {
         scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
@@ -246,9 +235,8 @@
     }
 
     /**
-     * A process that has just started may have a list of long ago: a zone that was lost comes back
-     * with its schedulers and its workers, which are well, and which discovery has removed
-     * meanwhile.
+     * A new process may have an old list: a lost zone comes back with its schedulers and with
+     * healthy workers that discovery has removed meanwhile.
      */
     @Test
     void doesNotProbeOwnZoneBeforeTheFirstList() {
@@ -262,9 +250,7 @@
         assertNull(sentTo(all, "j2"));
     }
 
-    /**
-     * A worker of another zone was not lost together with this scheduler, and answers for itself.
-     */
+    /** A worker of another zone was not lost together with this scheduler. */
     @Test
     void probesOtherZonesBeforeTheFirstList() {
         scheduler.updateWorkerList(
@@ -277,7 +263,7 @@
     }
 
     /**
-     * Who was cut off from discovery may be cut off together with workers that it has removed
+     * A scheduler partitioned from discovery may be so together with workers that were removed
      * meanwhile.
      */
     @Test
@@ -290,7 +276,7 @@
         assertTrue(actionsOfType(scheduler.jobArrives("j1"), ProbeWorker.class).isEmpty());
     }
 
-    /** Where probes tell nothing of drains, or a worker is told as draining, none counts. */
+    /** Without probes that show draining there are no leases. */
     @ParameterizedTest
     @EnumSource(ProbeResult.class)
     void sendsNothingWhereProbesDoNotShowDraining(ProbeResult result) {
--- a/src/test/java/damsonslip/policy/OutlierDetectorTest.java
+++ b/src/test/java/damsonslip/policy/OutlierDetectorTest.java
@@ -29,7 +29,7 @@
 
 /** Detects workers that fail, are silent or are slow. */
 class OutlierDetectorTest {
-    /** A hang: the worker takes jobs and answers none. */
+    /** The worker accepts jobs and answers none. */
     @Test
     void sendsNothingToSilentWorker() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(2);
@@ -48,9 +48,7 @@
         assertEquals(0, late);
     }
 
-    /**
-     * A worker that fails at once always looks free: without a pause it would draw all there is.
-     */
+    /** A worker that fails each job at once looks free, and without a pause would draw all jobs. */
     @Test
     void retriesFailingWorkerWithIdempotentJobsOnly() {
         JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
@@ -81,7 +79,7 @@
                 failed[0] + " and " + failed[1] + " failed");
     }
 
-    /** On a bad network links break under jobs all the time; the workers behind them are well. */
+    /** On a bad network connections break while the workers are healthy. */
     @Test
     void keepsUsingWorkerThatAnsweredDespiteReset() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
@@ -96,9 +94,7 @@
                 "a quiet one is spared for a while");
     }
 
-    /**
-     * A worker that has slowed down looks as free as others, and each of its jobs comes too late.
-     */
+    /** A worker that has slowed down looks as free as others, and each of its jobs is late. */
     @Test
     void avoidsSlowWorkerWhileOthersAreFree() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(4);
@@ -115,8 +111,8 @@
     }
 
     /**
-     * Guards against each scheduler finding a failing worker by its own losses, when every report
-     * tells of all errors.
+     * Guards against each scheduler having to lose jobs of its own before it avoids a failing
+     * worker.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.8, 3})
@@ -152,10 +148,7 @@
                 "one error in a second is chance, more are not: " + used);
     }
 
-    /**
-     * Of many workers each scheduler sees few jobs: two have to do, as long as nothing else is
-     * known of them.
-     */
+    /** Each of many schedulers sees few jobs of a worker, so that two have to be enough. */
     @Test
     void detectsSlowWorkerByFewJobs() {
         ScriptedScheduler scheduler =
--- a/src/test/java/damsonslip/policy/PoolDealingTest.java
+++ b/src/test/java/damsonslip/policy/PoolDealingTest.java
@@ -101,7 +101,9 @@
         }
     }
 
-    /** Each zone has some of every pool where that is possible, so that jobs need not cross. */
+    /**
+     * Each zone has some workers of every pool where possible, so that jobs need not cross zones.
+     */
     @Test
     void dealsWorkersOfEachZoneToEveryPool() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT));
@@ -141,7 +143,7 @@
         assertEquals(alone.actions, again.actions);
     }
 
-    /** The first deal comes before the first query is served, on code that is not compiled yet. */
+    /** The first deal precedes the first request, on code that is not compiled yet. */
     @Test
     void dealsManyWorkersQuickly() {
         ScriptedScheduler scheduler =
--- a/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -12,6 +12,7 @@
 import damsonslip.policy.api.JobArrived;
 import damsonslip.policy.api.Send;
 import damsonslip.policy.api.SetTimer;
+import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerListChange;
 import damsonslip.policy.api.WorkerListUpdate;
 import java.util.ArrayList;
@@ -24,19 +25,17 @@
 
 /** Schedulers that start or fail together do not act in step. */
 class SchedulerDesynchronizationTest {
-    /**
-     * Discovery fails for all at once, again and again: what they do next does not come in step.
-     */
+    /** Discovery fails for all schedulers at once, several times. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
     void spreadsDiscoveryCallsAndDealsAfterFailures(int schedulers) {
         List<Long> calls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
-        for (int number = 0; number < schedulers; number++) {
+        for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
                     new SchedulingPolicy(
-                            settings(schedulers, number, List.of(), true, IDEMPOTENT),
-                            1_000 + number);
+                            settings(schedulers, schedulerIndex, List.of(), true, IDEMPOTENT),
+                            1_000 + schedulerIndex);
             List<Action> actions = new ArrayList<>();
             for (int failure = 0; failure < 4; failure++) {
                 actions.clear();
@@ -62,33 +61,19 @@
                 "deals in a twentieth: " + maxWithin(deals, 50_000));
     }
 
-    /**
-     * All start at once with the same list and get a query each: neither first calls nor links fall
-     * together.
-     */
+    /** All schedulers start at once with the same list and get a job each. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
     void spreadsFirstCallsDealsAndConnections(int schedulers) {
         List<Long> calls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
         Map<String, Integer> opened = new HashMap<>();
-        for (int number = 0; number < schedulers; number++) {
+        for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
                     new SchedulingPolicy(
-                            settings(schedulers, number, List.of(), true, IDEMPOTENT),
-                            1_000 + number);
-            List<Action> actions = new ArrayList<>();
-            policy.handle(
-                    SECOND,
-                    new WorkerListUpdate(
-                            WorkerListChange.KEPT,
-                            IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList()),
-                    actions);
-            policy.handle(
-                    SECOND,
-                    new WorkerListUpdate(WorkerListChange.CHANGES, List.of()),
-                    actions); // nothing is sent before
-            policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
+                            settings(schedulers, schedulerIndex, List.of(), true, IDEMPOTENT),
+                            1_000 + schedulerIndex);
+            List<Action> actions = startWithJob(policy);
             for (SetTimer timer : actionsOfType(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
                     calls.add(timer.atUs());
@@ -111,7 +96,17 @@
                 most + " of " + schedulers + " go to one of 40 workers first");
     }
 
-    /** The most of them that fall into any stretch of this length. */
+    private static List<Action> startWithJob(SchedulingPolicy policy) {
+        List<WorkerEntry> workers = IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList();
+        List<Action> actions = new ArrayList<>();
+        policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.KEPT, workers), actions);
+        // nothing is sent before a list from discovery
+        policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CHANGES, List.of()), actions);
+        policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
+        return actions;
+    }
+
+    /** Largest number of these times within any interval of this length. */
     private static long maxWithin(List<Long> times, long length) {
         return times.stream()
                 .mapToLong(
--- a/src/test/java/damsonslip/policy/SlowStartTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartTest.java
@@ -58,7 +58,7 @@
         }
     }
 
-    /** An upgrade: together two processes send a cold worker no more than one would. */
+    /** During an upgrade two processes of a scheduler send no more than one would. */
     @Test
     void dividesTheBudgetAmongProcessesOfAScheduler() {
         int alone = sendsToWarmingUpWorker(1);
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Workers of one release are all cold together: a scheduler shall not have its turn at all or
-     * none of them.
+     * After a rolling restart many workers warm up together; a scheduler's turns at them are spread
+     * out.
      */
     @Test
     void spreadsTurnsOverWarmingUpWorkers() {
@@ -138,10 +138,7 @@
         }
     }
 
-    /**
-     * However many there are, all together keep within what a cold worker bears, in any window of
-     * the rule's length.
-     */
+    /** The bound holds in any window of the rule's length. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 100})
     void keepsAnyNumberOfSchedulersWithinTheBudget(int schedulers) {
@@ -169,7 +166,7 @@
         }
     }
 
-    /** A job every 20 ms, each of which takes 200 ms; gives what was sent in each step. */
+    /** Sends a job each 20 ms that runs for 200 ms; returns the sends of each step. */
     private static List<List<Send>> sendsOfSteps(
             ScriptedScheduler scheduler, int count, String name) {
         List<List<Send>> all = new ArrayList<>();
--- a/src/test/java/damsonslip/policy/WorkerListTest.java
+++ b/src/test/java/damsonslip/policy/WorkerListTest.java
@@ -64,10 +64,7 @@
         assertTrue(actionsOfType(scheduler.advance(20 * SECOND), WatchWorkerList.class).isEmpty());
     }
 
-    /**
-     * A list that discovery no longer vouches for may name workers that drain: what comes is turned
-     * away at once.
-     */
+    /** An expired list may name workers that drain by now. */
     @Test
     void rejectsJobsOnceTheWorkerListHasExpired() {
         ScriptedScheduler scheduler = pollingScheduler();
@@ -85,8 +82,7 @@
     }
 
     /**
-     * A zone that comes back with its schedulers: what they get in their first moment waits for the
-     * news.
+     * A new process may have an old list, so that its first jobs wait for a list from discovery.
      */
     @Test
     void queuesJobsUntilTheFirstWorkerList() {
@@ -99,7 +95,6 @@
                 sentTo(scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("here")), "x"));
     }
 
-    /** What an operator does here is no word from discovery. */
     @Test
     void doesNotRenewTheWorkerListByAnOverride() {
         ScriptedScheduler scheduler = pollingScheduler();
@@ -111,7 +106,7 @@
         assertEquals(1, actionsOfType(scheduler.jobArrives("x"), Reject.class).size());
     }
 
-    /** Held jobs are answered when the list runs out, and not kept until their deadline. */
+    /** They are not kept until their deadline. */
     @Test
     void answersQueuedJobsWhenTheWorkerListExpires() {
         ScriptedScheduler scheduler = pollingScheduler();
--- a/src/test/java/damsonslip/policy/WorkerRetentionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerRetentionTest.java
@@ -18,12 +18,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Fleets whose workers are replaced by ones with other ids, day after day. */
+/** Workers are forgotten once they are replaced by others with new ids. */
 class WorkerRetentionTest {
     private static final int WORKERS = 20;
     private static final long MINUTE = 60 * SECOND;
 
-    /** What may still be known: the workers of the last ten minutes, and those that are there. */
+    /** The running workers and those that stopped within the retention time. */
     private static final int MAX_KNOWN_WORKERS = 12 * WORKERS;
 
     private final ScriptedScheduler scheduler =
@@ -51,7 +51,6 @@
         assertTrue(known <= MAX_KNOWN_WORKERS, known + " workers are known");
     }
 
-    /** An attempt there is still out, whose end frees what it holds. */
     @Test
     void keepsStoppedWorkerWhileAnAttemptIsOutstanding() {
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"));
@@ -64,7 +63,6 @@
         assertEquals(1, scheduler.policy.workers(scheduler.now).size());
     }
 
-    /** A worker that was forgotten and comes back is one like any other. */
     @Test
     void usesForgottenWorkerThatIsListedAgain() {
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
--- a/src/test/java/damsonslip/policy/WorkerSelectionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerSelectionTest.java
@@ -20,7 +20,7 @@
 
 /** Selects the worker for a job by affinity, zone and free slots. */
 class WorkerSelectionTest {
-    /** Templates were pushed out because each subject went to many workers. */
+    /** Guards against evicting data from the workers' caches by spreading each key over many. */
     @Test
     void keepsAffinityKeyOnItsWorker() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(12);
@@ -34,7 +34,7 @@
         assertEquals(1, used.size(), used.toString());
     }
 
-    /** What crossing saves in waiting is weighed against what the settings say that it costs. */
+    /** Waiting is weighed against the price of crossing zones. */
     @ParameterizedTest
     @CsvSource({"0.1,near", "0.02,far", "0,far"})
     void crossesZonesWhereThatIsCheap(double zonePrice, String used) {
@@ -62,10 +62,7 @@
         assertEquals(used, sentTo(scheduler.jobArrives("x"), "x"));
     }
 
-    /**
-     * Reports come late: a second after four jobs were sent they show these four, which have just
-     * ended.
-     */
+    /** A late report still shows four jobs that have just ended. */
     @Test
     void countsEndedOwnJobsAsFreeDespiteLateReport() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
