--- /dev/null
+++ b/src/test/java/damsonslip/engine/LifecyclePhaseTest.java
@@ -0,0 +1,47 @@
+package damsonslip.engine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.engine.LifecyclePhase.State;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+
+class LifecyclePhaseTest {
+    private final LifecyclePhase phase = new LifecyclePhase();
+
+    @Test
+    void movesForwardOnlyAndNotifiesOnEachMove() {
+        AtomicInteger changes = new AtomicInteger();
+        phase.onChange(changes::incrementAndGet);
+        phase.moveTo(State.FINISHING);
+        phase.moveTo(State.LEAVING);
+        phase.moveTo(State.FINISHING);
+        assertEquals(State.FINISHING, phase.state());
+        assertTrue(phase.atLeast(State.LEAVING));
+        assertFalse(phase.atLeast(State.ENDED));
+        assertEquals(1, changes.get());
+    }
+
+    @Test
+    void drainsWhileServingOnlyAndReturns() {
+        assertFalse(phase.drain());
+        phase.moveTo(State.SERVING);
+        assertTrue(phase.drain());
+        assertTrue(phase.drain());
+        phase.undrain();
+        assertTrue(phase.is(State.SERVING));
+        phase.moveTo(State.LEAVING);
+        assertFalse(phase.drain());
+        phase.undrain();
+        assertTrue(phase.is(State.LEAVING));
+    }
+
+    @Test
+    void waitsUntilAPhaseIsReached() throws Exception {
+        assertFalse(phase.await(State.ENDED, 1));
+        phase.moveTo(State.ENDED);
+        assertTrue(phase.await(State.LEAVING, 1));
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/engine/SchedulerEngineTest.java
@@ -0,0 +1,159 @@
+package damsonslip.engine;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.engine.Counters.Count;
+import damsonslip.engine.Response.Kind;
+import damsonslip.policy.api.AttemptOutcome;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+
+class SchedulerEngineTest {
+    private static final long DEADLINE_US = TimeUnit.MINUTES.toMicros(10);
+
+    private final EventLoop loop = new EventLoop();
+    private final Counters counters = new Counters();
+    private final SchedulerEngine engine =
+            new SchedulerEngine(EngineFixtures.settingsWithoutCancel(), 1, loop, counters);
+    private final List<Attempt> sent = new ArrayList<>();
+    private final List<Response> responses = new ArrayList<>();
+
+    /** Keeps the attempts it is given, as a worker that never answers. */
+    private final WorkerGateway gateway =
+            new WorkerGateway() {
+                @Override
+                public void start(Attempt attempt) {
+                    sent.add(attempt);
+                }
+
+                @Override
+                public void cancel(Attempt attempt) {}
+
+                @Override
+                public boolean withdraw(Attempt attempt) {
+                    return true;
+                }
+
+                @Override
+                public void probe(String worker, long connectedByUs) {}
+
+                @Override
+                public void watch() {}
+            };
+
+    @AfterEach
+    void stopLoop() {
+        loop.stop();
+    }
+
+    private void onLoop(Runnable step) throws Exception {
+        CompletableFuture<Void> done = new CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    try {
+                        step.run();
+                        done.complete(null);
+                    } catch (RuntimeException | AssertionError e) {
+                        done.completeExceptionally(e);
+                    }
+                });
+        done.get(10, TimeUnit.SECONDS);
+    }
+
+    private void startWithOneWorker() {
+        engine.begin(gateway, List.of(EngineFixtures.warmWorker("a")));
+    }
+
+    private RequestContext submit(String id) {
+        return engine.take(EngineFixtures.request(id, loop.now() + DEADLINE_US), responses::add);
+    }
+
+    @Test
+    void answersWithTheResultOfTheWorker() throws Exception {
+        onLoop(
+                () -> {
+                    startWithOneWorker();
+                    submit("q");
+                    assertEquals(1, sent.size());
+                    assertTrue(engine.holds("q"));
+                    engine.started(sent.get(0));
+                    engine.ended(
+                            sent.get(0), new Attempt.End(AttemptOutcome.SERVED, null, "result"));
+                    assertEquals(List.of(Response.served("result")), responses);
+                    assertEquals(1, engine.answers(0, Kind.SERVED));
+                    assertEquals(0, engine.open());
+                    assertFalse(engine.holds("q"));
+                });
+    }
+
+    @Test
+    void countsTheFirstEndOfAnAttemptOnly() throws Exception {
+        onLoop(
+                () -> {
+                    startWithOneWorker();
+                    submit("q");
+                    Attempt attempt = sent.get(0);
+                    engine.ended(attempt, new Attempt.End(AttemptOutcome.SERVED, null, "result"));
+                    engine.ended(attempt, Attempt.End.of(AttemptOutcome.RESET));
+                    assertEquals(1, counters.get(Count.EXECUTIONS_SERVED));
+                    assertEquals(0, counters.get(Count.EXECUTIONS_RESET));
+                    assertEquals(1, responses.size());
+                });
+    }
+
+    @Test
+    void withdrawsUnsentAttemptsWhenTheClientDisconnects() throws Exception {
+        onLoop(
+                () -> {
+                    startWithOneWorker();
+                    RequestContext context = submit("q");
+                    engine.gone(context);
+                    engine.gone(context);
+                    assertFalse(sent.get(0).open());
+                    assertEquals(List.of(), responses);
+                    assertEquals(1, counters.get(Count.QUERIES_GONE));
+                    assertEquals(1, counters.get(Count.EXECUTIONS_NEVER_SENT));
+                    assertEquals(0, engine.open());
+                    assertFalse(engine.holds("q"));
+                });
+    }
+
+    @Test
+    void answersAllOpenRequestsAtOnce() throws Exception {
+        onLoop(
+                () -> {
+                    startWithOneWorker();
+                    submit("q");
+                    engine.answerAll();
+                    assertEquals(1, responses.size());
+                    assertEquals(Kind.FAILED, responses.get(0).kind());
+                    assertEquals(0, engine.open());
+                });
+    }
+
+    @Test
+    void disablesKnownWorkersOnly() throws Exception {
+        onLoop(
+                () -> {
+                    startWithOneWorker();
+                    assertFalse(engine.disable("unknown"));
+                    assertTrue(engine.disable("a"));
+                    assertTrue(engine.bars("a"));
+                    assertTrue(engine.enable("a"));
+                    assertFalse(engine.bars("a"));
+                });
+    }
+
+    @Test
+    void hasNoWorkerListBeforeItStarts() throws Exception {
+        assertFalse(engine.isBegun());
+        onLoop(this::startWithOneWorker);
+        assertTrue(engine.isBegun());
+    }
+}
