--- a/src/main/java/damsonslip/engine/RequestTrace.java
+++ b/src/main/java/damsonslip/engine/RequestTrace.java
@@ -2,6 +2,7 @@
 
 import damsonslip.engine.EventLog.Kind;
 import damsonslip.policy.api.AttemptOutcome;
+import damsonslip.policy.api.DiscoveryAddressState;
 import damsonslip.policy.api.ProbeResult;
 import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerListChange;
@@ -106,16 +107,20 @@
         }
     }
 
+    void discoveryAddressChanged(DiscoveryAddressState state) {
+        record(Kind.LISTED, "", TraceTexts.of(state), 0);
+    }
+
     void workerListChanged(WorkerListChange change, List<WorkerEntry> workers) {
         Kind kind = change.isFailure() ? Kind.LIST_LOST : Kind.LISTED;
-        record(kind, "", change, workers.size());
+        record(kind, "", TraceTexts.of(change), workers.size());
         for (WorkerEntry worker : workers) {
             if (worker.status() != WorkerStatus.RUNNING) {
-                record(Kind.DRAIN_TOLD, worker.id(), worker.status(), 0);
+                record(Kind.DRAIN_TOLD, worker.id(), TraceTexts.of(worker.status()), 0);
             }
         }
         if (isEnabled) {
-            LOG.debug("listed {} entries={}", change, workers.size());
+            LOG.debug("listed {} entries={}", TraceTexts.of(change), workers.size());
             workers.forEach(RequestTrace::writeWorker);
         }
     }
@@ -127,7 +132,7 @@
                 worker.id(),
                 worker.zone(),
                 worker.kind(),
-                worker.status(),
+                TraceTexts.of(worker.status()),
                 hasStartTime ? worker.startedUs() : 0);
     }
 }
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -1,6 +1,5 @@
 package damsonslip.engine;
 
-import damsonslip.engine.EventLog.Kind;
 import damsonslip.engine.invariants.InvariantMonitor;
 import damsonslip.membership.overrides.WorkerOverrides;
 import damsonslip.membership.peers.PeerProcesses;
@@ -19,7 +18,6 @@
 import damsonslip.policy.api.WorkerListChange;
 import damsonslip.policy.api.WorkerState;
 import java.util.List;
-import java.util.Locale;
 import java.util.Set;
 
 /**
@@ -237,8 +235,7 @@
      * @param sinceUs when the operator asked for the reload
      */
     public void discoveryAddress(DiscoveryAddressState state, long sinceUs) {
-        String detail = "address " + state.name().toLowerCase(Locale.ROOT);
-        eventLog.add(loop.now(), Kind.LISTED, "", detail, 0);
+        trace.discoveryAddressChanged(state);
         dispatcher.deliver(new DiscoveryAddressChanged(state, sinceUs));
     }
 
