--- a/src/main/java/damsonslip/admin/upgrade/ProcessState.java
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -17,7 +17,7 @@
         this.text = text;
     }
 
-    /** Returns the bytes that stand for this state in a lock file. */
+    /** Returns the content of a lock file in this state. */
     ByteBuffer encode() {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
--- a/src/main/java/damsonslip/membership/DiscoveryWatch.java
+++ b/src/main/java/damsonslip/membership/DiscoveryWatch.java
@@ -50,9 +50,9 @@
     private static final long SEND_MARGIN_US = 150_000;
 
     /**
-     * Workers may be probed instead for this long after discovery was last heard: an outage of 8 s
-     * (FLEET), and the time in which a fleet reaches discovery after it. The longer it lasts, the
-     * more has changed that no worker can report.
+     * Workers may be probed instead for this long after the last contact with discovery: an outage
+     * of 8 s (FLEET), and the time in which a fleet reaches discovery after it. The longer it
+     * lasts, the more has changed that no worker can report.
      */
     private static final long PROBE_WORKERS_US = 20_000_000;
 
@@ -66,12 +66,12 @@
     private int schedulers;
     private long pollSentUs;
 
-    /** When discovery was last heard before the open watch was lost. */
-    private long lastHeardUs = NEVER;
+    /** When something was last read from the open watch that was lost last. */
+    private long lastContactUs = NEVER;
 
     private long startedUs = NEVER;
 
-    /** Whether a poll found no route to discovery since it was last heard. */
+    /** Whether a poll found no route to discovery since it last sent anything. */
     private boolean unreachable;
 
     /**
@@ -97,15 +97,17 @@
         polls.setFleet(schedulerCount, schedulerIndex);
     }
 
-    /** Begins with the list that the previous process kept; returns when the first poll is due. */
+    /**
+     * Begins with the list that the previous process cached; returns when the first poll is due.
+     */
     public long start(long nowUs, double random) {
         startedUs = nowUs;
-        lease.beginWithKeptList(nowUs);
+        lease.startWithCachedList(nowUs);
         return polls.firstPollUs(nowUs, random);
     }
 
     /**
-     * Records when the process was launched; a start may take long, and the kept list grows older
+     * Records when the process was launched; a start may take long, and the cached list grows older
      * meanwhile. Has no effect before {@link #start}.
      */
     public void launched(long launchedUs) {
@@ -122,7 +124,7 @@
 
     /** Records that discovery has sent its list from its new address. */
     public void heardWhereItMoved() {
-        lease.newAddressHeard();
+        lease.newAddressConfirmed();
     }
 
     /**
@@ -158,24 +160,24 @@
     /**
      * Records the end of a poll or of the open watch; returns when to poll again.
      *
-     * @param heardUs when something was last read from the open watch
+     * @param lastReadUs when something was last read from the open watch
      */
-    public long lost(Loss failure, long heardUs, long nowUs, double random) {
+    public long lost(Loss failure, long lastReadUs, long nowUs, double random) {
         boolean wasOpen = state == WatchState.OPEN;
         state = state.after(Event.ENDED);
         if (failure == Loss.NOT_CALLED) {
             return polls.afterUnsentPollUs(nowUs, random);
         }
-        lease.endHoldBack();
+        lease.endDeferral();
         outages.failed(nowUs);
         return wasOpen
-                ? openWatchLost(failure, heardUs, nowUs, random)
+                ? openWatchLost(failure, lastReadUs, nowUs, random)
                 : pollFailed(failure, nowUs, random);
     }
 
-    private long openWatchLost(Loss failure, long heardUs, long nowUs, double random) {
-        lastHeardUs = heardUs;
-        lease.watchLost(heardUs);
+    private long openWatchLost(Loss failure, long lastReadUs, long nowUs, double random) {
+        lastContactUs = lastReadUs;
+        lease.watchLost(lastReadUs);
         return failure == Loss.SILENT
                 ? polls.afterSilenceUs(nowUs, random)
                 : polls.afterResetUs(nowUs, random);
@@ -197,7 +199,7 @@
         lease.updateUnreadable(nowUs);
     }
 
-    /** Whether the last list is valid; if not, nothing may be sent until discovery is heard. */
+    /** Whether the last list is valid; if not, nothing may be sent until discovery sends one. */
     public boolean isValid(long nowUs) {
         return lease.isValid(nowUs);
     }
@@ -207,7 +209,7 @@
      * that starts may bring one at any moment.
      */
     public boolean mayWait(long nowUs) {
-        return lease.isValid(nowUs) || lease.isHeldBack(nowUs);
+        return lease.isValid(nowUs) || lease.isDeferred(nowUs);
     }
 
     /**
@@ -215,15 +217,15 @@
      * for the answer to its first poll.
      */
     public boolean isUsable(long nowUs) {
-        return !lease.isHeldBack(nowUs) && lease.isValid(nowUs);
+        return !lease.isDeferred(nowUs) && lease.isValid(nowUs);
     }
 
     /**
-     * Returns when discovery was last heard before its watch was lost; the last list holds all
-     * changes until then.
+     * Returns when something was last read from the open watch that was lost last; the last list
+     * has all changes until then.
      */
     public long heardUs() {
-        return lastHeardUs;
+        return lastContactUs;
     }
 
     /**
@@ -235,12 +237,12 @@
         boolean failing = state != WatchState.OPEN && !unreachable;
         return failing
                 && !lease.isAddressUncertain()
-                && nowUs < Math.max(lastHeardUs, startedUs) + PROBE_WORKERS_US;
+                && nowUs < Math.max(lastContactUs, startedUs) + PROBE_WORKERS_US;
     }
 
-    /** Whether an open watch of this process was lost, so that the list is not the kept one. */
+    /** Whether an open watch of this process was lost, so that the list is not the cached one. */
     public boolean wasHeard() {
-        return lastHeardUs != NEVER;
+        return lastContactUs != NEVER;
     }
 
     /**
--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -33,7 +33,7 @@
     /**
      * Records that a list was received.
      *
-     * @param fromDiscovery whether it shows all that discovery knows now, unlike a kept list
+     * @param fromDiscovery whether it shows all that discovery knows now, unlike a cached list
      */
     public void listed(boolean fromDiscovery, long nowUs) {
         if (fromDiscovery) {
--- a/src/main/java/damsonslip/membership/WorkerLease.java
+++ b/src/main/java/damsonslip/membership/WorkerLease.java
@@ -9,9 +9,9 @@
  * <p>A worker that drains stops answering probes with 200 once discovery lists it as draining (see
  * docs/incidents/2026-12-02-outages-and-service.md). A worker that gives that answer cannot have
  * known of a drain before the probe was sent, so the drain's grace cannot end before the time of
- * the probe plus the grace. The lease lasts until then. A worker whose connections failed since
- * discovery was last heard may have been removed, or restarted and be cold: only a list can tell.
- * So it has to answer over a connection that has been open since.
+ * the probe plus the grace. The lease lasts until then. A worker whose connections failed since the
+ * last contact with discovery may have been removed, or restarted and be cold: only a list can
+ * tell. So it has to answer over a connection that has been open since.
  *
  * <p>All times are microseconds of the clock that the caller passes in. Not thread-safe.
  */
@@ -92,19 +92,23 @@
     /**
      * Whether a job may wait for this worker: its lease is valid, or a probe may soon make it so.
      *
-     * @param heardUs when discovery was last heard
+     * @param lastContactUs when discovery last sent anything
      */
-    public boolean isWorthAwaiting(long heardUs, long nowUs) {
+    public boolean isWorthAwaiting(long lastContactUs, long nowUs) {
         boolean probeDueSoon = nextProbeUs <= nowUs + UNSENT_RETRY_US;
-        return isValid(nowUs) || isAwaited() || (connectionFailedUs <= heardUs && probeDueSoon);
+        return isValid(nowUs)
+                || isAwaited()
+                || (connectionFailedUs <= lastContactUs && probeDueSoon);
     }
 
     /**
      * Whether a probe that is sent now may lead to a lease.
      *
-     * @param heardUs when discovery was last heard
+     * @param lastContactUs when discovery last sent anything
      */
-    public boolean isWorthProbing(long heardUs, long nowUs) {
-        return outstandingProbes == 0 && nowUs >= nextProbeUs && connectionFailedUs <= heardUs;
+    public boolean isWorthProbing(long lastContactUs, long nowUs) {
+        return outstandingProbes == 0
+                && nowUs >= nextProbeUs
+                && connectionFailedUs <= lastContactUs;
     }
 }
--- a/src/main/java/damsonslip/membership/WorkerListLease.java
+++ b/src/main/java/damsonslip/membership/WorkerListLease.java
@@ -12,8 +12,8 @@
     private static final long MOVE_PROPAGATION_US = 4_000_000;
 
     /**
-     * The age of the kept list when the process begins: the platform starts a process again within
-     * 1.5 s, and the program needs half a second.
+     * The age of the cached list when the process begins: the platform starts a process again
+     * within 1.5 s, and the program needs half a second.
      */
     private static final long RESTART_US = 2_000_000;
 
@@ -21,20 +21,20 @@
     private static final long LAUNCH_US = 1_700_000;
 
     private static final long UNBOUNDED = Long.MAX_VALUE;
-    private static final long NO_HOLD = Long.MIN_VALUE;
+    private static final long NOT_DEFERRED = Long.MIN_VALUE;
 
     private final long propagationUs;
     private final long graceUs;
     private long validUntilUs = UNBOUNDED;
 
-    /** Bound since a move of discovery, until it is heard at its new address. */
+    /** Bound since a move of discovery, until it sends its list from the new address. */
     private long movedUntilUs = UNBOUNDED;
 
     /** Bound since a reload whose configuration, which may name another address, is unread. */
     private long unreadUntilUs = UNBOUNDED;
 
     /** Until then a process that starts waits for the answer to its first poll. */
-    private long heldBackUntilUs = NO_HOLD;
+    private long deferredUntilUs = NOT_DEFERRED;
 
     /**
      * Creates a lease without bound.
@@ -47,14 +47,14 @@
         this.graceUs = graceUs;
     }
 
-    /** Begins with the list that the previous process kept. */
-    void beginWithKeptList(long nowUs) {
+    /** Begins with the list that the previous process cached. */
+    void startWithCachedList(long nowUs) {
         long ageUs = Math.min(RESTART_US, propagationUs / 2);
         validUntilUs = expiryUs(nowUs) - ageUs;
-        heldBackUntilUs = nowUs + DiscoveryWatch.FIRST_ANSWER_US;
+        deferredUntilUs = nowUs + DiscoveryWatch.FIRST_ANSWER_US;
     }
 
-    /** Shortens the lease of the kept list by the time since the process was launched. */
+    /** Shortens the lease of the cached list by the time since the process was launched. */
     void processLaunched(long launchedUs) {
         if (validUntilUs < UNBOUNDED) {
             long ageUs = Math.min(LAUNCH_US, propagationUs / 2);
@@ -64,18 +64,18 @@
 
     /** Renews the lease without bound: the watch is open. */
     void renew() {
-        heldBackUntilUs = NO_HOLD;
+        deferredUntilUs = NOT_DEFERRED;
         validUntilUs = UNBOUNDED;
     }
 
-    /** Bounds the lease after the loss of an open watch on which discovery was last heard then. */
-    void watchLost(long lastHeardUs) {
-        validUntilUs = expiryUs(lastHeardUs);
+    /** Bounds the lease after the loss of an open watch that last received something then. */
+    void watchLost(long lastContactUs) {
+        validUntilUs = expiryUs(lastContactUs);
     }
 
     /** Ends the wait for the first answer: its poll has failed. */
-    void endHoldBack() {
-        heldBackUntilUs = NO_HOLD;
+    void endDeferral() {
+        deferredUntilUs = NOT_DEFERRED;
     }
 
     /** Extends the lease: until a poll sent then, discovery can have told nobody anything. */
@@ -94,8 +94,8 @@
         movedUntilUs = Math.min(movedUntilUs, moveExpiryUs(reloadRequestedUs));
     }
 
-    /** Lifts the bound of a move: discovery was heard at its new address. */
-    void newAddressHeard() {
+    /** Lifts the bound of a move: discovery has sent its list from the new address. */
+    void newAddressConfirmed() {
         movedUntilUs = UNBOUNDED;
     }
 
@@ -109,7 +109,7 @@
         unreadUntilUs = UNBOUNDED;
     }
 
-    /** Whether discovery may be at an address other than the one last heard. */
+    /** Whether discovery may be at an address other than the one that sent the list. */
     boolean isAddressUncertain() {
         return movedUntilUs != UNBOUNDED || unreadUntilUs != UNBOUNDED;
     }
@@ -119,9 +119,9 @@
         return nowUs < validUntilUs && nowUs < movedUntilUs && nowUs < unreadUntilUs;
     }
 
-    /** Whether the list is held back until the first poll is answered. */
-    boolean isHeldBack(long nowUs) {
-        return nowUs < heldBackUntilUs;
+    /** Whether use of the list is deferred until the first poll is answered. */
+    boolean isDeferred(long nowUs) {
+        return nowUs < deferredUntilUs;
     }
 
     private long expiryUs(long knownUs) {
--- a/src/main/java/damsonslip/membership/peers/PeerProcesses.java
+++ b/src/main/java/damsonslip/membership/peers/PeerProcesses.java
@@ -9,11 +9,10 @@
  * <p>Capacity is divided so that all processes together never use more than one scheduler would.
  * Every process that may send requests counts as a scheduler of its own, and every other scheduler
  * of the site is assumed to be split into as many. With n schedulers and two processes here, each
- * process acts as one of 2n: its arrival rate stands for one of 2n parts, its share of an admission
- * threshold is K/2n, its part of a cold worker's budget is 1/2n in a turn of its own, and its limit
- * on connections is half. The new process divides from its start; the old one divides once the new
- * one has announced that it is about to serve. Capacity that nobody uses in between is given up
- * deliberately.
+ * process acts as one of 2n: its arrival rate is taken for 1/2n of the total, its quota of an
+ * admission threshold is K/2n, its part of a cold worker's budget is 1/2n in a turn of its own, and
+ * its limit on connections is half. The new process divides from its start; the old one divides
+ * once the new one has announced that it is about to serve. In between some capacity is unused.
  *
  * <p>Immutable and free of I/O.
  *
--- a/src/main/java/damsonslip/transport/ArrivalBound.java
+++ b/src/main/java/damsonslip/transport/ArrivalBound.java
@@ -5,7 +5,7 @@
  * from it now came later. If the process was suspended, that may be long ago, and the deadline of a
  * request that waits there is closer than the request says.
  *
- * <p>{@link #seenEmpty} and {@link #arrivedAfterUs} are thread-safe; the other methods are called
+ * <p>{@link #recordEmpty} and {@link #arrivedAfterUs} are thread-safe; the other methods are called
  * on the selector's thread.
  */
 final class ArrivalBound {
@@ -22,7 +22,7 @@
     }
 
     /** Records that a read or an accept found nothing. */
-    void seenEmpty(long nowUs) {
+    void recordEmpty(long nowUs) {
         emptyAtUs = Math.max(emptyAtUs, nowUs);
     }
 
@@ -41,7 +41,7 @@
      */
     void reported() {
         if (watchedFromRound < rounds.round()) {
-            seenEmpty(rounds.previousRoundStartUs());
+            recordEmpty(rounds.previousRoundStartUs());
         }
     }
 
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -167,7 +167,7 @@
      * Opens a connection; the factory learns on the loop whether that succeeded.
      *
      * @return abandons the attempt and frees its descriptor, if the connection is not established
-     *     yet; the factory may or may not be told of that
+     *     yet; the factory may or may not be notified of that
      */
     public Closeable connect(InetSocketAddress address, ConnectionFactory factory) {
         SocketChannel channel = null;
--- a/src/main/java/damsonslip/transport/ConnectionReader.java
+++ b/src/main/java/damsonslip/transport/ConnectionReader.java
@@ -151,7 +151,7 @@
         }
         connection.progressed(Math.max(0, bytes));
         if (bytes == 0 && endPoint instanceof LoopEndPoint loopEndPoint) {
-            loopEndPoint.arrival().seenEmpty(beforeUs);
+            loopEndPoint.arrival().recordEmpty(beforeUs);
         }
         return bytes;
     }
--- a/src/main/java/damsonslip/transport/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -63,7 +63,7 @@
             SocketChannel accepted = server.accept();
             backOff.succeeded();
             if (accepted == null) {
-                queueArrival.seenEmpty(nowUs);
+                queueArrival.recordEmpty(nowUs);
             }
             return accepted;
         } catch (IOException e) {
--- a/src/main/java/damsonslip/transport/WriteQueue.java
+++ b/src/main/java/damsonslip/transport/WriteQueue.java
@@ -12,8 +12,8 @@
  * Writes the messages of one connection in order, one at a time, and applies backpressure: above
  * the high watermark nothing is read from the peer until the backlog has fallen to the low one. All
  * calls are made on the event loop, the completion of a write included, since the {@link
- * LoopEndPoint} writes there. So whatever event comes next finds it known already whether the last
- * byte has left.
+ * LoopEndPoint} writes there. So every later event finds it known whether the last byte was handed
+ * to the system.
  */
 final class WriteQueue {
     /**
--- a/src/test/java/damsonslip/transport/ArrivalBoundTest.java
+++ b/src/test/java/damsonslip/transport/ArrivalBoundTest.java
@@ -34,7 +34,7 @@
         startRoundAt(300);
         bound.reported();
         assertEquals(100, bound.arrivedAfterUs());
-        bound.seenEmpty(250);
+        bound.recordEmpty(250);
         assertEquals(250, bound.arrivedAfterUs());
     }
 }
