--- a/src/main/java/damsonslip/admin/upgrade/LockFiles.java
+++ b/src/main/java/damsonslip/admin/upgrade/LockFiles.java
@@ -123,7 +123,7 @@
             }
             ByteBuffer bytes = ByteBuffer.allocate(ProcessState.LENGTH);
             channel.read(bytes, 0);
-            return Optional.of(ProcessState.decode(bytes));
+            return Optional.of(ProcessState.decode(bytes.array()));
         } catch (NoSuchFileException e) { // removed by its holder since it was listed
             return Optional.empty();
         }
--- a/src/main/java/damsonslip/admin/upgrade/ProcessState.java
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -23,8 +23,8 @@
     }
 
     /** Returns the state in these bytes of a lock file; one not written yet counts as starting. */
-    static ProcessState decode(ByteBuffer bytes) {
-        String found = new String(bytes.array(), StandardCharsets.US_ASCII);
+    static ProcessState decode(byte[] bytes) {
+        String found = new String(bytes, StandardCharsets.US_ASCII);
         return found.equals(SERVING.text) ? SERVING : STARTING;
     }
 }
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -204,7 +204,7 @@
     }
 
     private static void parseLine(String line, Parsed parsed) throws MalformedException {
-        String[] words = line.split(" ");
+        String[] words = line.split(" ", 0);
         if (words.length == 2 && words[0].equals(DISABLED)) {
             parsed.disabled().add(words[1]);
         } else if (words.length == 3
--- a/src/test/java/damsonslip/admin/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -68,7 +68,8 @@
                 assertTrue(
                         ask("slow")
                                 .matches(
-                                        "(?s)peer .*127.0.0.1:[0-9]+ +sends a command +[0-9]+ +[0-9]+ +[0-9.]+\n"),
+                                        "(?s)peer .*127.0.0.1:[0-9]+ +sends a command +[0-9]+"
+                                            + " +[0-9]+ +[0-9.]+\n"),
                         ask("slow"));
             }
             assertEquals("serving\n", ask("phase"));
--- a/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
@@ -46,7 +46,9 @@
                             FileChannel.open(
                                     lockFile, StandardOpenOption.READ, StandardOpenOption.WRITE);
                     FileLock lock = channel.tryLock()) {
-                Thread.onSpinWait();
+                if (lock != null) {
+                    Thread.onSpinWait();
+                }
             } catch (IOException e) {
                 // it was removed meanwhile
             }
--- a/src/test/java/damsonslip/transport/ConnectionStateTest.java
+++ b/src/test/java/damsonslip/transport/ConnectionStateTest.java
@@ -23,7 +23,7 @@
                         .filter(state::mayBecome)
                         .collect(Collectors.toSet());
         Set<ConnectionState> expected = EnumSet.noneOf(ConnectionState.class);
-        for (String name : allowed.split(" ")) {
+        for (String name : allowed.split(" ", 0)) {
             if (!name.isEmpty()) {
                 expected.add(ConnectionState.valueOf(name));
             }
