--- a/src/main/java/damsonslip/transport/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -12,28 +12,31 @@
  */
 public final class ListeningPort implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningPort.class);
+
+    /** Delay before the next check of whether the selector has released the socket. */
     private static final long RETRY_DELAY_US = 1_000;
 
     private final EventLoop loop;
     private final Listeners listeners;
     private final ListeningSocket socket;
-    private final Closeable acceptor;
-    private boolean closed;
+    private final Closeable registration;
+    private boolean closedGracefully;
 
     /**
-     * @param acceptor has the selector release the socket when it is closed
+     * @param registration has the selector release the socket when it is closed
      */
-    ListeningPort(EventLoop loop, Listeners listeners, ListeningSocket socket, Closeable acceptor) {
+    ListeningPort(
+            EventLoop loop, Listeners listeners, ListeningSocket socket, Closeable registration) {
         this.loop = loop;
         this.listeners = listeners;
         this.socket = socket;
-        this.acceptor = acceptor;
+        this.registration = registration;
     }
 
     /** Closes the address at once; connections in its queue are reset. */
     @Override
     public void close() throws IOException {
-        acceptor.close();
+        registration.close();
         listeners.close(socket);
     }
 
@@ -45,7 +48,7 @@
      */
     public void shut() {
         try {
-            acceptor.close();
+            registration.close();
         } catch (IOException e) {
             LOG.warn("event=listener_not_released error=\"{}\"", e.getMessage());
         }
@@ -54,7 +57,7 @@
 
     /** Whether the graceful close is complete; called on the loop. */
     public boolean isShut() {
-        return closed;
+        return closedGracefully;
     }
 
     /**
@@ -67,7 +70,7 @@
             listeners.acceptAll(socket);
             if (released) {
                 listeners.close(socket);
-                closed = true;
+                closedGracefully = true;
                 return;
             }
             loop.in(RETRY_DELAY_US, this::drainAndClose);
