--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -1,269 +1,133 @@
 package damsonslip.faktory;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.databind.JsonNode;
-import com.fasterxml.jackson.databind.node.ObjectNode;
-import damsonslip.faktory.codec.Command;
 import damsonslip.faktory.codec.Json;
-import damsonslip.faktory.codec.Reply;
-import damsonslip.faktory.jobs.Batches;
-import damsonslip.faktory.jobs.Batches.Batch;
-import damsonslip.faktory.jobs.Batches.Callback;
-import damsonslip.faktory.jobs.Batches.Due;
+import damsonslip.faktory.jobs.Batch;
+import damsonslip.faktory.jobs.BatchTable;
+import damsonslip.faktory.jobs.DueCallback;
 import damsonslip.store.AsyncStore;
 import damsonslip.store.JobRecord;
 import damsonslip.store.StoreOperation;
-import java.util.Arrays;
 import java.util.Map;
-import java.util.UUID;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The commands on batches, their persistence in the store, and the pushing of their callbacks.
- * Confined to the event loop.
+ * Keeps the batches in step with their jobs: pushes callbacks that become due, and records each
+ * change in the store. Confined to the event loop.
  */
 final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
 
-    /** The kind of the store's notes that hold batches. */
-    static final String NOTE = "batch";
-
-    /** Most batches at once. */
-    private static final int MAX_BATCHES = 100_000;
+    /** The kind of the store's metadata that holds batches. */
+    static final String METADATA_KIND = "batch";
 
     private final AsyncStore store;
     private final JobCoordinator coordinator;
-    private final Batches batches;
-    private Producers producers;
+    private final BatchCallbacks callbacks;
+    private final BatchTable batches;
     private boolean recovered;
 
-    BatchService(AsyncStore store, JobCoordinator coordinator) {
+    BatchService(AsyncStore store, JobCoordinator coordinator, BatchCallbacks callbacks) {
         this.store = store;
         this.coordinator = coordinator;
-        this.batches = new Batches(coordinator.jobTable());
-        coordinator.setListeners(this::settle, this::succeeded);
-    }
-
-    /** Sets the service that pushes callbacks; called once, before any connection is accepted. */
-    void setProducers(Producers pusher) {
-        producers = pusher;
+        this.callbacks = callbacks;
+        this.batches = new BatchTable(coordinator.jobTable());
+        coordinator.lifecycle().setListeners(this::pushDueCallbacks, this::jobSucceeded);
     }
 
-    /** Why no job may be pushed into this batch; null if one may. */
-    String closed(String bid) {
-        return batches.closed(bid);
+    BatchTable batches() {
+        return batches;
     }
 
-    void pushed(String bid) {
-        keep(batches.pushed(bid));
+    long nowMs() {
+        return coordinator.nowMs();
     }
 
-    // ---- commands
-
-    void create(FaktoryConnection link, Command.BatchNew fresh) {
-        String reason = rejectionReason(fresh);
-        if (!recovered || reason != null) {
-            link.reply(
-                    Reply.error(
-                            "ERR "
-                                    + (reason == null
-                                            ? "what is in the store is being taken up"
-                                            : reason)));
-            return;
-        }
-        Batch batch =
-                new Batch(
-                        "b-" + UUID.randomUUID().toString().replace("-", "").substring(0, 16),
-                        fresh.parent(),
-                        fresh.description(),
-                        text(fresh.success()),
-                        text(fresh.complete()),
-                        false,
-                        0,
-                        Callback.NOT_YET,
-                        Callback.NOT_YET,
-                        coordinator.nowMs());
-        store.ask(
-                note(batch),
-                done -> {
-                    batches.add(batch);
-                    link.reply(Reply.bulk(batch.bid()));
-                },
-                () -> link.reply(Reply.error("ERR the store is down and there is no new batch")));
+    /** Whether the recovery from the store has ended. */
+    boolean isRecovered() {
+        return recovered;
     }
 
-    /** Why a batch cannot be created; null if it can. */
-    private String rejectionReason(Command.BatchNew fresh) {
-        for (JsonNode callback : Arrays.asList(fresh.success(), fresh.complete())) {
-            String error = producers.callbackError(callback);
-            if (error != null) {
-                return error;
-            }
-        }
-        if (fresh.success() == null && fresh.complete() == null) {
-            return "a batch needs a callback, success or complete";
-        }
-        if (!fresh.parent().isEmpty()) {
-            Batch parent = batches.get(fresh.parent());
-            if (parent == null) {
-                return "no such batch: " + fresh.parent();
-            }
-            if (parent.onComplete() != Callback.NOT_YET) {
-                return "batch " + fresh.parent() + " is complete";
-            }
-        }
-        return batches.size() >= MAX_BATCHES ? "too many batches are open" : null;
+    /** Why no job may be pushed into this batch; null if one may. */
+    String rejectionReason(String bid) {
+        return batches.rejectionReason(bid);
     }
 
-    private static String text(JsonNode job) {
-        return job == null ? "" : job.toString();
+    /** Counts a job that was pushed into a batch. */
+    void countPushedJob(String bid) {
+        write(batches.countPushedJob(bid));
     }
 
-    void open(FaktoryConnection link, String bid) {
-        Batch batch = batches.open(bid);
-        if (batch == null) {
-            link.reply(
-                    Reply.error(
-                            "ERR "
-                                    + (batches.get(bid) == null
-                                            ? "no such batch: " + bid
-                                            : "batch " + bid + " is complete")));
-            return;
+    /** Pushes the callbacks that a change of this batch or of its jobs has made due. */
+    void pushDueCallbacks(String bid) {
+        for (DueCallback callback : batches.collectDueCallbacks(bid)) {
+            write(callback.batch());
+            push(callback);
         }
-        store.ask(
-                note(batch),
-                done -> link.reply(Reply.bulk(bid)),
-                () -> link.reply(Reply.error("ERR the store is down")));
     }
 
-    void commit(FaktoryConnection link, String bid) {
-        Batch batch = batches.get(bid);
-        if (batch == null) {
-            link.reply(Reply.error("ERR no such batch: " + bid));
-            return;
+    private void push(DueCallback callback) {
+        if (!callback.job().isEmpty()) {
+            callbacks.push(callback, existing -> pushedBefore(callback, existing));
         }
-        store.ask(
-                note(batches.commit(bid)),
-                done -> {
-                    link.reply(Reply.ok());
-                    settle(bid);
-                },
-                () -> {
-                    batches.open(bid);
-                    link.reply(
-                            Reply.error(
-                                    "ERR the store is down and batch "
-                                            + bid
-                                            + " is not committed"));
-                });
     }
 
-    void status(FaktoryConnection link, String bid) {
-        Batch batch = batches.get(bid);
-        if (batch == null) {
-            link.reply(Reply.error("ERR no such batch: " + bid));
-            return;
+    /** Called when a callback was pushed before a restart; it may have run already. */
+    private void pushedBefore(DueCallback callback, JobRecord existing) {
+        if (existing.state() == JobRecord.State.SUCCESS) {
+            callbackSucceeded(callback.batch().bid(), callback.success());
         }
-        ObjectNode status =
-                Json.MAPPER
-                        .createObjectNode()
-                        .put("bid", bid)
-                        .put("total", batch.total())
-                        .put("pending", batches.pending(bid))
-                        .put("failed", batches.failed(bid))
-                        .put("created_at", Json.time(batch.createdMs()))
-                        .put("description", batch.description());
-        if (!batch.parent().isEmpty()) {
-            status.put("parent_bid", batch.parent());
-        }
-        status.put("complete_st", state(batch.onComplete()))
-                .put("success_st", state(batch.onSuccess()));
-        link.reply(Reply.bulk(status.toString()));
     }
 
-    private static String state(Callback callback) {
-        return switch (callback) {
-            case NOT_YET -> "";
-            case DUE -> "1";
-            case DONE -> "2";
-        };
-    }
-
-    // ---- callbacks
-
-    private void settle(String bid) {
-        for (Due due : batches.settle(bid)) {
-            keep(due.batch());
-            push(due);
-        }
-    }
-
-    private void push(Due due) {
-        if (due.job().isEmpty()) {
-            return;
-        }
-        String bid = due.batch().bid();
-        producers.pushCallback(
-                due.job(),
-                due.batch().callbackId(due.success()),
-                bid,
-                before -> {
-                    if (before.state() == JobRecord.State.SUCCESS) { // it ran before a restart
-                        ran(bid, due.success());
-                    }
-                });
-    }
-
-    private void succeeded(JobRecord record) {
-        String bid = record.facts().callbackOf();
+    private void jobSucceeded(JobRecord record) {
+        String bid = record.options().callbackBatchId();
         if (!bid.isEmpty()) {
-            ran(bid, record.id().endsWith("-success"));
+            callbackSucceeded(bid, Batch.isSuccessCallback(record.id()));
         }
     }
 
-    private void ran(String bid, boolean success) {
-        Batch batch = batches.ran(bid, success);
+    private void callbackSucceeded(String bid, boolean success) {
+        Batch batch = batches.markCallbackDone(bid, success);
         if (batch != null) {
-            keep(batch);
-            settle(bid);
+            write(batch);
+            pushDueCallbacks(bid);
         }
     }
 
-    // ---- the store
-
-    private static StoreOperation.Note note(Batch batch) {
+    /** The operation that records a batch in the store. */
+    static StoreOperation.PutMetadata putOperation(Batch batch) {
         try {
-            return new StoreOperation.Note(
-                    NOTE, batch.bid(), Json.MAPPER.writeValueAsString(batch));
+            String text = Json.MAPPER.writeValueAsString(batch);
+            return new StoreOperation.PutMetadata(METADATA_KIND, batch.bid(), text);
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("a batch of plain values", e);
         }
     }
 
-    private void keep(Batch batch) {
-        StoreOperation.Note now = note(batch);
-        store.ask(
-                now,
-                done -> {},
-                () -> {
-                    Batch newest = batches.get(batch.bid());
-                    if (newest != null) {
-                        store.insist(note(newest));
-                    }
-                });
+    /** Records a batch, retrying with its newest state. */
+    private void write(Batch batch) {
+        store.submit(putOperation(batch), done -> {}, () -> rewrite(batch.bid()));
+    }
+
+    private void rewrite(String bid) {
+        Batch newest = batches.get(bid);
+        if (newest != null) {
+            store.submitWithRetry(putOperation(newest));
+        }
     }
 
     /** Recovers the batches of the store; called before any job is recovered. */
-    void load(Map<String, String> notes) {
-        notes.forEach(
-                (bid, text) -> {
-                    try {
-                        batches.add(Json.MAPPER.readValue(text, Batch.class));
-                    } catch (JsonProcessingException e) {
-                        LOG.warn("batch {} from the store cannot be read", bid);
-                    }
-                });
+    void load(Map<String, String> textsById) {
+        textsById.forEach(this::load);
+    }
+
+    private void load(String bid, String text) {
+        try {
+            batches.add(Json.MAPPER.readValue(text, Batch.class));
+        } catch (JsonProcessingException e) {
+            LOG.warn("batch {} from the store cannot be read", bid);
+        }
     }
 
     /**
@@ -272,18 +136,19 @@
      */
     void recovered() {
         recovered = true;
-        batches.recount();
-        batches.unfinished().forEach(this::push);
-        batches.all().forEach(batch -> settle(batch.bid()));
-        batches.forget(coordinator.nowMs()).forEach(this::drop);
+        batches.correctTotals();
+        batches.unfinishedCallbacks().forEach(this::push);
+        batches.all().forEach(batch -> pushDueCallbacks(batch.bid()));
+        batches.removeExpired(nowMs()).forEach(this::delete);
     }
 
+    /** Removes all batches. */
     void clear() {
-        batches.all().forEach(batch -> drop(batch.bid()));
+        batches.all().forEach(batch -> delete(batch.bid()));
         batches.clear();
     }
 
-    private void drop(String bid) {
-        store.insist(new StoreOperation.Note(NOTE, bid, null));
+    private void delete(String bid) {
+        store.submitWithRetry(new StoreOperation.PutMetadata(METADATA_KIND, bid, null));
     }
 }
--- /dev/null
+++ b/src/main/java/damsonslip/platform/codec/MessageEncoder.java
@@ -0,0 +1,63 @@
+package damsonslip.platform.codec;
+
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.ByteBuffer;
+import org.eclipse.jetty.http.HttpFields;
+import org.eclipse.jetty.http.HttpGenerator;
+import org.eclipse.jetty.http.HttpStatus;
+import org.eclipse.jetty.http.HttpURI;
+import org.eclipse.jetty.http.HttpVersion;
+import org.eclipse.jetty.http.MetaData;
+import org.eclipse.jetty.util.BufferUtil;
+
+/** Encodes complete HTTP messages with Jetty's generator: a head buffer and a body buffer. */
+final class MessageEncoder {
+    private static final int HEAD_BUFFER_BYTES = 2 * WireFormat.MAX_HEADER_BYTES;
+
+    private MessageEncoder() {}
+
+    static ByteBuffer[] request(String method, String target, HttpFields fields, byte[] body) {
+        MetaData.Request request =
+                new MetaData.Request(
+                        method, HttpURI.from(target), HttpVersion.HTTP_1_1, fields, body.length);
+        return encode(
+                (head, content) ->
+                        new HttpGenerator().generateRequest(request, head, null, content, true),
+                body);
+    }
+
+    static ByteBuffer[] response(int status, HttpFields fields, byte[] body) {
+        MetaData.Response response =
+                new MetaData.Response(
+                        status,
+                        HttpStatus.getMessage(status),
+                        HttpVersion.HTTP_1_1,
+                        fields,
+                        body.length);
+        return encode(
+                (head, content) ->
+                        new HttpGenerator()
+                                .generateResponse(response, false, head, null, content, true),
+                body);
+    }
+
+    /** One call of Jetty's generator, which fills the head. */
+    private interface Generation {
+        HttpGenerator.Result generate(ByteBuffer head, ByteBuffer content) throws IOException;
+    }
+
+    private static ByteBuffer[] encode(Generation generation, byte[] body) {
+        ByteBuffer head = BufferUtil.allocate(HEAD_BUFFER_BYTES);
+        ByteBuffer content = ByteBuffer.wrap(body);
+        try {
+            HttpGenerator.Result result = generation.generate(head, content);
+            if (result != HttpGenerator.Result.FLUSH) {
+                throw new IllegalStateException("not encoded: " + result);
+            }
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+        return new ByteBuffer[] {head, content};
+    }
+}
--- a/src/test/java/damsonslip/admin/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -69,7 +69,7 @@
                         ask("slow")
                                 .matches(
                                         "(?s)peer .*127.0.0.1:[0-9]+ +sends a command +[0-9]+"
-                                            + " +[0-9]+ +[0-9.]+\n"),
+                                                + " +[0-9]+ +[0-9.]+\n"),
                         ask("slow"));
             }
             assertEquals("serving\n", ask("phase"));
