--- a/src/main/java/damsonslip/admin/upgrade/ProcessState.java
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -17,14 +17,14 @@
         this.text = text;
     }
 
-    /** Returns the bytes that stand for this state in a lock file. */
+    /** Returns the content of a lock file in this state. */
     ByteBuffer encode() {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Returns the state in these bytes of a lock file; one not written yet counts as starting. */
-    static ProcessState decode(ByteBuffer bytes) {
-        String found = new String(bytes.array(), StandardCharsets.US_ASCII);
+    static ProcessState decode(byte[] bytes) {
+        String found = new String(bytes, StandardCharsets.US_ASCII);
         return found.equals(SERVING.text) ? SERVING : STARTING;
     }
 }
