--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -31,12 +31,13 @@
     private static final int HEAP_DIVISOR = 16;
 
     private static final long HELLO_TIMEOUT_US = 2_000_000;
+    private static final int PROTOCOL_VERSION = 2;
 
     private final Faktory faktory;
     private final String salt = Password.salt();
-    private final LineDecoder lines;
+    private final LineDecoder decoder;
 
-    /** Bytes of an incomplete command. */
+    /** Bytes received of an incomplete command. */
     private int incompleteBytes;
 
     /** The peer's rate at sending a command. */
@@ -45,10 +46,12 @@
     /** The peer's rate at reading a reply. */
     private final MinimumDataRate readRate;
 
-    private final ArrayDeque<String> pending = new ArrayDeque<>();
+    private final ArrayDeque<String> pendingLines = new ArrayDeque<>();
     private long openedUs;
-    private boolean isGreeted;
-    private boolean answering;
+    private boolean greeted;
+
+    /** Whether a command is being handled, or its reply being written. */
+    private boolean handling;
 
     /** The worker that this connection belongs to, or null for a producer's. */
     private Worker worker;
@@ -56,13 +59,13 @@
     FaktoryConnection(EndPoint endPoint, Faktory faktory) {
         super(endPoint, faktory.loop());
         this.faktory = faktory;
-        this.lines = new LineDecoder(faktory.maxLineBytes());
+        this.decoder = new LineDecoder(faktory.maxLineBytes());
         this.sendRate = new MinimumDataRate(faktory.peerLimits());
         this.readRate = new MinimumDataRate(faktory.peerLimits());
     }
 
     boolean isGreeted() {
-        return isGreeted;
+        return greeted;
     }
 
     long openedUs() {
@@ -81,42 +84,43 @@
                 faktory.password().isRequired()
                         ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
                         : "";
-        write(() -> {}, Reply.simple("HI {\"v\":2" + proof + "}"));
-        faktory.loop()
-                .in(
-                        HELLO_TIMEOUT_US,
-                        () -> {
-                            if (!isGreeted) {
-                                end();
-                            }
-                        });
+        write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + proof + "}"));
+        faktory.loop().in(HELLO_TIMEOUT_US, this::endIfNotGreeted);
+    }
+
+    private void endIfNotGreeted() {
+        if (!greeted) {
+            end();
+        }
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (answering) {
-            return; // bytes sent ahead stay unread, which bounds the memory that a pipelining peer
-            // can use
+        if (handling) {
+            return; // bytes sent ahead stay unread, which bounds a pipelining peer's memory
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        List<String> whole = lines.take(part);
-        if (whole == null || (!isGreeted && lines.begun() > MAX_HELLO_BYTES)) {
+        List<String> complete = decoder.take(part);
+        if (complete == null || (!greeted && decoder.begun() > MAX_HELLO_BYTES)) {
             closeWithError("a line too long");
             return;
         }
-        faktory.addBuffered(lines.begun() - incompleteBytes);
-        incompleteBytes = lines.begun();
-        measureSending(part.length, !whole.isEmpty());
-        long maxBuffered = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
-        if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered) {
+        faktory.addBuffered(decoder.begun() - incompleteBytes);
+        incompleteBytes = decoder.begun();
+        measureSending(part.length, !complete.isEmpty());
+        if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered()) {
             closeWithError("too much is being sent here at once; come back in a moment");
             return;
         }
-        pending.addAll(whole);
+        pendingLines.addAll(complete);
         handleNext();
     }
 
+    private static long maxBuffered() {
+        return Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
+    }
+
     /** Measures the rate of an incomplete command; each command is measured by itself. */
     private void measureSending(int bytes, boolean ended) {
         long now = faktory.loop().now();
@@ -131,23 +135,21 @@
 
     /** The transfers that are under way, for the console. */
     Stream<SlowPeer> slowPeers(long nowUs) {
-        Stream<SlowPeer> reading =
-                Stream.of(
-                        new SlowPeer(
-                                "reads replies",
-                                peer(),
-                                backlog(),
-                                readRate.rate(nowUs),
-                                readRate.leftUs(nowUs)));
-        Stream<SlowPeer> sending =
-                Stream.of(
-                        new SlowPeer(
-                                "sends a command",
-                                peer(),
-                                incompleteBytes,
-                                sendRate.rate(nowUs),
-                                sendRate.leftUs(nowUs)));
-        return Stream.concat(reading, sending).filter(peer -> peer.leftUs() < Long.MAX_VALUE);
+        SlowPeer reading =
+                new SlowPeer(
+                        "reads replies",
+                        peer(),
+                        backlog(),
+                        readRate.rate(nowUs),
+                        readRate.leftUs(nowUs));
+        SlowPeer sending =
+                new SlowPeer(
+                        "sends a command",
+                        peer(),
+                        incompleteBytes,
+                        sendRate.rate(nowUs),
+                        sendRate.leftUs(nowUs));
+        return Stream.of(reading, sending).filter(peer -> peer.leftUs() < Long.MAX_VALUE);
     }
 
     /** Closes the connection if its peer is below the minimum data rate. */
@@ -158,7 +160,7 @@
         if (readRate.isTooSlow(nowUs)) {
             faktory.closing(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
             end();
-        } else if (sendRate.isTooSlow(nowUs) && !answering) {
+        } else if (sendRate.isTooSlow(nowUs) && !handling) {
             faktory.closing(
                     this,
                     Count.SLOW_SENDERS_LET_GO,
@@ -173,39 +175,42 @@
      * before any other connection.
      */
     private void handleNext() {
-        while (!answering && !isClosed() && !pending.isEmpty()) {
-            String line = pending.poll();
+        while (!handling && !isClosed() && !pendingLines.isEmpty()) {
+            String line = pendingLines.poll();
             if (line.isEmpty()) {
                 continue;
             }
-            answering = true;
+            handling = true;
             sendRate.end();
-            try {
-                Command command = CommandDecoder.decode(line);
-                if (isGreeted) {
-                    faktory.handle(this, command);
-                } else {
-                    handleHello(command);
-                }
-            } catch (MalformedCommandException e) {
-                if (isGreeted) {
-                    reply(Reply.error(CommandError.error(e.getMessage())));
-                } else {
-                    closeWithError(e.getMessage());
-                }
-            }
+            handle(line);
             return; // the next one follows the reply
         }
     }
 
+    private void handle(String line) {
+        try {
+            Command command = CommandDecoder.decode(line);
+            if (greeted) {
+                faktory.handle(this, command);
+            } else {
+                handleHello(command);
+            }
+        } catch (MalformedCommandException e) {
+            if (greeted) {
+                reply(Reply.error(CommandError.error(e.getMessage())));
+            } else {
+                closeWithError(e.getMessage());
+            }
+        }
+    }
+
     private void replied() {
-        answering = false;
-        if (incompleteBytes > 0) {
-            sendRate.begin(
-                    faktory.loop().now()); // nothing was read while the command before was handled
+        handling = false;
+        if (incompleteBytes > 0) { // nothing was read while the last command was handled
+            sendRate.begin(faktory.loop().now());
         }
         handleNext();
-        if (!answering && pending.isEmpty()) {
+        if (!handling && pendingLines.isEmpty()) {
             again();
         }
     }
@@ -214,7 +219,7 @@
         if (!(command instanceof Command.Hello hello)) {
             throw new MalformedCommandException("HELLO comes first");
         }
-        if (hello.version() > 2) {
+        if (hello.version() > PROTOCOL_VERSION) {
             throw new MalformedCommandException("only version 2 is spoken here");
         }
         if (faktory.password().isRequired()
@@ -222,7 +227,7 @@
             faktory.wrongPassword();
             throw new MalformedCommandException("invalid password");
         }
-        isGreeted = true;
+        greeted = true;
         worker = hello.wid().isEmpty() ? null : faktory.register(hello, this);
         reply(Reply.ok());
     }
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -91,7 +91,9 @@
         return engine.open() - unawaited.size();
     }
 
-    /** Dispatches waiting jobs in a later task of the loop; called whenever there may be room. */
+    /**
+     * Dispatches waiting jobs in a later task of the loop; called whenever there may be capacity.
+     */
     void dispatchSoon() {
         if (!dispatchPending) {
             dispatchPending = true;
--- a/src/main/java/damsonslip/faktory/JobFactory.java
+++ b/src/main/java/damsonslip/faktory/JobFactory.java
@@ -13,7 +13,7 @@
  * to the event loop.
  */
 final class JobFactory {
-    /** Stands for the id of a callback that is checked before its batch has one. */
+    /** The id of a callback while it is validated, when its batch has no id yet. */
     private static final String PLACEHOLDER_JOB_ID = "b-callback-of-a-batch";
 
     private static final String NO_CALLBACK = "";
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -136,8 +136,8 @@
         }
         boolean repeated = jobTable.get(record.id()) != null;
         boolean dispatchedAtOnce = record.hasWaitingClient() && record.dueMs() == 0;
-        boolean needsNoRoom = dispatchedAtOnce || repeated;
-        return needsNoRoom ? null : jobTable.rejectionReason(options.queue());
+        boolean needsNoCapacity = dispatchedAtOnce || repeated;
+        return needsNoCapacity ? null : jobTable.rejectionReason(options.queue());
     }
 
     private void add(NewJob job, CommandCallback callback) {
--- a/src/main/java/damsonslip/faktory/UniqueKey.java
+++ b/src/main/java/damsonslip/faktory/UniqueKey.java
@@ -1,5 +1,6 @@
 package damsonslip.faktory;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import damsonslip.faktory.codec.Json;
 import damsonslip.faktory.codec.MalformedCommandException;
 import damsonslip.faktory.codec.PushedJob;
@@ -17,12 +18,11 @@
 
     static String keyOf(PushedJob job) {
         try {
-            String work =
-                    job.jobtype() + "\n" + job.queue() + "\n" + Json.read(job.body()).path("args");
-            return HexFormat.of()
-                    .formatHex(
-                            MessageDigest.getInstance("SHA-256")
-                                    .digest(work.getBytes(StandardCharsets.UTF_8)));
+            JsonNode arguments = Json.read(job.body()).path("args");
+            String identity = job.jobtype() + "\n" + job.queue() + "\n" + arguments;
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
+            byte[] hash = sha256.digest(identity.getBytes(StandardCharsets.UTF_8));
+            return HexFormat.of().formatHex(hash);
         } catch (MalformedCommandException e) {
             throw new IllegalStateException("a body that was read before", e);
         } catch (NoSuchAlgorithmException e) {
--- a/src/main/java/damsonslip/faktory/codec/CommandDecoder.java
+++ b/src/main/java/damsonslip/faktory/codec/CommandDecoder.java
@@ -30,14 +30,10 @@
             case "HELLO" -> hello(object(arguments));
             case "PUSH" -> new Command.Push(List.of(object(arguments)), false);
             case "PUSHB" -> new Command.Push(array(arguments), true);
-            case "FETCH" ->
-                    new Command.Fetch(
-                            arguments.isEmpty()
-                                    ? List.of(DEFAULT_QUEUE)
-                                    : List.of(arguments.split("\\s+")));
+            case "FETCH" -> fetch(arguments);
             case "ACK" -> new Command.Ack(Json.requiredText(object(arguments), "jid"));
             case "FAIL" -> fail(object(arguments));
-            case "BEAT" -> beat(object(arguments));
+            case "BEAT" -> heartbeat(object(arguments));
             case "TRACK" -> track(arguments);
             case "INFO" -> new Command.Info();
             case "END" -> new Command.End();
@@ -45,11 +41,7 @@
             case "MUTATE" -> mutate(object(arguments));
             case "QUEUE" -> queue(arguments);
             case "BATCH" -> batch(arguments);
-            default ->
-                    throw new MalformedCommandException(
-                            "unknown command "
-                                    + verb.substring(
-                                            0, Math.min(MAX_ECHOED_CHARACTERS, verb.length())));
+            default -> throw new MalformedCommandException("unknown command " + echo(verb));
         };
     }
 
@@ -64,6 +56,11 @@
                 labels);
     }
 
+    private static Command.Fetch fetch(String arguments) {
+        return new Command.Fetch(
+                arguments.isEmpty() ? List.of(DEFAULT_QUEUE) : List.of(arguments.split("\\s+")));
+    }
+
     private static Command.Fail fail(JsonNode failure) throws MalformedCommandException {
         List<String> backtrace = new ArrayList<>();
         failure.path("backtrace").forEach(line -> backtrace.add(line.asText()));
@@ -74,11 +71,12 @@
                 backtrace);
     }
 
-    private static Command.Heartbeat beat(JsonNode beat) throws MalformedCommandException {
+    private static Command.Heartbeat heartbeat(JsonNode heartbeat)
+            throws MalformedCommandException {
         return new Command.Heartbeat(
-                Json.requiredText(beat, "wid"),
-                beat.path("current_state").asText(""),
-                beat.path("rss_kb").asLong(0));
+                Json.requiredText(heartbeat, "wid"),
+                heartbeat.path("current_state").asText(""),
+                heartbeat.path("rss_kb").asLong(0));
     }
 
     private static Command track(String arguments) throws MalformedCommandException {
@@ -136,25 +134,23 @@
                     "BATCH takes NEW, OPEN, COMMIT or STATUS and what it concerns");
         }
         return switch (words[0].toUpperCase(Locale.ROOT)) {
-            case "NEW" -> {
-                JsonNode batch = object(words[1]);
-                yield new Command.BatchNew(
-                        Json.text(batch, "parent_bid", ""),
-                        Json.text(batch, "description", ""),
-                        callback(batch, "success"),
-                        callback(batch, "complete"));
-            }
+            case "NEW" -> newBatch(object(words[1]));
             case "OPEN" -> new Command.BatchOpen(words[1]);
             case "COMMIT" -> new Command.BatchCommit(words[1]);
             case "STATUS" -> new Command.BatchStatus(words[1]);
             default ->
-                    throw new MalformedCommandException(
-                            "unknown command BATCH "
-                                    + words[0].substring(
-                                            0, Math.min(MAX_ECHOED_CHARACTERS, words[0].length())));
+                    throw new MalformedCommandException("unknown command BATCH " + echo(words[0]));
         };
     }
 
+    private static Command.BatchNew newBatch(JsonNode batch) throws MalformedCommandException {
+        return new Command.BatchNew(
+                Json.text(batch, "parent_bid", ""),
+                Json.text(batch, "description", ""),
+                callback(batch, "success"),
+                callback(batch, "complete"));
+    }
+
     private static JsonNode callback(JsonNode batch, String name) throws MalformedCommandException {
         JsonNode job = batch.path(name);
         if (job.isMissingNode() || job.isNull()) {
@@ -173,10 +169,12 @@
                 return each;
             }
         }
-        throw new MalformedCommandException(
-                what
-                        + ": unknown: "
-                        + word.substring(0, Math.min(MAX_ECHOED_CHARACTERS, word.length())));
+        throw new MalformedCommandException(what + ": unknown: " + echo(word));
+    }
+
+    /** The beginning of a word, for errors. */
+    private static String echo(String word) {
+        return word.substring(0, Math.min(MAX_ECHOED_CHARACTERS, word.length()));
     }
 
     private static JsonNode object(String text) throws MalformedCommandException {
--- a/src/main/java/damsonslip/faktory/codec/Json.java
+++ b/src/main/java/damsonslip/faktory/codec/Json.java
@@ -12,21 +12,25 @@
 import java.time.OffsetDateTime;
 import java.time.format.DateTimeParseException;
 
-/** Reads JSON from peers that may mean harm, and keeps numbers as they were written. */
+/**
+ * Decodes JSON from untrusted peers, within limits, and preserves numbers as they were written.
+ * Thread-safe.
+ */
 public final class Json {
-    /** Deeper than any job's arguments; each level costs stack and memory. */
-    private static final int DEEPEST = 200;
+    /** Levels of nesting at most, since each costs stack and memory. */
+    private static final int MAX_DEPTH = 200;
 
-    /** Longer than any number that a language's own types hold. */
-    private static final int LONGEST_NUMBER = 200;
+    /** Digits of a number at most; longer than any number that a language's own types hold. */
+    private static final int MAX_NUMBER_LENGTH = 200;
 
+    /** The mapper with these limits. */
     public static final ObjectMapper MAPPER =
             JsonMapper.builder(
                             JsonFactory.builder()
                                     .streamReadConstraints(
                                             StreamReadConstraints.builder()
-                                                    .maxNestingDepth(DEEPEST)
-                                                    .maxNumberLength(LONGEST_NUMBER)
+                                                    .maxNestingDepth(MAX_DEPTH)
+                                                    .maxNumberLength(MAX_NUMBER_LENGTH)
                                                     .build())
                                     .build())
                     .enable(DeserializationFeature.USE_BIG_DECIMAL_FOR_FLOATS)
@@ -34,55 +38,69 @@
                     .disable(JsonNodeFeature.STRIP_TRAILING_BIGDECIMAL_ZEROES)
                     .build();
 
+    /** Characters of the decoder's own message that an error repeats. */
+    private static final int MAX_REASON_CHARACTERS = 120;
+
     private Json() {}
 
-    /** Decodes one value; nothing at all is null. */
+    /**
+     * Decodes one value; an empty text is null.
+     *
+     * @throws MalformedCommandException if the text is not JSON, or exceeds a limit
+     */
     public static JsonNode read(String text) throws MalformedCommandException {
         try {
             return MAPPER.readTree(text.isEmpty() ? "null" : text);
         } catch (JsonProcessingException e) {
-            String why = e.getOriginalMessage().lines().findFirst().orElse("");
-            throw new MalformedCommandException(
-                    "not JSON: " + why.substring(0, Math.min(120, why.length())));
+            String reason = e.getOriginalMessage().lines().findFirst().orElse("");
+            int length = Math.min(MAX_REASON_CHARACTERS, reason.length());
+            throw new MalformedCommandException("not JSON: " + reason.substring(0, length));
         }
     }
 
-    /** A moment in RFC 3339, with any offset and fraction, in Unix milliseconds. */
-    public static long parseTime(String text, String what) throws MalformedCommandException {
+    /**
+     * Parses a time in RFC 3339, with any offset and fraction, to milliseconds since the Unix
+     * epoch.
+     *
+     * @param field the name of the field, for the error
+     * @throws MalformedCommandException if it is not such a time
+     */
+    public static long parseTime(String text, String field) throws MalformedCommandException {
         try {
             return OffsetDateTime.parse(text).toInstant().toEpochMilli();
         } catch (DateTimeParseException | ArithmeticException e) {
-            throw new MalformedCommandException(what + ": not a time in RFC 3339");
+            throw new MalformedCommandException(field + ": not a time in RFC 3339");
         }
     }
 
+    /** Formats milliseconds since the Unix epoch in RFC 3339. */
     public static String formatTime(long ms) {
         return Instant.ofEpochMilli(ms).toString();
     }
 
-    /** A whole number within these bounds; absent or null gives the fallback. */
-    static int integer(JsonNode node, String name, int fallback, int least, int most)
+    /** A whole number within these bounds; the default value if it is absent or null. */
+    static int integer(JsonNode node, String name, int defaultValue, int min, int max)
             throws MalformedCommandException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isIntegralNumber()
                 || !value.canConvertToInt()
-                || value.intValue() < least
-                || value.intValue() > most) {
+                || value.intValue() < min
+                || value.intValue() > max) {
             throw new MalformedCommandException(
-                    name + ": not a whole number from " + least + " to " + most);
+                    name + ": not a whole number from " + min + " to " + max);
         }
         return value.intValue();
     }
 
-    /** A text; absent or null gives the fallback, anything else than a text is an error. */
-    static String text(JsonNode node, String name, String fallback)
+    /** A text; the default value if it is absent or null. */
+    static String text(JsonNode node, String name, String defaultValue)
             throws MalformedCommandException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
-            return fallback;
+            return defaultValue;
         }
         if (!value.isTextual()) {
             throw new MalformedCommandException(name + ": not a text");
@@ -90,6 +108,7 @@
         return value.textValue();
     }
 
+    /** A text that must be present and not empty. */
     static String requiredText(JsonNode node, String name) throws MalformedCommandException {
         String value = text(node, name, "");
         if (value.isEmpty()) {
--- a/src/main/java/damsonslip/faktory/codec/Reply.java
+++ b/src/main/java/damsonslip/faktory/codec/Reply.java
@@ -3,21 +3,26 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** What the server side of the protocol says, in RESP framing. */
+/** Encodes replies in RESP framing. Stateless; each buffer is the caller's own. */
 public final class Reply {
-    private static final ByteBuffer NOTHING = bytes("$-1\r\n").asReadOnlyBuffer();
+    private static final ByteBuffer NULL_BULK = bytes("$-1\r\n").asReadOnlyBuffer();
     private static final ByteBuffer OK = bytes("+OK\r\n").asReadOnlyBuffer();
 
+    private static final byte[] LINE_END = {'\r', '\n'};
+
     private Reply() {}
 
+    /** The null bulk string: no job, or no value. */
     public static ByteBuffer nullBulk() {
-        return NOTHING.duplicate();
+        return NULL_BULK.duplicate();
     }
 
+    /** The simple string OK. */
     public static ByteBuffer ok() {
         return OK.duplicate();
     }
 
+    /** A simple string; the text has to be one line. */
     public static ByteBuffer simple(String text) {
         return bytes("+" + text + "\r\n");
     }
@@ -27,11 +32,15 @@
         return bytes("-" + error.text().replaceAll("[\\r\\n]+", " ") + "\r\n");
     }
 
+    /** A bulk string, of any text. */
     public static ByteBuffer bulk(String text) {
         byte[] content = text.getBytes(StandardCharsets.UTF_8);
-        byte[] head = ("$" + content.length + "\r\n").getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer whole = ByteBuffer.allocate(head.length + content.length + 2);
-        return whole.put(head).put(content).put((byte) '\r').put((byte) '\n').flip();
+        byte[] header = ("$" + content.length + "\r\n").getBytes(StandardCharsets.US_ASCII);
+        return ByteBuffer.allocate(header.length + content.length + LINE_END.length)
+                .put(header)
+                .put(content)
+                .put(LINE_END)
+                .flip();
     }
 
     private static ByteBuffer bytes(String text) {
--- a/src/main/java/damsonslip/faktory/jobs/Glob.java
+++ b/src/main/java/damsonslip/faktory/jobs/Glob.java
@@ -1,58 +1,62 @@
 package damsonslip.faktory.jobs;
 
 /**
- * A pattern in which a star stands for any run of characters, a question mark for one, {@code
- * [a-c]} and {@code [^a-c]} for one of a set, and a backslash quotes the next character.
- * Backtracking is limited to the last star, so that the time is bounded by the product of the
- * lengths of text and pattern. Immutable.
+ * A glob pattern: a star stands for any run of characters, a question mark for one, {@code [a-c]}
+ * and {@code [^a-c]} for one of a set, and a backslash quotes the next character. Backtracking is
+ * limited to the last star, so that the time is bounded by the product of the lengths of text and
+ * pattern. Immutable.
  */
 public final class Glob {
     private final String pattern;
 
+    /** Creates a pattern; each text is valid. */
     public Glob(String pattern) {
         this.pattern = pattern;
     }
 
-    /** Whether the whole text fits. */
+    /** Whether the whole text matches. */
     public boolean matches(String text) {
-        int p = 0;
-        int t = 0;
-        int star = -1;
-        int from = 0;
-        while (t < text.length()) {
-            if (p < pattern.length() && pattern.charAt(p) == '*') {
-                star = p++;
-                from = t;
-            } else if (p < pattern.length() && matchesCharacter(p, text.charAt(t))) {
-                p = nextElement(p);
-                t++;
-            } else if (star >= 0) {
-                p = star + 1;
-                t = ++from;
+        int element = 0;
+        int position = 0;
+        int lastStar = -1;
+        int starEnd = 0; // the position up to which the last star stands
+        while (position < text.length()) {
+            boolean hasElement = element < pattern.length();
+            if (hasElement && pattern.charAt(element) == '*') {
+                lastStar = element++;
+                starEnd = position;
+            } else if (hasElement && matchesCharacter(element, text.charAt(position))) {
+                element = nextElement(element);
+                position++;
+            } else if (lastStar >= 0) {
+                element = lastStar + 1;
+                position = ++starEnd;
             } else {
                 return false;
             }
         }
-        while (p < pattern.length() && pattern.charAt(p) == '*') {
-            p++;
+        while (element < pattern.length() && pattern.charAt(element) == '*') {
+            element++;
         }
-        return p == pattern.length();
+        return element == pattern.length();
     }
 
-    private boolean matchesCharacter(int p, char c) {
-        return switch (pattern.charAt(p)) {
+    /** Whether the element at this index, which is not a star, matches a character. */
+    private boolean matchesCharacter(int element, char c) {
+        boolean isLast = element + 1 == pattern.length();
+        return switch (pattern.charAt(element)) {
             case '?' -> true;
-            case '\\' -> p + 1 < pattern.length() ? pattern.charAt(p + 1) == c : c == '\\';
-            case '[' -> nextElement(p) > p + 1 ? matchesSet(p, c) : c == '[';
-            default -> pattern.charAt(p) == c;
+            case '\\' -> c == (isLast ? '\\' : pattern.charAt(element + 1));
+            case '[' -> nextElement(element) > element + 1 ? matchesSet(element, c) : c == '[';
+            default -> pattern.charAt(element) == c;
         };
     }
 
-    private boolean matchesSet(int p, char c) {
-        int end = nextElement(p) - 1;
-        int at = p + 1;
-        boolean not = at < end && pattern.charAt(at) == '^';
-        at += not ? 1 : 0;
+    private boolean matchesSet(int element, char c) {
+        int end = nextElement(element) - 1;
+        int at = element + 1;
+        boolean negated = at < end && pattern.charAt(at) == '^';
+        at += negated ? 1 : 0;
         boolean found = false;
         while (at < end) {
             if (at + 2 < end && pattern.charAt(at + 1) == '-') {
@@ -62,18 +66,18 @@
                 found |= c == pattern.charAt(at++);
             }
         }
-        return found != not;
+        return found != negated;
     }
 
-    /** Where the pattern goes on after the element at this place. */
-    private int nextElement(int p) {
-        if (pattern.charAt(p) == '\\') {
-            return Math.min(p + 2, pattern.length());
+    /** The index of the element after this one. */
+    private int nextElement(int element) {
+        if (pattern.charAt(element) == '\\') {
+            return Math.min(element + 2, pattern.length());
         }
-        if (pattern.charAt(p) == '[') {
-            int end = pattern.indexOf(']', p + 2);
-            return end < 0 ? p + 1 : end + 1;
+        if (pattern.charAt(element) == '[') {
+            int end = pattern.indexOf(']', element + 2);
+            return end < 0 ? element + 1 : end + 1;
         }
-        return p + 1;
+        return element + 1;
     }
 }
--- a/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -101,78 +101,81 @@
     }
 
     /** Whether the job's class allows a run at this time, given what may have run before. */
-    public static boolean mayRun(JobRecord record, JobClass of, long atMs) {
-        if (record.hasNeverRun() || of.idempotency() == Idempotency.IDEMPOTENT) {
+    public static boolean mayRun(JobRecord record, JobClass jobClass, long atMs) {
+        if (record.hasNeverRun() || jobClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
         }
         boolean deduplicated =
-                of.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
-                        && of.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
-        long sinceMs =
-                atMs - record.firstRunMs(); // below 0 where the wall clock was put back: then
-        // nobody knows
-        return deduplicated && sinceMs >= 0 && sinceMs < of.idempotencyWindowUs() / 1000;
+                jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
+                        && jobClass.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
+        // negative if the wall clock was put back, which leaves the time since then unknown
+        long sinceMs = atMs - record.firstRunMs();
+        return deduplicated && sinceMs >= 0 && sinceMs < jobClass.idempotencyWindowUs() / 1000;
     }
 
     /**
      * Decides what follows a failed run: one that its worker reported, whose worker went away, or
      * whose reservation expired.
      *
-     * @param how the worker's report, or what was observed instead
+     * @param runFailure the worker's report, or what was observed instead
      */
     public static NextState nextState(
-            JobRecord record, JobClass of, RunFailure how, long nowMs, SplittableRandom random) {
-        int retry = record.options().retryLimit();
+            JobRecord record,
+            JobClass jobClass,
+            RunFailure runFailure,
+            long nowMs,
+            SplittableRandom random) {
+        int retryLimit = record.options().retryLimit();
         int count = record.failure() == null ? 0 : record.failure().count() + 1;
-        Failure failure = failure(count, nowMs, 0, how, record.options().backtraceLines());
-        String message = how.type() + ": " + how.message();
-        if (of.idempotency() == Idempotency.NOT_IDEMPOTENT) {
-            return new NextState(
-                    State.DEAD,
-                    nowMs,
-                    failure,
-                    "it may have run and its class must not run twice; " + message);
+        Failure failure = failure(record, count, nowMs, 0, runFailure);
+        String message = runFailure.type() + ": " + runFailure.message();
+        if (jobClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
+            return dead(failure, "it may have run and its class must not run twice; " + message);
         }
-        if (retry == 0) {
+        if (retryLimit == 0) {
             return new NextState(State.DISCARDED, 0, failure, "failed, with no retry; " + message);
         }
-        if (retry < 0 || count >= retry) {
-            return new NextState(
-                    State.DEAD,
-                    nowMs,
-                    failure,
-                    (retry < 0 ? "" : "no retries are left; ") + message);
+        if (retryLimit < 0) {
+            return dead(failure, message);
+        }
+        if (count >= retryLimit) {
+            return dead(failure, "no retries are left; " + message);
         }
         long retryMs = nowMs + backoffMs(count, random);
-        if (!mayRun(record, of, retryMs)) {
-            return new NextState(
-                    State.DEAD,
-                    nowMs,
-                    failure,
-                    "it may have run, and a retry would come after its key's window; " + message);
+        if (!mayRun(record, jobClass, retryMs)) {
+            String reason = "it may have run, and a retry would come after its key's window; ";
+            return dead(failure, reason + message);
         }
-        Failure retried = failure(count, nowMs, retryMs, how, record.options().backtraceLines());
+        Failure retried = failure(record, count, nowMs, retryMs, runFailure);
         return new NextState(State.RETRY, retryMs, retried, message);
     }
 
+    private static NextState dead(Failure failure, String message) {
+        return new NextState(State.DEAD, failure.failedMs(), failure, message);
+    }
+
     private static Failure failure(
-            int count, long nowMs, long nextMs, RunFailure how, int backtraceLines) {
+            JobRecord record, int count, long nowMs, long nextMs, RunFailure runFailure) {
+        List<String> backtrace = runFailure.backtrace();
+        int lines = Math.min(backtrace.size(), record.options().backtraceLines());
         return new Failure(
                 count,
                 nowMs,
                 nextMs,
-                how.type(),
-                how.message(),
-                how.backtrace().subList(0, Math.min(how.backtrace().size(), backtraceLines)));
+                runFailure.type(),
+                runFailure.message(),
+                backtrace.subList(0, lines));
     }
 
     /** Decides what a start does with a stored job, from what it may have done before the stop. */
-    public static RecoveryAction recoveryAction(JobRecord record, JobClass of, long nowMs) {
+    public static RecoveryAction recoveryAction(JobRecord record, JobClass jobClass, long nowMs) {
         boolean late = record.hasWaitingClient() && nowMs >= record.options().deadlineMs();
         return switch (record.state()) {
-            case QUEUED -> recoveredFromQueue(record, of, nowMs, late);
+            case QUEUED -> recoveredFromQueue(record, jobClass, nowMs, late);
             case RESERVED ->
-                    record.hasWaitingClient() && !late && of.idempotency() == Idempotency.IDEMPOTENT
+                    record.hasWaitingClient()
+                                    && !late
+                                    && jobClass.idempotency() == Idempotency.IDEMPOTENT
                             ? RecoveryAction.DISPATCH
                             : RecoveryAction.AWAIT_REPORT;
             default -> RecoveryAction.RESTORE;
@@ -180,14 +183,16 @@
     }
 
     private static RecoveryAction recoveredFromQueue(
-            JobRecord record, JobClass of, long nowMs, boolean late) {
+            JobRecord record, JobClass jobClass, long nowMs, boolean late) {
         if (!record.hasWaitingClient()) {
             return RecoveryAction.RESTORE;
         }
         if (late && record.hasNeverRun()) {
             return RecoveryAction.EXPIRE;
         }
-        return mayRun(record, of, nowMs) ? RecoveryAction.DISPATCH : RecoveryAction.AWAIT_REPORT;
+        return mayRun(record, jobClass, nowMs)
+                ? RecoveryAction.DISPATCH
+                : RecoveryAction.AWAIT_REPORT;
     }
 
     /**
