--- /dev/null
+++ b/src/test/java/damsonslip/faktory/AwaitedJobRetryTest.java
@@ -0,0 +1,71 @@
+package damsonslip.faktory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import org.junit.jupiter.api.Test;
+
+/** Retries of jobs that a client waits for. */
+class AwaitedJobRetryTest extends FaktoryProgramFixture {
+    AwaitedJobRetryTest() {
+        super(PASSWORD);
+    }
+
+    /**
+     * The worker may be at it still: whatever the retry count says, nobody else may get the job.
+     */
+    @Test
+    void neverRepeatsJobOfSilentWorkerThatMustNotRunTwice() throws Exception {
+        FaktoryPeer producer = producer();
+        FaktoryPeer silent = peer("w1");
+        assertEquals(
+                "+OK",
+                producer.push("job-00001", "apply-submit", 1.5, ",\"retry\":25,\"reserve_for\":1"));
+        assertEquals("job-00001", silent.fetch());
+        FaktoryPeer other = peer("w2");
+        assertNull(other.fetch());
+        FaktoryServer.awaitState(producer, "job-00001", "dead");
+        assertNull(other.fetch());
+        assertEquals("+OK", silent.ack("job-00001"), "a late word is taken");
+        assertEquals("dead", producer.state("job-00001"), "and changes nothing");
+        assertEquals(1, producer.info().path("counters").path("words_late").asInt());
+    }
+
+    @Test
+    void retriesFailedRunWithinClassAndRetryLimit() throws Exception {
+        FaktoryPeer producer = producer();
+        FaktoryPeer worker = peer("w1");
+        producer.push("job-safe1", "status-read", 5, ",\"retry\":1");
+        assertEquals("job-safe1", worker.fetch());
+        worker.fail("job-safe1");
+        assertEquals("job-safe1", worker.fetch());
+        worker.fail("job-safe1");
+        assertNull(worker.fetch(), "one retry was granted");
+        FaktoryServer.awaitState(producer, "job-safe1", "failed");
+        producer.push("job-once1", "apply-submit", 5, ",\"retry\":25");
+        assertEquals("job-once1", worker.fetch());
+        worker.fail("job-once1");
+        FaktoryServer.awaitState(producer, "job-once1", "dead");
+        assertNull(worker.fetch());
+    }
+
+    /**
+     * A worker without any connection is gone: what may be repeated runs elsewhere, long before its
+     * deadline.
+     */
+    @Test
+    void retriesJobOfDisconnectedWorkerWhereItsClassAllows() throws Exception {
+        FaktoryPeer producer = producer();
+        FaktoryPeer vanishing = peer("w1");
+        producer.push("job-safe1", "status-read", 8, "");
+        assertEquals("job-safe1", vanishing.fetch());
+        vanishing.close();
+        FaktoryPeer other = peer("w2");
+        String jid = other.fetch();
+        assertEquals("job-safe1", jid == null ? other.fetch() : jid);
+        other.ack("job-safe1");
+        FaktoryServer.awaitState(producer, "job-safe1", "success");
+    }
+}
--- a/src/test/java/damsonslip/faktory/RoutesTest.java
+++ b/src/test/java/damsonslip/faktory/FaktoryConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operator's file: its routes, and what is wrong with it told in one line. */
-class RoutesTest {
+class FaktoryConfigTest {
     @TempDir Path dir;
 
     private FaktoryConfig read(String find, String put) throws Exception {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theFirstRouteThatFitsDecidesAndAJobsOwnClassComesBeforeIt() throws Exception {
+    void routesByFirstMatchAfterTheJobsOwnClass() throws Exception {
         FaktoryConfig config = read("a", "a");
         assertEquals(0, config.routes().classOf("", "status", "any"));
         assertEquals(0, config.routes().classOf("", "status", "ApplyNow"), "the first");
@@ -49,7 +49,7 @@
         "queue_order = \"strict\",queue_order = \"any\",queue_order: neither strict nor fair: any",
         "links = 800,links = 0,links: not a whole number"
     })
-    void whatIsWrongIsToldInOneLine(String find, String put, String told) {
+    void reportsInvalidSettingInOneLine(String find, String put, String told) {
         ConfigurationException refused =
                 assertThrows(ConfigurationException.class, () -> read(find, put));
         assertTrue(
--- a/src/test/java/damsonslip/faktory/FaktoryTroublesTest.java
+++ b/src/test/java/damsonslip/faktory/FaultScenarioTest.java
@@ -26,7 +26,7 @@
  * and come fresh, and the scheduler dies. Counted by the four rules and by the worth answered in
  * time.
  */
-class FaktoryTroublesTest {
+class FaultScenarioTest {
     private static final String[] CLASSES = {
         "status-read", "list-report", "apply-submit", "offer-reply"
     };
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void theRulesAreKeptThroughTheTroubles() throws Exception {
+    void keepsTheRulesThroughFaults() throws Exception {
         List<Pushed> pushed = new ArrayList<>();
         long[] quietAt = {Long.MAX_VALUE};
         long[] diedAt = new long[1];
--- /dev/null
+++ b/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
@@ -0,0 +1,127 @@
+package damsonslip.faktory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.Program;
+import damsonslip.testkit.RedisStandIn.Then;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+
+/** The scheduler is killed at each step of a reservation, and recovers from the store. */
+class KilledSchedulerTest extends FaktoryProgramFixture {
+    /** The rest of a push of a job that must not run twice. */
+    private static final String NOT_IDEMPOTENT =
+            ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
+
+    KilledSchedulerTest() {
+        super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
+    }
+
+    private static boolean isReserving(List<String> words) {
+        return words.get(0).equalsIgnoreCase("SET") && words.get(2).contains("RESERVED");
+    }
+
+    /**
+     * Killed before the store knows of the hand-out: the job provably never left, and runs after
+     * the start.
+     */
+    @Test
+    void runsJobKilledBeforeItsReservationWasRecorded() throws Exception {
+        FaktoryPeer producer = producer();
+        CountDownLatch held = redis.trap(KilledSchedulerTest::isReserving, Then.HOLD_UNDONE);
+        assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
+        peer("w1").peer().send("FETCH q\r\n");
+        assertTrue(held.await(5, TimeUnit.SECONDS));
+        server.killAndStart();
+        FaktoryPeer worker = peer("w2");
+        assertEquals("job-once1", worker.fetch("q", 3_000));
+        assertEquals("+OK", worker.ack("job-once1"));
+        FaktoryServer.awaitState(producer(), "job-once1", "success");
+    }
+
+    /**
+     * Killed after that: it may have left, so that nobody else gets it; its own worker's word still
+     * counts.
+     */
+    @Test
+    void doesNotRepeatJobKilledAfterItsReservationWasRecorded() throws Exception {
+        FaktoryPeer producer = producer();
+        CountDownLatch held = redis.trap(KilledSchedulerTest::isReserving, Then.DO_AND_HOLD);
+        assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
+        peer("w1").peer().send("FETCH q\r\n");
+        assertTrue(held.await(5, TimeUnit.SECONDS));
+        server.killAndStart();
+        FaktoryPeer after = producer();
+        assertEquals("working", after.state("job-once1"));
+        assertNull(peer("w2").fetch("q", 0));
+        assertEquals("+OK", peer("w1").ack("job-once1"));
+        FaktoryServer.awaitState(after, "job-once1", "success");
+    }
+
+    /**
+     * Killed halfway through the reply to FETCH; the worker had read enough of it to do the job.
+     */
+    @Test
+    void acceptsAcknowledgementOfJobKilledDuringItsReply() throws Exception {
+        FaktoryPeer producer = producer();
+        String big = NOT_IDEMPOTENT.replace("}", ",\"filler\":\"" + "x".repeat(900_000) + "\"}");
+        assertEquals("+OK", producer.plain("job-once1", big));
+        assertEquals("+OK", producer.plain("job-safe1", ",\"queue\":\"q\""));
+        FaktoryPeer worker = peer("w1");
+        worker.peer().send("FETCH q\r\n");
+        assertTrue(worker.peer().line().startsWith("$9"));
+        worker.peer().bytes(1_000);
+        server.killAndStart();
+        FaktoryPeer after = producer();
+        FaktoryPeer back = peer("w1");
+        assertEquals("+OK", back.ack("job-once1"));
+        FaktoryServer.awaitState(after, "job-once1", "success");
+        assertEquals(
+                "job-safe1", back.fetch("q", 3_000), "what had not been handed out is not lost");
+        assertNull(back.fetch("q", 0));
+    }
+
+    /**
+     * Pushed to two schedulers on one store, a job belongs to the first; the other does not take it
+     * up at a start.
+     */
+    @Test
+    void recoversJobOfSharedStoreOnlyAtItsOwner() throws Exception {
+        int otherPort = Program.freePort();
+        Program second = server.start(otherPort, "other-desk");
+        assertEquals("+OK", producer().plain("job-once1", NOT_IDEMPOTENT));
+        try (FaktoryPeer there = new FaktoryPeer(otherPort, "", "")) {
+            assertEquals("+OK", there.plain("job-once1", NOT_IDEMPOTENT));
+        }
+        second.kill();
+        second.exit();
+        assertTrue(server.start(otherPort, "other-desk").said().contains("0 jobs taken up"));
+        try (FaktoryPeer worker = new FaktoryPeer(otherPort, "w9", "")) {
+            assertNull(worker.fetch("q", 0));
+        }
+        assertEquals("job-once1", peer("w1").fetch("q", 2_000));
+    }
+
+    /**
+     * What an earlier version, or a hand, left in the store is told of and left there; the rest is
+     * taken up.
+     */
+    @Test
+    void recoversOtherJobsBesideUnreadableRecord() throws Exception {
+        assertEquals("+OK", producer().plain("job-00001", ",\"queue\":\"q\""));
+        assertEquals("+OK", producer().plain("job-00002", ",\"queue\":\"q\""));
+        redis.put(
+                "damsonslip:job:job-00001",
+                "school-desk\n{\"id\":\"job-00001\",\"state\":\"QUEUED\",\"job\":\"{}\"}");
+        server.killAndStart();
+        assertTrue(server.program().said().contains("1 jobs taken up"), server.program().said());
+        assertTrue(server.program().said().contains("left in the store"), server.program().said());
+        assertEquals("job-00002", peer("w1").fetch("q", 2_000));
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/faktory/NonIdempotentJobTest.java
@@ -0,0 +1,60 @@
+package damsonslip.faktory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Jobs that must not run twice. */
+class NonIdempotentJobTest extends FaktoryProgramFixture {
+    /** The rest of a push of a job that must not run twice. */
+    private static final String NOT_IDEMPOTENT =
+            ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
+
+    NonIdempotentJobTest() {
+        super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
+    }
+
+    /**
+     * However its worker ends with it, and whoever asks for it again, an apply-submit runs once.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"fails", "lapses", "goes"})
+    void neverRepeatsJobThatMayHaveRun(String how) throws Exception {
+        FaktoryPeer producer = producer();
+        FaktoryPeer worker = peer("w1");
+        assertEquals(
+                "+OK",
+                producer.plain("job-once1", NOT_IDEMPOTENT + ",\"retry\":25,\"reserve_for\":1"));
+        assertEquals("job-once1", worker.fetch("q", 2_000));
+        switch (how) {
+            case "fails" -> assertEquals("+OK", worker.fail("job-once1"));
+            case "goes" -> worker.close();
+            default -> Thread.sleep(1_100); // its reservation runs out
+        }
+        FaktoryServer.awaitState(producer, "job-once1", "dead");
+        assertTrue(producer.track("job-once1").path("desc").asText().contains("may have run"));
+        assertEquals(1, producer.size("Dead"));
+        String told = producer.mutate("requeue", "dead", "job-once1");
+        assertTrue(told.startsWith("-ERR 1 of 1 may have run"), told);
+        assertEquals(
+                "+OK",
+                producer.plain("job-once1", NOT_IDEMPOTENT),
+                "a repeated push changes nothing");
+        server.killAndStart();
+        FaktoryPeer after = producer();
+        FaktoryPeer other = peer("w2");
+        assertNull(other.fetch("q", 0));
+        assertEquals("+OK", after.mutate("discard", "dead", "job-once1"));
+        assertEquals(
+                "+OK",
+                after.plain("job-once1", NOT_IDEMPOTENT),
+                "not even once it was thrown away");
+        assertNull(other.fetch("q", 0));
+        assertEquals("discarded", after.state("job-once1"));
+    }
+}
--- /dev/null
+++ b/src/test/java/damsonslip/faktory/OversizedInputTest.java
@@ -0,0 +1,76 @@
+package damsonslip.faktory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import damsonslip.testkit.FaktoryPeer;
+import java.io.IOException;
+import org.junit.jupiter.api.Test;
+
+/** Input beyond the limits: bounded in memory, and other clients do not notice. */
+class OversizedInputTest extends FaktoryProgramFixture {
+    private static final ObjectMapper JSON = new ObjectMapper();
+
+    OversizedInputTest() {
+        super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
+    }
+
+    @Test
+    void rejectsOversizedInputAndServesOthers() throws Exception {
+        FaktoryPeer producer = producer();
+        assertTrue(
+                producer.call("PUSH " + "[".repeat(10_000) + "]".repeat(10_000))
+                        .startsWith("-ERR not JSON"));
+        assertTrue(producer.plain("job-00001", ",\"retry\":1e400").startsWith("-MALFORMED retry"));
+        assertTrue(
+                producer.plain("job-00001", ",\"reserve_for\":99999999999999999999")
+                        .startsWith("-MALFORMED"));
+        StringBuilder many = new StringBuilder("PUSHB [{}");
+        many.append(",{}".repeat(99_999)).append(']');
+        assertTrue(
+                producer.call(many.toString()).startsWith("-ERR more than 5000 jobs"),
+                "one error for all of them");
+        FaktoryPeer endless = producer();
+        String told = null;
+        try {
+            for (int i = 0; i < 40; i++) {
+                endless.peer().send("x".repeat(100_000));
+            }
+            told = endless.peer().line();
+        } catch (IOException e) {
+            told = "closed";
+        }
+        assertTrue(
+                told == null || told.equals("closed") || told.startsWith("-ERR a line too long"),
+                told);
+        assertEquals("+OK", producer.plain("job-00001", ""), "and the others go on");
+    }
+
+    /**
+     * Lines that never end, on many connections: what they may hold together is bounded, and no
+     * plain client notices.
+     */
+    @Test
+    void boundsMemoryOfIncompleteLines() throws Exception {
+        int let = 0;
+        for (int i = 0; i < 60; i++) {
+            FaktoryPeer peer = producer();
+            try {
+                peer.peer().send("PUSH {\"jid\":\"" + "x".repeat(950_000));
+            } catch (IOException e) {
+                let++;
+            }
+        }
+        FaktoryPeer plain = producer();
+        assertEquals("+OK", plain.plain("job-00001", ""));
+        int mb = plain.info().path("server").path("used_memory_mb").asInt();
+        System.out.println(
+                "60 unfinished lines of 950 KB: "
+                        + mb
+                        + " MB used, "
+                        + let
+                        + " refused while sending");
+        assertTrue(mb < 700, mb + " MB");
+    }
+}
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Peers that send or read slowly, and peers that send far ahead: they go, or wait, and nobody else
- * notices.
+ * Peers below the minimum data rate are closed, peers that pipeline commands have to wait, and
+ * other clients do not notice.
  */
 class SlowPeersTest {
-    /** Longer than the grace and the longest pause of a link that is held to its rate. */
+    /** Longer than the grace and the longest pause that a measured connection is allowed. */
     private static final long LONG_MS = 6_000;
 
-    /** A kilobyte a second is asked for; so often one and a half come at once. */
+    /** Interval of bursts of 1.5 kB, which make the required kilobyte a second on average. */
     private static final long BURST_MS = 1_500;
 
     /** Within the longest pause that is allowed. */
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aTricklerIsToldAndLetGoWhileSlowButSteadyAndPausingPeersAreServed() throws Exception {
+    void closesTricklingPeerAndServesSteadyAndPausingOnes() throws Exception {
         FaktoryPeer trickles = peer();
         FaktoryPeer bursts = peer();
         FaktoryPeer pauses = peer();
@@ -72,10 +72,9 @@
         for (long ms = 0; ms < LONG_MS; ms = (System.nanoTime() - from) / 1_000_000) {
             Thread.sleep(100);
             trickle(trickles);
-            for (;
-                    sent < ms / BURST_MS;
-                    sent++) { // by the clock: on a busy machine a turn takes longer than it sleeps
+            while (sent < ms / BURST_MS) { // by the clock: a turn may take longer than its sleep
                 bursts.peer().send(filler);
+                sent++;
             }
             if (paused && ms > PAUSE_MS) {
                 paused = false;
@@ -100,26 +99,19 @@
     }
 
     /**
-     * Who sends commands and never reads what comes back is closed once nothing moves for its
-     * grace.
+     * A peer that sends commands and never reads the replies is closed once nothing has moved for
+     * its grace.
      */
     @Test
-    void whoNeverReadsIsLetGo() throws Exception {
+    void closesPeerThatNeverReads() throws Exception {
         FaktoryPeer mute = peer();
         String many = "INFO\r\n".repeat(1_000);
-        Thread sends =
-                new Thread(
-                        () -> {
-                            try {
-                                for (int i = 0; i < 200; i++) {
-                                    mute.peer().send(many);
-                                }
-                            } catch (IOException e) {
-                                return; // it has been closed, as it should be
-                            }
-                        });
-        sends.setDaemon(true);
-        sends.start();
+        startThread(
+                () -> {
+                    for (int i = 0; i < 200; i++) {
+                        mute.peer().send(many);
+                    }
+                });
         FaktoryPeer plain = peer();
         long end = System.nanoTime() + 40_000_000_000L;
         while (plain.info().path("counters").path("slow_readers_let_go").asInt() == 0) {
@@ -129,11 +121,11 @@
     }
 
     /**
-     * Far more commands than a buffer holds, sent ahead by one that reads: each is answered, in
+     * Far more pipelined commands than a buffer holds, from a peer that reads: each is answered, in
      * order.
      */
     @Test
-    void whoSendsFarAheadAndReadsIsAnsweredToTheEnd() throws Exception {
+    void answersPipelinedCommandsInOrder() throws Exception {
         FaktoryPeer ahead = peer();
         for (int part = 0; part < 10; part++) {
             ahead.peer().send("JUMP\r\n".repeat(2_000));
@@ -144,42 +136,16 @@
     }
 
     /**
-     * A hundred links send thousands of commands ahead, half of them reading; a plain client works
-     * beside them.
+     * A hundred connections pipeline thousands of commands, half of them reading the replies; a
+     * plain client is served beside them.
      */
     @Test
-    void aFloodOfCommandsAheadLeavesAPlainClientItsTurn() throws Exception {
-        String many = "INFO\r\n".repeat(1_400);
+    void servesPlainClientBesideFloodOfPipelinedCommands() throws Exception {
         for (int i = 0; i < 100; i++) {
-            FaktoryPeer floods = peer();
-            Thread sends =
-                    new Thread(
-                            () -> {
-                                try {
-                                    for (int n = 0; n < 20; n++) {
-                                        floods.peer().send(many);
-                                    }
-                                } catch (IOException e) {
-                                    return; // the test is over
-                                }
-                            });
-            sends.setDaemon(true);
-            sends.start();
+            FaktoryPeer flooding = peer();
+            startThread(() -> flood(flooding));
             if (i % 2 == 0) {
-                Thread reads =
-                        new Thread(
-                                () -> {
-                                    try {
-                                        String part = floods.peer().bytes(8_192);
-                                        while (part != null) { // as fast as it comes
-                                            part = floods.peer().bytes(8_192);
-                                        }
-                                    } catch (IOException e) {
-                                        return; // the test is over
-                                    }
-                                });
-                reads.setDaemon(true);
-                reads.start();
+                startThread(() -> readToEnd(flooding));
             }
         }
         Thread.sleep(200);
@@ -199,4 +165,37 @@
                         + " ms at the worst");
         assertTrue(worst < 2_000, worst + " ms");
     }
+
+    private interface PeerTask {
+        void run() throws IOException;
+    }
+
+    /** Runs a task on a daemon thread, until it ends or its connection is closed. */
+    private static void startThread(PeerTask task) {
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException e) {
+                                return; // closed by the server, or the test is over
+                            }
+                        });
+        thread.setDaemon(true);
+        thread.start();
+    }
+
+    private static void flood(FaktoryPeer peer) throws IOException {
+        String many = "INFO\r\n".repeat(1_400);
+        for (int i = 0; i < 20; i++) {
+            peer.peer().send(many);
+        }
+    }
+
+    private static void readToEnd(FaktoryPeer peer) throws IOException {
+        String part = peer.peer().bytes(8_192);
+        while (part != null) {
+            part = peer.peer().bytes(8_192);
+        }
+    }
 }
--- /dev/null
+++ b/src/test/java/damsonslip/faktory/StoreFailureTest.java
@@ -0,0 +1,130 @@
+package damsonslip.faktory;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import damsonslip.testkit.FaktoryPeer;
+import damsonslip.testkit.FaktoryServer;
+import damsonslip.testkit.RedisStandIn.Then;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** The store stalls, answers with errors, or loses an answer. */
+class StoreFailureTest extends FaktoryProgramFixture {
+    /** The rest of a push of a job that must not run twice. */
+    private static final String NOT_IDEMPOTENT =
+            ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
+
+    StoreFailureTest() {
+        super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
+    }
+
+    private static final long OUTAGE_MS = 5_000;
+
+    /** After it, the store has got rid of pushes whose answer was lost. */
+    private static final long CLEANUP_MS = 1_200;
+
+    /**
+     * During an outage of five seconds pushes are rejected with an error, and nothing that was
+     * acknowledged is lost.
+     */
+    @ParameterizedTest
+    @ValueSource(strings = {"stalls", "errs"})
+    void losesNothingAcknowledgedWhileStoreFails(String how) throws Exception {
+        FaktoryPeer producer = producer();
+        FaktoryPeer worker = peer("w1");
+        assertEquals("+OK", producer.plain("job-held1", ",\"queue\":\"q\""));
+        assertEquals("job-held1", worker.fetch("q", 2_000));
+        List<String> acknowledged = pushDuringOutage(producer, how);
+        String reply = worker.ack("job-held1");
+        redis.errors(false);
+        await(
+                "pushes are taken again",
+                () -> "+OK".equals(producer.plain("job-after1", ",\"queue\":\"q\"")));
+        acknowledged.add("job-after1");
+        FaktoryServer.awaitState(producer, "job-held1", "success");
+        assertTrue(reply.equals("+OK") || reply.startsWith("-ERR the store is down"), reply);
+        Thread.sleep(CLEANUP_MS);
+        server.killAndStart();
+        FaktoryPeer after = producer();
+        acknowledged.sort(null);
+        assertEquals(acknowledged, runAllJobs(), "just what was acknowledged runs");
+        assertEquals("success", after.state("job-held1"));
+    }
+
+    /** Starts an outage and pushes jobs while it lasts; returns those that were acknowledged. */
+    private List<String> pushDuringOutage(FaktoryPeer producer, String how) throws Exception {
+        List<String> acknowledged = new ArrayList<>();
+        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OUTAGE_MS);
+        if (how.equals("stalls")) {
+            redis.stall(OUTAGE_MS);
+        } else {
+            redis.errors(true);
+        }
+        int rejected = 0;
+        for (int i = 0; System.nanoTime() < untilNs; i++) {
+            String jid = "job-" + (10_000 + i);
+            String reply = producer.plain(jid, ",\"queue\":\"q\"");
+            if (reply.equals("+OK")) {
+                acknowledged.add(jid);
+            } else {
+                assertTrue(
+                        reply.startsWith("-ERR the store is down and the job was not taken"),
+                        reply);
+                rejected++;
+            }
+            Thread.sleep(50);
+        }
+        assertTrue(rejected > 5, rejected + " were rejected");
+        return acknowledged;
+    }
+
+    /** Runs all jobs that wait; returns their ids in ascending order. */
+    private List<String> runAllJobs() throws IOException {
+        FaktoryPeer worker = peer("w2");
+        List<String> ran = new ArrayList<>();
+        for (String jid = worker.fetch("q", 2_500); jid != null; jid = worker.fetch("q", 0)) {
+            ran.add(jid);
+            worker.ack(jid);
+        }
+        ran.sort(null);
+        return ran;
+    }
+
+    /**
+     * The store takes a job and the answer is lost: pushed again it runs once; not pushed again,
+     * not at all.
+     */
+    @ParameterizedTest
+    @ValueSource(booleans = {true, false})
+    void runsJobOnlyIfPushedAgainAfterLostAnswer(boolean again) throws Exception {
+        FaktoryPeer producer = producer();
+        CountDownLatch cut =
+                redis.trap(
+                        words ->
+                                words.get(0).equalsIgnoreCase("GET")
+                                        && words.get(1).endsWith("job:job-00001"),
+                        Then.DO_AND_HANG_UP);
+        assertTrue(
+                producer.plain("job-00001", NOT_IDEMPOTENT).startsWith("-ERR the store is down"));
+        assertTrue(cut.await(1, TimeUnit.SECONDS));
+        if (again) {
+            await("it is taken", () -> "+OK".equals(producer.plain("job-00001", NOT_IDEMPOTENT)));
+        } else {
+            Thread.sleep(1_500);
+        }
+        FaktoryPeer worker = peer("w1");
+        assertEquals(again ? "job-00001" : null, worker.fetch("q", 0));
+        if (again) {
+            assertEquals("+OK", worker.ack("job-00001"));
+        }
+        assertNull(worker.fetch("q", 0));
+        assertEquals(again ? "success" : "unknown", producer.state("job-00001"));
+    }
+}
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -7,12 +7,13 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import damsonslip.store.JobRecord;
+import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines and jobs are decoded as the protocol has it, or refused in one line. */
+/** Decoding of commands and pushed jobs, and the text of jobs that workers get. */
 class CodecTest {
     private static final String JOB = "{\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1]";
 
@@ -21,7 +22,7 @@
     }
 
     @Test
-    void aPlainJobHasTheProtocolsDefaults() throws MalformedCommandException {
+    void appliesTheProtocolsDefaults() throws MalformedCommandException {
         PushedJob job = job("");
         assertEquals("default", job.queue());
         assertEquals(25, job.retryLimit());
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void timesHaveAnyOffsetAndFraction() throws MalformedCommandException {
+    void acceptsTimesWithAnyOffsetAndFraction() throws MalformedCommandException {
         assertEquals(1_767_225_600_000L, job(",\"at\":\"2026-01-01T00:00:00Z\"").scheduledMs());
         assertEquals(
                 1_767_225_600_000L,
@@ -75,34 +76,34 @@
                 ",\"custom\":{\"expires_at\":true}",
                 ",\"created_at\":5"
             })
-    void aJobThatIsNotInOrderIsRefused(String more) {
+    void rejectsInvalidJob(String more) {
         assertThrows(MalformedCommandException.class, () -> job(more));
     }
 
     /** Numbers come out as they went in, however many digits they have. */
     @Test
-    void whatIsNotTheServersStaysAsItWas() throws MalformedCommandException {
+    void preservesTheProducersFields() throws MalformedCommandException {
         String args = "\"args\":[1.10,12345678901234567890123456789,1E+400,0.1,\"\\u0000é\"]";
         JsonNode given =
                 Json.read(
                         JOB.replace("\"args\":[1]", args)
                                 + ",\"x\":{\"y\":null},\"failure\":{\"n\":1}}");
-        JsonNode kept = Json.read(PushedJob.decode(given, 0, 60).body());
-        assertEquals(given.path("args").toString(), kept.path("args").toString());
+        JsonNode decoded = Json.read(PushedJob.decode(given, 0, 60).body());
+        assertEquals(given.path("args").toString(), decoded.path("args").toString());
         assertTrue(
-                kept.path("args")
+                decoded.path("args")
                         .toString()
                         .startsWith("[1.10,12345678901234567890123456789,1E+400"));
-        assertEquals(given.path("x"), kept.path("x"));
-        assertTrue(kept.path("failure").isMissingNode(), "a producer cannot say how it failed");
+        assertEquals(given.path("x"), decoded.path("x"));
+        assertTrue(decoded.path("failure").isMissingNode(), "a producer cannot say how it failed");
     }
 
     @Test
-    void aWorkerIsToldHowItFailed() throws MalformedCommandException {
+    void addsTheFailureToTheJobsText() throws MalformedCommandException {
         PushedJob pushed = job("");
-        JobRecord.Options facts =
+        JobRecord.Options options =
                 new JobRecord.Options("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
-        JobRecord record = JobRecord.pushed("job-00001", facts, 0, 0);
+        JobRecord record = JobRecord.pushed("job-00001", options, 0, 0);
         JsonNode plain = Json.read(JobText.merge(pushed.body(), record, 1_000));
         assertEquals("1970-01-01T00:00:01Z", plain.path("enqueued_at").asText());
         assertTrue(plain.path("failure").isMissingNode());
@@ -112,12 +113,7 @@
                                         pushed.body(),
                                         record.withFailure(
                                                 new JobRecord.Failure(
-                                                        3,
-                                                        2_000,
-                                                        7_000,
-                                                        "E\"",
-                                                        "m",
-                                                        java.util.List.of("x"))),
+                                                        3, 2_000, 7_000, "E\"", "m", List.of("x"))),
                                         1_000))
                         .path("failure");
         assertEquals(3, failed.path("retry_count").asInt());
@@ -128,18 +124,15 @@
     }
 
     @Test
-    void commandsAreDecoded() throws MalformedCommandException {
+    void decodesCommands() throws MalformedCommandException {
+        assertEquals(List.of("default"), ((Command.Fetch) CommandDecoder.decode("FETCH")).queues());
         assertEquals(
-                java.util.List.of("default"),
-                ((Command.Fetch) CommandDecoder.decode("FETCH")).queues());
-        assertEquals(
-                java.util.List.of("a", "b"),
-                ((Command.Fetch) CommandDecoder.decode("FETCH a  b")).queues());
+                List.of("a", "b"), ((Command.Fetch) CommandDecoder.decode("FETCH a  b")).queues());
         Command.Mutate mutate =
                 (Command.Mutate)
                         CommandDecoder.decode(
-                                "MUTATE"
-                                    + " {\"cmd\":\"kill\",\"target\":\"retries\",\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
+                                "MUTATE {\"cmd\":\"kill\",\"target\":\"retries\","
+                                        + "\"filter\":{\"jids\":[\"x\"],\"regexp\":\"*y*\"}}");
         assertEquals(Command.Mutate.Verb.KILL, mutate.verb());
         assertEquals(Command.Mutate.Target.RETRIES, mutate.target());
         assertEquals("*y*", mutate.filter().glob());
@@ -151,8 +144,8 @@
                 3_600_000,
                 ((Command.TrackSet)
                                 CommandDecoder.decode(
-                                        "TRACK SET"
-                                            + " {\"jid\":\"j\",\"reserve_until\":\"1970-01-01T01:00:00Z\"}"))
+                                        "TRACK SET {\"jid\":\"j\","
+                                                + "\"reserve_until\":\"1970-01-01T01:00:00Z\"}"))
                         .reserveUntilMs());
         assertInstanceOf(Command.BatchCommit.class, CommandDecoder.decode("BATCH COMMIT b-1"));
         assertInstanceOf(Command.Flush.class, CommandDecoder.decode("flush"));
@@ -183,15 +176,15 @@
                 "BATCH NEW {\"success\":1}",
                 "PUSH {} {}"
             })
-    void aLineThatIsNotInOrderIsRefusedInOneLine(String line) {
-        MalformedCommandException refused =
+    void rejectsInvalidLineWithOneLineOfError(String line) {
+        MalformedCommandException rejected =
                 assertThrows(MalformedCommandException.class, () -> CommandDecoder.decode(line));
         assertTrue(
-                refused.getMessage().lines().count() == 1 && refused.getMessage().length() < 200);
+                rejected.getMessage().lines().count() == 1 && rejected.getMessage().length() < 200);
     }
 
     @Test
-    void depthNumbersAndBulkAreBounded() {
+    void boundsDepthNumbersAndBulk() {
         assertThrows(
                 MalformedCommandException.class,
                 () -> CommandDecoder.decode("PUSH " + "[".repeat(10_000) + "]".repeat(10_000)));
@@ -199,57 +192,62 @@
                 MalformedCommandException.class,
                 () -> CommandDecoder.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
         String many = "{},".repeat(100_000);
-        MalformedCommandException refused =
+        MalformedCommandException rejected =
                 assertThrows(
                         MalformedCommandException.class,
                         () -> CommandDecoder.decode("PUSHB [" + many + "{}]"));
-        assertTrue(refused.getMessage().contains("in parts"), refused.getMessage());
+        assertTrue(rejected.getMessage().contains("in parts"), rejected.getMessage());
     }
 
-    /** Whatever bytes come, a line is decoded or refused: nothing else is thrown. */
+    private static final String[] VERBS = {
+        "HELLO ",
+        "PUSH ",
+        "PUSHB ",
+        "FETCH ",
+        "ACK ",
+        "FAIL ",
+        "BEAT ",
+        "TRACK SET ",
+        "TRACK GET ",
+        "MUTATE ",
+        "QUEUE ",
+        "BATCH NEW ",
+        "BATCH "
+    };
+
+    /** Whatever bytes come, a line is decoded or rejected: nothing else is thrown. */
     @Test
-    void noLineBreaksTheDecoder() {
+    void decodesOrRejectsAnyLine() {
         SplittableRandom random = new SplittableRandom(3);
-        String[] verbs = {
-            "HELLO ",
-            "PUSH ",
-            "PUSHB ",
-            "FETCH ",
-            "ACK ",
-            "FAIL ",
-            "BEAT ",
-            "TRACK SET ",
-            "TRACK GET ",
-            "MUTATE ",
-            "QUEUE ",
-            "BATCH NEW ",
-            "BATCH "
-        };
-        String seed =
-                JOB
-                        + ",\"cmd\":\"kill\",\"target\":\"dead\",\"filter\":{\"jids\":[\"a\"]},\"wid\":\"w\"}";
         int decoded = 0;
         for (int i = 0; i < 30_000; i++) {
-            StringBuilder line =
-                    new StringBuilder(verbs[random.nextInt(verbs.length)]).append(seed);
-            for (int change = random.nextInt(4); change > 0; change--) {
-                int at = random.nextInt(line.length());
-                switch (random.nextInt(3)) {
-                    case 0 -> line.deleteCharAt(at);
-                    case 1 -> line.setCharAt(at, (char) random.nextInt(300));
-                    default -> line.insert(at, "{}[]\",:19-e".charAt(random.nextInt(11)));
-                }
-            }
             try {
-                Command command = CommandDecoder.decode(line.toString());
+                Command command = CommandDecoder.decode(randomLine(random));
                 decoded++;
                 if (command instanceof Command.Push push && !push.jobs().isEmpty()) {
                     PushedJob.decode(push.jobs().get(0), 0, 60);
                 }
             } catch (MalformedCommandException e) {
-                // refused in order
+                // rejected, as most are
             }
         }
         assertTrue(decoded > 3_000, decoded + " were decoded");
     }
+
+    private static String randomLine(SplittableRandom random) {
+        String fields =
+                ",\"cmd\":\"kill\",\"target\":\"dead\",\"filter\":{\"jids\":[\"a\"]}"
+                        + ",\"wid\":\"w\"}";
+        StringBuilder line = new StringBuilder(VERBS[random.nextInt(VERBS.length)]);
+        line.append(JOB).append(fields);
+        for (int change = random.nextInt(4); change > 0; change--) {
+            int at = random.nextInt(line.length());
+            switch (random.nextInt(3)) {
+                case 0 -> line.deleteCharAt(at);
+                case 1 -> line.setCharAt(at, (char) random.nextInt(300));
+                default -> line.insert(at, "{}[]\",:19-e".charAt(random.nextInt(11)));
+            }
+        }
+        return line.toString();
+    }
 }
--- /dev/null
+++ b/src/test/java/damsonslip/faktory/codec/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the codec of the Faktory protocol. */
+package damsonslip.faktory.codec;
--- a/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -31,6 +31,21 @@
                         0));
     }
 
+    private void batchWithoutSuccessCallback(String bid, String parent, boolean committed) {
+        batches.add(
+                new Batch(
+                        bid,
+                        parent,
+                        "",
+                        "",
+                        "{c}",
+                        committed,
+                        0,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
+                        0));
+    }
+
     private JobEntry job(String id, String bid) {
         batches.countPushedJob(bid);
         Options facts = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
@@ -40,7 +55,7 @@
 
     private String due(String bid) {
         return batches.collectDueCallbacks(bid).stream()
-                .map(d -> d.batch().callbackJobId(d.success()))
+                .map(callback -> callback.batch().callbackJobId(callback.success()))
                 .toList()
                 .toString();
     }
@@ -52,7 +67,7 @@
     }
 
     @Test
-    void completeComesOnceAllWereRunAndSuccessOnceAllSucceeded() {
+    void completesOnceAllJobsRanAndSucceedsOnceAllSucceeded() {
         batch("b", "");
         JobEntry one = job("one", "b");
         JobEntry two = job("two", "b");
@@ -70,7 +85,7 @@
 
     /** The stop came after a job was kept and before its batch was. */
     @Test
-    void aBatchHasAtLeastTheJobsThatTheStoreHas() {
+    void correctsTotalsToTheJobsInTheStore() {
         batch("b", "");
         job("one", "b");
         job("two", "b");
@@ -82,7 +97,7 @@
     }
 
     @Test
-    void aJobThatDiesKeepsSuccessAwayUntilItIsDoneAfterAll() {
+    void withholdsSuccessWhileAJobIsDead() {
         batch("b", "");
         JobEntry job = job("one", "b");
         batches.commit("b");
@@ -96,7 +111,7 @@
     }
 
     @Test
-    void anOuterBatchWaitsForTheCallbacksOfThoseInside() {
+    void awaitsTheCallbacksOfNestedBatches() {
         batch("out", "");
         batch("in", "out");
         JobEntry job = job("one", "in");
@@ -113,7 +128,7 @@
     }
 
     @Test
-    void aBatchIsOpenOrClosed() {
+    void acceptsJobsOnlyWhileOpen() {
         assertNotNull(batches.rejectionReason("none"));
         batch("b", "");
         assertNull(batches.rejectionReason("b"));
@@ -131,7 +146,7 @@
     }
 
     @Test
-    void aRestartKnowsWhatWasDue() {
+    void knowsUnfinishedCallbacksAfterRestart() {
         batch("b", "");
         batches.commit("b");
         due("b");
@@ -140,51 +155,18 @@
         assertEquals(
                 List.of("b-complete", "b-success"),
                 after.unfinishedCallbacks().stream()
-                        .map(d -> d.batch().callbackJobId(d.success()))
+                        .map(callback -> callback.batch().callbackJobId(callback.success()))
                         .toList());
     }
 
     @Test
-    void aBatchWithoutACallbackIsOverWithoutOneAndParentsInACircleEnd() {
-        batches.add(
-                new Batch(
-                        "b",
-                        "c",
-                        "",
-                        "",
-                        "{c}",
-                        false,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
-        batches.add(
-                new Batch(
-                        "c",
-                        "b",
-                        "",
-                        "",
-                        "{c}",
-                        false,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
+    void endsWithoutCallbackAndToleratesCyclicParents() {
+        batchWithoutSuccessCallback("b", "c", false);
+        batchWithoutSuccessCallback("c", "b", false);
         batches.commit("b");
         assertEquals(
                 "[]", due("b"), "each waits for the other, and the search for what is due ends");
-        batches.add(
-                new Batch(
-                        "d",
-                        "",
-                        "",
-                        "",
-                        "{c}",
-                        true,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
+        batchWithoutSuccessCallback("d", "", true);
         assertEquals(2, batches.collectDueCallbacks("d").size());
         assertEquals(CallbackState.DONE, batches.get("d").onSuccess(), "there is nothing to run");
         assertEquals(CallbackState.DUE, batches.get("d").onComplete());
--- a/src/test/java/damsonslip/faktory/jobs/GlobTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/GlobTest.java
@@ -31,12 +31,12 @@
         "x[]]y,x]y,true",
         "*ab,aab,true"
     })
-    void itFitsOrNot(String pattern, String text, boolean fits) {
+    void matches(String pattern, String text, boolean fits) {
         assertEquals(fits, new Glob(pattern).matches(text));
     }
 
     @Test
-    void noPatternTakesForEver() {
+    void matchesInBoundedTime() {
         assertTimeoutPreemptively(
                 Duration.ofSeconds(5),
                 () -> assertFalse(new Glob("*a".repeat(50) + "b").matches("a".repeat(20_000))));
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aFetchsOwnOrderHoldsAndWithinAQueueArrival() {
+    void servesQueuesInTheFetchsOrderAndJobsInArrivalOrder() {
         add("a1", "a", 0);
         add("b1", "b", 1);
         add("a2", "a", 1);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void fairQueuesTakeTurnsHoweverFullOneIs() {
+    void servesQueuesInTurnInFairOrder() {
         for (int i = 0; i < 10; i++) {
             add("a" + i, "a", 0);
         }
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aJobThatComesBackFindsItsPlaceAndWaitsItsTime() {
+    void returnsJobToItsPositionAndDelaysIt() {
         add("a1", "a", 0);
         add("a2", "a", 0);
         JobEntry first = jobTable.get("a1");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aHigherPriorityComesFirst() {
+    void servesHigherPriorityFirst() {
         Options low = new Options("a", "t", "any", 1, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
         Options high = new Options("a", "t", "any", 9, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
         jobTable.add(JobRecord.pushed("low", low, 0, 0).withSequence(jobTable.nextSequence()), 0);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void limitsHoldForAllAndForOneQueueAndTheDeadDoNotCount() {
+    void limitsWaitingJobsInAllAndByQueueWithoutTheDead() {
         for (int i = 0; i < 20; i++) {
             assertNull(jobTable.rejectionReason("a"));
             add("a" + i, "a", 0);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void theDeadAreKeptForAWhileAndToANumber() {
+    void expiresDeadJobsByAgeAndNumber() {
         for (int i = 0; i < 5; i++) {
             JobEntry entry = add("d" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.DEAD, 100 + i, "", 0));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatIsDueComesEarliestFirstAndNotAllAtOnce() {
+    void returnsDueJobsEarliestFirstUpToALimit() {
         for (int i = 0; i < 10; i++) {
             JobEntry entry = add("s" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.SCHEDULED, 1_000 - i, "", 0));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aLockHoldsUntilItsJobEndsItsTimeEndsOrItStarts() {
+    void holdsUniqueLockUntilEndExpiryOrStart() {
         Options facts =
                 new Options("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
         assertTrue(jobTable.lockUnique("one", facts, 0));
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void theSameJobIsNotHereTwice() {
+    void rejectsDuplicateId() {
         add("a1", "a", 0);
         assertThrows(IllegalArgumentException.class, () -> add("a1", "a", 0));
     }
@@ -159,7 +159,7 @@
      * apart.
      */
     @Test
-    void itsCountsStayTrueThroughManyRandomMoves() {
+    void keepsCountsThroughRandomMoves() {
         SplittableRandom random = new SplittableRandom(7);
         JobTable large =
                 new JobTable(
--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aBackoffIsTheFourthPowerAndChance() {
+    void backsOffByTheFourthPowerWithJitter() {
         for (int count : new int[] {0, 1, 2, 5, 24}) {
             long least = 1000L * (count * count * count * count + 15);
             for (int i = 0; i < 200; i++) {
@@ -90,7 +90,7 @@
      * any more.
      */
     @Test
-    void whatRanFirstInTheFutureIsNotRepeatedWithinAWindow() {
+    void allowsNoRunWithinAWindowAfterTheClockWasPutBack() {
         JobRecord ran = ran(5, 0); // first run at 10,000 ms
         assertTrue(RetryPolicy.mayRun(ran, KEYED, 10_000));
         assertFalse(RetryPolicy.mayRun(ran, KEYED, 9_999));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aFailureIsTriedAgainUntilItsRetriesAreUsedUp() {
+    void retriesUntilTheRetryLimit() {
         JobRecord record = ran(2, 0);
         for (int count = 0; count < 2; count++) {
             NextState next = fail(record, SAFE);
@@ -115,13 +115,13 @@
     }
 
     @Test
-    void noRetryDiscardsAndMinusOneBuries() {
+    void discardsWithoutRetriesAndMovesToTheDeadSetOnMinusOne() {
         assertEquals(State.DISCARDED, fail(ran(0, 0), SAFE).state());
         assertEquals(State.DEAD, fail(ran(-1, 0), SAFE).state());
     }
 
     @Test
-    void whatMustNotRunTwiceIsDeadWhateverItsRetryCount() {
+    void movesNonIdempotentJobToTheDeadSetWhateverItsRetryLimit() {
         for (int retry : new int[] {-1, 0, 1, 25}) {
             NextState next = fail(ran(retry, 0), ONCE);
             assertEquals(State.DEAD, next.state());
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aReplyKeyHoldsOnlyWithinItsWindowAndWhereItIsKnownEverywhere() {
+    void allowsRunsOfKeyedJobWithinItsWindowInAllZones() {
         assertTrue(RetryPolicy.mayRun(ran(1, 0), KEYED, 49_999));
         assertFalse(
                 RetryPolicy.mayRun(ran(1, 0), KEYED, 50_000), "40 s after the first run at 10 s");
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void aStartTellsApartWhatRanAndWhatDidNot() {
+    void recoversByWhatMayHaveRun() {
         JobRecord waits = record("j", "q", 25, 0);
         assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waits, ONCE, 5_000));
         assertEquals(
