--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -5,6 +5,7 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLoop;
 import damsonslip.faktory.jobs.JobEntry;
+import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.routing.Routes;
 import damsonslip.policy.api.JobClass;
