--- a/src/test/java/damsonslip/platform/codec/RequestReaderTest.java
+++ b/src/test/java/damsonslip/platform/codec/RequestReaderTest.java
@@ -16,11 +16,14 @@
 /** Requests as their bytes arrive. */
 class RequestReaderTest {
     private static final String REQUEST =
-            "POST /api HTTP/1.1\r\n"
-                + "Host: a\r\n"
-                + "X-Correlation-Id: q1\r\n"
-                + "Content-Length: 4\r\n\r\n"
-                + "body";
+            String.join(
+                    "\r\n",
+                    "POST /api HTTP/1.1",
+                    "Host: a",
+                    "X-Correlation-Id: q1",
+                    "Content-Length: 4",
+                    "",
+                    "body");
 
     private final RequestReader reader = new RequestReader();
 
--- a/src/test/java/damsonslip/platform/codec/ResponseReaderTest.java
+++ b/src/test/java/damsonslip/platform/codec/ResponseReaderTest.java
@@ -51,11 +51,10 @@
 
     @Test
     void skipsInterimResponses() {
-        assertEquals(
-                List.of("status 503", "reusable"),
-                read(
-                        "HTTP/1.1 100 Continue\r\n\r\n"
-                                + "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"));
+        assertEquals(List.of(), read("HTTP/1.1 100 Continue\r\n\r\n"));
+        String interim = "HTTP/1.1 103 Early\r\n\r\n";
+        String rejection = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+        assertEquals(List.of("status 503", "reusable"), read(interim + rejection));
     }
 
     @Test
