--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -87,7 +87,7 @@
 
     void slowReader() {
         counters.add(Count.SLOW_READERS_LET_GO);
-        LOG.warn("event=console_closed reason=slow_reader");
+        LOG.warn("a console reads nothing of its answer and is let go");
     }
 
     EventLoop loop() {
