--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -108,8 +108,7 @@
 
     /**
      * Returns how long the upload of the request is expected to take, in microseconds, from earlier
-     * attempts that were given up while they were written. The time limit that a worker is given is
-     * shortened by it.
+     * attempts that were abandoned during the upload. It shortens the time limit of the worker.
      */
     public long expectedUploadUs() {
         return context.expectedUploadUs();
--- a/src/main/java/damsonslip/engine/AttemptManager.java
+++ b/src/main/java/damsonslip/engine/AttemptManager.java
@@ -94,7 +94,7 @@
                 : request.deadlineUs();
     }
 
-    /** Stops waiting for an attempt that the decision module has given up. */
+    /** Stops waiting for an attempt that the decision module cancels. */
     void cancel(Cancel cancel) {
         RequestContext context = requests.find(cancel.job());
         if (context != null && cancel.attempt() < context.attempts().size()) {
--- a/src/main/java/damsonslip/engine/RequestContext.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -112,7 +112,7 @@
         return expectedUploadUs;
     }
 
-    /** Records how long an upload that was given up would have taken. */
+    /** Records how long an abandoned upload would have taken. */
     void recordUploadTime(long uploadUs) {
         expectedUploadUs = Math.max(expectedUploadUs, uploadUs);
     }
--- a/src/main/java/damsonslip/engine/Response.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -10,7 +10,7 @@
  * @param late if failed, whether the deadline was the reason
  */
 public record Response(Kind kind, String result, long retryAfterUs, boolean late) {
-    /** Stands for an unknown time in {@link #retryAfterUs}. */
+    /** Means an unknown time in {@link #retryAfterUs}. */
     public static final long NO_RETRY_AFTER = 0;
 
     /** How a request ends. */
