--- a/src/main/java/damsonslip/policy/AdmissionControl.java
+++ b/src/main/java/damsonslip/policy/AdmissionControl.java
@@ -76,10 +76,10 @@
         }
     }
 
-    /** For a job with an affinity key all schedulers choose alike, so that only a report counts. */
+    /** All schedulers choose alike for an affinity key, so that only a report shows a free slot. */
     private boolean hasFreeSlots(Worker worker, Job job) {
-        boolean known = !job.hasAffinity() || worker.load().hasReport();
-        return known && capacity.freeSlots(worker) >= job.slots();
+        boolean reliable = !job.hasAffinity() || worker.load().hasReport();
+        return reliable && capacity.freeSlots(worker) >= job.slots();
     }
 
     private boolean isSpare(WorkerPool pool, boolean slotFree) {
--- a/src/main/java/damsonslip/policy/AttemptResults.java
+++ b/src/main/java/damsonslip/policy/AttemptResults.java
@@ -67,10 +67,10 @@
         Worker worker = attempt.worker();
         switch (outcome) {
             case SERVED -> learnRunTime(attempt);
-            case FULL -> capacity.markFull(worker);
+            case FULL -> capacity.recordFull(worker);
             case CANCELLED -> {
                 if (context.settings().reportsJobStart() && capacity.isWaitingToStart(attempt)) {
-                    capacity.markFull(worker);
+                    capacity.recordFull(worker);
                 }
             }
             case ERROR, TIMED_OUT, NOT_CONNECTED, RESET, NEVER_SENT -> {}
--- a/src/main/java/damsonslip/policy/CapacityEstimator.java
+++ b/src/main/java/damsonslip/policy/CapacityEstimator.java
@@ -44,8 +44,8 @@
     }
 
     /** Records that a worker has no free slot now. */
-    void markFull(Worker worker) {
-        worker.load().markFull(slots.slotsOf(worker), context.nowUs());
+    void recordFull(Worker worker) {
+        worker.load().recordFull(slots.slotsOf(worker), context.nowUs());
         observeFreeShare(worker, 0);
     }
 
--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -12,7 +12,7 @@
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class Job implements Comparable<Job> {
-    /** A job that has waited for this part of its slack hardly ends in time. */
+    /** A job that has waited for this part of its slack counts as late. */
     static final double LATE_SHARE = 0.3;
 
     private final JobArrived request;
@@ -78,7 +78,7 @@
         return request.deadlineUs();
     }
 
-    /** How many attempts that may have run it allows at the most. */
+    /** Largest number of attempts that may have run. */
     int maxRuns() {
         return request.maxRuns();
     }
@@ -112,7 +112,7 @@
         return nowUs - arrivedUs;
     }
 
-    /** Whether it has waited so long that it hardly ends in time. */
+    /** Whether it has waited too long to end in time, as most jobs go. */
     boolean isLate(long nowUs) {
         return waitedUs(nowUs) > LATE_SHARE * homePool.slackUs();
     }
@@ -163,7 +163,7 @@
         return ended;
     }
 
-    void markEnded() {
+    void end() {
         ended = true;
         queued = false;
     }
--- a/src/main/java/damsonslip/policy/JobAttempt.java
+++ b/src/main/java/damsonslip/policy/JobAttempt.java
@@ -7,7 +7,7 @@
     private final Job job;
     private final Worker worker;
     private final long sentUs;
-    private long startedUs = NOT_STARTED;
+    private long startTimeUs = NOT_STARTED;
     private boolean open = true;
 
     /** Creates an attempt that is sent at this time. */
@@ -31,16 +31,16 @@
 
     /** Whether the worker has said that the job started. */
     boolean isStarted() {
-        return startedUs != NOT_STARTED;
+        return startTimeUs != NOT_STARTED;
     }
 
-    void markStarted(long nowUs) {
-        startedUs = nowUs;
+    void start(long nowUs) {
+        startTimeUs = nowUs;
     }
 
     /** When it started, as far as is known: else when it was sent. */
     long runningSinceUs() {
-        return isStarted() ? startedUs : sentUs;
+        return isStarted() ? startTimeUs : sentUs;
     }
 
     /** Whether it was sent before this time and is not known to have started. */
--- a/src/main/java/damsonslip/policy/JobCompletion.java
+++ b/src/main/java/damsonslip/policy/JobCompletion.java
@@ -42,7 +42,7 @@
 
     /** Ends a job that needs no more answer. */
     void end(Job job) {
-        job.markEnded();
+        job.end();
         job.homePool().jobEnded();
         if (context.settings().limits().mayCancel()) {
             cancelOpenAttempts(job);
--- a/src/main/java/damsonslip/policy/OutlierDetector.java
+++ b/src/main/java/damsonslip/policy/OutlierDetector.java
@@ -46,7 +46,7 @@
         this.registry = registry;
     }
 
-    /** Takes in a load report: the errors that it tells of count, whoever met them. */
+    /** Takes in a load report, whose errors count whichever scheduler they came from. */
     void acceptReport(Worker worker, LoadReport report) {
         WorkerHealth health = worker.health();
         if (report.totalSlots() > 0) {
--- a/src/main/java/damsonslip/policy/ProbeRounds.java
+++ b/src/main/java/damsonslip/policy/ProbeRounds.java
@@ -17,7 +17,7 @@
 
     private static final double MAX_PROBES_PER_JOB = 2;
 
-    /** Each worker is probed this often at the most. */
+    /** Least time between two probes of a worker. */
     private static final long MIN_WORKER_INTERVAL_US = 400_000;
 
     /** Probes are counted by at least this many own jobs a second. */
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -207,7 +207,7 @@
     private void attemptStarted(AttemptStarted event) {
         JobAttempt attempt = jobs.findAttempt(event.job(), event.attempt());
         if (attempt != null && !attempt.isStarted()) {
-            attempt.markStarted(context.nowUs());
+            attempt.start(context.nowUs());
             jobComponents.migration.attemptStarted(attempt);
         }
     }
@@ -257,8 +257,8 @@
     /** Returns whether the worker may still be sent to, by the worker list or by its lease. */
     public boolean mayUse(String worker, long nowUs) {
         context.advanceTo(nowUs);
-        Worker known = registry.find(worker);
-        return known != null && fleet.availability.mayUse(known);
+        Worker found = registry.find(worker);
+        return found != null && fleet.availability.mayUse(found);
     }
 
     /**
@@ -266,11 +266,11 @@
      * bears; null if it does not warm up.
      */
     public SlowStartLoad coldLoad(String worker, int jobClass) {
-        Worker known = registry.find(worker);
-        if (known == null || !fleet.slowStart.isWarmingUp(known)) {
+        Worker found = registry.find(worker);
+        if (found == null || !fleet.slowStart.isWarmingUp(found)) {
             return null;
         }
-        return fleet.slowStart.load(known, pools.ofClass(jobClass));
+        return fleet.slowStart.load(found, pools.ofClass(jobClass));
     }
 
     /** Returns the state of the pools, by class. */
--- a/src/main/java/damsonslip/policy/Worker.java
+++ b/src/main/java/damsonslip/policy/Worker.java
@@ -129,7 +129,7 @@
     }
 
     /** Records that it still runs. */
-    void seenRunning(long nowUs) {
+    void stillRunning(long nowUs) {
         lastRunningUs = nowUs;
     }
 
--- a/src/main/java/damsonslip/policy/WorkerAvailability.java
+++ b/src/main/java/damsonslip/policy/WorkerAvailability.java
@@ -37,17 +37,17 @@
     /** Whether a job may wait: a list is valid or may come soon, or a lease may. */
     boolean mayWait() {
         return discovery.mayWait(context.nowUs())
-                || usesLeases() && registry.all().stream().anyMatch(this::isWorthAwaiting);
+                || usesLeases() && registry.all().stream().anyMatch(this::mayGetLease);
     }
 
-    private boolean isWorthAwaiting(Worker worker) {
+    private boolean mayGetLease(Worker worker) {
         return worker.isRunning()
                 && couldKeepRunning(worker)
                 && worker.lease().isWorthAwaiting(discovery.heardUs(), context.nowUs());
     }
 
     /** Whether a probe of this worker may lead to a lease. */
-    boolean isWorthProbing(Worker worker) {
+    boolean mayGrantLease(Worker worker) {
         return couldKeepRunning(worker)
                 && worker.lease().isWorthProbing(discovery.heardUs(), context.nowUs());
     }
--- a/src/main/java/damsonslip/policy/WorkerHealth.java
+++ b/src/main/java/damsonslip/policy/WorkerHealth.java
@@ -42,7 +42,7 @@
         failedJobs = 0;
     }
 
-    /** Records whether the last load report told of errors, of own jobs or others'. */
+    /** Records whether the last load report shows errors, of whichever scheduler. */
     void reportErrors(boolean errors) {
         reportsErrors = errors;
     }
--- a/src/main/java/damsonslip/policy/WorkerLoad.java
+++ b/src/main/java/damsonslip/policy/WorkerLoad.java
@@ -118,7 +118,7 @@
     }
 
     /** Records that all slots are in use. */
-    void markFull(double totalSlots, long nowUs) {
+    void recordFull(double totalSlots, long nowUs) {
         othersSlots = totalSlots - ownSlots;
         reportedFreeSlots = 0;
         reportedUs = nowUs;
--- a/src/main/java/damsonslip/policy/WorkerRegistry.java
+++ b/src/main/java/damsonslip/policy/WorkerRegistry.java
@@ -93,7 +93,7 @@
         for (Iterator<Worker> all = workers.values().iterator(); all.hasNext(); ) {
             Worker worker = all.next();
             if (worker.isRunning()) {
-                worker.seenRunning(nowUs);
+                worker.stillRunning(nowUs);
             } else if (worker.outstanding().isEmpty()
                     && nowUs - worker.lastRunningUs() > RETENTION_US) {
                 all.remove();
--- a/src/main/java/damsonslip/policy/WorkerSelector.java
+++ b/src/main/java/damsonslip/policy/WorkerSelector.java
@@ -79,10 +79,10 @@
         boolean anywhere = !job.hasAffinity();
         int start = startPosition(job, ring.length);
         int candidatesLeft = anywhere ? ring.length : job.affinityWorkers() + (widened ? 1 : 0);
-        double leastRoom = SLOT_TOLERANCE - 1 - (anywhere || widened ? 0 : MAX_AFFINITY_QUEUE);
+        double minSpareSlots = SLOT_TOLERANCE - 1 - (anywhere || widened ? 0 : MAX_AFFINITY_QUEUE);
         Worker selected = null;
         Worker previous = null;
-        double mostRoom = 0;
+        double bestSpareSlots = 0;
         int positions = Math.min(MAX_POSITIONS, ring.length);
         for (int i = 0; i < positions && candidatesLeft > 0; i++) {
             Worker worker = ring[(start + i) % ring.length];
@@ -91,14 +91,14 @@
             }
             previous = worker;
             candidatesLeft--;
-            double room = capacity.freeSlots(worker) - job.slots();
-            if (room < leastRoom || worker.load().lacksMemory(job.memory())) {
+            double spareSlots = capacity.freeSlots(worker) - job.slots();
+            if (spareSlots < minSpareSlots || worker.load().lacksMemory(job.memory())) {
                 continue;
             }
-            room += anywhere ? zonePreference(worker) : 0;
-            if (selected == null || room > mostRoom) {
+            spareSlots += anywhere ? zonePreference(worker) : 0;
+            if (selected == null || spareSlots > bestSpareSlots) {
                 selected = worker;
-                mostRoom = room;
+                bestSpareSlots = spareSlots;
             }
         }
         return selected;
--- /dev/null
+++ b/src/test/java/damsonslip/policy/RunTimeRatioTest.java
@@ -0,0 +1,42 @@
+package damsonslip.policy;
+
+import static damsonslip.policy.ScriptedScheduler.SECOND;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Averages how slow a worker is. */
+class RunTimeRatioTest {
+    private final RunTimeRatio ratio = new RunTimeRatio();
+
+    @Test
+    void startsAsUsual() {
+        assertEquals(1, ratio.at(SECOND));
+    }
+
+    @Test
+    void averagesTheFirstJobWithTheUsual() {
+        ratio.observe(4, SECOND);
+        assertEquals(2.5, ratio.at(SECOND));
+    }
+
+    @Test
+    void limitsTheWeightOfASingleJob() {
+        ratio.observe(1_000, SECOND);
+        assertEquals(3.5, ratio.at(SECOND));
+    }
+
+    @Test
+    void returnsToTheUsualWithoutJobs() {
+        ratio.observe(4, SECOND);
+        assertTrue(ratio.at(60 * SECOND) < 1.01);
+    }
+
+    @Test
+    void returnsToTheUsualAfterARestart() {
+        ratio.observe(4, SECOND);
+        ratio.reset();
+        assertEquals(1, ratio.at(SECOND));
+    }
+}
