--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -126,7 +126,7 @@
         try {
             batches.add(Json.MAPPER.readValue(text, Batch.class));
         } catch (JsonProcessingException e) {
-            LOG.warn("batch {} from the store cannot be read", bid);
+            LOG.warn("event=batch_not_recovered bid={} reason=unreadable", bid, e);
         }
     }
 
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -121,7 +121,7 @@
             throw new ConfigurationException("config: listen: " + e.getMessage());
         }
         LOG.info(
-                "{} speaks Faktory on {}, store {}",
+                "event=started name={} protocol=faktory address={} store={}",
                 config.name(),
                 config.listen(),
                 config.store());
@@ -141,11 +141,11 @@
         try {
             FaktoryConfig reloaded = FaktoryConfig.read(file);
             password = new Password(reloaded.password());
-            LOG.info(
-                    "reload: the password is read again; anything else takes effect at the next"
-                            + " start");
+            LOG.info("event=configuration_reloaded settings=password");
         } catch (ConfigurationException e) {
-            LOG.warn("reload: {}; what held before goes on", e.getMessage());
+            LOG.warn(
+                    "event=configuration_not_reloaded reload: {}; what held before goes on",
+                    e.getMessage());
         }
     }
 
@@ -189,7 +189,7 @@
         try {
             listener.close();
         } catch (IOException e) {
-            LOG.warn("the listener did not close: {}", e.getMessage());
+            LOG.warn("event=listener_close_failed", e);
         }
     }
 
@@ -266,10 +266,11 @@
         loop.in(SLOW_PEER_CHECK_US, this::closeSlowPeers);
     }
 
+    /** Counts and logs that a slow peer is being closed. */
     void closing(FaktoryConnection connection, Count reason, String behaviour) {
         counters.add(reason);
         LOG.info(
-                "{} is let go: it {}",
+                "event=slow_peer_closed {} is let go: it {}",
                 connection.worker() == null ? "a producer" : connection.worker().wid,
                 behaviour);
     }
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -130,8 +130,8 @@
 
     /**
      * Whether jobs of this class may be dispatched. Not while the decision module holds others of
-     * the class, which may be awaited, unless the FETCH has waited for so long that those cannot
-     * use it.
+     * the class, which may be awaited, unless the FETCH has waited long enough to show that those
+     * cannot use it.
      */
     private boolean mayDispatch(int jobClass, long fetchSinceUs) {
         boolean blocked = loop.now() < blockedUntilUs[jobClass];
--- a/src/main/java/damsonslip/faktory/JobLifecycle.java
+++ b/src/main/java/damsonslip/faktory/JobLifecycle.java
@@ -93,7 +93,11 @@
     private static void checkTransition(JobEntry entry, JobRecord next) {
         JobRecord.State from = entry.record().state();
         if (!JobTransitions.isAllowed(from, next.state())) {
-            LOG.error("unexpected_transition jid={} from={} to={}", next.id(), from, next.state());
+            LOG.error(
+                    "event=unexpected_transition jid={} from={} to={}",
+                    next.id(),
+                    from,
+                    next.state());
         }
     }
 
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -5,7 +5,6 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLoop;
 import damsonslip.faktory.jobs.JobEntry;
-import damsonslip.faktory.jobs.JobTable;
 import damsonslip.faktory.jobs.RetryPolicy;
 import damsonslip.faktory.routing.Routes;
 import damsonslip.policy.api.JobClass;
@@ -100,7 +99,7 @@
 
     private void loadJobs(List<String> ids, int from) {
         if (from >= ids.size()) {
-            LOG.info("{} jobs taken up from the store", recoveredJobs);
+            LOG.info("event=jobs_recovered {} jobs taken up from the store", recoveredJobs);
             onCompletion.run();
             return;
         }
@@ -136,7 +135,7 @@
     private void failWithoutClass(JobRecord record) {
         String className = record.options().className();
         LOG.warn(
-                "job {} from the store cannot be taken up: no class of the name {}",
+                "event=job_not_recovered jid={} reason=unknown_class class={}",
                 record.id(),
                 className);
         String detail = "no class of the name " + className;
--- a/src/main/java/damsonslip/faktory/WorkerRegistry.java
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -200,7 +200,7 @@
         long silentSinceUs = loop.now() - HEARTBEAT_TIMEOUT_US;
         for (Worker worker : new ArrayList<>(workers.values())) {
             if (worker.lastHeartbeatUs < silentSinceUs) {
-                LOG.info("worker {} has stopped beating", worker.wid);
+                LOG.info("event=worker_removed wid={} reason=heartbeat_timeout", worker.wid);
                 stop(worker, WorkerStatus.REMOVED);
             }
             worker.decaySlots();
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -167,13 +167,13 @@
     private <T> void complete(Call<T> call, Object result) {
         try {
             if (result instanceof StoreException failure) {
-                LOG.debug("{}", failure.getMessage());
+                LOG.debug("event=store_operation_failed reason=\"{}\"", failure.getMessage());
                 call.onFailure().run();
             } else {
                 succeed(call, result);
             }
         } catch (RuntimeException e) {
-            LOG.error("a task failed and was dropped", e);
+            LOG.error("event=store_callback_failed", e);
         }
     }
 
--- a/src/main/java/damsonslip/store/RedisOperations.java
+++ b/src/main/java/damsonslip/store/RedisOperations.java
@@ -188,7 +188,7 @@
         try {
             return decode(text);
         } catch (StoreException e) {
-            LOG.warn("left in the store: {}", e.getMessage());
+            LOG.warn("event=record_unreadable left in the store: {}", e.getMessage());
             return null;
         }
     }
--- a/src/main/java/damsonslip/store/StoreCircuitBreaker.java
+++ b/src/main/java/damsonslip/store/StoreCircuitBreaker.java
@@ -34,13 +34,13 @@
         try {
             List<Object> results = call(operations);
             if (open) {
-                LOG.info("the store answers again");
+                LOG.info("event=store_available");
             }
             open = false;
             return results;
         } catch (StoreException e) {
             if (!open) {
-                LOG.warn("{}", e.getMessage());
+                LOG.warn("event=store_unavailable reason=\"{}\"", e.getMessage());
             }
             open = true;
             openUntilNs = System.nanoTime() + OPEN_PERIOD_NS;
@@ -53,7 +53,7 @@
         try {
             return store.execute(operations);
         } catch (RuntimeException e) {
-            LOG.error("a call to the store failed", e);
+            LOG.error("event=store_call_failed", e);
             throw new StoreException("a call to the store failed", e);
         }
     }
