--- a/src/test/java/damsonslip/faktory/AwaitedJobRetryTest.java
+++ b/src/test/java/damsonslip/faktory/AwaitedJobRetryTest.java
@@ -14,7 +14,7 @@
     }
 
     /**
-     * The worker may be at it still: whatever the retry count says, nobody else may get the job.
+     * The worker may still be running it: whatever the retry limit, no other worker gets the job.
      */
     @Test
     void neverRepeatsJobOfSilentWorkerThatMustNotRunTwice() throws Exception {
@@ -28,7 +28,7 @@
         assertNull(other.fetch());
         FaktoryServer.awaitState(producer, "job-00001", "dead");
         assertNull(other.fetch());
-        assertEquals("+OK", silent.ack("job-00001"), "a late word is taken");
+        assertEquals("+OK", silent.ack("job-00001"), "a late report is accepted");
         assertEquals("dead", producer.state("job-00001"), "and changes nothing");
         assertEquals(1, producer.info().path("counters").path("words_late").asInt());
     }
@@ -52,8 +52,8 @@
     }
 
     /**
-     * A worker without any connection is gone: what may be repeated runs elsewhere, long before its
-     * deadline.
+     * A worker without any connection is removed: an idempotent job is retried on another worker,
+     * long before its deadline.
      */
     @Test
     void retriesJobOfDisconnectedWorkerWhereItsClassAllows() throws Exception {
--- a/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
+++ b/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Its only job dies, the scheduler is killed before the callback reaches anybody, and it comes
-     * all the same, once.
+     * The batch's only job is dead, and the scheduler is killed before the callback is recorded:
+     * the callback is pushed after the restart, once.
      */
     @Test
     void pushesCallbackOnceThatIsDueAtKill() throws Exception {
@@ -83,8 +83,8 @@
             assertEquals("+OK", worker.ack(jid));
         }
         assertNull(worker.fetch("cb", 0));
-        JsonNode told = JSON.readTree(after.call("BATCH STATUS " + bid));
-        assertEquals(2, told.path("total").asInt(), told.toString());
+        JsonNode status = JSON.readTree(after.call("BATCH STATUS " + bid));
+        assertEquals(2, status.path("total").asInt(), status.toString());
         assertEquals("+OK", after.call("BATCH COMMIT " + bid));
         assertEquals(bid + "-complete", worker.fetch("cb", 2_000));
     }
--- a/src/test/java/damsonslip/faktory/CrossingCommandsTest.java
+++ b/src/test/java/damsonslip/faktory/CrossingCommandsTest.java
@@ -52,8 +52,8 @@
     }
 
     /**
-     * After its reservation a FAIL says nothing new, but an ACK proves that the job need not run
-     * again.
+     * After the reservation has expired a FAIL changes nothing, but an ACK shows that the job need
+     * not be retried.
      */
     @Test
     void acceptsLateAcknowledgementOfExpiredReservation() throws Exception {
--- a/src/test/java/damsonslip/faktory/FaultScenarioTest.java
+++ b/src/test/java/damsonslip/faktory/FaultScenarioTest.java
@@ -22,22 +22,22 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The operators' troubles, shortened, played to the Faktory front: workers slow down, hang, drain
- * and come fresh, and the scheduler dies. Counted by the four rules and by the worth answered in
- * time.
+ * A scenario of faults against the Faktory front: workers slow down, hang, drain and start cold,
+ * and the scheduler is killed. Each job gets a final answer in time, none that must not run twice
+ * does, and most of the priority weight is served.
  */
 class FaultScenarioTest {
     private static final String[] CLASSES = {
         "status-read", "list-report", "apply-submit", "offer-reply"
     };
-    private static final double[] PARTS = {0.31, 0.60, 0.84, 1};
-    private static final double[] WORTH = {5, 2, 5, 3};
-    private static final long LENGTH_MS = 8_000;
-    private static final int EVERY_MS = 25;
+    private static final double[] CUMULATIVE_SHARES = {0.31, 0.60, 0.84, 1};
+    private static final double[] WEIGHTS = {5, 2, 5, 3};
+    private static final long DURATION_MS = 8_000;
+    private static final int PUSH_INTERVAL_MS = 25;
     private static final long DEADLINE_MS = 3_000;
 
-    /** What the store and two processes on a busy machine may add to the rules' 66 ms. */
-    private static final long GRACE_MS = 500;
+    /** What the store and two processes on a busy machine may add to the time limit of 66 ms. */
+    private static final long TOLERANCE_MS = 500;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -56,9 +56,10 @@
     }
 
     /**
-     * One slot of a worker: fetches, works, tells, and connects anew when the scheduler has died.
+     * Starts one slot of a worker: it fetches, runs and acknowledges jobs, and reconnects after the
+     * scheduler was killed.
      */
-    private Thread slot(String wid) {
+    private void startSlot(String wid) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -74,7 +75,6 @@
                         });
         thread.setDaemon(true);
         thread.start();
-        return thread;
     }
 
     private void work(String wid, FaktoryPeer peer) throws IOException, InterruptedException {
@@ -83,7 +83,7 @@
             return;
         }
         runs.add(new Run(jid, wid, nowMs()));
-        switch (state.getOrDefault(wid, "well")) {
+        switch (state.getOrDefault(wid, "healthy")) {
             case "slow" -> Thread.sleep(200);
             case "hung" -> {
                 while ("hung".equals(state.get(wid))) {
@@ -127,13 +127,13 @@
         try (RedisStandIn redis = new RedisStandIn();
                 Program first = program(redis)) {
             for (int i = 0; i < 12; i++) {
-                slot("w" + i / 2);
+                startSlot("w" + i / 2);
             }
             Program second = push(pushed, first, redis, quietAt, diedAt);
             try (second;
                     FaktoryPeer tracker = new FaktoryPeer(port, "", "")) {
-                pause(DEADLINE_MS + GRACE_MS);
-                judge(pushed, tracker, quietAt[0], diedAt[0]);
+                pause(DEADLINE_MS + TOLERANCE_MS);
+                checkAnswers(pushed, tracker, quietAt[0], diedAt[0]);
             } finally {
                 over = true;
             }
@@ -147,8 +147,8 @@
         Program program = first;
         FaktoryPeer producer = new FaktoryPeer(port, "", "");
         long start = nowMs();
-        for (int i = 0; (long) i * EVERY_MS < LENGTH_MS; i++) {
-            trouble(i, quietAt);
+        for (int i = 0; (long) i * PUSH_INTERVAL_MS < DURATION_MS; i++) {
+            injectFault(i, quietAt);
             if (i == 200) {
                 diedAt[0] = nowMs();
                 program.kill();
@@ -158,7 +158,7 @@
             }
             double draw = random.nextDouble();
             int jobClass = 0;
-            while (draw > PARTS[jobClass]) {
+            while (draw > CUMULATIVE_SHARES[jobClass]) {
                 jobClass++;
             }
             Pushed job = new Pushed("job-" + (10_000 + i), jobClass, nowMs());
@@ -166,20 +166,20 @@
                     .equals("+OK")) {
                 pushed.add(job);
             }
-            pause(Math.max(0, start + (long) i * EVERY_MS - nowMs()));
+            pause(Math.max(0, start + (long) i * PUSH_INTERVAL_MS - nowMs()));
         }
         return program;
     }
 
-    private void trouble(int step, long[] quietAt) throws IOException {
+    private void injectFault(int step, long[] quietAt) throws IOException {
         switch (step) {
             case 60 -> state.put("w1", "slow");
             case 100 -> state.put("w2", "hung");
-            case 140 -> state.put("w1", "well");
-            case 160 -> state.put("w2", "well");
+            case 140 -> state.put("w1", "healthy");
+            case 160 -> state.put("w2", "healthy");
             case 180 -> {
-                slot("fresh");
-                slot("fresh");
+                startSlot("fresh");
+                startSlot("fresh");
             }
             case 240 -> {
                 try (FaktoryPeer peer = new FaktoryPeer(port, "w0", "")) {
@@ -192,26 +192,27 @@
         }
     }
 
-    private void judge(List<Pushed> pushed, FaktoryPeer tracker, long quietAt, long diedAt)
+    private void checkAnswers(List<Pushed> pushed, FaktoryPeer tracker, long quietAt, long diedAt)
             throws IOException {
-        double asked = 0;
-        double served = 0;
+        double offeredWeight = 0;
+        double servedWeight = 0;
         for (Pushed job : pushed) {
-            JsonNode told = JSON.readTree(tracker.call("TRACK GET " + job.jid()));
-            String end = told.path("state").asText();
+            JsonNode tracked = JSON.readTree(tracker.call("TRACK GET " + job.jid()));
+            String end = tracked.path("state").asText();
             assertTrue(
                     List.of("success", "failed", "dead").contains(end),
-                    job + " has no final answer: " + told);
-            long endMs = Instant.parse(told.path("updated_at").asText()).toEpochMilli();
+                    job + " has no final answer: " + tracked);
+            long endMs = Instant.parse(tracked.path("updated_at").asText()).toEpochMilli();
             boolean crossed = job.atMs() < diedAt && job.atMs() + DEADLINE_MS > diedAt;
             assertTrue(
-                    crossed || endMs <= job.atMs() + DEADLINE_MS + GRACE_MS,
-                    job + " was answered late: " + told);
+                    crossed || endMs <= job.atMs() + DEADLINE_MS + TOLERANCE_MS,
+                    job + " was answered late: " + tracked);
             long ran = runs.stream().filter(run -> run.jid().equals(job.jid())).count();
             assertTrue(job.jobClass() != 2 || ran <= 1, job + " ran " + ran + " times");
             assertTrue(!end.equals("success") || ran >= 1, job + " was served by nobody");
-            asked += WORTH[job.jobClass()];
-            served += end.equals("success") && endMs - job.atMs() < 500 ? WORTH[job.jobClass()] : 0;
+            offeredWeight += WEIGHTS[job.jobClass()];
+            servedWeight +=
+                    end.equals("success") && endMs - job.atMs() < 500 ? WEIGHTS[job.jobClass()] : 0;
         }
         assertEquals(
                 0,
@@ -223,9 +224,9 @@
                 "the fresh worker is used");
         System.out.printf(
                 "faktory troubles: %d jobs taken, %d runs, %.3f of the worth in time%n",
-                pushed.size(), runs.size(), served / asked);
+                pushed.size(), runs.size(), servedWeight / offeredWeight);
         assertTrue(
-                pushed.size() > 250 && served / asked > 0.6,
-                served / asked + " of " + pushed.size());
+                pushed.size() > 250 && servedWeight / offeredWeight > 0.6,
+                servedWeight / offeredWeight + " of " + pushed.size());
     }
 }
--- a/src/test/java/damsonslip/faktory/InvalidInputTest.java
+++ b/src/test/java/damsonslip/faktory/InvalidInputTest.java
@@ -31,20 +31,20 @@
         assertEquals(
                 "+OK",
                 producer.push("job-00003", "status-read", 1, ""),
-                "and the connection goes on");
+                "the connection stays open");
     }
 
-    /** Each is refused and its connection ended; a plain client does not notice. */
+    /** Each is rejected and its connection closed; another client does not notice. */
     @Test
     void servesOthersBesideWrongPasswords() throws Exception {
         FaktoryPeer producer = producer();
         for (int i = 0; i < 300; i++) {
-            int tried = i;
-            IOException refused =
+            int attempt = i;
+            IOException rejected =
                     assertThrows(
                             IOException.class,
-                            () -> new FaktoryPeer(server.port, "", "wrong" + tried).close());
-            assertEquals("-ERR invalid password", refused.getMessage());
+                            () -> new FaktoryPeer(server.port, "", "wrong" + attempt).close());
+            assertEquals("-ERR invalid password", rejected.getMessage());
         }
         long from = System.nanoTime();
         assertEquals("+OK", producer.push("job-00001", "status-read", 4, ""));
--- a/src/test/java/damsonslip/faktory/JobFlowTest.java
+++ b/src/test/java/damsonslip/faktory/JobFlowTest.java
@@ -32,8 +32,8 @@
     }
 
     /**
-     * A worker is chosen among those that fetch a job's queue, though the module's pools know
-     * nothing of queues.
+     * A worker is selected among those that fetch from a job's queue, although the decision
+     * module's pools have no queues.
      */
     @Test
     void placesJobOnlyOnWorkerThatFetchesItsQueue() throws Exception {
@@ -43,17 +43,17 @@
             others.add(peer("other" + i));
             others.get(i).peer().send("FETCH elsewhere\r\n");
         }
-        FaktoryPeer fits = peer("fits");
+        FaktoryPeer matching = peer("fits");
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "+OK", producer.push("job-0000" + i, "status-read", 4, ",\"queue\":\"here\""));
-            assertEquals("job-0000" + i, fits.fetch("here", 0), "at the first FETCH");
-            fits.ack("job-0000" + i);
+            assertEquals("job-0000" + i, matching.fetch("here", 0), "at the first FETCH");
+            matching.ack("job-0000" + i);
         }
         assertEquals(
                 5,
                 producer.info().path("counters").path("executions_sent").asInt(),
-                "nobody else was tried");
+                "no other worker was attempted");
     }
 
     @Test
@@ -72,16 +72,16 @@
     @Test
     void namesRetryAfterWhenItRejects() throws Exception {
         FaktoryPeer producer = producer();
-        String said = "+OK";
-        for (int i = 0; i < 60 && said.equals("+OK"); i++) {
-            said = producer.push("job-0000" + i, "status-read", 30, "");
+        String reply = "+OK";
+        for (int i = 0; i < 60 && reply.equals("+OK"); i++) {
+            reply = producer.push("job-0000" + i, "status-read", 30, "");
         }
-        assertTrue(said.matches("-ERR throttled, retry after [0-9.]+ s"), said);
+        assertTrue(reply.matches("-ERR throttled, retry after [0-9.]+ s"), reply);
     }
 
     /**
-     * A quiet worker finishes what it has; a fetch that already waits must not bring it anything
-     * new.
+     * A quiet worker finishes the jobs that it has; a FETCH that already waits must not get it a
+     * new one.
      */
     @Test
     void handsNothingToQuietWorker() throws Exception {
--- a/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
+++ b/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
@@ -28,16 +28,16 @@
     }
 
     /**
-     * Killed before the store knows of the hand-out: the job provably never left, and runs after
-     * the start.
+     * Killed before the store has recorded the reservation: the job was provably never handed out,
+     * and runs after the restart.
      */
     @Test
     void runsJobKilledBeforeItsReservationWasRecorded() throws Exception {
         FaktoryPeer producer = producer();
-        CountDownLatch held = redis.trap(KilledSchedulerTest::isReserving, Then.HOLD_UNDONE);
+        CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.HOLD_UNDONE);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
         peer("w1").peer().send("FETCH q\r\n");
-        assertTrue(held.await(5, TimeUnit.SECONDS));
+        assertTrue(trapped.await(5, TimeUnit.SECONDS));
         server.killAndStart();
         FaktoryPeer worker = peer("w2");
         assertEquals("job-once1", worker.fetch("q", 3_000));
@@ -46,16 +46,16 @@
     }
 
     /**
-     * Killed after that: it may have left, so that nobody else gets it; its own worker's word still
-     * counts.
+     * Killed after the reservation was recorded: the job may have been handed out, so that no other
+     * worker gets it; its own worker's report is still accepted.
      */
     @Test
     void doesNotRepeatJobKilledAfterItsReservationWasRecorded() throws Exception {
         FaktoryPeer producer = producer();
-        CountDownLatch held = redis.trap(KilledSchedulerTest::isReserving, Then.DO_AND_HOLD);
+        CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.DO_AND_HOLD);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
         peer("w1").peer().send("FETCH q\r\n");
-        assertTrue(held.await(5, TimeUnit.SECONDS));
+        assertTrue(trapped.await(5, TimeUnit.SECONDS));
         server.killAndStart();
         FaktoryPeer after = producer();
         assertEquals("working", after.state("job-once1"));
@@ -65,7 +65,8 @@
     }
 
     /**
-     * Killed halfway through the reply to FETCH; the worker had read enough of it to do the job.
+     * Killed in the middle of the reply to FETCH, of which the worker had read enough to run the
+     * job.
      */
     @Test
     void acceptsAcknowledgementOfJobKilledDuringItsReply() throws Exception {
@@ -79,17 +80,19 @@
         worker.peer().bytes(1_000);
         server.killAndStart();
         FaktoryPeer after = producer();
-        FaktoryPeer back = peer("w1");
-        assertEquals("+OK", back.ack("job-once1"));
+        FaktoryPeer reconnected = peer("w1");
+        assertEquals("+OK", reconnected.ack("job-once1"));
         FaktoryServer.awaitState(after, "job-once1", "success");
         assertEquals(
-                "job-safe1", back.fetch("q", 3_000), "what had not been handed out is not lost");
-        assertNull(back.fetch("q", 0));
+                "job-safe1",
+                reconnected.fetch("q", 3_000),
+                "what had not been handed out is not lost");
+        assertNull(reconnected.fetch("q", 0));
     }
 
     /**
-     * Pushed to two schedulers on one store, a job belongs to the first; the other does not take it
-     * up at a start.
+     * A job that is pushed to two schedulers on one store belongs to the first; the other does not
+     * recover it at a restart.
      */
     @Test
     void recoversJobOfSharedStoreOnlyAtItsOwner() throws Exception {
@@ -108,10 +111,7 @@
         assertEquals("job-once1", peer("w1").fetch("q", 2_000));
     }
 
-    /**
-     * What an earlier version, or a hand, left in the store is told of and left there; the rest is
-     * taken up.
-     */
+    /** An unreadable record is logged and left in the store; the other jobs are recovered. */
     @Test
     void recoversOtherJobsBesideUnreadableRecord() throws Exception {
         assertEquals("+OK", producer().plain("job-00001", ",\"queue\":\"q\""));
--- a/src/test/java/damsonslip/faktory/NonIdempotentJobTest.java
+++ b/src/test/java/damsonslip/faktory/NonIdempotentJobTest.java
@@ -19,9 +19,7 @@
         super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
     }
 
-    /**
-     * However its worker ends with it, and whoever asks for it again, an apply-submit runs once.
-     */
+    /** However its run ends, and whoever requests another one, an apply-submit runs once. */
     @ParameterizedTest
     @ValueSource(strings = {"fails", "lapses", "goes"})
     void neverRepeatsJobThatMayHaveRun(String how) throws Exception {
@@ -34,13 +32,13 @@
         switch (how) {
             case "fails" -> assertEquals("+OK", worker.fail("job-once1"));
             case "goes" -> worker.close();
-            default -> Thread.sleep(1_100); // its reservation runs out
+            default -> Thread.sleep(1_100); // its reservation expires
         }
         FaktoryServer.awaitState(producer, "job-once1", "dead");
         assertTrue(producer.track("job-once1").path("desc").asText().contains("may have run"));
         assertEquals(1, producer.size("Dead"));
-        String told = producer.mutate("requeue", "dead", "job-once1");
-        assertTrue(told.startsWith("-ERR 1 of 1 may have run"), told);
+        String reply = producer.mutate("requeue", "dead", "job-once1");
+        assertTrue(reply.startsWith("-ERR 1 of 1 may have run"), reply);
         assertEquals(
                 "+OK",
                 producer.plain("job-once1", NOT_IDEMPOTENT),
--- a/src/test/java/damsonslip/faktory/OversizedInputTest.java
+++ b/src/test/java/damsonslip/faktory/OversizedInputTest.java
@@ -32,34 +32,34 @@
                 producer.call(many.toString()).startsWith("-ERR more than 5000 jobs"),
                 "one error for all of them");
         FaktoryPeer endless = producer();
-        String told = null;
+        String reply = null;
         try {
             for (int i = 0; i < 40; i++) {
                 endless.peer().send("x".repeat(100_000));
             }
-            told = endless.peer().line();
+            reply = endless.peer().line();
         } catch (IOException e) {
-            told = "closed";
+            reply = "closed";
         }
         assertTrue(
-                told == null || told.equals("closed") || told.startsWith("-ERR a line too long"),
-                told);
-        assertEquals("+OK", producer.plain("job-00001", ""), "and the others go on");
+                reply == null || reply.equals("closed") || reply.startsWith("-ERR a line too long"),
+                reply);
+        assertEquals("+OK", producer.plain("job-00001", ""), "other clients are served");
     }
 
     /**
-     * Lines that never end, on many connections: what they may hold together is bounded, and no
-     * plain client notices.
+     * Lines that never end, on many connections: the memory for all of them together is bounded,
+     * and another client does not notice.
      */
     @Test
     void boundsMemoryOfIncompleteLines() throws Exception {
-        int let = 0;
+        int closed = 0;
         for (int i = 0; i < 60; i++) {
             FaktoryPeer peer = producer();
             try {
                 peer.peer().send("PUSH {\"jid\":\"" + "x".repeat(950_000));
             } catch (IOException e) {
-                let++;
+                closed++;
             }
         }
         FaktoryPeer plain = producer();
@@ -69,7 +69,7 @@
                 "60 unfinished lines of 950 KB: "
                         + mb
                         + " MB used, "
-                        + let
+                        + closed
                         + " refused while sending");
         assertTrue(mb < 700, mb + " MB");
     }
--- a/src/test/java/damsonslip/faktory/PersistenceTest.java
+++ b/src/test/java/damsonslip/faktory/PersistenceTest.java
@@ -15,19 +15,18 @@
     }
 
     /**
-     * Between a fetch and its word: what the store calls reserved may have run, what it calls
-     * queued did not.
+     * A restart between a FETCH and its report: a job that the store has as reserved may have run,
+     * one that it has as queued has not.
      */
     @Test
     void runsNothingTwiceAfterRestartDuringFetch() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
-        producer.push("job-told1", "apply-submit", 8, "");
-        assertEquals("job-told1", worker.fetch());
+        producer.push("job-done1", "apply-submit", 8, "");
+        assertEquals("job-done1", worker.fetch());
         producer.push("job-lost1", "apply-submit", 5, "");
         assertEquals(
-                "job-lost1",
-                peer("w3").fetch()); // the first one is cold, and full with what it has
+                "job-lost1", peer("w3").fetch()); // the first worker is cold, and full with one job
         producer.push("job-held1", "apply-submit", 8, "");
         server.killAndStart();
         FaktoryPeer after = producer();
@@ -35,14 +34,14 @@
         assertEquals("job-held1", other.fetch());
         other.ack("job-held1");
         FaktoryServer.awaitState(after, "job-held1", "success");
-        assertEquals("+OK", peer("w1").ack("job-told1"), "its own worker may still tell");
-        FaktoryServer.awaitState(after, "job-told1", "success");
+        assertEquals("+OK", peer("w1").ack("job-done1"), "its own worker may still report");
+        FaktoryServer.awaitState(after, "job-done1", "success");
         assertNull(other.fetch());
         FaktoryServer.awaitState(after, "job-lost1", "dead");
         assertNull(other.fetch());
     }
 
-    /** Nothing is taken and nothing is handed out that the store does not know of. */
+    /** No job is accepted or handed out that the store has not recorded. */
     @Test
     void acceptsAndHandsOutNothingWhileStoreIsDown() throws Exception {
         FaktoryPeer producer = producer();
@@ -58,9 +57,7 @@
                 "pushes are taken again",
                 () -> "+OK".equals(producer.push("job-00003", "apply-submit", 5, "")));
         FaktoryServer.awaitState(
-                producer,
-                "job-00001",
-                "failed"); // asked of the store, which is known to be up by now
+                producer, "job-00001", "failed"); // read from the store, which is up by now
         assertEquals("job-00003", worker.fetch());
     }
 
--- a/src/test/java/damsonslip/faktory/StoreFailureTest.java
+++ b/src/test/java/damsonslip/faktory/StoreFailureTest.java
@@ -27,7 +27,7 @@
 
     private static final long OUTAGE_MS = 5_000;
 
-    /** After it, the store has got rid of pushes whose answer was lost. */
+    /** Until pushes whose answer was lost are deleted from the store again. */
     private static final long CLEANUP_MS = 1_200;
 
     /**
@@ -98,8 +98,8 @@
     }
 
     /**
-     * The store takes a job and the answer is lost: pushed again it runs once; not pushed again,
-     * not at all.
+     * The store records a job and its answer is lost: the job runs once if it is pushed again, and
+     * otherwise not at all.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -80,7 +80,7 @@
         assertThrows(MalformedCommandException.class, () -> job(more));
     }
 
-    /** Numbers come out as they went in, however many digits they have. */
+    /** Numbers are preserved, however many digits they have. */
     @Test
     void preservesTheProducersFields() throws MalformedCommandException {
         String args = "\"args\":[1.10,12345678901234567890123456789,1E+400,0.1,\"\\u0000é\"]";
--- a/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -83,7 +83,7 @@
         assertEquals("[]", due("b"));
     }
 
-    /** The stop came after a job was kept and before its batch was. */
+    /** The scheduler was stopped after a job was recorded and before its batch was. */
     @Test
     void correctsTotalsToTheJobsInTheStore() {
         batch("b", "");
@@ -120,7 +120,7 @@
         batches.commit("in");
         jobTable.remove(job);
         assertEquals("[in-complete, in-success]", due("in"));
-        assertEquals("[]", due("out"), "its callbacks have not been run yet");
+        assertEquals("[]", due("out"), "its callbacks have not succeeded yet");
         batches.markCallbackDone("in", false);
         assertEquals("[out-complete]", due("in"));
         batches.markCallbackDone("in", true);
@@ -140,7 +140,7 @@
         batches.commit("b");
         jobTable.remove(jobTable.get("one"));
         due("b");
-        assertNull(batches.open("b"), "its end has been told");
+        assertNull(batches.open("b"), "its completion callback is due");
         assertNull(batches.open("none"));
         assertNull(batches.commit("none"));
     }
@@ -173,6 +173,6 @@
         assertEquals(
                 List.of("d"),
                 batches.removeExpired(4_000_000),
-                "what is over is forgotten after a while");
+                "an ended batch is removed after its retention");
     }
 }
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Where jobs are, in which order they come, and what may come in. */
+/** The sets of jobs, the order in which they are dispatched, and the limits on them. */
 class JobTableTest {
     private final JobTable jobTable = new JobTable(2, new JobTable.Limits(50, 20, 3, 1_000));
 
@@ -53,11 +53,11 @@
         }
         add("b0", "b", 0);
         add("c0", "c", 0);
-        List<String> came = new ArrayList<>();
+        List<String> served = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            came.add(next(true, "a", "b", "c"));
+            served.add(next(true, "a", "b", "c"));
         }
-        assertEquals(List.of("a0", "b0", "c0", "a1", "a2"), came);
+        assertEquals(List.of("a0", "b0", "c0", "a1", "a2"), served);
     }
 
     @Test
@@ -100,8 +100,8 @@
             add("b" + i, "b" + i % 2, 0);
         }
         assertTrue(jobTable.rejectionReason("c").contains("too many"));
-        JobEntry gone = jobTable.get("a0");
-        jobTable.move(gone, gone.record().withState(State.DEAD, 10, "", 10));
+        JobEntry dead = jobTable.get("a0");
+        jobTable.move(dead, dead.record().withState(State.DEAD, 10, "", 10));
         assertNull(jobTable.rejectionReason("a"));
     }
 
@@ -155,8 +155,8 @@
     }
 
     /**
-     * A walk of many random moves against plain counting: sizes, lanes and tallies never come
-     * apart.
+     * Many random moves against plain counting: the sizes of sets, queues and batches stay
+     * consistent.
      */
     @Test
     void keepsCountsThroughRandomMoves() {
--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a job, for every class and retry count. */
+/** What follows a failed run and a restart, for each class and retry limit. */
 class RetryPolicyTest {
     static final JobClass SAFE =
             new JobClass(1, 2, 1, Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
@@ -85,10 +85,7 @@
         assertTrue(RetryPolicy.backoffMs(1_000_000, random) > 0, "and no count makes it negative");
     }
 
-    /**
-     * The wall clock was put back between two starts: how long ago the first run was cannot be told
-     * any more.
-     */
+    /** The wall clock was put back between two starts: the time since the first run is unknown. */
     @Test
     void allowsNoRunWithinAWindowAfterTheClockWasPutBack() {
         JobRecord ran = ran(5, 0); // first run at 10,000 ms
@@ -147,8 +144,8 @@
 
     @Test
     void recoversByWhatMayHaveRun() {
-        JobRecord waits = record("j", "q", 25, 0);
-        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waits, ONCE, 5_000));
+        JobRecord waiting = record("j", "q", 25, 0);
+        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waiting, ONCE, 5_000));
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
                 RetryPolicy.recoveryAction(ran(25, 0), SAFE, 5_000),
