--- a/src/main/java/damsonslip/tools/fleetreport/Line.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Line.java
@@ -33,7 +33,7 @@
                         + Long.parseLong(line.group(3));
         Map<String, String> fields = new HashMap<>();
         StringBuilder what = new StringBuilder();
-        for (String part : line.group(6).trim().split(" ")) {
+        for (String part : line.group(6).trim().split(" ", 0)) {
             int at = part.indexOf('=');
             if (at > 0) {
                 fields.put(part.substring(0, at), part.substring(at + 1));
--- a/src/main/java/damsonslip/tools/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/RealScheduler.java
@@ -89,7 +89,7 @@
     /** CPU of all its threads since its start. */
     double cpuMs() throws IOException {
         String stat = Files.readString(proc("stat"));
-        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
         return (Long.parseLong(fields[UTIME]) + Long.parseLong(fields[UTIME + 1]))
                 / TICKS_A_SECOND
                 * 1e3;
@@ -121,7 +121,7 @@
                         .filter(line -> line.startsWith("Total"))
                         .findFirst()
                         .orElseThrow(() -> new IOException("lab: jcmd gave no histogram"));
-        return Long.parseLong(total.trim().split("\\s+")[2]) / 1024.0;
+        return Long.parseLong(total.trim().split("\\s+", 0)[2]) / 1024.0;
     }
 
     private Path proc(String name) {
--- a/src/main/java/damsonslip/tools/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -1,5 +1,6 @@
 package damsonslip.tools.lab;
 
+import java.util.Locale;
 import damsonslip.config.ConfigurationException;
 import java.math.BigDecimal;
 import java.math.MathContext;
@@ -46,24 +47,24 @@
                 quoted(measure.role),
                 quoted(measure.label),
                 measure.unit,
-                axis.name().toLowerCase(),
+                axis.name().toLowerCase(Locale.ROOT),
                 Long.toString(size),
                 number(value),
-                basis.name().toLowerCase());
+                basis.name().toLowerCase(Locale.ROOT));
     }
 
     static Sample parse(String line) throws ConfigurationException {
-        String[] cells = line.split(",(?=(?:[^\"]*\"[^\"]*\")*[^\"]*$)");
+        String[] cells = line.split(",(?=(?:[^\"]*\"[^\"]*\")*[^\"]*$)", 0);
         if (cells.length != 7) {
             throw new ConfigurationException("lab: not a line of samples: " + line);
         }
         try {
             return new Sample(
                     Measure.labelled(bare(cells[0]), bare(cells[1])),
-                    Axis.valueOf(cells[3].toUpperCase()),
+                    Axis.valueOf(cells[3].toUpperCase(Locale.ROOT)),
                     Long.parseLong(cells[4]),
                     Double.parseDouble(cells[5]),
-                    Basis.valueOf(cells[6].toUpperCase()));
+                    Basis.valueOf(cells[6].toUpperCase(Locale.ROOT)));
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException("lab: not a line of samples: " + line);
         }
--- a/src/main/java/damsonslip/tools/lab/SlopeReport.java
+++ b/src/main/java/damsonslip/tools/lab/SlopeReport.java
@@ -116,7 +116,7 @@
                 + " | "
                 + of.measure.label
                 + " | "
-                + of.axis.name().toLowerCase()
+                + of.axis.name().toLowerCase(Locale.ROOT)
                 + " | "
                 + values
                 + " | "
@@ -146,7 +146,7 @@
                                         "| "
                                                 + text
                                                 + " | "
-                                                + of.axis.name().toLowerCase()
+                                                + of.axis.name().toLowerCase(Locale.ROOT)
                                                 + " | "
                                                 + of.measure.role
                                                 + " | "
--- a/src/main/java/damsonslip/tools/lab/soak/Wire.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Wire.java
@@ -1,5 +1,6 @@
 package damsonslip.tools.lab.soak;
 
+import java.net.InetAddress;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.EOFException;
@@ -28,7 +29,7 @@
         }
 
         int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(first.split(" ", 0)[1]);
         }
 
         String text() {
@@ -52,7 +53,7 @@
     static Wire connect(int port) throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress("127.0.0.1", port), CONNECT_MS);
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
             return new Wire(socket);
         } catch (IOException e) {
             socket.close();
--- a/src/test/java/damsonslip/cli/FleetCommandTest.java
+++ b/src/test/java/damsonslip/cli/FleetCommandTest.java
@@ -36,7 +36,7 @@
     private void log(String name, String lines) throws Exception {
         StringBuilder text = new StringBuilder("a line of somebody else's\n");
         int at = 0;
-        for (String line : lines.split("\n")) {
+        for (String line : lines.split("\n", 0)) {
             if (Character.isDigit(line.charAt(0))) {
                 at = Integer.parseInt(line.substring(0, line.indexOf(' ')));
                 line = line.substring(line.indexOf(' ') + 1);
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -276,7 +276,7 @@
     @Test
     void aBanThatMeetsALinkBeingOpenedHoldsForIt() throws Exception {
         List<Socket> fill = new ArrayList<>();
-        try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+        try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             while (connects(busy, fill)) {
                 assertTrue(fill.size() < 20, "its queue of connections is soon full");
             }
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -135,7 +135,7 @@
     void theRestOfARequestIsNotWrittenOnceItsClientHasGone(boolean mayCancel) throws Exception {
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
-            slow.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             startCounting(
                     file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
                     entry("a", slow.getLocalPort(), "ready"));
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -1,5 +1,6 @@
 package damsonslip.platform;
 
+import java.net.InetAddress;
 import damsonslip.testkit.Peer;
 import damsonslip.testkit.Program;
 import java.io.IOException;
@@ -156,7 +157,7 @@
 
     private static boolean isFree(int port) {
         try (ServerSocket socket = new ServerSocket()) {
-            socket.bind(new InetSocketAddress("127.0.0.1", port));
+            socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
             return true;
         } catch (IOException e) {
             return false;
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -22,7 +22,7 @@
                             .findFirst()
                             .orElseThrow()
                             .get(0);
-            assertEquals(value, field == null ? job.first().split(" ")[1] : job.field(field));
+            assertEquals(value, field == null ? job.first().split(" ", 0)[1] : job.field(field));
         } else {
             assertTrue(answer.status() >= 400 && answer.status() < 500, "refused: " + answer);
             assertEquals(0, jobs("a", "b"));
--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -221,7 +221,7 @@
     int deadPort() throws IOException {
         Socket socket = new Socket();
         dead.add(socket);
-        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return socket.getLocalPort();
     }
 
--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -1,5 +1,6 @@
 package damsonslip.platform;
 
+import java.net.InetAddress;
 import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.io.InputStream;
@@ -92,7 +93,7 @@
         while (!over) {
             try (Socket socket = new Socket()) {
                 socket.setReceiveBufferSize(4096);
-                socket.connect(new InetSocketAddress("127.0.0.1", port));
+                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 sockets.add(socket);
                 habit.on(socket, "big" + ids.incrementAndGet());
             } catch (IOException e) {
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -43,7 +43,7 @@
     void aWorkerThatStandsStillInAnUploadCostsNobodyItsAnswer() throws Exception {
         try (ServerSocket still = new ServerSocket()) {
             still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             start(
                     worker("a", SERVE),
                     entry("b", still.getLocalPort(), "ready")); // the last one is the class's own
@@ -63,7 +63,7 @@
     private Socket asking(String id) throws IOException {
         Socket client = new Socket();
         client.setReceiveBufferSize(SMALL);
-        client.connect(new InetSocketAddress("127.0.0.1", port));
+        client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         client.setSoTimeout(10_000);
         client.getOutputStream().write(query(id, "read", "4000m").getBytes(StandardCharsets.UTF_8));
         return client;
@@ -131,7 +131,7 @@
         int console = Program.freePort();
         try (ServerSocket still = new ServerSocket()) {
             still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Path file =
                     config(
                             list(
@@ -258,7 +258,7 @@
                 });
         try (Socket silent = new Socket()) {
             silent.setReceiveBufferSize(SMALL);
-            silent.connect(new InetSocketAddress("127.0.0.1", console));
+            silent.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), console));
             silent.getOutputStream()
                     .write(
                             "workers\n"
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -43,7 +43,7 @@
     void listen() throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReceiveBufferSize(SMALL_BUFFER);
-        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0));
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         slow = new Peer.Server(socket, this::take);
         servers.add(slow);
     }
--- a/src/test/java/damsonslip/testkit/LateServer.java
+++ b/src/test/java/damsonslip/testkit/LateServer.java
@@ -25,7 +25,7 @@
 
     public LateServer() throws IOException {
         socket = new ServerSocket();
-        socket.bind(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0), 1);
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1);
         hold();
     }
 
--- a/src/test/java/damsonslip/testkit/Peer.java
+++ b/src/test/java/damsonslip/testkit/Peer.java
@@ -24,7 +24,7 @@
     /** A message as it came. */
     public record Message(String first, Map<String, String> fields, String body) {
         public int status() {
-            return Integer.parseInt(first.split(" ")[1]);
+            return Integer.parseInt(first.split(" ", 0)[1]);
         }
 
         public String field(String name) {
@@ -43,7 +43,7 @@
         private final List<Peer> peers = new CopyOnWriteArrayList<>();
 
         public Server(int port, Handler handler) throws IOException {
-            this(new ServerSocket(port, 100, InetAddress.getByName("127.0.0.1")), handler);
+            this(new ServerSocket(port, 100, InetAddress.getLoopbackAddress()), handler);
         }
 
         /** A server on a socket with options of its own. */
@@ -116,7 +116,7 @@
     }
 
     public static Peer connect(int port) throws IOException {
-        Socket socket = new Socket("127.0.0.1", port);
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(6_000);
         return new Peer(socket);
     }
--- a/src/test/java/damsonslip/testkit/Ports.java
+++ b/src/test/java/damsonslip/testkit/Ports.java
@@ -64,7 +64,7 @@
             byte[] line = new byte[LINE]; // the system gives it to one read only
             return Integer.parseInt(
                     new String(line, 0, range.read(line), StandardCharsets.US_ASCII)
-                            .split("\\s+")[0]);
+                            .split("\\s+", 0)[0]);
         } catch (IOException e) { // not Linux
             return USUAL_SYSTEM_FIRST;
         }
