--- a/src/test/java/damsonslip/faktory/jobs/BatchesTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -5,8 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.faktory.jobs.BatchTable.Batch;
-import damsonslip.faktory.jobs.BatchTable.CallbackState;
 import damsonslip.store.JobRecord;
 import damsonslip.store.JobRecord.Options;
 import damsonslip.store.JobRecord.State;
@@ -14,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** When callbacks are due. */
-class BatchesTest {
+class BatchTableTest {
     private final JobTable jobTable = new JobTable(1, new JobTable.Limits(100, 100, 100, 1_000));
     private final BatchTable batches = new BatchTable(jobTable);
 
@@ -33,6 +31,21 @@
                         0));
     }
 
+    private void batchWithoutSuccessCallback(String bid, String parent, boolean committed) {
+        batches.add(
+                new Batch(
+                        bid,
+                        parent,
+                        "",
+                        "",
+                        "{c}",
+                        committed,
+                        0,
+                        CallbackState.NOT_YET,
+                        CallbackState.NOT_YET,
+                        0));
+    }
+
     private JobEntry job(String id, String bid) {
         batches.countPushedJob(bid);
         Options facts = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
@@ -42,7 +55,7 @@
 
     private String due(String bid) {
         return batches.collectDueCallbacks(bid).stream()
-                .map(d -> d.batch().callbackJobId(d.success()))
+                .map(callback -> callback.batch().callbackJobId(callback.success()))
                 .toList()
                 .toString();
     }
@@ -54,7 +67,7 @@
     }
 
     @Test
-    void completeComesOnceAllWereRunAndSuccessOnceAllSucceeded() {
+    void completesOnceAllJobsRanAndSucceedsOnceAllSucceeded() {
         batch("b", "");
         JobEntry one = job("one", "b");
         JobEntry two = job("two", "b");
@@ -70,9 +83,9 @@
         assertEquals("[]", due("b"));
     }
 
-    /** The stop came after a job was kept and before its batch was. */
+    /** The scheduler was stopped after a job was recorded and before its batch was. */
     @Test
-    void aBatchHasAtLeastTheJobsThatTheStoreHas() {
+    void correctsTotalsToTheJobsInTheStore() {
         batch("b", "");
         job("one", "b");
         job("two", "b");
@@ -84,7 +97,7 @@
     }
 
     @Test
-    void aJobThatDiesKeepsSuccessAwayUntilItIsDoneAfterAll() {
+    void withholdsSuccessWhileAJobIsDead() {
         batch("b", "");
         JobEntry job = job("one", "b");
         batches.commit("b");
@@ -98,7 +111,7 @@
     }
 
     @Test
-    void anOuterBatchWaitsForTheCallbacksOfThoseInside() {
+    void awaitsTheCallbacksOfNestedBatches() {
         batch("out", "");
         batch("in", "out");
         JobEntry job = job("one", "in");
@@ -107,7 +120,7 @@
         batches.commit("in");
         jobTable.remove(job);
         assertEquals("[in-complete, in-success]", due("in"));
-        assertEquals("[]", due("out"), "its callbacks have not been run yet");
+        assertEquals("[]", due("out"), "its callbacks have not succeeded yet");
         batches.markCallbackDone("in", false);
         assertEquals("[out-complete]", due("in"));
         batches.markCallbackDone("in", true);
@@ -115,7 +128,7 @@
     }
 
     @Test
-    void aBatchIsOpenOrClosed() {
+    void acceptsJobsOnlyWhileOpen() {
         assertNotNull(batches.rejectionReason("none"));
         batch("b", "");
         assertNull(batches.rejectionReason("b"));
@@ -127,13 +140,13 @@
         batches.commit("b");
         jobTable.remove(jobTable.get("one"));
         due("b");
-        assertNull(batches.open("b"), "its end has been told");
+        assertNull(batches.open("b"), "its completion callback is due");
         assertNull(batches.open("none"));
         assertNull(batches.commit("none"));
     }
 
     @Test
-    void aRestartKnowsWhatWasDue() {
+    void knowsUnfinishedCallbacksAfterRestart() {
         batch("b", "");
         batches.commit("b");
         due("b");
@@ -142,57 +155,24 @@
         assertEquals(
                 List.of("b-complete", "b-success"),
                 after.unfinishedCallbacks().stream()
-                        .map(d -> d.batch().callbackJobId(d.success()))
+                        .map(callback -> callback.batch().callbackJobId(callback.success()))
                         .toList());
     }
 
     @Test
-    void aBatchWithoutACallbackIsOverWithoutOneAndParentsInACircleEnd() {
-        batches.add(
-                new Batch(
-                        "b",
-                        "c",
-                        "",
-                        "",
-                        "{c}",
-                        false,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
-        batches.add(
-                new Batch(
-                        "c",
-                        "b",
-                        "",
-                        "",
-                        "{c}",
-                        false,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
+    void endsWithoutCallbackAndToleratesCyclicParents() {
+        batchWithoutSuccessCallback("b", "c", false);
+        batchWithoutSuccessCallback("c", "b", false);
         batches.commit("b");
         assertEquals(
                 "[]", due("b"), "each waits for the other, and the search for what is due ends");
-        batches.add(
-                new Batch(
-                        "d",
-                        "",
-                        "",
-                        "",
-                        "{c}",
-                        true,
-                        0,
-                        CallbackState.NOT_YET,
-                        CallbackState.NOT_YET,
-                        0));
+        batchWithoutSuccessCallback("d", "", true);
         assertEquals(2, batches.collectDueCallbacks("d").size());
         assertEquals(CallbackState.DONE, batches.get("d").onSuccess(), "there is nothing to run");
         assertEquals(CallbackState.DUE, batches.get("d").onComplete());
         assertEquals(
                 List.of("d"),
                 batches.removeExpired(4_000_000),
-                "what is over is forgotten after a while");
+                "an ended batch is removed after its retention");
     }
 }
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Where jobs are, in which order they come, and what may come in. */
+/** The sets of jobs, the order in which they are dispatched, and the limits on them. */
 class JobTableTest {
     private final JobTable jobTable = new JobTable(2, new JobTable.Limits(50, 20, 3, 1_000));
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aFetchsOwnOrderHoldsAndWithinAQueueArrival() {
+    void servesQueuesInTheFetchsOrderAndJobsInArrivalOrder() {
         add("a1", "a", 0);
         add("b1", "b", 1);
         add("a2", "a", 1);
@@ -47,21 +47,21 @@
     }
 
     @Test
-    void fairQueuesTakeTurnsHoweverFullOneIs() {
+    void servesQueuesInTurnInFairOrder() {
         for (int i = 0; i < 10; i++) {
             add("a" + i, "a", 0);
         }
         add("b0", "b", 0);
         add("c0", "c", 0);
-        List<String> came = new ArrayList<>();
+        List<String> served = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            came.add(next(true, "a", "b", "c"));
+            served.add(next(true, "a", "b", "c"));
         }
-        assertEquals(List.of("a0", "b0", "c0", "a1", "a2"), came);
+        assertEquals(List.of("a0", "b0", "c0", "a1", "a2"), served);
     }
 
     @Test
-    void aJobThatComesBackFindsItsPlaceAndWaitsItsTime() {
+    void returnsJobToItsPositionAndDelaysIt() {
         add("a1", "a", 0);
         add("a2", "a", 0);
         JobEntry first = jobTable.get("a1");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aHigherPriorityComesFirst() {
+    void servesHigherPriorityFirst() {
         Options low = new Options("a", "t", "any", 1, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
         Options high = new Options("a", "t", "any", 9, 5, 1, 1, 0, 0, "", "", "", 0, false, 0);
         jobTable.add(JobRecord.pushed("low", low, 0, 0).withSequence(jobTable.nextSequence()), 0);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void limitsHoldForAllAndForOneQueueAndTheDeadDoNotCount() {
+    void limitsWaitingJobsInAllAndByQueueWithoutTheDead() {
         for (int i = 0; i < 20; i++) {
             assertNull(jobTable.rejectionReason("a"));
             add("a" + i, "a", 0);
@@ -100,13 +100,13 @@
             add("b" + i, "b" + i % 2, 0);
         }
         assertTrue(jobTable.rejectionReason("c").contains("too many"));
-        JobEntry gone = jobTable.get("a0");
-        jobTable.move(gone, gone.record().withState(State.DEAD, 10, "", 10));
+        JobEntry dead = jobTable.get("a0");
+        jobTable.move(dead, dead.record().withState(State.DEAD, 10, "", 10));
         assertNull(jobTable.rejectionReason("a"));
     }
 
     @Test
-    void theDeadAreKeptForAWhileAndToANumber() {
+    void expiresDeadJobsByAgeAndNumber() {
         for (int i = 0; i < 5; i++) {
             JobEntry entry = add("d" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.DEAD, 100 + i, "", 0));
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatIsDueComesEarliestFirstAndNotAllAtOnce() {
+    void returnsDueJobsEarliestFirstUpToALimit() {
         for (int i = 0; i < 10; i++) {
             JobEntry entry = add("s" + i, "a", 0);
             jobTable.move(entry, entry.record().withState(State.SCHEDULED, 1_000 - i, "", 0));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aLockHoldsUntilItsJobEndsItsTimeEndsOrItStarts() {
+    void holdsUniqueLockUntilEndExpiryOrStart() {
         Options facts =
                 new Options("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
         assertTrue(jobTable.lockUnique("one", facts, 0));
@@ -149,17 +149,17 @@
     }
 
     @Test
-    void theSameJobIsNotHereTwice() {
+    void rejectsDuplicateId() {
         add("a1", "a", 0);
         assertThrows(IllegalArgumentException.class, () -> add("a1", "a", 0));
     }
 
     /**
-     * A walk of many random moves against plain counting: sizes, lanes and tallies never come
-     * apart.
+     * Many random moves against plain counting: the sizes of sets, queues and batches stay
+     * consistent.
      */
     @Test
-    void itsCountsStayTrueThroughManyRandomMoves() {
+    void keepsCountsThroughRandomMoves() {
         SplittableRandom random = new SplittableRandom(7);
         JobTable large =
                 new JobTable(
--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of a job, for every class and retry count. */
+/** What follows a failed run and a restart, for each class and retry limit. */
 class RetryPolicyTest {
     static final JobClass SAFE =
             new JobClass(1, 2, 1, Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aBackoffIsTheFourthPowerAndChance() {
+    void backsOffByTheFourthPowerWithJitter() {
         for (int count : new int[] {0, 1, 2, 5, 24}) {
             long least = 1000L * (count * count * count * count + 15);
             for (int i = 0; i < 200; i++) {
@@ -85,12 +85,9 @@
         assertTrue(RetryPolicy.backoffMs(1_000_000, random) > 0, "and no count makes it negative");
     }
 
-    /**
-     * The wall clock was put back between two starts: how long ago the first run was cannot be told
-     * any more.
-     */
+    /** The wall clock was put back between two starts: the time since the first run is unknown. */
     @Test
-    void whatRanFirstInTheFutureIsNotRepeatedWithinAWindow() {
+    void allowsNoRunWithinAWindowAfterTheClockWasPutBack() {
         JobRecord ran = ran(5, 0); // first run at 10,000 ms
         assertTrue(RetryPolicy.mayRun(ran, KEYED, 10_000));
         assertFalse(RetryPolicy.mayRun(ran, KEYED, 9_999));
@@ -99,7 +96,7 @@
     }
 
     @Test
-    void aFailureIsTriedAgainUntilItsRetriesAreUsedUp() {
+    void retriesUntilTheRetryLimit() {
         JobRecord record = ran(2, 0);
         for (int count = 0; count < 2; count++) {
             NextState next = fail(record, SAFE);
@@ -115,13 +112,13 @@
     }
 
     @Test
-    void noRetryDiscardsAndMinusOneBuries() {
+    void discardsWithoutRetriesAndMovesToTheDeadSetOnMinusOne() {
         assertEquals(State.DISCARDED, fail(ran(0, 0), SAFE).state());
         assertEquals(State.DEAD, fail(ran(-1, 0), SAFE).state());
     }
 
     @Test
-    void whatMustNotRunTwiceIsDeadWhateverItsRetryCount() {
+    void movesNonIdempotentJobToTheDeadSetWhateverItsRetryLimit() {
         for (int retry : new int[] {-1, 0, 1, 25}) {
             NextState next = fail(ran(retry, 0), ONCE);
             assertEquals(State.DEAD, next.state());
@@ -132,7 +129,7 @@
     }
 
     @Test
-    void aReplyKeyHoldsOnlyWithinItsWindowAndWhereItIsKnownEverywhere() {
+    void allowsRunsOfKeyedJobWithinItsWindowInAllZones() {
         assertTrue(RetryPolicy.mayRun(ran(1, 0), KEYED, 49_999));
         assertFalse(
                 RetryPolicy.mayRun(ran(1, 0), KEYED, 50_000), "40 s after the first run at 10 s");
@@ -146,9 +143,9 @@
     }
 
     @Test
-    void aStartTellsApartWhatRanAndWhatDidNot() {
-        JobRecord waits = record("j", "q", 25, 0);
-        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waits, ONCE, 5_000));
+    void recoversByWhatMayHaveRun() {
+        JobRecord waiting = record("j", "q", 25, 0);
+        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(waiting, ONCE, 5_000));
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
                 RetryPolicy.recoveryAction(ran(25, 0), SAFE, 5_000),
