--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Returns the start of a worker whose stamp was not on the last list; only valid where {@link
-     * #seesStarts}.
+     * Returns the start of a worker whose stamp was not on the last list; its start must have been
+     * observed ({@link #seesStarts}).
      */
     public long seen(long stampUs, long nowUs) {
         if (stampUs == LONG_AGO) {
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -78,8 +78,8 @@
         }
 
         /**
-         * Counts one more connection if the limit allows it: it will be opened, or reported by
-         * {@link #turnedBack}. Called on any thread.
+         * Counts one more connection if the limit allows it: it will be opened, or reported as
+         * failed. Called on any thread.
          */
         boolean admit();
 
--- a/src/main/java/damsonslip/transport/EventLoopConnection.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -78,8 +78,8 @@
     protected void readComplete() {}
 
     /**
-     * Called when the peer, or the network, has closed the connection; once, after {@link
-     * #released}, and not after {@link #end}.
+     * Called once, after {@link #released}, when the peer or the network has closed the connection;
+     * not called after {@link #end}.
      */
     protected abstract void lost();
 
--- a/src/main/java/damsonslip/transport/LimitedAcceptor.java
+++ b/src/main/java/damsonslip/transport/LimitedAcceptor.java
@@ -2,9 +2,8 @@
 
 /**
  * Accepts connections of one kind up to the limit of a {@link ConnectionLimiter}; those beyond it
- * wait in the listener's queue until others have been closed. {@link #hasRoom}, {@link #admit} and
- * {@link #turnedBack} are called on any thread, {@link #opened} and {@link #closed} by the
- * connections, on the event loop.
+ * wait in the listener's queue until others have been closed. The acceptor's own methods are called
+ * on any thread, {@link #opened} and {@link #closed} by the connections, on the event loop.
  */
 public abstract class LimitedAcceptor<L extends EventLoopConnection>
         implements ConnectionManager.ConnectionAcceptor {
