--- a/src/main/java/damsonslip/platform/codec/JobProgress.java
+++ b/src/main/java/damsonslip/platform/codec/JobProgress.java
@@ -40,7 +40,8 @@
                     || !requestId.equals(node.path(WireNames.Progress.REQUEST_ID).asText())) {
                 return Optional.empty();
             }
-            return state(node).map(state -> decode(node, state));
+            State state = state(node);
+            return state == null ? Optional.empty() : Optional.of(decode(node, state));
         } catch (JsonProcessingException e) {
             return Optional.empty();
         }
@@ -54,17 +55,17 @@
                 LoadReportDecoder.fromJson(node.path(WireNames.Progress.LOAD_REPORT)));
     }
 
-    private static Optional<State> state(JsonNode node) {
+    /** The state that a line names; null if it is unknown or lacks its result. */
+    private static State state(JsonNode node) {
         boolean hasResult = !node.path(WireNames.Progress.RESULT).isMissingNode();
         return switch (node.path(WireNames.Progress.STATE).asText("")) {
-            case WireNames.Progress.STARTED -> Optional.of(State.STARTED);
-            case WireNames.Progress.RUNNING -> Optional.of(State.RUNNING);
-            case WireNames.Progress.COMPLETED ->
-                    hasResult ? Optional.of(State.COMPLETED) : Optional.empty();
-            case WireNames.Progress.FAILED -> Optional.of(State.FAILED);
-            case WireNames.Progress.HANDED_BACK -> Optional.of(State.HANDED_BACK);
-            case WireNames.Progress.KILLED -> Optional.of(State.KILLED);
-            default -> Optional.empty();
+            case WireNames.Progress.STARTED -> State.STARTED;
+            case WireNames.Progress.RUNNING -> State.RUNNING;
+            case WireNames.Progress.COMPLETED -> hasResult ? State.COMPLETED : null;
+            case WireNames.Progress.FAILED -> State.FAILED;
+            case WireNames.Progress.HANDED_BACK -> State.HANDED_BACK;
+            case WireNames.Progress.KILLED -> State.KILLED;
+            default -> null;
         };
     }
 }
--- a/src/main/java/damsonslip/platform/codec/MessageEncoder.java
+++ b/src/main/java/damsonslip/platform/codec/MessageEncoder.java
@@ -21,10 +21,15 @@
         MetaData.Request request =
                 new MetaData.Request(
                         method, HttpURI.from(target), HttpVersion.HTTP_1_1, fields, body.length);
-        return encode(
-                (head, content) ->
-                        new HttpGenerator().generateRequest(request, head, null, content, true),
-                body);
+        ByteBuffer head = BufferUtil.allocate(HEAD_BUFFER_BYTES);
+        ByteBuffer content = ByteBuffer.wrap(body);
+        try {
+            HttpGenerator generator = new HttpGenerator();
+            checkEncoded(generator.generateRequest(request, head, null, content, true));
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+        return new ByteBuffer[] {head, content};
     }
 
     static ByteBuffer[] response(int status, HttpFields fields, byte[] body) {
@@ -35,29 +40,20 @@
                         HttpVersion.HTTP_1_1,
                         fields,
                         body.length);
-        return encode(
-                (head, content) ->
-                        new HttpGenerator()
-                                .generateResponse(response, false, head, null, content, true),
-                body);
-    }
-
-    /** One call of Jetty's generator, which fills the head. */
-    private interface Generation {
-        HttpGenerator.Result generate(ByteBuffer head, ByteBuffer content) throws IOException;
-    }
-
-    private static ByteBuffer[] encode(Generation generation, byte[] body) {
         ByteBuffer head = BufferUtil.allocate(HEAD_BUFFER_BYTES);
         ByteBuffer content = ByteBuffer.wrap(body);
         try {
-            HttpGenerator.Result result = generation.generate(head, content);
-            if (result != HttpGenerator.Result.FLUSH) {
-                throw new IllegalStateException("not encoded: " + result);
-            }
+            HttpGenerator generator = new HttpGenerator();
+            checkEncoded(generator.generateResponse(response, false, head, null, content, true));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return new ByteBuffer[] {head, content};
     }
+
+    private static void checkEncoded(HttpGenerator.Result result) {
+        if (result != HttpGenerator.Result.FLUSH) {
+            throw new IllegalStateException("not encoded: " + result);
+        }
+    }
 }
--- a/src/main/java/damsonslip/platform/discovery/WorkerRegistry.java
+++ b/src/main/java/damsonslip/platform/discovery/WorkerRegistry.java
@@ -5,11 +5,12 @@
 import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerStatus;
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.stream.Collectors;
 
 /**
  * The workers of discovery's list: where each of them listens, and since when it drains or is
@@ -51,16 +52,22 @@
      * @return the workers that it names, for the decisions
      */
     public List<WorkerEntry> apply(EndpointList list, long receivedUs) {
-        list.endpoints().forEach(endpoint -> register(endpoint, receivedUs));
+        List<WorkerEntry> workers = new ArrayList<>(list.endpoints().size());
+        Set<String> listed = new HashSet<>();
+        for (Endpoint endpoint : list.endpoints()) {
+            register(endpoint, receivedUs);
+            workers.add(endpoint.worker());
+            listed.add(endpoint.worker().id());
+        }
         if (list.complete()) {
-            drainUnlisted(list, receivedUs);
+            drainUnlisted(listed, receivedUs);
         }
         // Nothing is sent to an unknown worker, so one that drains for long may be dropped as well.
         registrations
                 .values()
                 .removeIf(worker -> worker.drainingSinceUs() < receivedUs - RETENTION_US);
         generation = list.generation();
-        return list.endpoints().stream().map(Endpoint::worker).toList();
+        return workers;
     }
 
     private void register(Endpoint endpoint, long receivedUs) {
@@ -74,11 +81,7 @@
         registrations.put(id, new Registration(endpoint.address(), drainingSinceUs));
     }
 
-    private void drainUnlisted(EndpointList list, long receivedUs) {
-        Set<String> listed =
-                list.endpoints().stream()
-                        .map(endpoint -> endpoint.worker().id())
-                        .collect(Collectors.toSet());
+    private void drainUnlisted(Set<String> listed, long receivedUs) {
         registrations.replaceAll(
                 (id, worker) ->
                         listed.contains(id) || worker.isDraining()
