--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -37,7 +37,7 @@
         super(endPoint, server.loop());
         this.server = server;
         this.reading =
-                new OutboundRateMonitor(server.loop(), READING, this::backlog, this::tooSlow);
+                new OutboundRateMonitor(server.loop(), READING, this::backlogBytes, this::tooSlow);
     }
 
     @Override
@@ -52,9 +52,9 @@
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        List<String> complete = lines.take(part);
+        List<String> complete = lines.decode(part);
         if (complete == null) {
-            end();
+            closeNow();
             return;
         }
         commands.addAll(complete);
@@ -68,7 +68,7 @@
         if (answering) {
             server.answer(line, this::answer);
         } else {
-            again();
+            resumeReading();
         }
     }
 
@@ -84,19 +84,19 @@
 
     private void tooSlow() {
         server.slowReader();
-        end();
+        closeNow();
     }
 
     /** How the peer reads a pending answer; null if there is none. */
     SlowPeer slowPeer() {
-        return reading.waits() ? reading.shown("reads the console", peer()) : null;
+        return reading.isWatching() ? reading.describe("reads the console", remoteAddress()) : null;
     }
 
     @Override
-    protected void lost() {}
+    protected void connectionLost() {}
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         reading.end();
         server.closed(this);
     }
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void turnedBack() {
+    public void admissionFailed() {
         openCount.decrementAndGet();
     }
 
--- a/src/main/java/damsonslip/admin/console/ConsoleTables.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleTables.java
@@ -40,7 +40,7 @@
                 row(
                         "%-24s %-9s %5s %5s %6s %6s %s",
                         "worker", "state", "zone", "kind", "out", "free", "pool");
-        for (WorkerState worker : front.driver().workers()) {
+        for (WorkerState worker : front.engine().workerStates()) {
             text.append(
                     row(
                             "%-24s %-9s %5d %5d %6d %6.1f %s",
@@ -50,7 +50,7 @@
                             worker.kind(),
                             worker.outstanding(),
                             worker.freeSlots(),
-                            worker.pool() < 0 ? "-" : front.className(worker.pool())));
+                            worker.pool() < 0 ? "-" : front.jobClassName(worker.pool())));
         }
         return text.toString();
     }
@@ -70,11 +70,11 @@
                 row(
                         "%-16s %7s %6s %8s %8s %6s",
                         "pool", "workers", "slots", "jobs/s", "ms/job", "free%");
-        for (PoolState pool : front.driver().pools()) {
+        for (PoolState pool : front.engine().poolStates()) {
             text.append(
                     row(
                             "%-16s %7d %6.0f %8.1f %8.0f %6.0f",
-                            front.className(pool.jobClass()),
+                            front.jobClassName(pool.jobClass()),
                             pool.workers(),
                             pool.slots(),
                             pool.arrivalRate(),
@@ -86,11 +86,11 @@
 
     String queues() {
         StringBuilder text = row("%-16s %7s %7s %9s", "class", "present", "held", "threshold");
-        for (PoolState pool : front.driver().pools()) {
+        for (PoolState pool : front.engine().poolStates()) {
             text.append(
                     row(
                             "%-16s %7d %7d %9d",
-                            front.className(pool.jobClass()),
+                            front.jobClassName(pool.jobClass()),
                             pool.present(),
                             pool.queued(),
                             pool.admissionShare()));
@@ -107,7 +107,7 @@
     }
 
     String latency() {
-        LoopLatency latency = loop.waits();
+        LoopLatency latency = loop.latency();
         return row("%-10s %9s %9s %9s %9s", "tasks", "50% ms", "99% ms", "99.9% ms", "most ms")
                 .append(
                         row(
@@ -116,7 +116,7 @@
                                 latency.percentileUs(50) / MICROS_PER_MILLI,
                                 latency.percentileUs(99) / MICROS_PER_MILLI,
                                 latency.percentileUs(99.9) / MICROS_PER_MILLI,
-                                latency.longestUs() / MICROS_PER_MILLI))
+                                latency.maxUs() / MICROS_PER_MILLI))
                 .toString();
     }
 
@@ -126,32 +126,32 @@
                         "%-22s %-16s %9s %9s %6s",
                         "peer", "what it does", "bytes", "bytes/s", "left s");
         for (SlowPeer slow :
-                SlowPeer.slowest(Stream.concat(front.slowPeers().stream(), consoles))) {
+                SlowPeer.disconnectedSoonest(Stream.concat(front.slowPeers().stream(), consoles))) {
             text.append(
                     row(
                             "%-22s %-16s %9d %9.0f %6.1f",
                             slow.peer(),
-                            slow.what(),
-                            slow.waiting(),
-                            slow.rate(),
-                            slow.leftUs() / MICROS_PER_SECOND));
+                            slow.activity(),
+                            slow.pendingBytes(),
+                            slow.bytesPerSecond(),
+                            slow.remainingUs() / MICROS_PER_SECOND));
         }
         return text.toString();
     }
 
     String counters() {
         StringBuilder text = new StringBuilder();
-        counters.each((name, count) -> text.append(row("%-26s %10d", name, count)));
+        counters.forEachNonZero((name, count) -> text.append(row("%-26s %10d", name, count)));
         return text.length() == 0 ? "nothing yet" : text.toString();
     }
 
     String events(String id) {
-        List<String> newest = front.driver().events().newest(MAX_EVENTS, id);
+        List<String> newest = front.engine().eventLog().newest(MAX_EVENTS, id);
         return newest.isEmpty() ? "nothing yet" : String.join("\n", newest);
     }
 
     String invariants() {
-        InvariantMonitor monitor = front.driver().monitor();
+        InvariantMonitor monitor = front.engine().invariantMonitor();
         StringBuilder text = row("%-42s %9s", "rule", "violated");
         for (Invariant invariant : Invariant.values()) {
             text.append(
--- a/src/main/java/damsonslip/admin/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -44,13 +44,13 @@
 
     @Override
     protected void opened() {
-        openedUs = server.loop().now();
+        openedUs = server.loop().nowUs();
         timeout =
                 server.loop()
-                        .in(
+                        .scheduleAfter(
                                 REQUEST_TIMEOUT_US,
                                 () -> finish(ManagementResponse.no("no whole call came")));
-        server.opened(this);
+        server.connectionOpened(this);
     }
 
     @Override
@@ -60,7 +60,7 @@
         if (requestEnded) {
             return;
         }
-        List<String> complete = lines.take(part);
+        List<String> complete = lines.decode(part);
         if (complete == null
                 || complete.stream().anyMatch(line -> line.length() > MAX_LINE_LENGTH)) {
             finish(ManagementResponse.no("the line is too long"));
@@ -69,7 +69,7 @@
             timeout.cancel();
             timeout =
                     server.loop()
-                            .in(
+                            .scheduleAfter(
                                     RESPONSE_TIMEOUT_US,
                                     () ->
                                             respond(
@@ -95,21 +95,23 @@
         if (!responded && !isClosed()) {
             responded = true;
             write(() -> {}, response);
-            endWhenWritten();
+            closeAfterWrites();
             server.loop()
-                    .in(REQUEST_TIMEOUT_US, this::end); // the response gets as long as the request
+                    .scheduleAfter(
+                            REQUEST_TIMEOUT_US,
+                            this::closeNow); // the response gets as long as the request
         }
     }
 
     @Override
-    protected void lost() {}
+    protected void connectionLost() {}
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         if (timeout != null) {
             timeout.cancel();
         }
-        server.closed(this);
+        server.connectionClosed(this);
     }
 
     /**
--- a/src/main/java/damsonslip/admin/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -69,7 +69,7 @@
      * called on the loop, at once or later.
      */
     public void disable(String id, Consumer<OperationResult> done) {
-        change(id, front.driver()::disable, id + " gets nothing new", done);
+        change(id, front.engine()::disableWorker, id + " gets nothing new", done);
     }
 
     /**
@@ -77,7 +77,7 @@
      * called on the loop, at once or later.
      */
     public void enable(String id, Consumer<OperationResult> done) {
-        change(id, front.driver()::enable, id + " is used again", done);
+        change(id, front.engine()::enableWorker, id + " is used again", done);
     }
 
     private void change(
@@ -104,7 +104,7 @@
 
     /** Starts connection draining: connections of clients are closed while the process stays up. */
     public OperationResult drain() {
-        if (phase.atLeast(State.LEAVING)) {
+        if (phase.hasReached(State.LEAVING)) {
             return OperationResult.success("leaving already");
         }
         if (!front.drain()) {
@@ -115,7 +115,7 @@
 
     /** Ends connection draining. */
     public OperationResult undrain() {
-        if (phase.atLeast(State.LEAVING)) {
+        if (phase.hasReached(State.LEAVING)) {
             return OperationResult.failure("leaving");
         }
         front.undrain();
@@ -124,19 +124,20 @@
 
     /** A snapshot of all metrics. */
     public List<Metric> metrics() {
-        SchedulerEngine engine = front.driver();
+        SchedulerEngine engine = front.engine();
         List<Metric> metrics = new ArrayList<>();
-        for (int i = 0; i < engine.classes(); i++) {
-            String name = front.className(i);
-            metrics.add(Metric.counter("success." + name, engine.answers(i, Kind.SERVED)));
-            metrics.add(Metric.counter("overload." + name, engine.answers(i, Kind.THROTTLED)));
-            metrics.add(Metric.counter("error." + name, engine.answers(i, Kind.FAILED)));
+        for (int i = 0; i < engine.classCount(); i++) {
+            String name = front.jobClassName(i);
+            metrics.add(Metric.counter("success." + name, engine.responseCount(i, Kind.SERVED)));
+            metrics.add(
+                    Metric.counter("overload." + name, engine.responseCount(i, Kind.THROTTLED)));
+            metrics.add(Metric.counter("error." + name, engine.responseCount(i, Kind.FAILED)));
         }
         metrics.add(Metric.counter("dispatches", counters.get(Count.EXECUTIONS_WRITTEN)));
-        metrics.add(Metric.gauge("concurrent", engine.open()));
-        Set<String> targets = engine.targets();
+        metrics.add(Metric.gauge("concurrent", engine.openRequestCount()));
+        Set<String> targets = engine.listedWorkers();
         Map<String, WorkerState> states =
-                engine.workers().stream()
+                engine.workerStates().stream()
                         .collect(Collectors.toMap(WorkerState::id, worker -> worker));
         metrics.add(Metric.gauge("targets", targets.size()));
         metrics.add(
--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -54,7 +54,7 @@
     private record PollResult(Optional<String> overrides, PeerProcesses peers) {}
 
     /**
-     * Creates a coordinator that does nothing until {@link #begin}.
+     * Creates a coordinator that does nothing until {@link #start}.
      *
      * @param peersListener called on the loop whenever the set of live peers has changed
      */
@@ -71,7 +71,7 @@
     }
 
     /** Polls now, waiting for the directory, and periodically from then on until {@link #close}. */
-    public void begin() {
+    public void start() {
         try {
             apply(poll());
         } catch (IOException e) {
@@ -81,7 +81,7 @@
     }
 
     private void scheduleNextPoll() {
-        loop.in(POLL_INTERVAL_US, this::pollPeriodically);
+        loop.scheduleAfter(POLL_INTERVAL_US, this::pollPeriodically);
     }
 
     private void pollPeriodically() {
@@ -101,7 +101,7 @@
                         next.run();
                     }
                 };
-        loop.in(POLL_INTERVAL_US, once);
+        loop.scheduleAfter(POLL_INTERVAL_US, once);
         pollThen(once);
     }
 
@@ -142,7 +142,7 @@
     /** Replaces the overrides of this process by those of another. */
     private void applyOverrides(String text) {
         try {
-            engine.takeOver(text);
+            engine.restoreOverrides(text);
             LOG.info("took over the operators' bans");
         } catch (WorkerOverrides.MalformedException e) {
             LOG.warn("the kept bans cannot be used: {}", e.getMessage());
@@ -153,7 +153,7 @@
      * Announces that this process serves, waiting for the directory. If that fails, each poll
      * announces it again until it succeeds.
      */
-    public void markServing() {
+    public void announceServing() {
         announcement = Announcement.MADE;
         try {
             directory.markServing();
@@ -194,7 +194,7 @@
      * @param failed runs if the directory cannot be read or written; the change may then hold in
      *     this process only
      */
-    public void change(Runnable change, Runnable published, Consumer<IOException> failed) {
+    public void changeOverrides(Runnable change, Runnable published, Consumer<IOException> failed) {
         directoryThread.run(
                 () -> {
                     directory.withLock(() -> publish(change));
@@ -212,7 +212,7 @@
                         () -> {
                             others.ifPresent(this::applyOverrides);
                             change.run();
-                            return engine.bans();
+                            return engine.overridesText();
                         });
         directory.writeOverrides(changed);
     }
--- a/src/main/java/damsonslip/cli/ServeCommand.java
+++ b/src/main/java/damsonslip/cli/ServeCommand.java
@@ -65,7 +65,7 @@
             startFront(file == null ? platform(environment) : faktory(file));
         } catch (ConfigurationException | IOException e) {
             removeShutdownHook();
-            phase.moveTo(State.ENDED);
+            phase.advanceTo(State.ENDED);
             loop.stop();
             throw e;
         }
@@ -76,7 +76,7 @@
         SchedulerConfig config = SchedulerConfig.read(environment);
         Platform platform = new Platform(loop, phase, counters, config, environment);
         String console = environment.getOrDefault(CONSOLE_VARIABLE, "");
-        return new ConfiguredFront(platform, platform::change, console, config.mgmt());
+        return new ConfiguredFront(platform, platform::changeOverrides, console, config.mgmt());
     }
 
     private ConfiguredFront faktory(String file) throws ConfigurationException, IOException {
@@ -122,7 +122,7 @@
 
     /** Shuts the front down gracefully; returns when it has ended, or after the longest time. */
     private void shutDown(Frontend front) {
-        front.leave();
+        front.shutDown();
         try {
             phase.await(State.ENDED, MAX_SHUTDOWN_MS);
         } catch (InterruptedException e) {
--- a/src/main/java/damsonslip/engine/ActionExecutor.java
+++ b/src/main/java/damsonslip/engine/ActionExecutor.java
@@ -82,10 +82,10 @@
             counters.add(Count.PROBES_SENT);
             workers.get().probe(probe.worker(), probe.connectedBeforeUs());
         } else if (action instanceof SetTimer timer) {
-            loop.at(timer.atUs(), () -> events.accept(new TimerDue(timer.label())));
+            loop.scheduleAt(timer.atUs(), () -> events.accept(new TimerDue(timer.label())));
         } else if (action instanceof WatchWorkerList) {
             trace.workerListRequested();
-            workers.get().watch();
+            workers.get().watchWorkerList();
         } else if (action instanceof Log log) {
             LOG.info(log.text());
         }
--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -64,8 +64,8 @@
     }
 
     /** Returns the request that is attempted. */
-    public Request query() {
-        return context.query();
+    public Request request() {
+        return context.request();
     }
 
     RequestContext context() {
@@ -93,17 +93,17 @@
      * which workers recognize a repetition may have passed. Reads pending input of the client's
      * connection, because a close may be queued there while the loop is busy.
      */
-    public boolean mayBegin(long nowUs) {
+    public boolean mayBeWritten(long nowUs) {
         // reading the client's input may end this attempt, hence the second look at its state
-        return open() && nowUs < startByUs && context.isAwaited() && open();
+        return isOpen() && nowUs < startByUs && context.isClientWaiting() && isOpen();
     }
 
     /**
      * Whether the client still waits. Reads pending input of its connection first, so the attempt
      * may have ended when this call returns.
      */
-    public boolean isAwaited() {
-        return context.isAwaited();
+    public boolean isClientWaiting() {
+        return context.isClientWaiting();
     }
 
     /**
@@ -115,17 +115,17 @@
     }
 
     /** Records how long the upload to a worker would have taken, in microseconds. */
-    public void uploadTakes(long uploadUs) {
+    public void recordUploadTime(long uploadUs) {
         context.recordUploadTime(uploadUs);
     }
 
     /** Returns when the scheduler stops waiting for the attempt. */
-    public long endsByUs() {
+    public long timeoutAtUs() {
         return timeoutAtUs;
     }
 
     /** Whether the end of the attempt is still awaited. */
-    public boolean open() {
+    public boolean isOpen() {
         return state != State.ENDED;
     }
 
@@ -163,7 +163,7 @@
 
     /** Returns what the guard of further attempts needs to know about this one. */
     EarlierAttempt asEarlierAttempt() {
-        return new EarlierAttempt(location, sentUs, open(), !open() && outcome.provesNotRun());
+        return new EarlierAttempt(location, sentUs, isOpen(), !isOpen() && outcome.provesNotRun());
     }
 
     /**
@@ -173,10 +173,10 @@
      * @param report the worker's load report; null if it sent none
      * @param result what the worker returned, if it served the request; null otherwise
      */
-    public record End(AttemptOutcome outcome, LoadReport report, String result) {
+    public record Completion(AttemptOutcome outcome, LoadReport report, String result) {
         /** Returns an end without load report and result. */
-        public static End of(AttemptOutcome outcome) {
-            return new End(outcome, null, null);
+        public static Completion of(AttemptOutcome outcome) {
+            return new Completion(outcome, null, null);
         }
     }
 }
--- a/src/main/java/damsonslip/engine/AttemptManager.java
+++ b/src/main/java/damsonslip/engine/AttemptManager.java
@@ -73,18 +73,19 @@
             return;
         }
         statistics.count(Count.EXECUTIONS_SENT);
-        long nowUs = loop.now();
+        long nowUs = loop.nowUs();
         WorkerLocation location = workerList.locate(send.worker());
         boolean isPermitted = guards.permitsAttempt(context, location, nowUs);
-        long timeoutAtUs = timeoutAtUs(send, context.query(), nowUs);
+        long timeoutAtUs = timeoutAtUs(send, context.request(), nowUs);
         Attempt attempt = new Attempt(context, location, nowUs, timeoutAtUs);
         context.add(attempt);
         trace.sent(attempt);
-        attempt.startTimeout(loop.at(timeoutAtUs, () -> stop(attempt, AttemptOutcome.TIMED_OUT)));
-        if (context.closed() || !isPermitted) {
-            ended(attempt, Attempt.End.of(AttemptOutcome.NEVER_SENT));
+        attempt.startTimeout(
+                loop.scheduleAt(timeoutAtUs, () -> stop(attempt, AttemptOutcome.TIMED_OUT)));
+        if (context.isClosed() || !isPermitted) {
+            ended(attempt, Attempt.Completion.of(AttemptOutcome.NEVER_SENT));
         } else {
-            workers.get().start(attempt);
+            workers.get().send(attempt);
         }
     }
 
@@ -103,9 +104,9 @@
     }
 
     private void stop(Attempt attempt, AttemptOutcome outcome) {
-        if (attempt.open()) {
+        if (attempt.isOpen()) {
             workers.get().cancel(attempt);
-            ended(attempt, Attempt.End.of(outcome));
+            ended(attempt, Attempt.Completion.of(outcome));
         }
     }
 
@@ -115,8 +116,8 @@
      */
     void withdrawUnsent(RequestContext context) {
         for (Attempt attempt : List.copyOf(context.attempts())) {
-            if (attempt.open() && workers.get().withdraw(attempt)) {
-                ended(attempt, Attempt.End.of(AttemptOutcome.NEVER_SENT));
+            if (attempt.isOpen() && workers.get().withdrawUnsent(attempt)) {
+                ended(attempt, Attempt.Completion.of(AttemptOutcome.NEVER_SENT));
             }
         }
     }
@@ -125,12 +126,12 @@
     void started(Attempt attempt) {
         if (attempt.markRunning()) {
             trace.started(attempt);
-            events.accept(new AttemptStarted(attempt.query().id(), attempt.number()));
+            events.accept(new AttemptStarted(attempt.request().id(), attempt.number()));
         }
     }
 
     /** Records the end of an attempt; only the first end counts. */
-    void ended(Attempt attempt, Attempt.End end) {
+    void ended(Attempt attempt, Attempt.Completion end) {
         if (!attempt.end(end.outcome())) {
             return;
         }
@@ -144,17 +145,17 @@
         }
         events.accept(
                 new AttemptEnded(
-                        attempt.query().id(),
+                        attempt.request().id(),
                         attempt.number(),
                         end.outcome(),
-                        context.closed(),
+                        context.isClosed(),
                         end.report()));
         requests.removeIfFinished(context);
     }
 
     /** Workers recognize a repetition only within a window after an attempt that may have run. */
     private void limitRetries(Attempt attempt, AttemptOutcome outcome) {
-        JobClass jobClass = settings.classes().get(attempt.query().jobClass());
+        JobClass jobClass = settings.classes().get(attempt.request().jobClass());
         if (jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !outcome.provesNotRun()) {
             attempt.context()
                     .limitRetriesTo(
--- a/src/main/java/damsonslip/engine/Counters.java
+++ b/src/main/java/damsonslip/engine/Counters.java
@@ -119,7 +119,7 @@
     }
 
     /** Passes name and value of every counter that is not zero to the consumer. */
-    public void each(BiConsumer<String, Long> consumer) {
+    public void forEachNonZero(BiConsumer<String, Long> consumer) {
         for (Count count : Count.values()) {
             long value = get(count);
             if (value > 0) {
@@ -132,7 +132,7 @@
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder("counters");
-        each((name, value) -> text.append(' ').append(name).append('=').append(value));
+        forEachNonZero((name, value) -> text.append(' ').append(name).append('=').append(value));
         return text.toString();
     }
 }
--- a/src/main/java/damsonslip/engine/EngineGuards.java
+++ b/src/main/java/damsonslip/engine/EngineGuards.java
@@ -63,7 +63,7 @@
 
     /** Whether the request may be attempted at this worker now, after its earlier attempts. */
     boolean permitsAttempt(RequestContext context, WorkerLocation location, long nowUs) {
-        Request request = context.query();
+        Request request = context.request();
         return monitor.permits(
                 RetryGuard.check(
                         request.id(),
@@ -81,17 +81,17 @@
      *     Long#MAX_VALUE} if it runs
      */
     boolean permitsSend(Attempt attempt, long timeLimitUs, long drainingSinceUs) {
-        Request request = attempt.query();
-        SlowStartLoad slowStartLoad = policy.coldLoad(attempt.worker(), request.jobClass());
+        Request request = attempt.request();
+        SlowStartLoad slowStartLoad = policy.slowStartLoad(attempt.worker(), request.jobClass());
         return monitor.permits(
                 SendGuard.check(
                         new SendGuard.Facts(
                                 request.id(),
                                 attempt.worker(),
-                                loop.now(),
+                                loop.nowUs(),
                                 drainingSinceUs,
                                 settings.guarantees().drainGraceUs(),
-                                !attempt.context().closed(),
+                                !attempt.context().isClosed(),
                                 request.earliestDeadlineUs(),
                                 timeLimitUs,
                                 slowStartLoad)));
@@ -99,8 +99,8 @@
 
     /** Checks a final response that is about to be given. */
     void checkResponse(RequestContext context, Response response) {
-        Request request = context.query();
-        monitor.permits(CloseGuard.checkAnswer(request.id(), loop.now(), request.deadlineUs()));
+        Request request = context.request();
+        monitor.permits(CloseGuard.checkResponse(request.id(), loop.nowUs(), request.deadlineUs()));
         if (response.kind() == Response.Kind.THROTTLED) {
             monitor.permits(
                     RetryGuard.checkRejection(
--- a/src/main/java/damsonslip/engine/EventLoop.java
+++ b/src/main/java/damsonslip/engine/EventLoop.java
@@ -13,7 +13,7 @@
  * <p>The clock gives microseconds since the Unix epoch and never goes backwards: it follows the
  * system's monotonic clock from the moment at which the loop was created.
  *
- * <p>Thread-safe, except for {@link #waits}.
+ * <p>Thread-safe, except for {@link #latency}.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
@@ -45,8 +45,8 @@
     }
 
     /** Returns the current time in microseconds since the Unix epoch. */
-    public long now() {
-        return timeOf(System.nanoTime());
+    public long nowUs() {
+        return toEpochUs(System.nanoTime());
     }
 
     /** Returns the time at which the loop was created. */
@@ -55,7 +55,7 @@
     }
 
     /** Returns the time on this clock at a given value of {@link System#nanoTime}. */
-    public long timeOf(long nanoTime) {
+    public long toEpochUs(long nanoTime) {
         return startedUs + TimeUnit.NANOSECONDS.toMicros(nanoTime - startedNanoTime);
     }
 
@@ -70,11 +70,11 @@
      * Runs a task at a time, or as soon as possible if that has passed; does nothing after {@link
      * #stop}.
      */
-    public Timer at(long timeUs, Runnable task) {
+    public Timer scheduleAt(long timeUs, Runnable task) {
         if (thread.isShutdown()) {
             return () -> {};
         }
-        long delayUs = Math.max(0, timeUs - now());
+        long delayUs = Math.max(0, timeUs - nowUs());
         long dueNanoTime = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(delayUs);
         ScheduledFuture<?> scheduled =
                 thread.schedule(guarded(task, dueNanoTime), delayUs, TimeUnit.MICROSECONDS);
@@ -82,8 +82,8 @@
     }
 
     /** Runs a task after a delay in microseconds; does nothing after {@link #stop}. */
-    public Timer in(long delayUs, Runnable task) {
-        return at(now() + delayUs, task);
+    public Timer scheduleAfter(long delayUs, Runnable task) {
+        return scheduleAt(nowUs() + delayUs, task);
     }
 
     /** Sets the listener that is called on the loop for each task that fails. */
@@ -92,7 +92,7 @@
     }
 
     /** Returns how long tasks have waited for the thread; read on the loop. */
-    public LoopLatency waits() {
+    public LoopLatency latency() {
         return latency;
     }
 
--- a/src/main/java/damsonslip/engine/Frontend.java
+++ b/src/main/java/damsonslip/engine/Frontend.java
@@ -18,7 +18,7 @@
     void start() throws ConfigurationException, IOException;
 
     /** Starts a graceful shutdown, which is complete in {@link LifecyclePhase.State#ENDED}. */
-    void leave();
+    void shutDown();
 
     /**
      * Applies changed settings as far as that is possible while serving. Settings that cannot be
@@ -48,8 +48,8 @@
     }
 
     /** Returns the engine behind this front. */
-    SchedulerEngine driver();
+    SchedulerEngine engine();
 
     /** Returns the name of a request class as users know it. */
-    String className(int jobClass);
+    String jobClassName(int jobClass);
 }
--- a/src/main/java/damsonslip/engine/GracefulShutdown.java
+++ b/src/main/java/damsonslip/engine/GracefulShutdown.java
@@ -23,7 +23,7 @@
     private long phaseEndUs;
 
     /**
-     * Creates a shutdown that starts with {@link #begin}.
+     * Creates a shutdown that starts with {@link #start}.
      *
      * @param acceptUs how long connections are accepted as before
      * @param finishUs how long after that something may still be open
@@ -50,31 +50,31 @@
     }
 
     /** Starts the shutdown; does nothing if one was started already. */
-    public void begin() {
-        if (!phase.atLeast(State.LEAVING)) {
-            phase.moveTo(State.LEAVING);
-            phaseEndUs = loop.now() + acceptUs;
+    public void start() {
+        if (!phase.hasReached(State.LEAVING)) {
+            phase.advanceTo(State.LEAVING);
+            phaseEndUs = loop.nowUs() + acceptUs;
             pollWhileAccepting();
         }
     }
 
     private void pollWhileAccepting() {
-        if (loop.now() < phaseEndUs && !hasSuccessor.getAsBoolean()) {
-            long remainingUs = phaseEndUs - loop.now();
-            loop.in(Math.min(POLL_INTERVAL_US, remainingUs), this::pollWhileAccepting);
+        if (loop.nowUs() < phaseEndUs && !hasSuccessor.getAsBoolean()) {
+            long remainingUs = phaseEndUs - loop.nowUs();
+            loop.scheduleAfter(Math.min(POLL_INTERVAL_US, remainingUs), this::pollWhileAccepting);
             return;
         }
-        phase.moveTo(State.FINISHING);
-        phaseEndUs = loop.now() + finishUs;
+        phase.advanceTo(State.FINISHING);
+        phaseEndUs = loop.nowUs() + finishUs;
         closeListeners.run();
         pollUntilFinished();
     }
 
     private void pollUntilFinished() {
-        if (isFinished.getAsBoolean() || loop.now() >= phaseEndUs) {
-            phase.moveTo(State.ENDED);
+        if (isFinished.getAsBoolean() || loop.nowUs() >= phaseEndUs) {
+            phase.advanceTo(State.ENDED);
         } else {
-            loop.in(POLL_INTERVAL_US, this::pollUntilFinished);
+            loop.scheduleAfter(POLL_INTERVAL_US, this::pollUntilFinished);
         }
     }
 }
--- a/src/main/java/damsonslip/engine/LifecyclePhase.java
+++ b/src/main/java/damsonslip/engine/LifecyclePhase.java
@@ -46,12 +46,12 @@
     }
 
     /** Whether this phase, or a later one, is reached. */
-    public boolean atLeast(State expected) {
+    public boolean hasReached(State expected) {
         return state().compareTo(expected) >= 0;
     }
 
     /** Moves forward to a phase and calls the listeners; does nothing if it is reached already. */
-    public void moveTo(State next) {
+    public void advanceTo(State next) {
         List<Runnable> toNotify;
         synchronized (this) {
             if (next.compareTo(state) <= 0) {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Adds a listener that {@link #moveTo} calls on its caller's thread. */
+    /** Adds a listener that {@link #advanceTo} calls on its caller's thread. */
     public synchronized void onChange(Runnable listener) {
         listeners.add(listener);
     }
--- a/src/main/java/damsonslip/engine/LoopLatency.java
+++ b/src/main/java/damsonslip/engine/LoopLatency.java
@@ -33,7 +33,7 @@
     }
 
     /** Returns the longest wait. */
-    public long longestUs() {
+    public long maxUs() {
         return histogram.getMaxValue();
     }
 }
--- a/src/main/java/damsonslip/engine/OpenRequests.java
+++ b/src/main/java/damsonslip/engine/OpenRequests.java
@@ -71,7 +71,7 @@
         trace.accepted(request);
         RequestContext context = new RequestContext(request, listener, responseObserver);
         openCount++;
-        if (openCount > SchedulerEngine.MOST_OPEN) {
+        if (openCount > SchedulerEngine.MAX_OPEN_REQUESTS) {
             context.answer(Response.throttled(Response.NO_RETRY_AFTER));
             return context;
         }
@@ -85,8 +85,8 @@
                         request.deadlineUs(),
                         request.slots(),
                         request.memory(),
-                        request.mostRuns(),
-                        request.fits()));
+                        request.maxExecutions(),
+                        request.eligibleWorkers()));
         return context;
     }
 
@@ -100,8 +100,8 @@
         }
         openCount--;
         statistics.count(Count.QUERIES_GONE);
-        trace.clientDisconnected(context.query());
-        events.accept(new ClientDisconnected(context.query().id()));
+        trace.clientDisconnected(context.request());
+        events.accept(new ClientDisconnected(context.request().id()));
         return true;
     }
 
@@ -119,7 +119,7 @@
         RequestContext context = contexts.get(id);
         if (context != null) {
             boolean deadlineReached =
-                    loop.now() + DEADLINE_MARGIN_US > context.query().deadlineUs();
+                    loop.nowUs() + DEADLINE_MARGIN_US > context.request().deadlineUs();
             answer(id, Response.failed(deadlineReached));
         }
     }
@@ -127,23 +127,24 @@
     /** Has every open request answered now, as if its deadline were reached. */
     void answerAllOpen() {
         contexts.values().stream()
-                .filter(context -> !context.closed())
-                .map(context -> context.query().id())
+                .filter(context -> !context.isClosed())
+                .map(context -> context.request().id())
                 .toList()
-                .forEach(id -> events.accept(new TimerDue(SchedulingPolicy.lastLabel(id))));
+                .forEach(
+                        id -> events.accept(new TimerDue(SchedulingPolicy.deadlineTimerLabel(id))));
     }
 
     /** Forgets a request to which nothing more can happen. */
     void removeIfFinished(RequestContext context) {
         if (context.isFinished()) {
-            contexts.remove(context.query().id());
+            contexts.remove(context.request().id());
         }
     }
 
     private void responseGiven(RequestContext context, Response response) {
         openCount--;
         guards.checkResponse(context, response);
-        trace.answered(context.query(), response);
-        statistics.countResponse(context.query().jobClass(), response.kind());
+        trace.answered(context.request(), response);
+        statistics.countResponse(context.request().jobClass(), response.kind());
     }
 }
--- a/src/main/java/damsonslip/engine/PolicyDispatcher.java
+++ b/src/main/java/damsonslip/engine/PolicyDispatcher.java
@@ -47,7 +47,7 @@
         List<Action> actions = new ArrayList<>();
         for (Event event = pending.poll(); event != null; event = pending.poll()) {
             actions.clear();
-            policy.handle(loop.now(), event, actions);
+            policy.handle(loop.nowUs(), event, actions);
             actions.forEach(executor);
         }
     }
--- a/src/main/java/damsonslip/engine/Request.java
+++ b/src/main/java/damsonslip/engine/Request.java
@@ -15,9 +15,9 @@
  * @param slots how many slots it takes at a worker
  * @param memory how many units of memory it takes at a worker
  * @param subject what it concerns; null if nothing in particular
- * @param mostRuns how often it may be executed at most, whatever its class allows
- * @param fits which workers, by id, can execute it; null if all can
- * @param cargo the front's own form of the content, which the engine does not look into
+ * @param maxExecutions how often it may be executed at most, whatever its class allows
+ * @param eligibleWorkers which workers, by id, can execute it; null if all can
+ * @param payload the front's own form of the content, which the engine does not look into
  */
 public record Request(
         String id,
@@ -28,9 +28,9 @@
         int slots,
         double memory,
         Long subject,
-        int mostRuns,
-        Predicate<String> fits,
-        Cargo cargo) {
+        int maxExecutions,
+        Predicate<String> eligibleWorkers,
+        Payload payload) {
     /** Content in a front's own form. */
-    public interface Cargo {}
+    public interface Payload {}
 }
--- a/src/main/java/damsonslip/engine/RequestContext.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -60,12 +60,12 @@
     }
 
     /** Returns the request as the client sent it. */
-    public Request query() {
+    public Request request() {
         return request;
     }
 
     /** Whether the final response was given or the client has disconnected. */
-    public boolean closed() {
+    public boolean isClosed() {
         return state != State.OPEN;
     }
 
@@ -91,7 +91,7 @@
 
     /** Whether nothing more can happen to the request: it is closed and no attempt is open. */
     boolean isFinished() {
-        return closed() && openAttempts == 0;
+        return isClosed() && openAttempts == 0;
     }
 
     /**
@@ -121,11 +121,11 @@
      * Whether the client still waits. Reads pending input of its connection first, so this call may
      * itself report that the client has disconnected.
      */
-    boolean isAwaited() {
-        if (!closed()) {
-            listener.readPending();
+    boolean isClientWaiting() {
+        if (!isClosed()) {
+            listener.readPendingInput();
         }
-        return !closed();
+        return !isClosed();
     }
 
     /** Gives the final response; returns false without any effect if the request is closed. */
@@ -134,7 +134,7 @@
             return false;
         }
         responseObserver.accept(this, response);
-        listener.answer(response);
+        listener.respond(response);
         return true;
     }
 
--- a/src/main/java/damsonslip/engine/RequestTrace.java
+++ b/src/main/java/damsonslip/engine/RequestTrace.java
@@ -34,7 +34,7 @@
     }
 
     private void record(Kind kind, String id, Object detail, long figure) {
-        events.add(loop.now(), kind, id, detail, figure);
+        events.add(loop.nowUs(), kind, id, detail, figure);
     }
 
     void accepted(Request request) {
@@ -65,30 +65,33 @@
     }
 
     void sent(Attempt attempt) {
-        record(Kind.SENT, attempt.query().id(), attempt.worker(), attempt.number());
+        record(Kind.SENT, attempt.request().id(), attempt.worker(), attempt.number());
         if (isEnabled) {
             LOG.debug(
-                    "sent {} n={} to={}", attempt.query().id(), attempt.number(), attempt.worker());
+                    "sent {} n={} to={}",
+                    attempt.request().id(),
+                    attempt.number(),
+                    attempt.worker());
         }
     }
 
     void started(Attempt attempt) {
-        record(Kind.STARTED, attempt.query().id(), attempt.worker(), attempt.number());
+        record(Kind.STARTED, attempt.request().id(), attempt.worker(), attempt.number());
         if (isEnabled) {
             LOG.debug(
                     "started {} n={} to={}",
-                    attempt.query().id(),
+                    attempt.request().id(),
                     attempt.number(),
                     attempt.worker());
         }
     }
 
     void ended(Attempt attempt, AttemptOutcome outcome) {
-        record(Kind.ENDED, attempt.query().id(), outcome, attempt.number());
+        record(Kind.ENDED, attempt.request().id(), outcome, attempt.number());
         if (isEnabled) {
             LOG.debug(
                     "ended {} n={} to={} as={}",
-                    attempt.query().id(),
+                    attempt.request().id(),
                     attempt.number(),
                     attempt.worker(),
                     outcome);
--- a/src/main/java/damsonslip/engine/Response.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -7,9 +7,9 @@
  * @param result what the worker returned, if served; empty otherwise
  * @param retryAfterUs if throttled, after how many microseconds a retry makes sense; {@link
  *     #NO_RETRY_AFTER} if unknown
- * @param late if failed, whether the deadline was the reason
+ * @param deadlineReached if failed, whether the deadline was the reason
  */
-public record Response(Kind kind, String result, long retryAfterUs, boolean late) {
+public record Response(Kind kind, String result, long retryAfterUs, boolean deadlineReached) {
     /** Means an unknown time in {@link #retryAfterUs}. */
     public static final long NO_RETRY_AFTER = 0;
 
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -31,7 +31,7 @@
  */
 public final class SchedulerEngine {
     /** Requests beyond this number of open ones are rejected without asking the module. */
-    public static final int MOST_OPEN = 2_000;
+    public static final int MAX_OPEN_REQUESTS = 2_000;
 
     private final EventLoop loop;
     private final Settings settings;
@@ -47,11 +47,11 @@
     private final AttemptManager attempts;
     private final ActionExecutor executor;
 
-    /** Null until {@link #begin}. */
+    /** Null until {@link #start}. */
     private WorkerGateway gateway;
 
     /**
-     * Creates an engine without workers; call {@link #begin} before anything else.
+     * Creates an engine without workers; call {@link #start} before anything else.
      *
      * @param seed seeds the random choices of the decision module
      */
@@ -103,19 +103,19 @@
      * @param workers the gateway to the workers
      * @param cached the cached list; empty if there is none
      */
-    public void begin(WorkerGateway workers, List<WorkerEntry> cached) {
+    public void start(WorkerGateway workers, List<WorkerEntry> cached) {
         gateway = workers;
         workerList.load(cached);
         stateTrace.start();
     }
 
-    /** Whether {@link #begin} was called, so that there is a worker list to decide by. */
-    public boolean isBegun() {
+    /** Whether {@link #start} was called, so that there is a worker list to decide by. */
+    public boolean isStarted() {
         return workerList.isLoaded();
     }
 
     /** Divides this scheduler's capacity anew when processes of it have started or ended. */
-    public void divided(PeerProcesses peers) {
+    public void updatePeerProcesses(PeerProcesses peers) {
         dispatcher.deliver(
                 new SchedulersChanged(
                         settings.schedulers() * peers.processes(),
@@ -123,56 +123,56 @@
     }
 
     /** Returns the monitor that counts violations of the operators' rules. */
-    public InvariantMonitor monitor() {
+    public InvariantMonitor invariantMonitor() {
         return guards.monitor();
     }
 
     /** Returns the log of the newest events. */
-    public EventLog events() {
+    public EventLog eventLog() {
         return eventLog;
     }
 
     /** Returns the state of each worker pool. */
-    public List<PoolState> pools() {
+    public List<PoolState> poolStates() {
         return policy.pools();
     }
 
     /** Returns the state of each worker. */
-    public List<WorkerState> workers() {
-        return policy.workers(loop.now());
+    public List<WorkerState> workerStates() {
+        return policy.workers(loop.nowUs());
     }
 
     /** Returns the number of request classes. */
-    public int classes() {
+    public int classCount() {
         return statistics.classCount();
     }
 
     /** Returns how many requests of a class got a final response of this kind. */
-    public long answers(int jobClass, Response.Kind kind) {
+    public long responseCount(int jobClass, Response.Kind kind) {
         return statistics.responseCount(jobClass, kind);
     }
 
     /** Returns the number of requests that still lack their final response. */
-    public int open() {
+    public int openRequestCount() {
         return requests.openCount();
     }
 
     /** Whether the id belongs to a request that is open or has an open attempt. */
-    public boolean holds(String id) {
+    public boolean isIdInUse(String id) {
         return requests.contains(id);
     }
 
     /**
      * Accepts a request; the listener may get the response before this returns.
      *
-     * @param request a request whose id is not in use, see {@link #holds}
+     * @param request a request whose id is not in use, see {@link #isIdInUse}
      */
-    public RequestContext take(Request request, ResponseListener listener) {
+    public RequestContext submit(Request request, ResponseListener listener) {
         return requests.submit(request, listener);
     }
 
     /** Closes a request whose client has disconnected; does nothing if it is closed. */
-    public void gone(RequestContext context) {
+    public void clientDisconnected(RequestContext context) {
         if (requests.abandon(context)) {
             attempts.withdrawUnsent(context);
             requests.removeIfFinished(context);
@@ -180,13 +180,13 @@
     }
 
     /** Has every open request answered now, as if its deadline were reached. */
-    public void answerAll() {
+    public void answerAllOpen() {
         requests.answerAllOpen();
     }
 
     /** Whether the worker may be sent to, by discovery's last list or its own health checks. */
-    public boolean mayUse(String worker) {
-        return policy.mayUse(worker, loop.now());
+    public boolean isUsable(String worker) {
+        return policy.mayUse(worker, loop.nowUs());
     }
 
     /**
@@ -201,22 +201,22 @@
     }
 
     /** Records that the worker runs the request; does nothing if the attempt has ended. */
-    public void started(Attempt attempt) {
+    public void attemptStarted(Attempt attempt) {
         attempts.started(attempt);
     }
 
     /** Records the end of an attempt; only the first end counts. */
-    public void ended(Attempt attempt, Attempt.End end) {
+    public void attemptEnded(Attempt attempt, Attempt.Completion end) {
         attempts.ended(attempt, end);
     }
 
     /** Returns the ids of the workers on discovery's list. */
-    public Set<String> targets() {
+    public Set<String> listedWorkers() {
         return workerList.listedWorkers();
     }
 
     /** Applies a worker list, or changes to it, from discovery. */
-    public void listed(WorkerListChange change, List<WorkerEntry> list) {
+    public void updateWorkers(WorkerListChange change, List<WorkerEntry> list) {
         workerList.update(change, list);
     }
 
@@ -225,7 +225,7 @@
      *
      * @param lastReadUs when something was last read from discovery
      */
-    public void listLost(WorkerListChange failure, long lastReadUs) {
+    public void workerListFailed(WorkerListChange failure, long lastReadUs) {
         workerList.updateFailed(failure, lastReadUs);
     }
 
@@ -234,13 +234,13 @@
      *
      * @param sinceUs when the operator asked for the reload
      */
-    public void discoveryAddress(DiscoveryAddressState state, long sinceUs) {
+    public void discoveryAddressChanged(DiscoveryAddressState state, long sinceUs) {
         trace.discoveryAddressChanged(state);
         dispatcher.deliver(new DiscoveryAddressChanged(state, sinceUs));
     }
 
     /** Records that the peer has closed an idle connection to a worker. */
-    public void connectionLost(String worker) {
+    public void workerConnectionLost(String worker) {
         dispatcher.deliver(new ConnectionLost(worker));
     }
 
@@ -249,32 +249,34 @@
      *
      * @param report the worker's load report; null if it sent none
      */
-    public void probed(String worker, ProbeResult result, LoadReport report) {
+    public void probeEnded(String worker, ProbeResult result, LoadReport report) {
         trace.probed(worker, result);
         dispatcher.deliver(new ProbeEnded(worker, result, report));
     }
 
-    /** Sends a worker no new requests until {@link #enable}; returns false if it is unknown. */
-    public boolean disable(String worker) {
+    /**
+     * Sends a worker no new requests until {@link #enableWorker}; returns false if it is unknown.
+     */
+    public boolean disableWorker(String worker) {
         if (!workerList.disable(worker)) {
             return false;
         }
-        gateway.drain(worker);
+        gateway.workerDisabled(worker);
         return true;
     }
 
     /** Uses a worker again, as one that has just started; returns false if it is unknown. */
-    public boolean enable(String worker) {
+    public boolean enableWorker(String worker) {
         return workerList.enable(worker);
     }
 
     /** Whether an operator has disabled the worker, so that nothing more may be written to it. */
-    public boolean bars(String worker) {
+    public boolean isDisabled(String worker) {
         return workerList.isDisabled(worker);
     }
 
-    /** Returns the overrides as text for {@link #takeOver} in another process. */
-    public String bans() {
+    /** Returns the overrides as text for {@link #restoreOverrides} in another process. */
+    public String overridesText() {
         return workerList.overridesText();
     }
 
@@ -283,7 +285,7 @@
      *
      * @throws WorkerOverrides.MalformedException if the text is incomplete or of another version
      */
-    public void takeOver(String text) throws WorkerOverrides.MalformedException {
+    public void restoreOverrides(String text) throws WorkerOverrides.MalformedException {
         workerList.restoreOverrides(text);
     }
 }
--- a/src/main/java/damsonslip/engine/SlowPeer.java
+++ b/src/main/java/damsonslip/engine/SlowPeer.java
@@ -7,17 +7,20 @@
 /**
  * A peer that makes slow progress, for display to operators.
  *
- * @param what what it does: reads a response, takes a request, sends a command
+ * @param activity what it does: reads a response, takes a request, sends a command
  * @param peer a worker's id, or the address that the peer connects from
- * @param waiting how many bytes wait for it, or how many it has sent of an incomplete message
- * @param rate its progress in bytes per second
- * @param leftUs how long it may stay connected without progress, in microseconds
+ * @param pendingBytes how many bytes wait for it, or how many it has sent of an incomplete message
+ * @param bytesPerSecond its progress in bytes per second
+ * @param remainingUs how long it may stay connected without progress, in microseconds
  */
-public record SlowPeer(String what, String peer, long waiting, double rate, long leftUs) {
+public record SlowPeer(
+        String activity, String peer, long pendingBytes, double bytesPerSecond, long remainingUs) {
     private static final int MAX_SHOWN = 20;
 
     /** Returns the peers that are disconnected soonest, as many as fit on a screen. */
-    public static List<SlowPeer> slowest(Stream<SlowPeer> peers) {
-        return peers.sorted(Comparator.comparingLong(SlowPeer::leftUs)).limit(MAX_SHOWN).toList();
+    public static List<SlowPeer> disconnectedSoonest(Stream<SlowPeer> peers) {
+        return peers.sorted(Comparator.comparingLong(SlowPeer::remainingUs))
+                .limit(MAX_SHOWN)
+                .toList();
     }
 }
--- a/src/main/java/damsonslip/engine/StateTrace.java
+++ b/src/main/java/damsonslip/engine/StateTrace.java
@@ -45,7 +45,7 @@
                 settings.schedulers(),
                 settings.schedulerIndex(),
                 settings.zone(),
-                loop.now(),
+                loop.nowUs(),
                 settings.guarantees().slowStartUs(),
                 settings.guarantees().overloadWindowUs(),
                 settings.guarantees().overloadFactor());
@@ -68,13 +68,13 @@
     }
 
     private void writeAndReschedule() {
-        List<WorkerState> workers = policy.workers(loop.now());
+        List<WorkerState> workers = policy.workers(loop.nowUs());
         LOG.debug("{}", counters);
         policy.pools().forEach(pool -> writePool(pool, workers));
         workers.stream()
                 .filter(worker -> worker.running() && worker.warmingUp())
                 .forEach(StateTrace::writeWarmingWorker);
-        loop.in(INTERVAL_US, this::writeAndReschedule);
+        loop.scheduleAfter(INTERVAL_US, this::writeAndReschedule);
     }
 
     private static void writePool(PoolState pool, List<WorkerState> workers) {
--- a/src/main/java/damsonslip/engine/TraceTexts.java
+++ b/src/main/java/damsonslip/engine/TraceTexts.java
@@ -16,7 +16,7 @@
         return switch (change) {
             case CHANGES -> "CHANGES";
             case COMPLETE -> "COMPLETE";
-            case KEPT -> "KEPT";
+            case CACHED -> "KEPT";
             case OVERRIDES -> "OVERRIDES";
             case FAILED -> "FAILED";
             case UNREACHABLE -> "UNREACHABLE";
@@ -38,7 +38,7 @@
             case UNREAD -> "address unread";
             case READ -> "address read";
             case MOVED -> "address moved";
-            case HEARD -> "address heard";
+            case CONFIRMED -> "address heard";
         };
     }
 }
--- a/src/main/java/damsonslip/engine/WorkerGateway.java
+++ b/src/main/java/damsonslip/engine/WorkerGateway.java
@@ -8,7 +8,7 @@
  */
 public interface WorkerGateway {
     /** Sends the request of an attempt to its worker. */
-    void start(Attempt attempt);
+    void send(Attempt attempt);
 
     /** Stops waiting for an attempt; nothing more is reported of it. */
     void cancel(Attempt attempt);
@@ -18,21 +18,21 @@
      * false if it was written. Allowed whatever the settings say about {@link #cancel}, since a
      * worker does not execute an incomplete request.
      */
-    default boolean withdraw(Attempt attempt) {
+    default boolean withdrawUnsent(Attempt attempt) {
         return false;
     }
 
     /**
-     * Checks a worker's health; the result goes to {@link SchedulerEngine#probed}.
+     * Checks a worker's health; the result goes to {@link SchedulerEngine#probeEnded}.
      *
      * @param connectedByUs the check uses a connection that was established by then, or any if this
      *     is {@link Long#MAX_VALUE}
      */
     void probe(String worker, long connectedByUs);
 
-    /** Watches the worker list; it goes to {@link SchedulerEngine#listed}. */
-    void watch();
+    /** Watches the worker list; it goes to {@link SchedulerEngine#updateWorkers}. */
+    void watchWorkerList();
 
     /** Records that an operator has disabled a worker, so that the front can tell the worker. */
-    default void drain(String worker) {}
+    default void workerDisabled(String worker) {}
 }
--- a/src/main/java/damsonslip/engine/WorkerList.java
+++ b/src/main/java/damsonslip/engine/WorkerList.java
@@ -45,11 +45,11 @@
     /** Loads the list that an earlier process has cached. */
     void load(List<WorkerEntry> cached) {
         isLoaded = true;
-        trace.workerListChanged(WorkerListChange.KEPT, cached);
+        trace.workerListChanged(WorkerListChange.CACHED, cached);
         events.accept(
                 new WorkerListUpdate(
-                        WorkerListChange.KEPT,
-                        overrides.apply(WorkerListChange.KEPT, cached, loop.now()),
+                        WorkerListChange.CACHED,
+                        overrides.apply(WorkerListChange.CACHED, cached, loop.nowUs()),
                         loop.startedUs()));
     }
 
@@ -57,7 +57,7 @@
     void update(WorkerListChange change, List<WorkerEntry> workers) {
         counters.add(Count.LIST_UPDATES);
         trace.workerListChanged(change, workers);
-        events.accept(new WorkerListUpdate(change, overrides.apply(change, workers, loop.now())));
+        events.accept(new WorkerListUpdate(change, overrides.apply(change, workers, loop.nowUs())));
     }
 
     /**
@@ -97,7 +97,7 @@
         if (!overrides.isKnown(worker)) {
             return false;
         }
-        publish(overrides.enable(worker, loop.now()));
+        publish(overrides.enable(worker, loop.nowUs()));
         return true;
     }
 
@@ -106,7 +106,7 @@
     }
 
     String overridesText() {
-        return overrides.serialize(loop.now());
+        return overrides.serialize(loop.nowUs());
     }
 
     void restoreOverrides(String text) throws WorkerOverrides.MalformedException {
--- a/src/main/java/damsonslip/engine/invariants/CloseGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/CloseGuard.java
@@ -11,17 +11,17 @@
      * How a client's connection ends.
      *
      * @param job the id of the request on it; empty if there is none
-     * @param answerOwed whether that request was read completely and has no response
+     * @param responseOwed whether that request was read completely and has no response
      * @param byPeer whether the client has closed the connection
      * @param reason why the program closes it, for the log
      */
-    public record Facts(String job, boolean answerOwed, boolean byPeer, String reason) {}
+    public record Facts(String job, boolean responseOwed, boolean byPeer, String reason) {}
 
     private CloseGuard() {}
 
     /** Returns the invariant that this end of a client's connection violates. */
-    public static Optional<Violation> check(Facts facts) {
-        if (!facts.answerOwed() || facts.byPeer()) {
+    public static Optional<Violation> checkClientConnection(Facts facts) {
+        if (!facts.responseOwed() || facts.byPeer()) {
             return Optional.empty();
         }
         return Optional.of(
@@ -48,7 +48,7 @@
     }
 
     /** Returns the invariant that a final response at this time violates. */
-    public static Optional<Violation> checkAnswer(String job, long nowUs, long deadlineUs) {
+    public static Optional<Violation> checkResponse(String job, long nowUs, long deadlineUs) {
         long latenessUs = nowUs - deadlineUs;
         if (latenessUs <= MAX_LATENESS_US) {
             return Optional.empty();
--- a/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
+++ b/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
@@ -24,7 +24,7 @@
     @FunctionalInterface
     public interface Reporter {
         /** Reports a violation; called before the decision on the action is returned. */
-        void violated(Violation violation);
+        void report(Violation violation);
     }
 
     private final Mode mode;
@@ -44,7 +44,7 @@
         }
         Violation violation = result.get();
         counts.merge(violation.invariant(), 1L, Long::sum);
-        reporter.violated(violation);
+        reporter.report(violation);
         return mode == Mode.REPORT;
     }
 
--- a/src/main/java/damsonslip/engine/invariants/StartGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/StartGuard.java
@@ -7,16 +7,16 @@
     /**
      * What the process has loaded.
      *
-     * @param listBegun whether the decision module has a worker list
+     * @param workerListLoaded whether the decision module has a worker list
      * @param overridesKnown whether the operators' overrides were read, or cannot be read
      */
-    public record Facts(boolean listBegun, boolean overridesKnown) {}
+    public record Facts(boolean workerListLoaded, boolean overridesKnown) {}
 
     private StartGuard() {}
 
     /** Returns the invariant that serving from now on would violate. */
     public static Optional<Violation> check(Facts facts) {
-        if (facts.listBegun() && facts.overridesKnown()) {
+        if (facts.workerListLoaded() && facts.overridesKnown()) {
             return Optional.empty();
         }
         return Optional.of(
--- a/src/main/java/damsonslip/faktory/BatchCallbacks.java
+++ b/src/main/java/damsonslip/faktory/BatchCallbacks.java
@@ -42,6 +42,6 @@
                         coordinator.admit(job.record(), job.jobClass());
                     }
                 },
-                () -> loop.in(RETRY_DELAY_US, () -> push(callback, onExisting)));
+                () -> loop.scheduleAfter(RETRY_DELAY_US, () -> push(callback, onExisting)));
     }
 }
--- a/src/main/java/damsonslip/faktory/CommandRouter.java
+++ b/src/main/java/damsonslip/faktory/CommandRouter.java
@@ -99,7 +99,7 @@
 
     @Override
     public void visit(Command.End end, FaktoryConnection connection) {
-        connection.end();
+        connection.closeNow();
     }
 
     @Override
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -50,15 +50,15 @@
             return;
         }
         if (!worker.isRunning()) {
-            loop.in(FETCH_TIMEOUT_US, () -> connection.reply(Reply.nullBulk()));
+            loop.scheduleAfter(FETCH_TIMEOUT_US, () -> connection.reply(Reply.nullBulk()));
             return;
         }
-        worker.recordFetch(queues, loop.now());
-        PendingFetch fetch = new PendingFetch(connection, queues, loop.now());
-        fetch.setTimeout(loop.in(FETCH_TIMEOUT_US, () -> timeOut(worker, fetch)));
+        worker.recordFetch(queues, loop.nowUs());
+        PendingFetch fetch = new PendingFetch(connection, queues, loop.nowUs());
+        fetch.setTimeout(loop.scheduleAfter(FETCH_TIMEOUT_US, () -> timeOut(worker, fetch)));
         worker.pendingFetches.add(fetch);
         if (!reservePlacedAttempt(worker)) {
-            engine.probed(worker.wid, ProbeResult.HEALTHY, worker.loadReportWithCapacity());
+            engine.probeEnded(worker.wid, ProbeResult.HEALTHY, worker.loadReportWithCapacity());
             dispatcher.dispatchSoon();
         }
     }
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void start(Attempt attempt) {
+    public void send(Attempt attempt) {
         Worker worker = registry.get(attempt.worker());
         if (worker == null || !worker.isRunning()) {
             returnUnrun(attempt);
@@ -100,7 +100,7 @@
             return;
         }
         worker.placedAttempts.add(attempt);
-        loop.in(SLOT_TIMEOUT_US, () -> returnIfStillPlaced(worker, attempt));
+        loop.scheduleAfter(SLOT_TIMEOUT_US, () -> returnIfStillPlaced(worker, attempt));
     }
 
     private void returnIfStillPlaced(Worker worker, Attempt attempt) {
@@ -110,7 +110,7 @@
     }
 
     private void returnUnrun(Attempt attempt) {
-        engine.ended(attempt, Attempt.End.of(AttemptOutcome.FULL));
+        engine.attemptEnded(attempt, Attempt.Completion.of(AttemptOutcome.FULL));
     }
 
     /** Forgets an attempt; see {@link Reservations#cancel}. */
@@ -124,17 +124,17 @@
     }
 
     @Override
-    public void drain(String wid) {
+    public void workerDisabled(String wid) {
         registry.drain(wid);
     }
 
     /** Faktory has no probes; a FETCH carries the same information. */
     @Override
     public void probe(String wid, long connectedByUs) {
-        loop.execute(() -> engine.probed(wid, ProbeResult.UNREACHABLE, null));
+        loop.execute(() -> engine.probeEnded(wid, ProbeResult.UNREACHABLE, null));
     }
 
     /** Workers register themselves, so there is no list to watch. */
     @Override
-    public void watch() {}
+    public void watchWorkerList() {}
 }
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -11,7 +11,7 @@
  * A job while the decision module or a worker has it, with what is known of its runs. Confined to
  * the event loop.
  */
-final class DispatchedJob implements Request.Cargo {
+final class DispatchedJob implements Request.Payload {
     final JobEntry entry;
 
     /** When it was given to the decision module, in the loop's microseconds. */
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -95,8 +95,8 @@
                         config.site().settings(), new SecureRandom().nextLong(), loop, counters);
         this.store = new AsyncStore(loop, createStore(config));
         this.services = new FaktoryServices(loop, phase, counters, config, engine, store);
-        this.router = new CommandRouter(services, counters, () -> room().all().size());
-        loop.in(SLOW_PEER_CHECK_US, this::closeSlowPeers);
+        this.router = new CommandRouter(services, counters, () -> limiter().connections().size());
+        loop.scheduleAfter(SLOW_PEER_CHECK_US, this::closeSlowPeers);
     }
 
     private static JobStore createStore(FaktoryConfig config) throws ConfigurationException {
@@ -128,9 +128,9 @@
     }
 
     private void beginServing() {
-        engine.begin(services.consumers(), List.of());
+        engine.start(services.consumers(), List.of());
         services.recover(router::recovered);
-        phase.moveTo(State.SERVING);
+        phase.advanceTo(State.SERVING);
     }
 
     /**
@@ -155,9 +155,9 @@
      * awaited jobs are waited for here.
      */
     @Override
-    public void leave() {
+    public void shutDown() {
         if (listener == null) { // no connection was possible yet
-            phase.moveTo(State.ENDED);
+            phase.advanceTo(State.ENDED);
             return;
         }
         loop.execute(this::beginShutdown);
@@ -175,7 +175,7 @@
                         () -> false,
                         this::closeListener,
                         this::isIdle);
-        shutdown.begin();
+        shutdown.start();
     }
 
     /** Whether no awaited job is open here; a persistent store keeps those not handed out. */
@@ -194,12 +194,12 @@
     }
 
     @Override
-    public String className(int jobClass) {
+    public String jobClassName(int jobClass) {
         return config.site().classNames().get(jobClass);
     }
 
     @Override
-    public SchedulerEngine driver() {
+    public SchedulerEngine engine() {
         return engine;
     }
 
@@ -214,14 +214,14 @@
     }
 
     @Override
-    public void opened(FaktoryConnection connection) {
+    public void connectionOpened(FaktoryConnection connection) {
         counters.add(Count.CLIENT_LINKS_OPENED);
-        super.opened(connection);
+        super.connectionOpened(connection);
     }
 
     @Override
-    public void closed(FaktoryConnection connection) {
-        super.closed(connection);
+    public void connectionClosed(FaktoryConnection connection) {
+        super.connectionClosed(connection);
         if (connection.worker() != null) {
             services.workers().disconnected(connection.worker(), connection);
         }
@@ -256,14 +256,15 @@
 
     @Override
     public List<SlowPeer> slowPeers() {
-        return SlowPeer.slowest(
-                room().all().stream().flatMap(connection -> connection.slowPeers(loop.now())));
+        return SlowPeer.disconnectedSoonest(
+                limiter().connections().stream()
+                        .flatMap(connection -> connection.slowPeers(loop.nowUs())));
     }
 
     private void closeSlowPeers() {
-        long now = loop.now();
-        List.copyOf(room().all()).forEach(connection -> connection.closeIfTooSlow(now));
-        loop.in(SLOW_PEER_CHECK_US, this::closeSlowPeers);
+        long now = loop.nowUs();
+        List.copyOf(limiter().connections()).forEach(connection -> connection.closeIfTooSlow(now));
+        loop.scheduleAfter(SLOW_PEER_CHECK_US, this::closeSlowPeers);
     }
 
     /** Counts and logs that a slow peer is being closed. */
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -78,19 +78,19 @@
 
     @Override
     protected void opened() {
-        openedUs = faktory.loop().now();
-        faktory.opened(this);
+        openedUs = faktory.loop().nowUs();
+        faktory.connectionOpened(this);
         String proof =
                 faktory.password().isRequired()
                         ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
                         : "";
         write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + proof + "}"));
-        faktory.loop().in(HELLO_TIMEOUT_US, this::endIfNotGreeted);
+        faktory.loop().scheduleAfter(HELLO_TIMEOUT_US, this::endIfNotGreeted);
     }
 
     private void endIfNotGreeted() {
         if (!greeted) {
-            end();
+            closeNow();
         }
     }
 
@@ -101,13 +101,13 @@
         }
         byte[] part = new byte[bytes.remaining()];
         bytes.get(part);
-        List<String> complete = decoder.take(part);
-        if (complete == null || (!greeted && decoder.begun() > MAX_HELLO_BYTES)) {
+        List<String> complete = decoder.decode(part);
+        if (complete == null || (!greeted && decoder.unfinishedBytes() > MAX_HELLO_BYTES)) {
             closeWithError("a line too long");
             return;
         }
-        faktory.addBuffered(decoder.begun() - incompleteBytes);
-        incompleteBytes = decoder.begun();
+        faktory.addBuffered(decoder.unfinishedBytes() - incompleteBytes);
+        incompleteBytes = decoder.unfinishedBytes();
         measureSending(part.length, !complete.isEmpty());
         if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered()) {
             closeWithError("too much is being sent here at once; come back in a moment");
@@ -123,13 +123,13 @@
 
     /** Measures the rate of an incomplete command; each command is measured by itself. */
     private void measureSending(int bytes, boolean ended) {
-        long now = faktory.loop().now();
+        long now = faktory.loop().nowUs();
         if (ended) {
             sendRate.end();
         }
         if (incompleteBytes > 0) {
             sendRate.begin(now);
-            sendRate.moved(now, Math.min(bytes, incompleteBytes));
+            sendRate.transferred(now, Math.min(bytes, incompleteBytes));
         }
     }
 
@@ -138,18 +138,18 @@
         SlowPeer reading =
                 new SlowPeer(
                         "reads replies",
-                        peer(),
-                        backlog(),
-                        readRate.rate(nowUs),
+                        remoteAddress(),
+                        backlogBytes(),
+                        readRate.bytesPerSecond(nowUs),
                         readRate.leftUs(nowUs));
         SlowPeer sending =
                 new SlowPeer(
                         "sends a command",
-                        peer(),
+                        remoteAddress(),
                         incompleteBytes,
-                        sendRate.rate(nowUs),
+                        sendRate.bytesPerSecond(nowUs),
                         sendRate.leftUs(nowUs));
-        return Stream.of(reading, sending).filter(peer -> peer.leftUs() < Long.MAX_VALUE);
+        return Stream.of(reading, sending).filter(peer -> peer.remainingUs() < Long.MAX_VALUE);
     }
 
     /** Closes the connection if its peer is below the minimum data rate. */
@@ -159,12 +159,12 @@
         }
         if (readRate.isTooSlow(nowUs)) {
             faktory.closing(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
-            end();
+            closeNow();
         } else if (sendRate.isTooSlow(nowUs) && !handling) {
             faktory.closing(
                     this,
                     Count.SLOW_SENDERS_LET_GO,
-                    "sends a command at " + (long) sendRate.rate(nowUs) + " bytes/s");
+                    "sends a command at " + (long) sendRate.bytesPerSecond(nowUs) + " bytes/s");
             closeWithError("too slow: a command that has begun has to go on");
         }
     }
@@ -207,11 +207,11 @@
     private void replied() {
         handling = false;
         if (incompleteBytes > 0) { // nothing was read while the last command was handled
-            sendRate.begin(faktory.loop().now());
+            sendRate.begin(faktory.loop().nowUs());
         }
         handleNext();
         if (!handling && pendingLines.isEmpty()) {
-            again();
+            resumeReading();
         }
     }
 
@@ -234,7 +234,7 @@
 
     /** Replies to the current command; the next one follows once the reply is written. */
     void reply(ByteBuffer reply) {
-        readRate.begin(faktory.loop().now(), reply.remaining());
+        readRate.begin(faktory.loop().nowUs(), reply.remaining());
         write(
                 () -> {
                     readRate.end();
@@ -246,16 +246,16 @@
     /** Sends an error and closes the connection. */
     void closeWithError(String message) {
         write(() -> {}, Reply.error(CommandError.error(message)));
-        endWhenWritten();
+        closeAfterWrites();
     }
 
     @Override
-    protected void lost() {}
+    protected void connectionLost() {}
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         faktory.addBuffered(-incompleteBytes);
         incompleteBytes = 0;
-        faktory.closed(this);
+        faktory.connectionClosed(this);
     }
 }
--- a/src/main/java/damsonslip/faktory/JobCompletion.java
+++ b/src/main/java/damsonslip/faktory/JobCompletion.java
@@ -56,7 +56,7 @@
         return switch (answer.kind()) {
             case SERVED -> "";
             case THROTTLED -> describeThrottling(answer.retryAfterUs());
-            case FAILED -> answer.late() ? "out of time" : "failed";
+            case FAILED -> answer.deadlineReached() ? "out of time" : "failed";
         };
     }
 
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -66,7 +66,7 @@
                         fetchDirectory,
                         fairQueueOrder);
         this.lateReports = new LateReports(loop, lifecycle, completion, fetchDirectory, counters);
-        loop.in(SWEEP_INTERVAL_US, this::sweep);
+        loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
     }
 
     JobTable jobTable() {
@@ -121,7 +121,7 @@
                 }
             }
         } finally {
-            loop.in(SWEEP_INTERVAL_US, this::sweep);
+            loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
         }
     }
 
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -88,7 +88,7 @@
 
     /** The number of dispatched jobs that a client waits for. */
     int awaitedCount() {
-        return engine.open() - unawaited.size();
+        return engine.openRequestCount() - unawaited.size();
     }
 
     /**
@@ -107,7 +107,7 @@
 
     private void dispatchWaiting() {
         boolean storeReady = store.isAvailable() && store.pendingCount() <= MAX_STORE_BACKLOG;
-        if (phase.atLeast(LifecyclePhase.State.FINISHING) || !storeReady) {
+        if (phase.hasReached(LifecyclePhase.State.FINISHING) || !storeReady) {
             return;
         }
         List.copyOf(fetchDirectory.waitingFetches()).forEach(this::dispatchFor);
@@ -134,9 +134,9 @@
      * cannot use it.
      */
     private boolean mayDispatch(int jobClass, long fetchSinceUs) {
-        boolean blocked = loop.now() < blockedUntilUs[jobClass];
-        boolean noneQueued = engine.pools().get(jobClass).queued() == 0;
-        return !blocked && (noneQueued || loop.now() - fetchSinceUs > UNUSED_FETCH_US);
+        boolean blocked = loop.nowUs() < blockedUntilUs[jobClass];
+        boolean noneQueued = engine.poolStates().get(jobClass).queued() == 0;
+        return !blocked && (noneQueued || loop.nowUs() - fetchSinceUs > UNUSED_FETCH_US);
     }
 
     /**
@@ -144,7 +144,7 @@
      * more. Otherwise a queue that nobody fetches from would block its whole class.
      */
     void withdrawUnfetched() {
-        long before = loop.now() - UNUSED_FETCH_US;
+        long before = loop.nowUs() - UNUSED_FETCH_US;
         for (DispatchedJob dispatched : List.copyOf(unawaited)) {
             boolean queued = dispatched.record().state() == JobRecord.State.QUEUED;
             if (queued
@@ -152,7 +152,7 @@
                     && dispatched.dispatchedUs < before
                     && !fetchDirectory.isFetchWaiting(dispatched.queue())) {
                 unawaited.remove(dispatched);
-                engine.gone(dispatched.context);
+                engine.clientDisconnected(dispatched.context);
                 jobTable.undispatch(dispatched.entry, 0);
             }
         }
@@ -165,7 +165,7 @@
      */
     Optional<CommandError> dispatch(JobEntry entry) {
         JobRecord record = entry.record();
-        if (engine.holds(record.id())) { // its previous attempt has not ended there yet
+        if (engine.isIdInUse(record.id())) { // its previous attempt has not ended there yet
             jobTable.undispatch(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
             return Optional.empty();
         }
@@ -174,12 +174,13 @@
             lifecycle.kill(entry, detail, CommandCallback.IGNORE);
             return Optional.empty();
         }
-        DispatchedJob dispatched = new DispatchedJob(entry, loop.now());
+        DispatchedJob dispatched = new DispatchedJob(entry, loop.nowUs());
         jobTable.dispatch(entry);
         if (!record.hasWaitingClient()) {
             unawaited.add(dispatched);
         }
-        dispatched.context = engine.take(request(dispatched), answer -> finish(dispatched, answer));
+        dispatched.context =
+                engine.submit(request(dispatched), answer -> finish(dispatched, answer));
         return Optional.ofNullable(dispatched.rejection);
     }
 
@@ -257,8 +258,8 @@
             return;
         }
         long backoffUs = Math.max(MIN_BACKOFF_US, answer.retryAfterUs());
-        blockedUntilUs[entry.jobClass()] = loop.now() + backoffUs;
+        blockedUntilUs[entry.jobClass()] = loop.nowUs() + backoffUs;
         lifecycle.returnUnrun(dispatched);
-        loop.in(backoffUs, this::dispatchSoon);
+        loop.scheduleAfter(backoffUs, this::dispatchSoon);
     }
 }
--- a/src/main/java/damsonslip/faktory/JobLifecycle.java
+++ b/src/main/java/damsonslip/faktory/JobLifecycle.java
@@ -62,7 +62,7 @@
 
     /** The time of the event loop, in milliseconds since the Unix epoch. */
     long nowMs() {
-        return loop.now() / 1000;
+        return loop.nowUs() / 1000;
     }
 
     JobClass classOf(JobEntry entry) {
--- a/src/main/java/damsonslip/faktory/LateReports.java
+++ b/src/main/java/damsonslip/faktory/LateReports.java
@@ -76,7 +76,7 @@
     void await(JobEntry entry) {
         long deadlineMs = RetryPolicy.reportDeadlineMs(entry.record());
         long orphanedMs = lifecycle.nowMs() + RetryPolicy.ORPHAN_TIMEOUT_MS;
-        loop.at(Math.min(deadlineMs, orphanedMs) * 1000, () -> check(entry, deadlineMs));
+        loop.scheduleAt(Math.min(deadlineMs, orphanedMs) * 1000, () -> check(entry, deadlineMs));
     }
 
     private void check(JobEntry entry, long deadlineMs) {
@@ -85,7 +85,7 @@
         }
         boolean connected = fetchDirectory.isPresent(entry.record().worker());
         if (lifecycle.nowMs() < deadlineMs && connected) {
-            loop.at(deadlineMs * 1000, () -> check(entry, deadlineMs));
+            loop.scheduleAt(deadlineMs * 1000, () -> check(entry, deadlineMs));
         } else {
             completion.endLostRun(entry, RunFailure.RESERVATION_EXPIRED, CommandCallback.IGNORE);
         }
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -93,7 +93,7 @@
     }
 
     private void push(JsonNode job, CommandCallback callback) {
-        if (phase.atLeast(LifecyclePhase.State.FINISHING)) {
+        if (phase.hasReached(LifecyclePhase.State.FINISHING)) {
             String message = "this scheduler is going away";
             callback.failed(new CommandError(CommandError.Code.SHUTDOWN, message));
             return;
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -94,7 +94,7 @@
     }
 
     private void beginAgain() {
-        loop.in(RETRY_DELAY_US, this::begin);
+        loop.scheduleAfter(RETRY_DELAY_US, this::begin);
     }
 
     private void loadJobs(List<String> ids, int from) {
@@ -110,7 +110,7 @@
                     records.forEach(this::recover);
                     loadJobs(ids, to);
                 },
-                () -> loop.in(RETRY_DELAY_US, () -> loadJobs(ids, from)));
+                () -> loop.scheduleAfter(RETRY_DELAY_US, () -> loadJobs(ids, from)));
     }
 
     private void recover(JobRecord record) {
--- a/src/main/java/damsonslip/faktory/Reservations.java
+++ b/src/main/java/damsonslip/faktory/Reservations.java
@@ -63,7 +63,7 @@
     }
 
     static DispatchedJob jobOf(Attempt attempt) {
-        return (DispatchedJob) attempt.query().cargo();
+        return (DispatchedJob) attempt.request().payload();
     }
 
     /** The number of jobs with workers that a client waits for. */
@@ -83,7 +83,7 @@
         DispatchedJob job = jobOf(attempt);
         Reservation reservation = new Reservation(attempt, worker);
         reservations.put(job.jid(), reservation);
-        worker.slotsInUse += attempt.query().slots();
+        worker.slotsInUse += attempt.request().slots();
         JobRecord reserved = job.record().reserved(worker.wid, lifecycle.nowMs());
         lifecycle.jobTable().move(job.entry, reserved);
         store.submit(
@@ -98,7 +98,8 @@
             String body,
             Consumer<PendingFetch> onUnused) {
         DispatchedJob job = reservation.job();
-        boolean current = reservation.attempt.open() && reservations.get(job.jid()) == reservation;
+        boolean current =
+                reservation.attempt.isOpen() && reservations.get(job.jid()) == reservation;
         boolean ready = reservation.worker.isRunning() && !fetch.connection().isClosed();
         if (!current || !ready || body == null) {
             returnUnrun(reservation, fetch, onUnused);
@@ -110,16 +111,17 @@
         job.ran = true;
         job.failure = null;
         reservation.expiry =
-                loop.in(job.record().options().reservationMs() * 1000, () -> expire(reservation));
+                loop.scheduleAfter(
+                        job.record().options().reservationMs() * 1000, () -> expire(reservation));
         String text = JobText.merge(body, job.record(), job.entry.enqueuedMs());
         fetch.connection().reply(Reply.bulk(text));
-        engine.started(reservation.attempt);
+        engine.attemptStarted(reservation.attempt);
     }
 
     /** Ends a reservation and frees its slots; returns false if it had ended before. */
     private boolean release(Reservation reservation) {
         boolean removed = reservations.remove(reservation.job().jid(), reservation);
-        reservation.worker.slotsInUse -= removed ? reservation.attempt.query().slots() : 0;
+        reservation.worker.slotsInUse -= removed ? reservation.attempt.request().slots() : 0;
         return removed;
     }
 
@@ -129,13 +131,13 @@
      */
     private void returnUnrun(
             Reservation reservation, PendingFetch fetch, Consumer<PendingFetch> onUnused) {
-        if (release(reservation) && reservation.attempt.open()) {
+        if (release(reservation) && reservation.attempt.isOpen()) {
             lifecycle.returnUnrun(reservation.job());
         }
         if (!fetch.connection().isClosed()) {
             onUnused.accept(fetch);
         }
-        engine.ended(reservation.attempt, Attempt.End.of(AttemptOutcome.FULL));
+        engine.attemptEnded(reservation.attempt, Attempt.Completion.of(AttemptOutcome.FULL));
     }
 
     private void expire(Reservation reservation) {
@@ -157,7 +159,7 @@
     private void end(Reservation reservation, AttemptOutcome outcome) {
         reservation.expiry.cancel();
         if (release(reservation)) {
-            engine.ended(reservation.attempt, new Attempt.End(outcome, null, ""));
+            engine.attemptEnded(reservation.attempt, new Attempt.Completion(outcome, null, ""));
         }
     }
 
@@ -171,7 +173,7 @@
             return false;
         }
         reservation.expiry.cancel();
-        reservation.expiry = loop.at(untilMs * 1000, () -> expire(reservation));
+        reservation.expiry = loop.scheduleAt(untilMs * 1000, () -> expire(reservation));
         return true;
     }
 
@@ -207,7 +209,7 @@
      * worker; the worker's report will be a late one.
      */
     void cancel(Attempt attempt) {
-        Reservation reservation = reservations.get(attempt.query().id());
+        Reservation reservation = reservations.get(attempt.request().id());
         if (reservation != null && reservation.attempt == attempt) {
             reservation.expiry.cancel();
             release(reservation);
--- a/src/main/java/damsonslip/faktory/ServerInfo.java
+++ b/src/main/java/damsonslip/faktory/ServerInfo.java
@@ -36,7 +36,7 @@
         this.counters = counters;
         this.jobTable = jobTable;
         this.workers = workers;
-        this.startedUs = loop.now();
+        this.startedUs = loop.nowUs();
     }
 
     /**
@@ -50,7 +50,7 @@
         info.put("server_utc_time", CLOCK.format(Instant.now()));
         putJobs(info.putObject("faktory"));
         putServer(info.putObject("server"), connections, commands);
-        counters.each(info.putObject("counters")::put);
+        counters.forEachNonZero(info.putObject("counters")::put);
         return info.toString();
     }
 
@@ -89,7 +89,7 @@
                 .put("faktory_version", FAKTORY_VERSION)
                 .put("connections", connections)
                 .put("command_count", commands)
-                .put("uptime", TimeUnit.MICROSECONDS.toSeconds(loop.now() - startedUs))
+                .put("uptime", TimeUnit.MICROSECONDS.toSeconds(loop.nowUs() - startedUs))
                 .put("used_memory_mb", usedBytes >> BYTES_TO_MIB_SHIFT);
     }
 }
--- a/src/main/java/damsonslip/faktory/UnconfirmedPushes.java
+++ b/src/main/java/damsonslip/faktory/UnconfirmedPushes.java
@@ -49,7 +49,7 @@
     void addFailed(JobRecord record) {
         Set<JobRecord> records = unconfirmed.computeIfAbsent(record.id(), id -> new HashSet<>());
         if (records.isEmpty()) {
-            loop.in(RETRY_DELAY_US, () -> delete(record.id()));
+            loop.scheduleAfter(RETRY_DELAY_US, () -> delete(record.id()));
         }
         records.add(record);
     }
@@ -67,7 +67,7 @@
             store.submit(
                     new StoreOperation.Get(jid),
                     found -> deleteIfUnconfirmed(jid, records, found),
-                    () -> loop.in(RETRY_DELAY_US, () -> delete(jid)));
+                    () -> loop.scheduleAfter(RETRY_DELAY_US, () -> delete(jid)));
         }
     }
 
@@ -76,7 +76,7 @@
             return; // pushed again meanwhile, and accepted
         }
         if (pendingAdds.containsKey(jid)) { // being pushed again: that push decides
-            loop.in(RETRY_DELAY_US, () -> delete(jid));
+            loop.scheduleAfter(RETRY_DELAY_US, () -> delete(jid));
             return;
         }
         unconfirmed.remove(jid);
--- a/src/main/java/damsonslip/faktory/WorkerRegistry.java
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -59,7 +59,7 @@
         this.engine = engine;
         this.store = store;
         this.reservations = reservations;
-        loop.in(SWEEP_INTERVAL_US, this::sweep);
+        loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
     }
 
     Collection<Worker> all() {
@@ -90,7 +90,7 @@
                         hello.process(),
                         labelIndex(site.zoneNames(), hello.labels()),
                         labelIndex(site.kindNames(), hello.labels()),
-                        loop.now());
+                        loop.nowUs());
         worker.connections.add(connection);
         workers.put(hello.wid(), worker);
         publish(worker);
@@ -117,16 +117,16 @@
     }
 
     private void publish(Worker worker) {
-        engine.listed(WorkerListChange.CHANGES, List.of(worker.entry()));
+        engine.updateWorkers(WorkerListChange.CHANGES, List.of(worker.entry()));
     }
 
     void disconnected(Worker worker, FaktoryConnection connection) {
         worker.connections.remove(connection);
         if (worker.pendingFetches.removeIf(fetch -> fetch.connection() == connection)) {
-            engine.probed(worker.wid, ProbeResult.HEALTHY, worker.loadReport());
+            engine.probeEnded(worker.wid, ProbeResult.HEALTHY, worker.loadReport());
         }
         if (worker.connections.isEmpty()) {
-            loop.in(RECONNECT_TIMEOUT_US, () -> removeIfDisconnected(worker));
+            loop.scheduleAfter(RECONNECT_TIMEOUT_US, () -> removeIfDisconnected(worker));
         }
     }
 
@@ -143,7 +143,7 @@
             connection.reply(Reply.error(error));
             return;
         }
-        worker.lastHeartbeatUs = loop.now();
+        worker.lastHeartbeatUs = loop.nowUs();
         worker.rssKb = heartbeat.rssKb();
         if (heartbeat.state().equals("quiet") || heartbeat.state().equals("terminate")) {
             stop(worker, WorkerStatus.DRAINING);
@@ -185,7 +185,9 @@
     private void returnPlacedAttempts(Worker worker) {
         List<Attempt> placed = List.copyOf(worker.placedAttempts);
         worker.placedAttempts.clear();
-        placed.forEach(attempt -> engine.ended(attempt, Attempt.End.of(AttemptOutcome.FULL)));
+        placed.forEach(
+                attempt ->
+                        engine.attemptEnded(attempt, Attempt.Completion.of(AttemptOutcome.FULL)));
     }
 
     private static void endPendingFetches(Worker worker) {
@@ -197,7 +199,7 @@
     }
 
     private void sweep() {
-        long silentSinceUs = loop.now() - HEARTBEAT_TIMEOUT_US;
+        long silentSinceUs = loop.nowUs() - HEARTBEAT_TIMEOUT_US;
         for (Worker worker : new ArrayList<>(workers.values())) {
             if (worker.lastHeartbeatUs < silentSinceUs) {
                 LOG.info("event=worker_removed wid={} reason=heartbeat_timeout", worker.wid);
@@ -205,7 +207,7 @@
             }
             worker.decaySlots();
         }
-        loop.in(SWEEP_INTERVAL_US, this::sweep);
+        loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
     }
 
     private Stream<Worker> running() {
@@ -215,7 +217,7 @@
     @Override
     public boolean fetches(String wid, String queue) {
         Worker worker = workers.get(wid);
-        return worker != null && worker.fetches(queue, loop.now() - FETCH_MEMORY_US);
+        return worker != null && worker.fetches(queue, loop.nowUs() - FETCH_MEMORY_US);
     }
 
     @Override
--- a/src/main/java/damsonslip/membership/DiscoveryWatch.java
+++ b/src/main/java/damsonslip/membership/DiscoveryWatch.java
@@ -17,7 +17,7 @@
  */
 public final class DiscoveryWatch {
     /** How a poll or an open watch ended. */
-    public enum Loss {
+    public enum Failure {
         /**
          * The poll was refused or timed out, or the open watch was reset: discovery was down or
          * overloaded.
@@ -31,14 +31,14 @@
          * The poll never left this machine, which had no socket for it: nothing is known of
          * discovery.
          */
-        NOT_CALLED
+        NOT_SENT
     }
 
     /**
      * For this long a process that starts waits for the answer to its first poll before it uses the
      * list of the previous process. A job may wait longer.
      */
-    public static final long FIRST_ANSWER_US = 1_500_000;
+    public static final long FIRST_LIST_TIMEOUT_US = 1_500_000;
 
     /**
      * A change counts as known this long after discovery had it and could be reached (STANDING,
@@ -88,11 +88,11 @@
         this.graceUs = Math.max(0, drainGraceUs - SEND_MARGIN_US);
         this.polls = new PollSchedule(propagationUs, maxPollIntervalUs);
         this.lease = new WorkerListLease(propagationUs, graceUs);
-        divide(schedulers, index);
+        setFleet(schedulers, index);
     }
 
     /** Sets how many schedulers share discovery from now on, and this one's index among them. */
-    public void divide(int schedulerCount, int schedulerIndex) {
+    public void setFleet(int schedulerCount, int schedulerIndex) {
         schedulers = schedulerCount;
         polls.setFleet(schedulerCount, schedulerIndex);
     }
@@ -110,7 +110,7 @@
      * Records when the process was launched; a start may take long, and the cached list grows older
      * meanwhile. Has no effect before {@link #start}.
      */
-    public void launched(long launchedUs) {
+    public void processLaunched(long launchedUs) {
         lease.processLaunched(launchedUs);
     }
 
@@ -118,12 +118,12 @@
      * Records that a reload, requested by the operators at that time, moved discovery to another
      * address; the earliest of several counts.
      */
-    public void moved(long reloadRequestedUs) {
+    public void addressChanged(long reloadRequestedUs) {
         lease.addressChanged(reloadRequestedUs);
     }
 
     /** Records that discovery has sent its list from its new address. */
-    public void heardWhereItMoved() {
+    public void newAddressConfirmed() {
         lease.newAddressConfirmed();
     }
 
@@ -131,7 +131,7 @@
      * Records that a reload was requested at that time and the configuration cannot be read:
      * discovery may have moved.
      */
-    public void configurationUnread(long reloadRequestedUs) {
+    public void configurationUnreadable(long reloadRequestedUs) {
         lease.configurationUnreadable(reloadRequestedUs);
     }
 
@@ -141,7 +141,7 @@
     }
 
     /** Records that a poll was sent; has no effect while the watch is open. */
-    public void called(long nowUs) {
+    public void pollSent(long nowUs) {
         state = state.after(Event.POLL_SENT);
         if (state == WatchState.POLLING) {
             pollSentUs = nowUs;
@@ -149,7 +149,7 @@
     }
 
     /** Records a list, or changes, from discovery: the watch is open, and its list is current. */
-    public void received() {
+    public void updateReceived() {
         state = state.after(Event.UPDATE_RECEIVED);
         unreachable = false;
         polls.reset();
@@ -162,10 +162,10 @@
      *
      * @param lastReadUs when something was last read from the open watch
      */
-    public long lost(Loss failure, long lastReadUs, long nowUs, double random) {
+    public long failed(Failure failure, long lastReadUs, long nowUs, double random) {
         boolean wasOpen = state == WatchState.OPEN;
         state = state.after(Event.ENDED);
-        if (failure == Loss.NOT_CALLED) {
+        if (failure == Failure.NOT_SENT) {
             return polls.afterUnsentPollUs(nowUs, random);
         }
         lease.endDeferral();
@@ -175,17 +175,17 @@
                 : pollFailed(failure, nowUs, random);
     }
 
-    private long openWatchLost(Loss failure, long lastReadUs, long nowUs, double random) {
+    private long openWatchLost(Failure failure, long lastReadUs, long nowUs, double random) {
         lastContactUs = lastReadUs;
         lease.watchLost(lastReadUs);
-        return failure == Loss.SILENT
+        return failure == Failure.SILENT
                 ? polls.afterSilenceUs(nowUs, random)
                 : polls.afterResetUs(nowUs, random);
     }
 
-    private long pollFailed(Loss failure, long nowUs, double random) {
-        unreachable |= failure == Loss.UNREACHABLE;
-        if (failure == Loss.UNREACHABLE || outages.isLastingOutage(pollSentUs, schedulers)) {
+    private long pollFailed(Failure failure, long nowUs, double random) {
+        unreachable |= failure == Failure.UNREACHABLE;
+        if (failure == Failure.UNREACHABLE || outages.isLastingOutage(pollSentUs, schedulers)) {
             lease.extendPastOutage(pollSentUs);
         }
         return polls.afterFailedPollUs(pollSentUs, nowUs, random);
@@ -195,7 +195,7 @@
      * Records an update that has arrived and cannot be read. Where lists are pushed, it counts as
      * known all the same, so the last list is valid for the drain grace and no longer.
      */
-    public void unread(long nowUs) {
+    public void updateUnreadable(long nowUs) {
         lease.updateUnreadable(nowUs);
     }
 
@@ -208,7 +208,7 @@
      * Whether a job may wait for a worker: the last list is valid, or the first poll of a process
      * that starts may bring one at any moment.
      */
-    public boolean mayWait(long nowUs) {
+    public boolean mayBecomeUsable(long nowUs) {
         return lease.isValid(nowUs) || lease.isDeferred(nowUs);
     }
 
@@ -224,7 +224,7 @@
      * Returns when something was last read from the open watch that was lost last; the last list
      * has all changes until then.
      */
-    public long heardUs() {
+    public long lastContactUs() {
         return lastContactUs;
     }
 
@@ -233,7 +233,7 @@
      * polls. Not where discovery cannot be reached or may have moved: workers that it has removed
      * may still answer.
      */
-    public boolean mayAskWorkers(long nowUs) {
+    public boolean mayProbeWorkers(long nowUs) {
         boolean failing = state != WatchState.OPEN && !unreachable;
         return failing
                 && !lease.isAddressUncertain()
@@ -241,7 +241,7 @@
     }
 
     /** Whether an open watch of this process was lost, so that the list is not the cached one. */
-    public boolean wasHeard() {
+    public boolean hasHadContact() {
         return lastContactUs != NEVER;
     }
 
--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -35,7 +35,7 @@
      *
      * @param fromDiscovery whether it shows all that discovery knows now, unlike a cached list
      */
-    public void listed(boolean fromDiscovery, long nowUs) {
+    public void listReceived(boolean fromDiscovery, long nowUs) {
         if (fromDiscovery) {
             receivedFromDiscovery = true;
             lastListUs = nowUs;
@@ -43,15 +43,15 @@
     }
 
     /** Whether a start on the next list must have happened since the last one. */
-    public boolean seesStarts() {
+    public boolean observesStarts() {
         return receivedFromDiscovery;
     }
 
     /**
      * Returns the start of a worker whose stamp was not on the last list; its start must have been
-     * observed ({@link #seesStarts}).
+     * observed ({@link #observesStarts}).
      */
-    public long seen(long stampUs, long nowUs) {
+    public long observedStartUs(long stampUs, long nowUs) {
         if (stampUs == LONG_AGO) {
             return LONG_AGO;
         }
@@ -73,7 +73,7 @@
     }
 
     /** Returns the start of a worker on a list, whether or not it was observed. */
-    public long told(long stampUs, long nowUs) {
+    public long listedStartUs(long stampUs, long nowUs) {
         return stampUs == LONG_AGO ? LONG_AGO : Math.min(nowUs, stampUs + correctionUs);
     }
 
--- a/src/main/java/damsonslip/membership/WorkerLease.java
+++ b/src/main/java/damsonslip/membership/WorkerLease.java
@@ -85,7 +85,7 @@
     }
 
     /** Whether a probe has not been answered yet. */
-    public boolean isAwaited() {
+    public boolean isProbeOutstanding() {
         return outstandingProbes > 0;
     }
 
@@ -94,10 +94,10 @@
      *
      * @param lastContactUs when discovery last sent anything
      */
-    public boolean isWorthAwaiting(long lastContactUs, long nowUs) {
+    public boolean mayBecomeValid(long lastContactUs, long nowUs) {
         boolean probeDueSoon = nextProbeUs <= nowUs + UNSENT_RETRY_US;
         return isValid(nowUs)
-                || isAwaited()
+                || isProbeOutstanding()
                 || (connectionFailedUs <= lastContactUs && probeDueSoon);
     }
 
--- a/src/main/java/damsonslip/membership/WorkerListLease.java
+++ b/src/main/java/damsonslip/membership/WorkerListLease.java
@@ -51,7 +51,7 @@
     void startWithCachedList(long nowUs) {
         long ageUs = Math.min(RESTART_US, propagationUs / 2);
         validUntilUs = expiryUs(nowUs) - ageUs;
-        deferredUntilUs = nowUs + DiscoveryWatch.FIRST_ANSWER_US;
+        deferredUntilUs = nowUs + DiscoveryWatch.FIRST_LIST_TIMEOUT_US;
     }
 
     /** Shortens the lease of the cached list by the time since the process was launched. */
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -59,7 +59,7 @@
      * @param change whether the list is complete, so that workers it omits are removed
      */
     public List<WorkerEntry> apply(WorkerListChange change, List<WorkerEntry> list, long nowUs) {
-        if (change == WorkerListChange.COMPLETE || change == WorkerListChange.KEPT) {
+        if (change == WorkerListChange.COMPLETE || change == WorkerListChange.CACHED) {
             lastListed.replaceAll(
                     (id, worker) -> withStatus(worker, WorkerStatus.REMOVED, worker.startedUs()));
         }
--- a/src/main/java/damsonslip/platform/ConfigurationReload.java
+++ b/src/main/java/damsonslip/platform/ConfigurationReload.java
@@ -62,7 +62,7 @@
         long deadlineNs =
                 System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTIAL_FILE_TIMEOUT_MS);
         boolean failureReported = false;
-        while (!phase.atLeast(State.FINISHING)) {
+        while (!phase.hasReached(State.FINISHING)) {
             try {
                 apply(SchedulerConfig.read(environment), signalUs);
                 return;
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -85,7 +85,7 @@
     }
 
     private void recordPhase() {
-        engine.events().add(loop.now(), Kind.PHASE, "", phase.state(), 0);
+        engine.eventLog().add(loop.nowUs(), Kind.PHASE, "", phase.state(), 0);
     }
 
     @Override
@@ -133,7 +133,7 @@
     /** Learns the operators' overrides and the other processes before the first request. */
     private void begin(
             EndpointList cached, InetSocketAddress listen, CompletableFuture<Boolean> listening) {
-        engine.begin(workers, workers.begin(cached));
+        engine.start(workers, workers.begin(cached));
         processes.open();
         workers.whenReadyToServe(processes.hasPeers(), () -> listen(listen, listening));
     }
@@ -142,7 +142,7 @@
     private void listen(InetSocketAddress address, CompletableFuture<Boolean> listening) {
         try {
             checkStart();
-            phase.moveTo(State.SERVING); // before the first client can ask for the health
+            phase.advanceTo(State.SERVING); // before the first client can ask for the health
             boolean serving = phase.is(State.SERVING);
             if (serving) {
                 ListeningPort listener = clients.listen(address, processes.isShared());
@@ -151,9 +151,9 @@
             }
             listening.complete(serving);
         } catch (IOException e) {
-            if (DescriptorShortage.mayPass(e)) {
-                loop.in(
-                        DescriptorShortage.AGAIN_MS * MICROS_PER_MILLI,
+            if (DescriptorShortage.isTransient(e)) {
+                loop.scheduleAfter(
+                        DescriptorShortage.RETRY_DELAY_MS * MICROS_PER_MILLI,
                         () -> listen(address, listening));
             } else {
                 listening.completeExceptionally(e);
@@ -165,8 +165,8 @@
 
     private void checkStart() {
         StartGuard.Facts facts =
-                new StartGuard.Facts(engine.isBegun(), processes.areOverridesLoaded());
-        engine.monitor().permits(StartGuard.check(facts));
+                new StartGuard.Facts(engine.isStarted(), processes.areOverridesLoaded());
+        engine.invariantMonitor().permits(StartGuard.check(facts));
     }
 
     /** Whether the listener is open; false if a shutdown came first. */
@@ -185,7 +185,7 @@
 
     /** The processes of one scheduler share its capacity and its descriptors. */
     private void peersChanged(PeerProcesses peers) {
-        engine.divided(peers);
+        engine.updatePeerProcesses(peers);
         int perSide = descriptors.connectionsPerSide(peers.processes());
         clients.resize(perSide, descriptors.clientOverflow(peers.processes()));
         workers.resize(perSide);
@@ -199,24 +199,25 @@
      * @param onStored runs once it is stored
      * @param onFailure receives the reason if it cannot be stored
      */
-    public void change(Runnable change, Runnable onStored, Consumer<IOException> onFailure) {
+    public void changeOverrides(
+            Runnable change, Runnable onStored, Consumer<IOException> onFailure) {
         processes.changeOverrides(change, onStored, onFailure);
     }
 
     @Override
     public void reload(long signalNs) {
-        reload.run(loop.timeOf(signalNs));
+        reload.run(loop.toEpochUs(signalNs));
     }
 
     @Override
-    public void leave() {
+    public void shutDown() {
         loop.execute(shutdown::begin);
     }
 
     @Override
     public boolean drain() {
         if (phase.drain()) {
-            clients.startDraining(ConnectionDraining.forOperatorDrain(loop.now()));
+            clients.startDraining(ConnectionDraining.forOperatorDrain(loop.nowUs()));
         }
         return true;
     }
@@ -235,17 +236,18 @@
     }
 
     @Override
-    public String className(int jobClass) {
+    public String jobClassName(int jobClass) {
         return config.site().classNames().get(jobClass);
     }
 
     @Override
     public List<SlowPeer> slowPeers() {
-        return SlowPeer.slowest(Stream.concat(clients.slowPeers(), workers.slowPeers()));
+        return SlowPeer.disconnectedSoonest(
+                Stream.concat(clients.slowPeers(), workers.slowPeers()));
     }
 
     @Override
-    public SchedulerEngine driver() {
+    public SchedulerEngine engine() {
         return engine;
     }
 }
--- a/src/main/java/damsonslip/platform/PlatformShutdown.java
+++ b/src/main/java/damsonslip/platform/PlatformShutdown.java
@@ -51,9 +51,9 @@
 
     /** Begins the shutdown; ends at once where no client could have connected yet. */
     void begin() {
-        long beginUs = loop.now();
+        long beginUs = loop.nowUs();
         if (listener == null) {
-            phase.moveTo(State.ENDED);
+            phase.advanceTo(State.ENDED);
         } else {
             processes.refresh(() -> stopServing(beginUs));
         }
@@ -62,7 +62,7 @@
     private void stopServing(long beginUs) {
         long lastResponseUs = beginUs + times.answerDeadlineUs();
         clients.limitDeadlines(lastResponseUs);
-        loop.at(lastResponseUs, engine::answerAll);
+        loop.scheduleAt(lastResponseUs, engine::answerAllOpen);
         new GracefulShutdown(
                         loop,
                         phase,
@@ -71,18 +71,18 @@
                         processes::hasSuccessor,
                         this::closeListener,
                         this::isComplete)
-                .begin();
+                .start();
     }
 
     private void closeListener() {
-        listener.shut();
+        listener.closeGracefully();
         clients.startDraining(
                 processes.hasSuccessor()
-                        ? ConnectionDraining.forUpgrade(loop.now(), times)
-                        : ConnectionDraining.forShutdown(loop.now()));
+                        ? ConnectionDraining.forUpgrade(loop.nowUs(), times)
+                        : ConnectionDraining.forShutdown(loop.nowUs()));
     }
 
     private boolean isComplete() {
-        return listener.isShut() && engine.open() == 0 && clients.isEmpty();
+        return listener.isClosedGracefully() && engine.openRequestCount() == 0 && clients.isEmpty();
     }
 }
--- a/src/main/java/damsonslip/platform/ProcessCoordination.java
+++ b/src/main/java/damsonslip/platform/ProcessCoordination.java
@@ -97,7 +97,7 @@
      * process from serving: it serves by itself, and tries again.
      */
     void open() {
-        if (!isShared() || phase.atLeast(State.FINISHING)) {
+        if (!isShared() || phase.hasReached(State.FINISHING)) {
             return;
         }
         openAttempted = true;
@@ -107,19 +107,19 @@
                             new SharedDirectory(directory), loop, engine, onPeersChanged);
         } catch (IOException e) {
             LOG.warn("event=folder_unusable folder={} error=\"{}\"", directory, e.getMessage());
-            loop.in(RETRY_INTERVAL_US, this::open);
+            loop.scheduleAfter(RETRY_INTERVAL_US, this::open);
             return;
         }
-        coordinator.begin();
-        if (phase.atLeast(State.SERVING)) {
-            coordinator.markServing();
+        coordinator.start();
+        if (phase.hasReached(State.SERVING)) {
+            coordinator.announceServing();
         }
     }
 
     /** Shows the other processes that this one serves. */
     void announceServing() {
         if (coordinator != null) {
-            coordinator.markServing();
+            coordinator.announceServing();
         }
     }
 
@@ -151,7 +151,7 @@
      */
     void changeOverrides(Runnable change, Runnable onStored, Consumer<IOException> onFailure) {
         if (coordinator != null) {
-            coordinator.change(change, onStored, onFailure);
+            coordinator.changeOverrides(change, onStored, onFailure);
             return;
         }
         change.run();
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -83,12 +83,13 @@
         this.server = server;
         this.loop = server.loop();
         this.responseMonitor =
-                new OutboundRateMonitor(loop, RESPONSE_RATE, this::backlog, this::closeSlowReader);
+                new OutboundRateMonitor(
+                        loop, RESPONSE_RATE, this::backlogBytes, this::closeSlowReader);
     }
 
     @Override
     protected void opened() {
-        idleSinceUs = loop.now();
+        idleSinceUs = loop.nowUs();
         startRequestTimer();
         server.opened(this);
     }
@@ -146,7 +147,7 @@
             return;
         }
         if (context != null) {
-            server.engine().gone(context);
+            server.engine().clientDisconnected(context);
         }
         context = null;
         receivedRequest = null;
@@ -160,7 +161,7 @@
         switch (request.route()) {
             case JOB -> {
                 Request decoded = server.decode(request, arrival);
-                if (decoded.deadlineUs() <= loop.now()) {
+                if (decoded.deadlineUs() <= loop.nowUs()) {
                     respond(ClientResponse.expiredBeforeAdmission());
                     return;
                 }
@@ -181,7 +182,7 @@
         moveTo(ClientConnectionState.ADMITTING);
         try {
             RequestContext admitted = server.admit(request, this);
-            if (!admitted.closed()) {
+            if (!admitted.isClosed()) {
                 context = admitted;
                 moveTo(ClientConnectionState.PROCESSING);
             }
@@ -192,14 +193,14 @@
 
     /** During the admission there is nothing to read: everything was read right before it. */
     @Override
-    public void readPending() {
+    public void readPendingInput() {
         if (context != null) {
-            look();
+            readAvailable();
         }
     }
 
     @Override
-    public void answer(Response response) {
+    public void respond(Response response) {
         context = null;
         if (response.kind() == Response.Kind.SERVED) {
             served++;
@@ -227,13 +228,13 @@
     private void responseWritten() {
         responseMonitor.end();
         if (closing) {
-            endWhenWritten();
+            closeAfterWrites();
             return;
         }
         moveTo(ClientConnectionState.RECEIVING);
-        idleSinceUs = loop.now();
+        idleSinceUs = loop.nowUs();
         reader.reset();
-        loop.execute(this::again);
+        loop.execute(this::resumeReading);
     }
 
     private void moveTo(ClientConnectionState next) {
@@ -241,7 +242,7 @@
     }
 
     private void startRequestTimer() {
-        requestTimer = loop.in(REQUEST_TIMEOUT_US, this::requestTimedOut);
+        requestTimer = loop.scheduleAfter(REQUEST_TIMEOUT_US, this::requestTimedOut);
     }
 
     private void stopRequestTimer() {
@@ -255,7 +256,7 @@
     private void requestTimedOut() {
         requestTimer = null;
         boolean wasMidRequest = reader.isMidRequest();
-        look();
+        readAvailable();
         if (isBusy() || isClosed()) {
             return;
         }
@@ -263,13 +264,13 @@
             stopRequestTimer();
             reject(BadRequestException.incomplete());
         } else if (!reader.isMidRequest()) { // a request that begins now has its own time
-            endWhenWritten();
+            closeAfterWrites();
         }
     }
 
     /** How the client reads its response. */
     SlowPeer slowPeer() {
-        return responseMonitor.shown("reads an answer", peer());
+        return responseMonitor.describe("reads an answer", remoteAddress());
     }
 
     OutboundRateMonitor responseMonitor() {
@@ -279,12 +280,12 @@
     /** Closes a connection whose client does not read its response. */
     void closeSlowReader() {
         server.slowReaderClosed();
-        end();
+        closeNow();
     }
 
     /** Applies a rule of connection draining. */
     void drain(ConnectionDraining draining) {
-        switch (draining.actionFor(loop.now(), isBusy(), reader.isMidRequest(), idleSinceUs)) {
+        switch (draining.actionFor(loop.nowUs(), isBusy(), reader.isMidRequest(), idleSinceUs)) {
             case KEEP -> {}
             case CLOSE -> closeIfIdle();
             case REJECT -> rejectIncomplete();
@@ -294,10 +295,10 @@
     /** Closes the connection between requests; one that has just arrived is served first. */
     private void closeIfIdle() {
         if (isIdle()) {
-            look();
+            readAvailable();
         }
         if (isIdle() && !isClosed()) {
-            endWhenWritten();
+            closeAfterWrites();
         }
     }
 
@@ -308,11 +309,11 @@
     }
 
     @Override
-    protected void endUnserved() {
+    protected void closeGracefully() {
         if (!isBusy() && reader.isMidRequest()) {
             rejectIncomplete();
         } else {
-            endWhenWritten();
+            closeAfterWrites();
         }
     }
 
@@ -340,14 +341,14 @@
     }
 
     @Override
-    protected void lost() {
+    protected void connectionLost() {
         if (context != null) {
-            server.engine().gone(context);
+            server.engine().clientDisconnected(context);
         }
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         responseMonitor.end();
         stopRequestTimer();
         server.closed(this, closeFacts());
@@ -358,17 +359,17 @@
             return closeFacts(receivedRequest.id(), true);
         }
         if (context != null) {
-            return closeFacts(context.query().id(), !context.closed());
+            return closeFacts(context.request().id(), !context.isClosed());
         }
         return closeFacts("", false);
     }
 
     private CloseGuard.Facts closeFacts(String requestId, boolean responseOwed) {
-        return new CloseGuard.Facts(requestId, responseOwed, isEndedByPeer(), closeReason());
+        return new CloseGuard.Facts(requestId, responseOwed, isClosedByPeer(), closeReason());
     }
 
     private String closeReason() {
-        if (isEndedByPeer()) {
+        if (isClosedByPeer()) {
             return "the client has ended it";
         }
         return isLingering() ? "said goodbye" : "given up";
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -94,7 +94,7 @@
      * @throws IOException if the address cannot be bound
      */
     public ListeningPort listen(InetSocketAddress address, boolean shared) throws IOException {
-        return connections.open(address, this, shared);
+        return connections.listenOnPort(address, this, shared);
     }
 
     /** Changes how many connections are kept, and how many more may be open for the moment. */
@@ -118,8 +118,8 @@
     @SuppressWarnings("ReferenceEquality") // an equal rule of a later drain runs by itself
     private void drainConnections(ConnectionDraining rule) {
         if (draining == rule) {
-            List.copyOf(limiter.all()).forEach(connection -> connection.drain(rule));
-            loop().in(DRAIN_INTERVAL_US, () -> drainConnections(rule));
+            List.copyOf(limiter.connections()).forEach(connection -> connection.drain(rule));
+            loop().scheduleAfter(DRAIN_INTERVAL_US, () -> drainConnections(rule));
         }
     }
 
@@ -140,7 +140,7 @@
     }
 
     boolean isHealthy() {
-        return isReady() || (hasSuccessor && phase.atLeast(State.LEAVING));
+        return isReady() || (hasSuccessor && phase.hasReached(State.LEAVING));
     }
 
     boolean isReady() {
@@ -153,8 +153,8 @@
     }
 
     @Override
-    public void turnedBack() {
-        limiter.turnedBack();
+    public void admissionFailed() {
+        limiter.admissionFailed();
     }
 
     @Override
@@ -164,13 +164,13 @@
 
     void opened(ClientConnection connection) {
         counters.add(Count.CLIENT_LINKS_OPENED);
-        limiter.opened(connection);
+        limiter.connectionOpened(connection);
     }
 
     void closed(ClientConnection connection, CloseGuard.Facts facts) {
-        limiter.closed(connection);
-        engine.events().add(loop().now(), Kind.CLIENT_CLOSED, facts.job(), facts.reason(), 0);
-        engine.monitor().permits(CloseGuard.check(facts));
+        limiter.connectionClosed(connection);
+        engine.eventLog().add(loop().nowUs(), Kind.CLIENT_CLOSED, facts.job(), facts.reason(), 0);
+        engine.invariantMonitor().permits(CloseGuard.checkClientConnection(facts));
     }
 
     Request decode(HttpRequest request, ArrivalTime arrival) throws BadRequestException {
@@ -184,11 +184,11 @@
      * @throws BadRequestException if the id was used before
      */
     RequestContext admit(Request request, ClientConnection connection) throws BadRequestException {
-        if (engine.holds(request.id()) || recentIds.contains(request.id())) {
+        if (engine.isIdInUse(request.id()) || recentIds.contains(request.id())) {
             throw BadRequestException.duplicateId(request.id());
         }
         recentIds.add(request.id());
-        return engine.take(request, connection);
+        return engine.submit(request, connection);
     }
 
     /** Bounds the deadlines of all requests that are received from now on. */
@@ -201,15 +201,15 @@
      * was not taken at once.
      */
     void checkResponseBuffers(OutboundRateMonitor newest) {
-        if (!newest.waits()) {
+        if (!newest.isWatching()) {
             return;
         }
         long budget = Runtime.getRuntime().maxMemory() / RESPONSE_PART_OF_HEAP;
         List<ClientConnection> overBudget =
-                BufferBudget.over(
+                BufferBudget.chooseOverBudget(
                         budget,
                         slowReaders()
-                                .map(reader -> reader.responseMonitor().holding(reader))
+                                .map(reader -> reader.responseMonitor().bufferUsage(reader))
                                 .toList());
         overBudget.forEach(
                 reader -> {
@@ -222,7 +222,8 @@
     }
 
     private Stream<ClientConnection> slowReaders() {
-        return limiter.all().stream().filter(connection -> connection.responseMonitor().waits());
+        return limiter.connections().stream()
+                .filter(connection -> connection.responseMonitor().isWatching());
     }
 
     /** The clients that have yet to read their responses. */
@@ -238,8 +239,13 @@
 
     void rejected(BadRequestException failure) {
         counters.add(Count.QUERIES_BAD);
-        engine.events()
-                .add(loop().now(), Kind.REFUSED_AS_BAD, "", failure.getMessage(), failure.status());
+        engine.eventLog()
+                .add(
+                        loop().nowUs(),
+                        Kind.REFUSED_AS_BAD,
+                        "",
+                        failure.getMessage(),
+                        failure.status());
     }
 
     boolean sendsRetryAfter() {
--- a/src/main/java/damsonslip/platform/codec/ClientResponse.java
+++ b/src/main/java/damsonslip/platform/codec/ClientResponse.java
@@ -31,7 +31,7 @@
                     new ClientResponse(
                             503, "throttled", withRetryAfter ? response.retryAfterUs() : 0);
             case FAILED ->
-                    response.late()
+                    response.deadlineReached()
                             ? new ClientResponse(504, "out of time")
                             : new ClientResponse(502, "failed");
         };
--- a/src/main/java/damsonslip/platform/codec/HttpForward.java
+++ b/src/main/java/damsonslip/platform/codec/HttpForward.java
@@ -3,7 +3,7 @@
 import damsonslip.engine.Request;
 
 /** The parts of a client's request that are forwarded to a worker unchanged. Immutable. */
-public final class HttpForward implements Request.Cargo {
+public final class HttpForward implements Request.Payload {
     private final String method;
     private final String target;
     private final String idempotencyKey;
--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -69,7 +69,7 @@
                     firstListAction = () -> {};
                     action.run();
                 };
-        connections.loop().in(timeoutUs, () -> firstListAction.run());
+        connections.loop().scheduleAfter(timeoutUs, () -> firstListAction.run());
     }
 
     /**
@@ -80,11 +80,11 @@
      * @param reloadUs when the operators asked for the reload
      */
     public void moveTo(InetSocketAddress next, long reloadUs) {
-        engine.discoveryAddress(DiscoveryAddressState.READ, reloadUs);
+        engine.discoveryAddressChanged(DiscoveryAddressState.READ, reloadUs);
         if (!next.equals(address)) {
             address = next;
             listReceivedFromAddress = false;
-            engine.discoveryAddress(DiscoveryAddressState.MOVED, reloadUs);
+            engine.discoveryAddressChanged(DiscoveryAddressState.MOVED, reloadUs);
             connect();
         }
     }
@@ -106,7 +106,7 @@
         return switch (failure) {
             case UNREACHABLE -> "it cannot be reached";
             case LOCAL -> "no socket can be had here";
-            case UNHEARD -> "its connection came up unheard";
+            case UNDETECTED -> "its connection came up unheard";
         };
     }
 
@@ -122,12 +122,12 @@
         }
 
         @Override
-        public void failed(ConnectFailure failure) {
+        public void connectFailed(ConnectFailure failure) {
             WorkerListChange loss =
                     failure == ConnectFailure.UNREACHABLE
                             ? WorkerListChange.UNREACHABLE
                             : WorkerListChange.NOT_CALLED;
-            ended(describe(failure), loss, connections.loop().now());
+            ended(describe(failure), loss, connections.loop().nowUs());
         }
 
         @Override
@@ -137,7 +137,7 @@
             }
             connecting = false;
             if (current != null) {
-                current.connection.end();
+                current.connection.closeNow();
             }
             connection = watch;
             current = this;
@@ -153,9 +153,10 @@
         public void listReceived(EndpointList list, long receivedUs) {
             if (!listReceivedFromAddress && isNewest()) {
                 listReceivedFromAddress = true;
-                engine.discoveryAddress(DiscoveryAddressState.HEARD, connections.loop().now());
+                engine.discoveryAddressChanged(
+                        DiscoveryAddressState.CONFIRMED, connections.loop().nowUs());
             }
-            engine.listed(list.change(), registry.apply(list, receivedUs));
+            engine.updateWorkers(list.change(), registry.apply(list, receivedUs));
             firstListAction.run();
         }
 
@@ -178,10 +179,12 @@
             }
             connecting = false;
             if (pushed) {
-                connections.loop().in(PUSHED_RECONNECT_DELAY_US, DiscoveryClient.this::watch);
+                connections
+                        .loop()
+                        .scheduleAfter(PUSHED_RECONNECT_DELAY_US, DiscoveryClient.this::watch);
             }
             if (!pushed || loss == WorkerListChange.NOT_CALLED) {
-                engine.listLost(loss, lastReceivedUs);
+                engine.workerListFailed(loss, lastReceivedUs);
             }
         }
 
--- a/src/main/java/damsonslip/platform/discovery/WatchConnection.java
+++ b/src/main/java/damsonslip/platform/discovery/WatchConnection.java
@@ -82,11 +82,11 @@
     @Override
     protected void opened() {
         if (!listener.watchOpened(this)) {
-            end();
+            closeNow();
             return;
         }
         restartSilenceTimer();
-        arrivalRate.begin(loop.now());
+        arrivalRate.begin(loop.nowUs());
         write(() -> {}, OutboundRequests.watch(listener.lastGeneration()));
     }
 
@@ -96,13 +96,13 @@
         if (silenceTimer != null) {
             silenceTimer.cancel();
         }
-        silenceTimer = loop.in(MAX_SILENCE_US, this::checkSilence);
+        silenceTimer = loop.scheduleAfter(MAX_SILENCE_US, this::checkSilence);
     }
 
     /** Reads first what has arrived unread while the event loop was held up. */
     private void checkSilence() {
         EventLoop.Timer due = silenceTimer;
-        look();
+        readAvailable();
         if (isUnchanged(due)) {
             fail("it is silent", WorkerListChange.SILENT);
         }
@@ -116,14 +116,14 @@
     @Override
     protected void received(ByteBuffer bytes) {
         restartSilenceTimer();
-        arrivalRate.moved(loop.now(), bytes.remaining());
+        arrivalRate.transferred(loop.nowUs(), bytes.remaining());
         reader.read(bytes);
         if (head != null && !objects.isMidObject()) {
             arrivalRate.end();
         } else {
-            arrivalRate.begin(loop.now());
+            arrivalRate.begin(loop.nowUs());
         }
-        if (arrivalRate.isTooSlow(loop.now())) {
+        if (arrivalRate.isTooSlow(loop.nowUs())) {
             fail("it trickles", WorkerListChange.FAILED);
         }
     }
@@ -170,18 +170,18 @@
 
     private void fail(String reason, WorkerListChange loss) {
         if (!isClosed()) {
-            end();
+            closeNow();
             listener.watchFailed(reason, loss, lastReceivedUs);
         }
     }
 
     @Override
-    protected void lost() {
+    protected void connectionLost() {
         listener.watchFailed("the connection broke", WorkerListChange.FAILED, arrivedAfterUs());
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         if (silenceTimer != null) {
             silenceTimer.cancel();
         }
--- a/src/main/java/damsonslip/platform/worker/AttemptSender.java
+++ b/src/main/java/damsonslip/platform/worker/AttemptSender.java
@@ -48,7 +48,7 @@
 
     /** Sends an attempt, at once or as soon as a connection has come up. */
     void send(Attempt attempt) {
-        if (!attempt.mayBegin(loop.now())) {
+        if (!attempt.mayBeWritten(loop.nowUs())) {
             fail(attempt, AttemptOutcome.NEVER_SENT);
             return;
         }
@@ -70,13 +70,13 @@
         connector.connect(
                 worker,
                 address,
-                attempt::open,
+                attempt::isOpen,
                 connection -> connected(connection, attempt),
                 failure -> fail(attempt, outcomeOf(failure)));
     }
 
     private Idempotency idempotency(Attempt attempt) {
-        return site.settings().classes().get(attempt.query().jobClass()).idempotency();
+        return site.settings().classes().get(attempt.request().jobClass()).idempotency();
     }
 
     /** A lack of sockets on this machine says nothing of the worker. */
@@ -88,7 +88,7 @@
 
     /** The client may have disconnected, or the time for a repeat passed, during the connect. */
     private void connected(WorkerConnection connection, Attempt attempt) {
-        if (attempt.mayBegin(loop.now())) {
+        if (attempt.mayBeWritten(loop.nowUs())) {
             sendOver(connection, attempt);
         } else {
             pool.release(connection);
@@ -109,7 +109,7 @@
                             : AttemptOutcome.NOT_CONNECTED);
             return;
         }
-        long timeBudgetUs = timeBudgetUs(attempt, loop.now());
+        long timeBudgetUs = timeBudgetUs(attempt, loop.nowUs());
         if (!engine.permitsSend(attempt, timeBudgetUs, registry.drainingSinceUs(worker))) {
             pool.release(connection);
             fail(attempt, AttemptOutcome.NEVER_SENT);
@@ -125,11 +125,11 @@
      * which the client may give up, less the time that the upload is expected to take.
      */
     private static long timeBudgetUs(Attempt attempt, long nowUs) {
-        long endsByUs = Math.min(attempt.endsByUs(), attempt.query().earliestDeadlineUs());
+        long endsByUs = Math.min(attempt.timeoutAtUs(), attempt.request().earliestDeadlineUs());
         return Math.max(0, endsByUs - nowUs - attempt.expectedUploadUs());
     }
 
     private void fail(Attempt attempt, AttemptOutcome outcome) {
-        engine.ended(attempt, Attempt.End.of(outcome));
+        engine.attemptEnded(attempt, Attempt.Completion.of(outcome));
     }
 }
--- a/src/main/java/damsonslip/platform/worker/ConnectionPool.java
+++ b/src/main/java/damsonslip/platform/worker/ConnectionPool.java
@@ -49,7 +49,7 @@
 
     /** Begins to close connections that have been idle for too long. */
     void startSweeping() {
-        loop.in(SWEEP_INTERVAL_US, this::sweep);
+        loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
     }
 
     private void sweep() {
@@ -90,7 +90,7 @@
         WorkerConnection found = null;
         while (newestFirst.hasNext() && found == null) {
             WorkerConnection connection = newestFirst.next();
-            long idleUs = loop.now() - connection.idleSinceUs();
+            long idleUs = loop.nowUs() - connection.idleSinceUs();
             if (idleUs < minIdleUs) {
                 continue;
             }
@@ -132,7 +132,7 @@
     }
 
     private boolean isFresh(WorkerConnection connection) {
-        long idleUs = loop.now() - connection.idleSinceUs();
+        long idleUs = loop.nowUs() - connection.idleSinceUs();
         return idleUs < maxIdleUs && idleRisk.isAcceptable(idleUs, true);
     }
 
@@ -191,12 +191,12 @@
 
     private void evict(WorkerConnection connection) {
         statistics.connectionEvicted();
-        connection.end();
+        connection.closeNow();
     }
 
     private void closeStale(WorkerConnection connection) {
         statistics.idleConnectionClosed();
-        connection.end();
+        connection.closeNow();
     }
 
     /** The workers that have yet to take a request. */
--- a/src/main/java/damsonslip/platform/worker/InFlightAttempts.java
+++ b/src/main/java/damsonslip/platform/worker/InFlightAttempts.java
@@ -25,13 +25,13 @@
 
     /** The worker reports that it has started the job. */
     void started(Attempt attempt) {
-        engine.started(attempt);
+        engine.attemptStarted(attempt);
     }
 
     /** Reports the end of an attempt to the engine. */
-    void ended(Attempt attempt, Attempt.End end) {
+    void ended(Attempt attempt, Attempt.Completion end) {
         connections.remove(attempt);
-        engine.ended(attempt, end);
+        engine.attemptEnded(attempt, end);
     }
 
     /** Closes the connection of an attempt that nobody waits for any more. */
@@ -60,11 +60,11 @@
     void checkEndsAfterClose(Attempt attempt) {
         loop.execute(
                 () ->
-                        engine.monitor()
+                        engine.invariantMonitor()
                                 .permits(
                                         CloseGuard.checkWorkerConnection(
-                                                attempt.query().id(),
+                                                attempt.request().id(),
                                                 attempt.worker(),
-                                                attempt.open())));
+                                                attempt.isOpen())));
     }
 }
--- a/src/main/java/damsonslip/platform/worker/SendPermission.java
+++ b/src/main/java/damsonslip/platform/worker/SendPermission.java
@@ -21,11 +21,11 @@
 
     /** Whether jobs may be sent: requires a valid lease on the list as well. */
     boolean maySend(String worker) {
-        return engine.mayUse(worker) && mayProbe(worker);
+        return engine.isUsable(worker) && mayProbe(worker);
     }
 
     /** Whether it may be probed; a probe renews what is known of a worker, so needs no lease. */
     boolean mayProbe(String worker) {
-        return registry.maySend(worker, loop.now()) && !engine.bars(worker);
+        return registry.maySend(worker, loop.nowUs()) && !engine.isDisabled(worker);
     }
 }
--- a/src/main/java/damsonslip/platform/worker/WorkerClient.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -31,7 +31,7 @@
     private static final long FIRST_PUSHED_LIST_TIMEOUT_US = 500_000;
 
     /** After this time the policy sends by the cached list, with or without discovery. */
-    private static final long FIRST_POLLED_LIST_TIMEOUT_US = DiscoveryWatch.FIRST_ANSWER_US;
+    private static final long FIRST_POLLED_LIST_TIMEOUT_US = DiscoveryWatch.FIRST_LIST_TIMEOUT_US;
 
     private final SchedulerEngine engine;
     private final boolean pollsWorkerList;
@@ -71,7 +71,7 @@
                         listDecoder,
                         engine,
                         !pollsWorkerList);
-        WorkerStatistics statistics = new WorkerStatistics(counters, engine.events(), loop);
+        WorkerStatistics statistics = new WorkerStatistics(counters, engine.eventLog(), loop);
         this.inFlight = new InFlightAttempts(engine, loop);
         this.pool = new ConnectionPool(loop, statistics, site.idleUs());
         this.connector =
@@ -108,7 +108,7 @@
      */
     public List<WorkerEntry> begin(EndpointList cached) {
         pool.startSweeping();
-        return registry.apply(cached, loop.now());
+        return registry.apply(cached, loop.nowUs());
     }
 
     /**
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public void start(Attempt attempt) {
+    public void send(Attempt attempt) {
         sender.send(attempt);
     }
 
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public boolean withdraw(Attempt attempt) {
+    public boolean withdrawUnsent(Attempt attempt) {
         return inFlight.withdraw(attempt);
     }
 
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void watch() {
+    public void watchWorkerList() {
         discovery.watch();
     }
 
@@ -178,7 +178,7 @@
      * @param reloadUs when the operators asked for the reload
      */
     public void reportReload(DiscoveryAddressState state, long reloadUs) {
-        engine.discoveryAddress(state, reloadUs);
+        engine.discoveryAddressChanged(state, reloadUs);
     }
 
     /** The workers that have yet to take a request. */
--- a/src/main/java/damsonslip/platform/worker/WorkerConnection.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -107,7 +107,7 @@
         this.owner = owner;
         this.onOpen = onOpen;
         this.uploadMonitor =
-                new OutboundRateMonitor(loop, UPLOAD_RATE, this::backlog, this::uploadStalled);
+                new OutboundRateMonitor(loop, UPLOAD_RATE, this::backlogBytes, this::uploadStalled);
     }
 
     String worker() {
@@ -125,7 +125,7 @@
 
     /** Whether the connection is open after everything that has arrived was read. */
     boolean isStillOpen() {
-        look();
+        readAvailable();
         return !isClosed();
     }
 
@@ -136,13 +136,15 @@
 
     /** How the worker takes the request that is being written to it; null if none is. */
     SlowPeer slowPeer() {
-        return uploadMonitor.waits() ? uploadMonitor.shown("takes a request", worker) : null;
+        return uploadMonitor.isWatching()
+                ? uploadMonitor.describe("takes a request", worker)
+                : null;
     }
 
     @Override
     protected void opened() {
-        openedUs = loop.now();
-        idleSinceUs = loop.now();
+        openedUs = loop.nowUs();
+        idleSinceUs = loop.nowUs();
         owner.pool().opened(this);
         onOpen.accept(this);
     }
@@ -156,7 +158,7 @@
     void sendJob(Attempt next, long timeBudgetUs, boolean mayRepeat) {
         attempt = next;
         repeatable = mayRepeat;
-        sendRequest(OutboundRequests.job(next.query(), timeBudgetUs));
+        sendRequest(OutboundRequests.job(next.request(), timeBudgetUs));
     }
 
     /**
@@ -166,27 +168,27 @@
      * @param resultIfOk the result that a response of 200 means
      */
     void sendProbe(long timeoutUs, ProbeResult resultIfOk) {
-        probe = new Probe(resultIfOk, loop.in(timeoutUs, this::probeTimedOut));
+        probe = new Probe(resultIfOk, loop.scheduleAfter(timeoutUs, this::probeTimedOut));
         sendRequest(OutboundRequests.probe());
     }
 
     /** Closes the connection under an attempt that nobody waits for any more. */
     void abort() {
         attempt = null;
-        end();
+        closeNow();
     }
 
     private void sendRequest(ByteBuffer[] request) {
-        idleBeforeRequestUs = used ? loop.now() - idleSinceUs : NEVER_USED;
+        idleBeforeRequestUs = used ? loop.nowUs() - idleSinceUs : NEVER_USED;
         used = true;
         head = null;
         loadReport = null;
         moveOn(Event.REQUEST_STARTED);
         long bytes = BufferUtil.remaining(request);
         if (LargeUpload.isLarge(bytes)) {
-            LargeUpload upload = LargeUpload.begin(request, bytes, loop.now());
+            LargeUpload upload = LargeUpload.begin(request, bytes, loop.nowUs());
             write(() -> finishUpload(upload), request);
-            upload.queued(backlog());
+            upload.queued(backlogBytes());
         } else {
             write(this::requestWritten, request);
         }
@@ -197,19 +199,19 @@
 
     /** Writes the last byte, unless the client has disconnected or the upload took too long. */
     private void finishUpload(LargeUpload upload) {
-        if (attempt != null && !attempt.isAwaited() && isClosed()) {
+        if (attempt != null && !attempt.isClientWaiting() && isClosed()) {
             return;
         }
-        long estimatedUs = upload.estimatedUs(loop.now());
+        long estimatedUs = upload.estimatedUs(loop.nowUs());
         if (attempt == null || !LargeUpload.isTooSlow(estimatedUs, attempt.expectedUploadUs())) {
             write(this::requestWritten, upload.lastByte());
             return;
         }
-        attempt.uploadTakes(LargeUpload.expectationAfter(estimatedUs));
+        attempt.recordUploadTime(LargeUpload.expectationAfter(estimatedUs));
         owner.statistics().uploadTooSlow(worker, estimatedUs);
         Attempt unsent = attempt;
         abort();
-        owner.attempts().ended(unsent, Attempt.End.of(AttemptOutcome.NEVER_SENT));
+        owner.attempts().ended(unsent, Attempt.Completion.of(AttemptOutcome.NEVER_SENT));
     }
 
     private void requestWritten() {
@@ -228,16 +230,16 @@
 
     /** A client that has disconnected cancels its attempt before more of it is written. */
     @Override
-    protected void selected() {
+    protected void readyForIo() {
         if (attempt != null && !isRequestWritten()) {
-            attempt.isAwaited();
+            attempt.isClientWaiting();
         }
     }
 
     /** Reads first what has arrived unread while the event loop was held up. */
     private void probeTimedOut() {
         Probe due = probe;
-        look();
+        readAvailable();
         if (due != null && isAwaited(due)) {
             fail();
         }
@@ -251,12 +253,12 @@
     @Override
     protected void received(ByteBuffer bytes) {
         if (state == ConnectionState.IDLE) { // would be taken for the next request's response
-            end();
+            closeNow();
             return;
         }
         reader.read(bytes);
         if (!isClosed() && state.isSettled() && responseEndTimer == null) {
-            responseEndTimer = loop.in(RESPONSE_END_TIMEOUT_US, this::abort);
+            responseEndTimer = loop.scheduleAfter(RESPONSE_END_TIMEOUT_US, this::abort);
         }
     }
 
@@ -274,7 +276,7 @@
         if (!head.isOk() || attempt == null) {
             return;
         }
-        List<String> complete = lines.take(part);
+        List<String> complete = lines.decode(part);
         if (complete == null) {
             responseMalformed("a line without end");
             return;
@@ -286,7 +288,7 @@
         if (attempt == null || line.isEmpty()) {
             return;
         }
-        Optional<JobProgress> decoded = JobProgress.decode(line, attempt.query().id());
+        Optional<JobProgress> decoded = JobProgress.decode(line, attempt.request().id());
         if (decoded.isEmpty()) {
             int shown = Math.min(MAX_LOGGED_LINE_CHARS, line.length());
             responseMalformed("no job's state: " + line.substring(0, shown));
@@ -320,12 +322,12 @@
             settleAttempt(CompletedResponse.outcome(head, repeatable || isOwnResponse()), null);
         }
         moveOn(Event.RESPONSE_COMPLETED);
-        lines.rest();
+        lines.takeUnfinished();
         if (reusable) {
-            idleSinceUs = loop.now();
+            idleSinceUs = loop.nowUs();
             owner.pool().release(this);
         } else {
-            end();
+            closeNow();
         }
     }
 
@@ -345,7 +347,7 @@
             Attempt settled = attempt;
             attempt = null;
             moveOn(Event.OUTCOME_KNOWN);
-            owner.attempts().ended(settled, new Attempt.End(outcome, loadReport, result));
+            owner.attempts().ended(settled, new Attempt.Completion(outcome, loadReport, result));
         }
     }
 
@@ -354,20 +356,20 @@
             probe.timeout().cancel();
             probe = null;
             moveOn(Event.OUTCOME_KNOWN);
-            owner.engine().probed(worker, result, report);
+            owner.engine().probeEnded(worker, result, report);
         }
     }
 
     private void fail() {
-        end();
-        lost();
+        closeNow();
+        connectionLost();
     }
 
     /** What the loss proves depends on whether the last byte of the request was written. */
     @Override
-    protected void lost() {
+    protected void connectionLost() {
         if (state == ConnectionState.IDLE) {
-            owner.engine().connectionLost(worker);
+            owner.engine().workerConnectionLost(worker);
         } else if (head == null && idleBeforeRequestUs != NEVER_USED) {
             owner.pool().recordReuse(idleBeforeRequestUs, true);
         }
@@ -388,7 +390,7 @@
     }
 
     @Override
-    protected void released() {
+    protected void connectionClosed() {
         uploadMonitor.end();
         stopResponseEndTimer();
         if (attempt != null) {
--- a/src/main/java/damsonslip/platform/worker/WorkerConnector.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnector.java
@@ -126,12 +126,12 @@
             if (pending.remove(this)) {
                 onOpen.accept(connection);
             } else { // abandoned in the moment in which it came up
-                connection.end();
+                connection.closeNow();
             }
         }
 
         @Override
-        public void failed(ConnectFailure failure) {
+        public void connectFailed(ConnectFailure failure) {
             if (pending.remove(this)) {
                 onFailure.accept(failure);
             }
--- a/src/main/java/damsonslip/platform/worker/WorkerProber.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerProber.java
@@ -58,7 +58,7 @@
                     address,
                     () -> false, // the first to be abandoned where descriptors are short
                     this::probeOver,
-                    failure -> engine.probed(worker, resultOf(failure), null));
+                    failure -> engine.probeEnded(worker, resultOf(failure), null));
         } else {
             reportLater(worker, ProbeResult.NOT_SENT);
         }
@@ -86,7 +86,7 @@
             connection.sendProbe(timeoutUs, ProbeResult.HEALTHY);
         } else {
             pool.release(connection);
-            engine.probed(worker, ProbeResult.NOT_SENT, null);
+            engine.probeEnded(worker, ProbeResult.NOT_SENT, null);
         }
     }
 
@@ -95,6 +95,6 @@
     }
 
     private void reportLater(String worker, ProbeResult result) {
-        loop.execute(() -> engine.probed(worker, result, null));
+        loop.execute(() -> engine.probeEnded(worker, result, null));
     }
 }
--- a/src/main/java/damsonslip/platform/worker/WorkerStatistics.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerStatistics.java
@@ -56,9 +56,9 @@
         counters.add(Count.EXECUTIONS_WRITTEN);
         if (attempt != null) {
             events.add(
-                    loop.now(),
+                    loop.nowUs(),
                     Kind.WRITTEN,
-                    attempt.query().id(),
+                    attempt.request().id(),
                     attempt.worker(),
                     attempt.number());
         }
--- a/src/main/java/damsonslip/policy/CandidateProbing.java
+++ b/src/main/java/damsonslip/policy/CandidateProbing.java
@@ -59,7 +59,8 @@
             probeCandidates(job);
         }
         return context.nowUs() < job.candidatesAwaitedUntilUs()
-                && job.probedCandidates().stream().anyMatch(worker -> worker.lease().isAwaited());
+                && job.probedCandidates().stream()
+                        .anyMatch(worker -> worker.lease().isProbeOutstanding());
     }
 
     private void probeCandidates(Job job) {
@@ -69,7 +70,7 @@
         Set<Worker> candidates = candidates(job, members);
         for (Worker worker : candidates) {
             long reportAgeUs = context.nowUs() - worker.load().reportedUs();
-            if (!worker.lease().isAwaited() && reportAgeUs >= FRESH_REPORT_US) {
+            if (!worker.lease().isProbeOutstanding() && reportAgeUs >= FRESH_REPORT_US) {
                 sender.send(worker);
             }
         }
--- a/src/main/java/damsonslip/policy/LeaseProbing.java
+++ b/src/main/java/damsonslip/policy/LeaseProbing.java
@@ -43,11 +43,11 @@
                         : selector.select(job.homePool(), job, false, mayProbe);
         if (worker != null && slowStart.trySpendProbe(worker)) {
             job.setLeaseCandidate(worker);
-            sender.sendForLease(worker, discovery.heardUs());
+            sender.sendForLease(worker, discovery.lastContactUs());
         }
     }
 
     private static boolean awaitsLease(Job job) {
-        return job.leaseCandidate() != null && job.leaseCandidate().lease().isAwaited();
+        return job.leaseCandidate() != null && job.leaseCandidate().lease().isProbeOutstanding();
     }
 }
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -250,7 +250,7 @@
     }
 
     /** Returns the label of the timer at which a job gets its final answer; it may come earlier. */
-    public static String lastLabel(String job) {
+    public static String deadlineTimerLabel(String job) {
         return TimerLabels.jobDeadline(job);
     }
 
@@ -265,7 +265,7 @@
      * Returns what a worker that warms up was sent from here in the window at hand, and what it
      * bears; null if it does not warm up.
      */
-    public SlowStartLoad coldLoad(String worker, int jobClass) {
+    public SlowStartLoad slowStartLoad(String worker, int jobClass) {
         Worker found = registry.find(worker);
         if (found == null || !fleet.slowStart.isWarmingUp(found)) {
             return null;
--- a/src/main/java/damsonslip/policy/WorkerAvailability.java
+++ b/src/main/java/damsonslip/policy/WorkerAvailability.java
@@ -31,29 +31,29 @@
     boolean usesLeases() {
         return context.settings().leasesWorkersByProbe()
                 && discovery.graceUs() > 0
-                && discovery.mayAskWorkers(context.nowUs());
+                && discovery.mayProbeWorkers(context.nowUs());
     }
 
     /** Whether a job may wait: a list is valid or may come soon, or a lease may. */
     boolean mayWait() {
-        return discovery.mayWait(context.nowUs())
+        return discovery.mayBecomeUsable(context.nowUs())
                 || (usesLeases() && registry.all().stream().anyMatch(this::mayGetLease));
     }
 
     private boolean mayGetLease(Worker worker) {
         return worker.isRunning()
                 && couldKeepRunning(worker)
-                && worker.lease().isWorthAwaiting(discovery.heardUs(), context.nowUs());
+                && worker.lease().mayBecomeValid(discovery.lastContactUs(), context.nowUs());
     }
 
     /** Whether a probe of this worker may lead to a lease. */
     boolean mayGrantLease(Worker worker) {
         return couldKeepRunning(worker)
-                && worker.lease().isWorthProbing(discovery.heardUs(), context.nowUs());
+                && worker.lease().isWorthProbing(discovery.lastContactUs(), context.nowUs());
     }
 
     /** A worker of the own zone has to show a connection since discovery was last heard. */
     private boolean couldKeepRunning(Worker worker) {
-        return worker.zone() != context.settings().zone() || discovery.wasHeard();
+        return worker.zone() != context.settings().zone() || discovery.hasHadContact();
     }
 }
--- a/src/main/java/damsonslip/policy/WorkerListWatch.java
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -1,7 +1,7 @@
 package damsonslip.policy;
 
 import damsonslip.membership.DiscoveryWatch;
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import damsonslip.policy.api.DiscoveryAddressChanged;
 import damsonslip.policy.api.SchedulersChanged;
 import damsonslip.policy.api.WatchWorkerList;
@@ -41,7 +41,7 @@
 
     /** Calls discovery. */
     void call() {
-        discovery.called(context.nowUs());
+        discovery.pollSent(context.nowUs());
         context.emit(new WatchWorkerList());
     }
 
@@ -50,47 +50,47 @@
         WorkerListChange end = update.change();
         long nowUs = context.nowUs();
         if (end == WorkerListChange.NOT_CALLED && !context.settings().pollsWorkerList()) {
-            discovery.unread(nowUs);
+            discovery.updateUnreadable(nowUs);
             return;
         }
         long lastReceivedUs = Math.min(nowUs, update.lastReceivedUs());
         double random = context.random().nextDouble();
-        long nextCallUs = discovery.lost(loss(end), lastReceivedUs, nowUs, random);
+        long nextCallUs = discovery.failed(loss(end), lastReceivedUs, nowUs, random);
         context.setTimerAt(nextCallUs, TimerLabels.LIST);
     }
 
     /** A list, or a change of one, has been received. */
     void received(WorkerListUpdate update) {
         if (update.change().isFromDiscovery()) {
-            discovery.received();
-        } else if (update.change() == WorkerListChange.KEPT
+            discovery.updateReceived();
+        } else if (update.change() == WorkerListChange.CACHED
                 && update.lastReceivedUs() != Long.MAX_VALUE) {
-            discovery.launched(update.lastReceivedUs());
+            discovery.processLaunched(update.lastReceivedUs());
         }
     }
 
     /** The configured address of discovery has changed, or could not be read. */
     void addressChanged(DiscoveryAddressChanged change) {
         switch (change.state()) {
-            case UNREAD -> discovery.configurationUnread(change.reloadRequestedUs());
+            case UNREAD -> discovery.configurationUnreadable(change.reloadRequestedUs());
             case READ -> discovery.configurationRead();
-            case MOVED -> discovery.moved(change.reloadRequestedUs());
-            case HEARD -> discovery.heardWhereItMoved();
+            case MOVED -> discovery.addressChanged(change.reloadRequestedUs());
+            case CONFIRMED -> discovery.newAddressConfirmed();
         }
     }
 
     /** The number of schedulers that share the calls has changed. */
     void schedulersChanged(SchedulersChanged change) {
-        discovery.divide(change.schedulers(), change.schedulerIndex());
+        discovery.setFleet(change.schedulers(), change.schedulerIndex());
     }
 
-    private static Loss loss(WorkerListChange end) {
+    private static Failure loss(WorkerListChange end) {
         return switch (end) {
-            case FAILED -> Loss.FAILED;
-            case UNREACHABLE -> Loss.UNREACHABLE;
-            case SILENT -> Loss.SILENT;
-            case NOT_CALLED -> Loss.NOT_CALLED;
-            case CHANGES, COMPLETE, KEPT, OVERRIDES ->
+            case FAILED -> Failure.FAILED;
+            case UNREACHABLE -> Failure.UNREACHABLE;
+            case SILENT -> Failure.SILENT;
+            case NOT_CALLED -> Failure.NOT_SENT;
+            case CHANGES, COMPLETE, CACHED, OVERRIDES ->
                     throw new IllegalArgumentException("not the end of a call: " + end);
         };
     }
--- a/src/main/java/damsonslip/policy/WorkerRegistry.java
+++ b/src/main/java/damsonslip/policy/WorkerRegistry.java
@@ -43,11 +43,11 @@
         WorkerListChange change = update.change();
         boolean changed = change.isComplete() && stopAll();
         long correctionUs = startTimes.correctionUs();
-        boolean startsObserved = change.isFromDiscovery() && startTimes.seesStarts();
+        boolean startsObserved = change.isFromDiscovery() && startTimes.observesStarts();
         for (WorkerEntry entry : update.workers()) {
             changed |= apply(entry, startsObserved);
         }
-        startTimes.listed(change.isFromDiscovery(), context.nowUs());
+        startTimes.listReceived(change.isFromDiscovery(), context.nowUs());
         if (correctionUs != startTimes.correctionUs()) {
             correctStarts();
         }
@@ -72,8 +72,8 @@
         if (worker.listedStart() != listedStart) {
             long startedUs =
                     startsObserved
-                            ? startTimes.seen(listedStart, nowUs)
-                            : startTimes.told(listedStart, nowUs);
+                            ? startTimes.observedStartUs(listedStart, nowUs)
+                            : startTimes.listedStartUs(listedStart, nowUs);
             worker.restarted(listedStart, startedUs, startsObserved);
         }
         return wasRunning != worker.isRunning();
@@ -82,7 +82,8 @@
     private void correctStarts() {
         for (Worker worker : workers.values()) {
             if (!worker.isStartObserved()) {
-                worker.correctStart(startTimes.told(worker.listedStart(), context.nowUs()));
+                worker.correctStart(
+                        startTimes.listedStartUs(worker.listedStart(), context.nowUs()));
             }
         }
     }
--- a/src/main/java/damsonslip/policy/api/DiscoveryAddressState.java
+++ b/src/main/java/damsonslip/policy/api/DiscoveryAddressState.java
@@ -9,5 +9,5 @@
     /** It names another address, which has not sent a worker list yet. */
     MOVED,
     /** The new address has sent a worker list. */
-    HEARD
+    CONFIRMED
 }
--- a/src/main/java/damsonslip/policy/api/WorkerListChange.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListChange.java
@@ -7,7 +7,7 @@
     /** The complete list. */
     COMPLETE,
     /** The list that was cached over a restart. */
-    KEPT,
+    CACHED,
     /** Changes that an operator made at this scheduler. */
     OVERRIDES,
     /** A call failed or a watch broke. */
@@ -21,7 +21,7 @@
 
     /** Returns whether a worker that the update does not name has been removed. */
     public boolean isComplete() {
-        return this == COMPLETE || this == KEPT;
+        return this == COMPLETE || this == CACHED;
     }
 
     /** Returns whether the update was received from discovery just now. */
@@ -33,7 +33,7 @@
     public boolean isFailure() {
         return switch (this) {
             case FAILED, UNREACHABLE, SILENT, NOT_CALLED -> true;
-            case CHANGES, COMPLETE, KEPT, OVERRIDES -> false;
+            case CHANGES, COMPLETE, CACHED, OVERRIDES -> false;
         };
     }
 }
--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -99,7 +99,7 @@
                 () -> {
                     onFailure.run();
                     if (isNewest(record)) {
-                        loop.in(RETRY_DELAY_US, () -> rewrite(record));
+                        loop.scheduleAfter(RETRY_DELAY_US, () -> rewrite(record));
                     }
                 };
         enqueue(new Call<>(new StoreOperation.Put(record), done -> onSuccess.run(), retryLater));
@@ -118,7 +118,8 @@
 
     /** Submits an operation, retrying until the store has executed it. */
     public void submitWithRetry(StoreOperation<?> operation) {
-        Runnable retryLater = () -> loop.in(RETRY_DELAY_US, () -> submitWithRetry(operation));
+        Runnable retryLater =
+                () -> loop.scheduleAfter(RETRY_DELAY_US, () -> submitWithRetry(operation));
         enqueue(new Call<>(operation, done -> {}, retryLater));
     }
 
--- a/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
@@ -1,7 +1,7 @@
 package damsonslip.tools.lab;
 
 import damsonslip.membership.DiscoveryWatch;
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -40,8 +40,8 @@
         for (int i = 0; i < schedulers; i++) {
             watches[i] = new DiscoveryWatch(schedulers, i, ASK_EVERY_US, DRAIN_GRACE_US);
             watches[i].start(0, 0);
-            watches[i].called(0);
-            watches[i].received();
+            watches[i].pollSent(0);
+            watches[i].updateReceived();
         }
     }
 
@@ -51,14 +51,14 @@
      */
     HollowDiscovery outage(long callUs) {
         for (int i = 0; i < watches.length; i++) {
-            call(i, watches[i].lost(Loss.FAILED, 0, 0, random.nextDouble()));
+            call(i, watches[i].failed(Failure.FAILED, 0, 0, random.nextDouble()));
         }
         long free = DOWN_US;
         while (served < watches.length
                 && !calls.isEmpty()
                 && calls.peek().atUs() < DOWN_US + AFTER_US) {
             Call next = calls.poll();
-            watches[next.scheduler()].called(next.atUs());
+            watches[next.scheduler()].pollSent(next.atUs());
             if (next.atUs() < DOWN_US) {
                 refused++;
                 lost(next.scheduler(), next.atUs());
@@ -70,7 +70,7 @@
                 lost(next.scheduler(), next.atUs() + PATIENCE_US);
             } else {
                 served++;
-                watches[next.scheduler()].received();
+                watches[next.scheduler()].updateReceived();
                 lastServedUs = free;
             }
         }
@@ -78,7 +78,9 @@
     }
 
     private void lost(int scheduler, long nowUs) {
-        call(scheduler, watches[scheduler].lost(Loss.FAILED, nowUs, nowUs, random.nextDouble()));
+        call(
+                scheduler,
+                watches[scheduler].failed(Failure.FAILED, nowUs, nowUs, random.nextDouble()));
     }
 
     private void call(int scheduler, long atUs) {
--- a/src/main/java/damsonslip/tools/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -1,9 +1,9 @@
 package damsonslip.tools.lab;
 
-import java.util.Locale;
 import damsonslip.config.ConfigurationException;
 import java.math.BigDecimal;
 import java.math.MathContext;
+import java.util.Locale;
 
 /**
  * One measured point: a line of the CSV.
--- a/src/main/java/damsonslip/tools/lab/soak/SoakClient.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakClient.java
@@ -1,6 +1,5 @@
 package damsonslip.tools.lab.soak;
 
-import java.util.Locale;
 import damsonslip.tools.lab.soak.Ledger.Effect;
 import damsonslip.tools.lab.soak.Ledger.End;
 import damsonslip.tools.lab.soak.Ledger.Request;
--- a/src/main/java/damsonslip/tools/lab/soak/Wire.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Wire.java
@@ -1,11 +1,11 @@
 package damsonslip.tools.lab.soak;
 
-import java.net.InetAddress;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -53,7 +53,8 @@
     static Wire connect(int port) throws IOException {
         Socket socket = new Socket();
         try {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
+            socket.connect(
+                    new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
             return new Wire(socket);
         } catch (IOException e) {
             socket.close();
--- a/src/main/java/damsonslip/tools/simulator/WireLine.java
+++ b/src/main/java/damsonslip/tools/simulator/WireLine.java
@@ -229,7 +229,7 @@
         return switch (needed(mode, "mode")) {
             case "Partial" -> WorkerListChange.CHANGES;
             case "Complete" -> WorkerListChange.COMPLETE;
-            case "Persisted" -> WorkerListChange.KEPT;
+            case "Persisted" -> WorkerListChange.CACHED;
             case "Error" -> WorkerListChange.FAILED;
             default -> throw new ConfigurationException("unknown mode: " + mode);
         };
--- a/src/main/java/damsonslip/transport/ConnectFailure.java
+++ b/src/main/java/damsonslip/transport/ConnectFailure.java
@@ -13,7 +13,7 @@
      * The connection was established, but this process did not notice within the timeout: it was
      * suspended, or the system did not watch the socket.
      */
-    UNHEARD;
+    UNDETECTED;
 
     /** Classifies what the call threw that was to open the connection. */
     static ConnectFailure of(Exception thrown) {
--- a/src/main/java/damsonslip/transport/ConnectionLimiter.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -16,8 +16,8 @@
  * nothing do not keep others out. A few more than the limit, the overflow, may be open while
  * evicted ones close.
  *
- * <p>{@link #admit}, {@link #hasRoom} and {@link #turnedBack} are thread-safe; all other methods
- * are called on the event loop.
+ * <p>{@link #admit}, {@link #hasCapacity} and {@link #admissionFailed} are thread-safe; all other
+ * methods are called on the event loop.
  */
 public final class ConnectionLimiter<L extends EventLoopConnection> {
     private volatile int limit;
@@ -53,8 +53,9 @@
 
     /**
      * Counts one more connection if the limit and the overflow allow it; it will be reported by
-     * {@link #opened} and {@link #closed}, or by {@link #turnedBack}. Connections are counted here
-     * and not when they are set up, since many are accepted before the first of them is.
+     * {@link #connectionOpened} and {@link #connectionClosed}, or by {@link #admissionFailed}.
+     * Connections are counted here and not when they are set up, since many are accepted before the
+     * first of them is.
      */
     public boolean admit() {
         int maxAdmitted = limit + overflow;
@@ -63,12 +64,12 @@
     }
 
     /** Whether one more would be admitted; holds for the next {@link #admit} on the same thread. */
-    public boolean hasRoom() {
+    public boolean hasCapacity() {
         return admitted.get() < limit + overflow;
     }
 
     /** Records that an admitted connection failed before it was opened. */
-    public void turnedBack() {
+    public void admissionFailed() {
         admitted.decrementAndGet();
     }
 
@@ -77,12 +78,12 @@
      * overflow; more are closed at once, since peers that never close their side would otherwise
      * use all of it.
      */
-    public void opened(L connection) {
+    public void connectionOpened(L connection) {
         open.add(connection);
         List<L> lingering = open.stream().filter(EventLoopConnection::isLingering).toList();
         int active = open.size() - lingering.size();
         int excess = Math.max(0, lingering.size() - overflow / 2);
-        lingering.stream().limit(excess).forEach(EventLoopConnection::end);
+        lingering.stream().limit(excess).forEach(EventLoopConnection::closeNow);
         if (active > limit) {
             evictOne(connection);
         }
@@ -113,7 +114,7 @@
      * closing.
      */
     private boolean evictIfUnneeded(L connection) {
-        connection.look();
+        connection.readAvailable();
         boolean evicted = !connection.isClosed() && evictable.test(connection);
         if (evicted) {
             connection.evict();
@@ -122,7 +123,7 @@
     }
 
     /** Removes a connection that was closed. */
-    public void closed(L connection) {
+    public void connectionClosed(L connection) {
         open.remove(connection);
         admitted.decrementAndGet();
     }
@@ -133,7 +134,7 @@
     }
 
     /** Returns the open connections, in the order in which they were opened; a live view. */
-    public Collection<L> all() {
+    public Collection<L> connections() {
         return open;
     }
 }
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -64,7 +64,7 @@
         EventLoopConnection open(EndPoint endPoint);
 
         /** Called on the loop if the connection could not be established. */
-        default void failed(ConnectFailure failure) {}
+        default void connectFailed(ConnectFailure failure) {}
     }
 
     /** Decides which connections are accepted. */
@@ -73,7 +73,7 @@
          * Whether a connection may be accepted now; others wait in the listener's queue. Called on
          * the selector's thread.
          */
-        default boolean hasRoom() {
+        default boolean hasCapacity() {
             return true;
         }
 
@@ -84,13 +84,13 @@
         boolean admit();
 
         /** Called on any thread when an admitted connection failed before it was opened. */
-        void turnedBack();
+        void admissionFailed();
     }
 
     private ConnectionManager(EventLoop loop) {
         super(SelectorThreads.start(), new ScheduledExecutorScheduler(loop.executor()), 1);
         this.loop = loop;
-        this.rounds = new RoundClock(loop::now);
+        this.rounds = new RoundClock(loop::nowUs);
         this.listeners = new Listeners(loop, () -> selector, this::setUpAccepted);
     }
 
@@ -104,7 +104,7 @@
             throws IOException {
         ConnectionManager manager =
                 DescriptorShortage.retryWhileShort(() -> startOnce(loop, connectTimeoutMs));
-        loop.in(UNREPORTED_CHECK_US, manager::checkUnreported);
+        loop.scheduleAfter(UNREPORTED_CHECK_US, manager::checkUnreported);
         return manager;
     }
 
@@ -127,7 +127,7 @@
         connections.removeIf(EventLoopConnection::isClosed);
         List.copyOf(connections).forEach(EventLoopConnection::checkUnreported);
         selector.submit(listeners::acceptUnreported);
-        loop.in(UNREPORTED_CHECK_US, this::checkUnreported);
+        loop.scheduleAfter(UNREPORTED_CHECK_US, this::checkUnreported);
     }
 
     /** Returns the event loop on which all connections are used. */
@@ -143,7 +143,7 @@
      */
     public Closeable listen(InetSocketAddress address, ConnectionAcceptor acceptor)
             throws IOException {
-        return DescriptorShortage.retryWhileShort(() -> open(address, acceptor, false));
+        return DescriptorShortage.retryWhileShort(() -> listenOnPort(address, acceptor, false));
     }
 
     /**
@@ -152,10 +152,10 @@
      * @param shared whether another process may listen there as well
      * @throws IOException if the address is not available, or the system has no socket
      */
-    public ListeningPort open(
+    public ListeningPort listenOnPort(
             InetSocketAddress address, ConnectionAcceptor acceptor, boolean shared)
             throws IOException {
-        ArrivalBound queueArrival = new ArrivalBound(rounds, loop.now());
+        ArrivalBound queueArrival = new ArrivalBound(rounds, loop.nowUs());
         ListeningSocket socket = listeners.bind(address, acceptor, shared, queueArrival);
         Closeable registration = acceptor(socket.server());
         // runs after the registration that acceptor() has submitted
@@ -183,7 +183,7 @@
         } catch (IOException | RuntimeException e) {
             close(channel);
             ConnectFailure failure = ConnectFailure.of(e);
-            loop.execute(() -> factory.failed(failure));
+            loop.execute(() -> factory.connectFailed(failure));
         }
         SocketChannel attempt = channel;
         return () -> close(attempt);
@@ -230,7 +230,7 @@
     protected void onAcceptFailed(SelectableChannel channel, Throwable cause) {
         Accepted failed = accepted.remove(channel);
         if (failed != null) {
-            failed.listener().acceptor().turnedBack();
+            failed.listener().acceptor().admissionFailed();
         }
     }
 
@@ -244,7 +244,7 @@
     protected EndPoint newEndPoint(
             SelectableChannel channel, ManagedSelector managedSelector, SelectionKey key) {
         Accepted origin = accepted.get(channel);
-        long arrivedAfterUs = origin == null ? loop.now() : origin.arrivedAfterUs();
+        long arrivedAfterUs = origin == null ? loop.nowUs() : origin.arrivedAfterUs();
         return new LoopEndPoint(
                 (SocketChannel) channel,
                 managedSelector,
@@ -266,7 +266,8 @@
     @Override
     protected void connectionFailed(SelectableChannel channel, Throwable cause, Object attachment) {
         close(channel);
-        loop.execute(() -> ((ConnectionFactory) attachment).failed(ConnectFailure.UNREACHABLE));
+        loop.execute(
+                () -> ((ConnectionFactory) attachment).connectFailed(ConnectFailure.UNREACHABLE));
     }
 
     private static void close(SelectableChannel channel) {
--- a/src/main/java/damsonslip/transport/ConnectionReader.java
+++ b/src/main/java/damsonslip/transport/ConnectionReader.java
@@ -81,7 +81,7 @@
             connection.broken();
         } catch (RuntimeException e) {
             // a connection that nobody reads from any more must not stay open
-            LOG.error("event=connection_failed peer={}", connection.peer(), e);
+            LOG.error("event=connection_failed peer={}", connection.remoteAddress(), e);
             connection.broken();
         }
     }
@@ -126,7 +126,7 @@
         if (result == END_OF_STREAM) {
             connection.broken();
         } else if (result < END_OF_STREAM) {
-            loop.in(RETRY_DELAY_US, this::readUnlessAwaited);
+            loop.scheduleAfter(RETRY_DELAY_US, this::readUnlessAwaited);
         } else if (!isLingering() || drop(0)) {
             awaitMore();
         }
@@ -143,7 +143,7 @@
      * Reads once; returns less than {@link #END_OF_STREAM} if the system keeps failing the read.
      */
     private int fill() throws IOException {
-        long beforeUs = loop.now();
+        long beforeUs = loop.nowUs();
         EndPoint endPoint = connection.getEndPoint();
         int bytes = endPoint.fill(buffer.bytes());
         for (int retry = 0; bytes < END_OF_STREAM && retry < MAX_IMMEDIATE_RETRIES; retry++) {
--- a/src/main/java/damsonslip/transport/DescriptorShortage.java
+++ b/src/main/java/damsonslip/transport/DescriptorShortage.java
@@ -16,7 +16,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(DescriptorShortage.class);
 
     /** Delay before the next attempt, in milliseconds. */
-    public static final long AGAIN_MS = 100;
+    public static final long RETRY_DELAY_MS = 100;
 
     /** Below the 30 s within which a process has to be ready (STANDING). */
     private static final long TIMEOUT_MS = 25_000;
@@ -29,7 +29,7 @@
     private DescriptorShortage() {}
 
     /** Whether the failure is transient; an address that is in use or not available is not. */
-    public static boolean mayPass(IOException failure) {
+    public static boolean isTransient(IOException failure) {
         boolean addressUnavailable = failure instanceof BindException;
         return !addressUnavailable
                 && (failure instanceof SocketException || failure.getClass() == IOException.class);
@@ -47,7 +47,7 @@
             try {
                 return attempt.run();
             } catch (IOException e) {
-                if (!mayPass(e) || System.nanoTime() > deadlineNs || !sleep()) {
+                if (!isTransient(e) || System.nanoTime() > deadlineNs || !sleep()) {
                     throw e;
                 }
                 LOG.warn("event=no_socket_yet error=\"{}\"", e.getMessage());
@@ -57,7 +57,7 @@
 
     private static boolean sleep() {
         try {
-            Thread.sleep(AGAIN_MS);
+            Thread.sleep(RETRY_DELAY_MS);
             return true;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/damsonslip/transport/EventLoopConnection.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -67,24 +67,24 @@
 
     /**
      * Called when bytes have been read; those left in the buffer are offered again with the next
-     * ones, or on {@link #again}.
+     * ones, or on {@link #resumeReading}.
      */
     protected abstract void received(ByteBuffer bytes);
 
     /** Called when the system is ready to read or write, before any byte is read or written. */
-    protected void selected() {}
+    protected void readyForIo() {}
 
     /** Called when all that has come until now was read, and the connection is still open. */
     protected void readComplete() {}
 
     /**
-     * Called once, after {@link #released}, when the peer or the network has closed the connection;
-     * not called after {@link #end}.
+     * Called once, after {@link #connectionClosed}, when the peer or the network has closed the
+     * connection; not called after {@link #closeNow}.
      */
-    protected abstract void lost();
+    protected abstract void connectionLost();
 
     /** Called when the connection is closed, by whichever side. */
-    protected void released() {}
+    protected void connectionClosed() {}
 
     final ConnectionState state() {
         return state;
@@ -101,7 +101,7 @@
     }
 
     /** Whether the peer, or the network, has closed the connection. */
-    protected final boolean isEndedByPeer() {
+    protected final boolean isClosedByPeer() {
         return endedByPeer;
     }
 
@@ -113,11 +113,11 @@
         return allowed;
     }
 
-    /** Closes the connection at once, without {@link #lost}. */
-    public final void end() {
+    /** Closes the connection at once, without {@link #connectionLost}. */
+    public final void closeNow() {
         if (changeTo(ConnectionState.CLOSED)) {
             getEndPoint().close();
-            released();
+            connectionClosed();
         }
     }
 
@@ -126,8 +126,8 @@
         if (changeTo(ConnectionState.CLOSED)) {
             endedByPeer = true;
             getEndPoint().close();
-            released();
-            lost();
+            connectionClosed();
+            connectionLost();
         }
     }
 
@@ -136,7 +136,7 @@
      * connection, and the peer might never see what was written, so these are read and dropped
      * first. That is bounded in time and bytes, since a fast peer would keep the loop from others.
      */
-    protected final void endWhenWritten() {
+    protected final void closeAfterWrites() {
         changeTo(ConnectionState.CLOSE_PENDING);
         if (!writes.isWriting()) {
             linger();
@@ -147,7 +147,7 @@
         if (changeTo(ConnectionState.LINGERING)) {
             lingered = true;
             getEndPoint().shutdownOutput();
-            loop.in(LINGER_US, this::end);
+            loop.scheduleAfter(LINGER_US, this::closeNow);
             reader.beginDropping();
         }
     }
@@ -159,9 +159,9 @@
      */
     final void evict() {
         if (state == ConnectionState.OPEN) {
-            endUnserved();
+            closeGracefully();
         } else {
-            end();
+            closeNow();
         }
     }
 
@@ -169,8 +169,8 @@
      * Closes the connection gracefully between requests; a subclass may have to answer a request of
      * which only a part has come.
      */
-    protected void endUnserved() {
-        endWhenWritten();
+    protected void closeGracefully() {
+        closeAfterWrites();
     }
 
     /** Writes in order; runs the callback once the last byte has been handed to the system. */
@@ -181,7 +181,7 @@
     }
 
     /** Returns how many bytes the system has not taken yet. */
-    protected final long backlog() {
+    protected final long backlogBytes() {
         return writes.backlogBytes();
     }
 
@@ -191,14 +191,14 @@
     }
 
     /** Reads what has come, so that a connection is not closed over a request not read yet. */
-    protected final void look() {
+    protected final void readAvailable() {
         if (state.acceptsInput()) {
             reader.read();
         }
     }
 
     /** Offers the bytes that were not consumed once more, and then reads on. */
-    protected final void again() {
+    protected final void resumeReading() {
         reader.resume();
     }
 
@@ -215,7 +215,7 @@
         boolean quiet = progress == progressAtLastCheck;
         if (quiet && !isClosed() && getEndPoint() instanceof LoopEndPoint endPoint) {
             if (writes.isWriting()) {
-                selected(); // the subclass may want to abandon what is being written
+                readyForIo(); // the subclass may want to abandon what is being written
             }
             if (writes.isWriting() && !isClosed()) {
                 endPoint.tryWriting();
@@ -231,7 +231,7 @@
     }
 
     /** Returns the remote address, for logs. */
-    protected final String peer() {
+    protected final String remoteAddress() {
         return String.valueOf(getEndPoint().getRemoteSocketAddress());
     }
 
@@ -239,7 +239,7 @@
     protected final long arrivedAfterUs() {
         return getEndPoint() instanceof LoopEndPoint endPoint
                 ? endPoint.arrival().arrivedAfterUs()
-                : loop.now();
+                : loop.nowUs();
     }
 
     /**
@@ -247,7 +247,7 @@
      * may have waited here for longer than is tolerated.
      */
     protected final long arrivalUs() {
-        return Math.min(loop.now(), arrivedAfterUs() + TOLERATED_WAIT_US);
+        return Math.min(loop.nowUs(), arrivedAfterUs() + TOLERATED_WAIT_US);
     }
 
     /** Called by Jetty on the selector's thread. */
--- a/src/main/java/damsonslip/transport/LimitedAcceptor.java
+++ b/src/main/java/damsonslip/transport/LimitedAcceptor.java
@@ -3,7 +3,8 @@
 /**
  * Accepts connections of one kind up to the limit of a {@link ConnectionLimiter}; those beyond it
  * wait in the listener's queue until others have been closed. The acceptor's own methods are called
- * on any thread, {@link #opened} and {@link #closed} by the connections, on the event loop.
+ * on any thread, {@link #connectionOpened} and {@link #connectionClosed} by the connections, on the
+ * event loop.
  */
 public abstract class LimitedAcceptor<L extends EventLoopConnection>
         implements ConnectionManager.ConnectionAcceptor {
@@ -15,13 +16,13 @@
     }
 
     /** Returns the limiter, which knows the open connections. */
-    protected final ConnectionLimiter<L> room() {
+    protected final ConnectionLimiter<L> limiter() {
         return limiter;
     }
 
     @Override
-    public final boolean hasRoom() {
-        return limiter.hasRoom();
+    public final boolean hasCapacity() {
+        return limiter.hasCapacity();
     }
 
     @Override
@@ -30,17 +31,17 @@
     }
 
     @Override
-    public final void turnedBack() {
-        limiter.turnedBack();
+    public final void admissionFailed() {
+        limiter.admissionFailed();
     }
 
     /** Called when a connection of this kind has been set up. */
-    public void opened(L connection) {
-        limiter.opened(connection);
+    public void connectionOpened(L connection) {
+        limiter.connectionOpened(connection);
     }
 
     /** Called when a connection of this kind has been closed. */
-    public void closed(L connection) {
-        limiter.closed(connection);
+    public void connectionClosed(L connection) {
+        limiter.connectionClosed(connection);
     }
 }
--- a/src/main/java/damsonslip/transport/LineDecoder.java
+++ b/src/main/java/damsonslip/transport/LineDecoder.java
@@ -23,13 +23,13 @@
     }
 
     /** Returns the lines that end in these bytes; null if the unfinished line is too long. */
-    public List<String> take(byte[] bytes) {
+    public List<String> decode(byte[] bytes) {
         List<String> lines = new ArrayList<>(2);
         int lineStart = 0;
         for (int i = 0; i < bytes.length; i++) {
             if (bytes[i] == '\n') {
                 unfinished.write(bytes, lineStart, i - lineStart);
-                lines.add(rest());
+                lines.add(takeUnfinished());
                 lineStart = i + 1;
             }
         }
@@ -38,12 +38,12 @@
     }
 
     /** Returns the number of bytes of the unfinished line. */
-    public int begun() {
+    public int unfinishedBytes() {
         return unfinished.size();
     }
 
     /** Returns the unfinished line and forgets it. */
-    public String rest() {
+    public String takeUnfinished() {
         String line = unfinished.toString(StandardCharsets.UTF_8).trim();
         unfinished = new ByteArrayOutputStream();
         return line;
--- a/src/main/java/damsonslip/transport/Listeners.java
+++ b/src/main/java/damsonslip/transport/Listeners.java
@@ -117,12 +117,12 @@
             return null;
         }
         listener.queueArrival().reported();
-        if (!listener.acceptor().hasRoom()) {
+        if (!listener.acceptor().hasCapacity()) {
             suspend(listener, FULL_DELAY_US);
             return null;
         }
         try {
-            return listener.accept(loop.now());
+            return listener.accept(loop.nowUs());
         } catch (ListeningSocket.AcceptFailedException e) {
             suspend(listener, e.retryDelayUs());
             return null;
@@ -143,7 +143,7 @@
 
     private SocketChannel acceptIfBelowLimit(ListeningSocket listener)
             throws ListeningSocket.AcceptFailedException {
-        return listener.acceptor().hasRoom() ? listener.accept(loop.now()) : null;
+        return listener.acceptor().hasCapacity() ? listener.accept(loop.nowUs()) : null;
     }
 
     /**
@@ -175,6 +175,7 @@
     private void suspend(ListeningSocket listener, long delayUs) {
         ManagedSelector managed = selector.get();
         listener.setWatched(managed.getSelector(), false);
-        loop.in(delayUs, () -> managed.submit(current -> listener.setWatched(current, true)));
+        loop.scheduleAfter(
+                delayUs, () -> managed.submit(current -> listener.setWatched(current, true)));
     }
 }
--- a/src/main/java/damsonslip/transport/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -46,7 +46,7 @@
      * that come until then would be reset as well. So the selector releases the socket first, then
      * all connections are accepted, and the close follows at once.
      */
-    public void shut() {
+    public void closeGracefully() {
         try {
             registration.close();
         } catch (IOException e) {
@@ -56,7 +56,7 @@
     }
 
     /** Whether the graceful close is complete; called on the loop. */
-    public boolean isShut() {
+    public boolean isClosedGracefully() {
         return closedGracefully;
     }
 
@@ -73,12 +73,12 @@
                 closedGracefully = true;
                 return;
             }
-            loop.in(RETRY_DELAY_US, this::drainAndClose);
+            loop.scheduleAfter(RETRY_DELAY_US, this::drainAndClose);
         } catch (ListeningSocket.AcceptFailedException e) {
-            loop.in(e.retryDelayUs(), this::drainAndClose);
+            loop.scheduleAfter(e.retryDelayUs(), this::drainAndClose);
         } catch (IOException e) {
             LOG.warn("event=listener_not_closed error=\"{}\"", e.getMessage());
-            loop.in(RETRY_DELAY_US, this::drainAndClose);
+            loop.scheduleAfter(RETRY_DELAY_US, this::drainAndClose);
         }
     }
 }
--- a/src/main/java/damsonslip/transport/LoopEndPoint.java
+++ b/src/main/java/damsonslip/transport/LoopEndPoint.java
@@ -118,7 +118,7 @@
 
     /** Counts a failed transfer; returns whether the next one may succeed. */
     private boolean mayRetryAfterFailure() {
-        long now = loop.now();
+        long now = loop.nowUs();
         if (failingSinceUs == NEVER) {
             failingSinceUs = now;
         }
@@ -134,7 +134,7 @@
             loop.execute(
                     () -> {
                         if (getConnection() instanceof EventLoopConnection connection) {
-                            connection.selected();
+                            connection.readyForIo();
                         }
                         ready.run();
                     });
--- a/src/main/java/damsonslip/transport/OutboundRateMonitor.java
+++ b/src/main/java/damsonslip/transport/OutboundRateMonitor.java
@@ -43,38 +43,42 @@
     public void begin() {
         lastBacklogBytes = backlogBytes.getAsLong();
         if (lastBacklogBytes > 0) {
-            rate.begin(loop.now());
+            rate.begin(loop.nowUs());
             scheduleCheck();
         }
     }
 
     /** Whether a message is being watched that the peer has not taken yet. */
-    public boolean waits() {
+    public boolean isWatching() {
         return nextCheck != null;
     }
 
     /** Returns the connection's use of buffers: bytes not taken, and the rate of those taken. */
-    public <L> BufferBudget.Holding<L> holding(L connection) {
-        return new BufferBudget.Holding<>(
-                connection, backlogBytes.getAsLong(), rate.rate(loop.now()));
+    public <L> BufferBudget.Usage<L> bufferUsage(L connection) {
+        return new BufferBudget.Usage<>(
+                connection, backlogBytes.getAsLong(), rate.bytesPerSecond(loop.nowUs()));
     }
 
     /** Returns the state of the transfer for operators. */
-    public SlowPeer shown(String what, String peer) {
-        long nowUs = loop.now();
+    public SlowPeer describe(String what, String peer) {
+        long nowUs = loop.nowUs();
         return new SlowPeer(
-                what, peer, backlogBytes.getAsLong(), rate.rate(nowUs), rate.leftUs(nowUs));
+                what,
+                peer,
+                backlogBytes.getAsLong(),
+                rate.bytesPerSecond(nowUs),
+                rate.leftUs(nowUs));
     }
 
     private void scheduleCheck() {
-        nextCheck = loop.in(CHECK_INTERVAL_US, this::check);
+        nextCheck = loop.scheduleAfter(CHECK_INTERVAL_US, this::check);
     }
 
     private void check() {
         long backlog = backlogBytes.getAsLong();
-        rate.moved(loop.now(), Math.max(0, lastBacklogBytes - backlog));
+        rate.transferred(loop.nowUs(), Math.max(0, lastBacklogBytes - backlog));
         lastBacklogBytes = backlog;
-        if (rate.isTooSlow(loop.now())) {
+        if (rate.isTooSlow(loop.nowUs())) {
             end();
             tooSlow.run();
         } else {
--- a/src/main/java/damsonslip/transport/PendingConnect.java
+++ b/src/main/java/damsonslip/transport/PendingConnect.java
@@ -26,7 +26,7 @@
             long timeoutUs) {
         this.channel = channel;
         this.factory = factory;
-        this.check = loop.in(timeoutUs - CHECK_BEFORE_TIMEOUT_US, this::checkUnreported);
+        this.check = loop.scheduleAfter(timeoutUs - CHECK_BEFORE_TIMEOUT_US, this::checkUnreported);
     }
 
     /**
@@ -37,10 +37,10 @@
         try {
             if (channel.isConnectionPending() && channel.finishConnect()) {
                 channel.close();
-                failed(ConnectFailure.UNHEARD);
+                connectFailed(ConnectFailure.UNDETECTED);
             }
         } catch (IOException e) { // refused or reset, as the selector would have reported
-            failed(ConnectFailure.UNREACHABLE);
+            connectFailed(ConnectFailure.UNREACHABLE);
         }
     }
 
@@ -52,11 +52,11 @@
 
     /** Called on the loop; the check and the selector may both find a failure. */
     @Override
-    public void failed(ConnectFailure failure) {
+    public void connectFailed(ConnectFailure failure) {
         check.cancel();
         if (!failed) {
             failed = true;
-            factory.failed(failure);
+            factory.connectFailed(failure);
         }
     }
 }
--- a/src/main/java/damsonslip/transport/datarate/BufferBudget.java
+++ b/src/main/java/damsonslip/transport/datarate/BufferBudget.java
@@ -13,14 +13,14 @@
     /**
      * What one connection keeps buffered.
      *
-     * @param link the connection
-     * @param waiting bytes that its peer has not read yet
-     * @param rate the rate at which it has read them lately, in bytes a second
+     * @param connection the connection
+     * @param bufferedBytes bytes that its peer has not read yet
+     * @param bytesPerSecond the rate at which it has read them lately, in bytes a second
      */
-    public record Holding<L>(L link, long waiting, double rate) {
+    public record Usage<L>(L connection, long bufferedBytes, double bytesPerSecond) {
         /** The remaining time at the present rate, weighted by the bytes held. */
         private double weight() {
-            return waiting * (waiting / (rate + 1));
+            return bufferedBytes * (bufferedBytes / (bytesPerSecond + 1));
         }
     }
 
@@ -33,20 +33,20 @@
      * @return connections in descending order of weight; none while the bound holds, and no more
      *     than needed
      */
-    public static <L> List<L> over(long maxBytes, List<Holding<L>> all) {
-        long bufferedBytes = all.stream().mapToLong(Holding::waiting).sum();
+    public static <L> List<L> chooseOverBudget(long maxBytes, List<Usage<L>> all) {
+        long bufferedBytes = all.stream().mapToLong(Usage::bufferedBytes).sum();
         if (bufferedBytes <= maxBytes) {
             return List.of();
         }
-        List<Holding<L>> heaviestFirst = new ArrayList<>(all);
-        heaviestFirst.sort(Comparator.comparingDouble(Holding<L>::weight).reversed());
+        List<Usage<L>> heaviestFirst = new ArrayList<>(all);
+        heaviestFirst.sort(Comparator.comparingDouble(Usage<L>::weight).reversed());
         List<L> chosen = new ArrayList<>();
-        for (Holding<L> holding : heaviestFirst) {
+        for (Usage<L> holding : heaviestFirst) {
             if (bufferedBytes <= maxBytes) {
                 break;
             }
-            bufferedBytes -= holding.waiting();
-            chosen.add(holding.link());
+            bufferedBytes -= holding.bufferedBytes();
+            chosen.add(holding.connection());
         }
         return chosen;
     }
--- a/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
@@ -70,7 +70,7 @@
     }
 
     /** Records that so many bytes were transferred. */
-    public void moved(long nowUs, long bytes) {
+    public void transferred(long nowUs, long bytes) {
         if (active) {
             drain(nowUs);
             transferredBytes += bytes;
@@ -98,7 +98,7 @@
     }
 
     /** The mean rate since the transfer started, in bytes a second; 0 if none is under way. */
-    public double rate(long nowUs) {
+    public double bytesPerSecond(long nowUs) {
         return !active ? 0 : transferredBytes * 1e6 / Math.max(1, nowUs - startedUs);
     }
 
--- a/src/test/java/damsonslip/engine/ActionExecutorTest.java
+++ b/src/test/java/damsonslip/engine/ActionExecutorTest.java
@@ -16,7 +16,7 @@
     private static final WorkerGateway FAILING_GATEWAY =
             new WorkerGateway() {
                 @Override
-                public void start(Attempt attempt) {
+                public void send(Attempt attempt) {
                     throw new IllegalStateException("a fault of the front");
                 }
 
@@ -27,7 +27,7 @@
                 public void probe(String worker, long connectedByUs) {}
 
                 @Override
-                public void watch() {}
+                public void watchWorkerList() {}
             };
 
     @Test
@@ -39,9 +39,9 @@
         CompletableFuture<RequestContext> accepted = new CompletableFuture<>();
         loop.execute(
                 () -> {
-                    engine.begin(FAILING_GATEWAY, List.of(EngineFixtures.warmWorker("a")));
-                    Request request = EngineFixtures.request("q", loop.now() + DEADLINE_US);
-                    accepted.complete(engine.take(request, answered::complete));
+                    engine.start(FAILING_GATEWAY, List.of(EngineFixtures.warmWorker("a")));
+                    Request request = EngineFixtures.request("q", loop.nowUs() + DEADLINE_US);
+                    accepted.complete(engine.submit(request, answered::complete));
                 });
         assertNotNull(accepted.get(5, TimeUnit.SECONDS), "the call returns");
         assertEquals(Response.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
--- a/src/test/java/damsonslip/engine/GracefulShutdownTest.java
+++ b/src/test/java/damsonslip/engine/GracefulShutdownTest.java
@@ -24,7 +24,7 @@
 
     @BeforeEach
     void serve() {
-        phase.moveTo(State.SERVING);
+        phase.advanceTo(State.SERVING);
     }
 
     @AfterEach
@@ -46,7 +46,7 @@
     @Test
     void acceptsUntilASuccessorServes() throws Exception {
         GracefulShutdown shutdown = shutdown(LONG_US, LONG_US);
-        loop.execute(shutdown::begin);
+        loop.execute(shutdown::start);
         assertTrue(phase.await(State.LEAVING, TIMEOUT_MILLIS));
         assertEquals(0, listenersClosed.get());
         hasSuccessor.set(true);
@@ -56,7 +56,7 @@
     @Test
     void endsOnceNothingIsOpen() throws Exception {
         GracefulShutdown shutdown = shutdown(SHORT_US, LONG_US);
-        loop.execute(shutdown::begin);
+        loop.execute(shutdown::start);
         assertTrue(phase.await(State.FINISHING, TIMEOUT_MILLIS));
         isFinished.set(true);
         assertTrue(phase.await(State.ENDED, TIMEOUT_MILLIS));
@@ -66,8 +66,8 @@
     @Test
     void endsAtItsTimeLimitThoughSomethingIsOpen() throws Exception {
         GracefulShutdown shutdown = shutdown(SHORT_US, SHORT_US);
-        loop.execute(shutdown::begin);
-        loop.execute(shutdown::begin);
+        loop.execute(shutdown::start);
+        loop.execute(shutdown::start);
         assertTrue(phase.await(State.ENDED, TIMEOUT_MILLIS));
         assertEquals(1, listenersClosed.get());
     }
--- a/src/test/java/damsonslip/engine/LifecyclePhaseTest.java
+++ b/src/test/java/damsonslip/engine/LifecyclePhaseTest.java
@@ -15,24 +15,24 @@
     void movesForwardOnlyAndNotifiesOnEachMove() {
         AtomicInteger changes = new AtomicInteger();
         phase.onChange(changes::incrementAndGet);
-        phase.moveTo(State.FINISHING);
-        phase.moveTo(State.LEAVING);
-        phase.moveTo(State.FINISHING);
+        phase.advanceTo(State.FINISHING);
+        phase.advanceTo(State.LEAVING);
+        phase.advanceTo(State.FINISHING);
         assertEquals(State.FINISHING, phase.state());
-        assertTrue(phase.atLeast(State.LEAVING));
-        assertFalse(phase.atLeast(State.ENDED));
+        assertTrue(phase.hasReached(State.LEAVING));
+        assertFalse(phase.hasReached(State.ENDED));
         assertEquals(1, changes.get());
     }
 
     @Test
     void drainsWhileServingOnlyAndReturns() {
         assertFalse(phase.drain());
-        phase.moveTo(State.SERVING);
+        phase.advanceTo(State.SERVING);
         assertTrue(phase.drain());
         assertTrue(phase.drain());
         phase.undrain();
         assertTrue(phase.is(State.SERVING));
-        phase.moveTo(State.LEAVING);
+        phase.advanceTo(State.LEAVING);
         assertFalse(phase.drain());
         phase.undrain();
         assertTrue(phase.is(State.LEAVING));
@@ -41,7 +41,7 @@
     @Test
     void waitsUntilAPhaseIsReached() throws Exception {
         assertFalse(phase.await(State.ENDED, 1));
-        phase.moveTo(State.ENDED);
+        phase.advanceTo(State.ENDED);
         assertTrue(phase.await(State.LEAVING, 1));
     }
 }
