--- a/src/test/java/damsonslip/engine/OpenRequestsTest.java
+++ b/src/test/java/damsonslip/engine/OpenRequestsTest.java
@@ -36,21 +36,21 @@
     }
 
     private RequestContext submit(String id, long timeLeftUs) {
-        Request request = EngineFixtures.request(id, loop.now() + timeLeftUs);
+        Request request = EngineFixtures.request(id, loop.nowUs() + timeLeftUs);
         return requests.submit(request, responses::add);
     }
 
     @Test
     void rejectsRequestsBeyondTheLimitWithoutAskingTheModule() {
-        for (int i = 0; i < SchedulerEngine.MOST_OPEN; i++) {
+        for (int i = 0; i < SchedulerEngine.MAX_OPEN_REQUESTS; i++) {
             submit("q" + i, FAR_DEADLINE_US);
         }
-        assertEquals(SchedulerEngine.MOST_OPEN, events.size());
+        assertEquals(SchedulerEngine.MAX_OPEN_REQUESTS, events.size());
         assertEquals(List.of(), responses);
         submit("one-too-many", FAR_DEADLINE_US);
-        assertEquals(SchedulerEngine.MOST_OPEN, events.size());
+        assertEquals(SchedulerEngine.MAX_OPEN_REQUESTS, events.size());
         assertEquals(List.of(Response.throttled(Response.NO_RETRY_AFTER)), responses);
-        assertEquals(SchedulerEngine.MOST_OPEN, requests.openCount());
+        assertEquals(SchedulerEngine.MAX_OPEN_REQUESTS, requests.openCount());
         assertFalse(requests.contains("one-too-many"));
     }
 
@@ -92,6 +92,6 @@
         requests.abandon(left);
         events.clear();
         requests.answerAllOpen();
-        assertEquals(List.of(new TimerDue(SchedulingPolicy.lastLabel("q"))), events);
+        assertEquals(List.of(new TimerDue(SchedulingPolicy.deadlineTimerLabel("q"))), events);
     }
 }
--- a/src/test/java/damsonslip/engine/PolicyDispatcherTest.java
+++ b/src/test/java/damsonslip/engine/PolicyDispatcherTest.java
@@ -21,7 +21,7 @@
 
     private Event arrival(String id) {
         return new JobArrived(
-                id, 0, 0, null, loop.now() + 1_000_000, 1, 0, Integer.MAX_VALUE, null);
+                id, 0, 0, null, loop.nowUs() + 1_000_000, 1, 0, Integer.MAX_VALUE, null);
     }
 
     private void execute(Action action) {
--- a/src/test/java/damsonslip/engine/RequestContextTest.java
+++ b/src/test/java/damsonslip/engine/RequestContextTest.java
@@ -94,9 +94,9 @@
         context.limitRetriesTo(5_000);
         context.limitRetriesTo(9_000);
         Attempt attempt = attempt();
-        assertTrue(attempt.mayBegin(4_999));
-        assertFalse(attempt.mayBegin(5_000));
+        assertTrue(attempt.mayBeWritten(4_999));
+        assertFalse(attempt.mayBeWritten(5_000));
         context.abandon();
-        assertFalse(attempt.mayBegin(4_999));
+        assertFalse(attempt.mayBeWritten(4_999));
     }
 }
--- a/src/test/java/damsonslip/engine/RequestTraceTest.java
+++ b/src/test/java/damsonslip/engine/RequestTraceTest.java
@@ -29,7 +29,7 @@
 
     @Test
     void recordsTheCachedListAndFailures() {
-        trace.workerListChanged(WorkerListChange.KEPT, List.of());
+        trace.workerListChanged(WorkerListChange.CACHED, List.of());
         assertNewest(" listed id= detail=KEPT figure=0");
         trace.workerListChanged(WorkerListChange.NOT_CALLED, List.of());
         assertNewest(" list_lost id= detail=NOT_CALLED figure=0");
@@ -37,7 +37,7 @@
 
     @Test
     void recordsTheStateOfDiscoverysAddress() {
-        trace.discoveryAddressChanged(DiscoveryAddressState.HEARD);
+        trace.discoveryAddressChanged(DiscoveryAddressState.CONFIRMED);
         assertNewest(" listed id= detail=address heard figure=0");
     }
 
--- a/src/test/java/damsonslip/engine/SchedulerEngineTest.java
+++ b/src/test/java/damsonslip/engine/SchedulerEngineTest.java
@@ -28,7 +28,7 @@
     private final WorkerGateway gateway =
             new WorkerGateway() {
                 @Override
-                public void start(Attempt attempt) {
+                public void send(Attempt attempt) {
                     sent.add(attempt);
                 }
 
@@ -36,7 +36,7 @@
                 public void cancel(Attempt attempt) {}
 
                 @Override
-                public boolean withdraw(Attempt attempt) {
+                public boolean withdrawUnsent(Attempt attempt) {
                     return true;
                 }
 
@@ -44,7 +44,7 @@
                 public void probe(String worker, long connectedByUs) {}
 
                 @Override
-                public void watch() {}
+                public void watchWorkerList() {}
             };
 
     @AfterEach
@@ -67,11 +67,12 @@
     }
 
     private void startWithOneWorker() {
-        engine.begin(gateway, List.of(EngineFixtures.warmWorker("a")));
+        engine.start(gateway, List.of(EngineFixtures.warmWorker("a")));
     }
 
     private RequestContext submit(String id) {
-        return engine.take(EngineFixtures.request(id, loop.now() + DEADLINE_US), responses::add);
+        return engine.submit(
+                EngineFixtures.request(id, loop.nowUs() + DEADLINE_US), responses::add);
     }
 
     @Test
@@ -81,14 +82,15 @@
                     startWithOneWorker();
                     submit("q");
                     assertEquals(1, sent.size());
-                    assertTrue(engine.holds("q"));
-                    engine.started(sent.get(0));
-                    engine.ended(
-                            sent.get(0), new Attempt.End(AttemptOutcome.SERVED, null, "result"));
+                    assertTrue(engine.isIdInUse("q"));
+                    engine.attemptStarted(sent.get(0));
+                    engine.attemptEnded(
+                            sent.get(0),
+                            new Attempt.Completion(AttemptOutcome.SERVED, null, "result"));
                     assertEquals(List.of(Response.served("result")), responses);
-                    assertEquals(1, engine.answers(0, Kind.SERVED));
-                    assertEquals(0, engine.open());
-                    assertFalse(engine.holds("q"));
+                    assertEquals(1, engine.responseCount(0, Kind.SERVED));
+                    assertEquals(0, engine.openRequestCount());
+                    assertFalse(engine.isIdInUse("q"));
                 });
     }
 
@@ -99,8 +101,9 @@
                     startWithOneWorker();
                     submit("q");
                     Attempt attempt = sent.get(0);
-                    engine.ended(attempt, new Attempt.End(AttemptOutcome.SERVED, null, "result"));
-                    engine.ended(attempt, Attempt.End.of(AttemptOutcome.RESET));
+                    engine.attemptEnded(
+                            attempt, new Attempt.Completion(AttemptOutcome.SERVED, null, "result"));
+                    engine.attemptEnded(attempt, Attempt.Completion.of(AttemptOutcome.RESET));
                     assertEquals(1, counters.get(Count.EXECUTIONS_SERVED));
                     assertEquals(0, counters.get(Count.EXECUTIONS_RESET));
                     assertEquals(1, responses.size());
@@ -113,14 +116,14 @@
                 () -> {
                     startWithOneWorker();
                     RequestContext context = submit("q");
-                    engine.gone(context);
-                    engine.gone(context);
-                    assertFalse(sent.get(0).open());
+                    engine.clientDisconnected(context);
+                    engine.clientDisconnected(context);
+                    assertFalse(sent.get(0).isOpen());
                     assertEquals(List.of(), responses);
                     assertEquals(1, counters.get(Count.QUERIES_GONE));
                     assertEquals(1, counters.get(Count.EXECUTIONS_NEVER_SENT));
-                    assertEquals(0, engine.open());
-                    assertFalse(engine.holds("q"));
+                    assertEquals(0, engine.openRequestCount());
+                    assertFalse(engine.isIdInUse("q"));
                 });
     }
 
@@ -130,10 +133,10 @@
                 () -> {
                     startWithOneWorker();
                     submit("q");
-                    engine.answerAll();
+                    engine.answerAllOpen();
                     assertEquals(1, responses.size());
                     assertEquals(Kind.FAILED, responses.get(0).kind());
-                    assertEquals(0, engine.open());
+                    assertEquals(0, engine.openRequestCount());
                 });
     }
 
@@ -142,18 +145,18 @@
         onLoop(
                 () -> {
                     startWithOneWorker();
-                    assertFalse(engine.disable("unknown"));
-                    assertTrue(engine.disable("a"));
-                    assertTrue(engine.bars("a"));
-                    assertTrue(engine.enable("a"));
-                    assertFalse(engine.bars("a"));
+                    assertFalse(engine.disableWorker("unknown"));
+                    assertTrue(engine.disableWorker("a"));
+                    assertTrue(engine.isDisabled("a"));
+                    assertTrue(engine.enableWorker("a"));
+                    assertFalse(engine.isDisabled("a"));
                 });
     }
 
     @Test
     void hasNoWorkerListBeforeItStarts() throws Exception {
-        assertFalse(engine.isBegun());
+        assertFalse(engine.isStarted());
         onLoop(this::startWithOneWorker);
-        assertTrue(engine.isBegun());
+        assertTrue(engine.isStarted());
     }
 }
--- a/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
+++ b/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
@@ -13,15 +13,17 @@
     void permitsNoCloseWhileAResponseIsOwed() {
         assertViolates(
                 Invariant.NO_CLOSE_WITHOUT_ANSWER,
-                CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle")));
-        assertTrue(CloseGuard.check(new CloseGuard.Facts("q", true, true, "left")).isEmpty());
+                CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, false, "idle")));
+        assertTrue(
+                CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, true, "left"))
+                        .isEmpty());
     }
 
     @Test
     void permitsResponsesUpToHalfASecondAfterTheDeadline() {
-        assertTrue(CloseGuard.checkAnswer("q", NOW, NOW - 500 * MS).isEmpty());
+        assertTrue(CloseGuard.checkResponse("q", NOW, NOW - 500 * MS).isEmpty());
         assertViolates(
-                Invariant.NO_ANSWER_TOO_LATE, CloseGuard.checkAnswer("q", NOW, NOW - 501 * MS));
+                Invariant.NO_ANSWER_TOO_LATE, CloseGuard.checkResponse("q", NOW, NOW - 501 * MS));
     }
 
     @Test
--- a/src/test/java/damsonslip/engine/invariants/InvariantMonitorTest.java
+++ b/src/test/java/damsonslip/engine/invariants/InvariantMonitorTest.java
@@ -15,7 +15,7 @@
     void reportsEveryViolationAndRefusesInRefuseModeOnly() {
         List<Violation> reported = new ArrayList<>();
         Optional<Violation> violation =
-                CloseGuard.check(new CloseGuard.Facts("q", true, false, "idle"));
+                CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, false, "idle"));
         InvariantMonitor reporting = new InvariantMonitor(Mode.REPORT, reported::add);
         assertTrue(reporting.permits(violation));
         assertTrue(reporting.permits(Optional.empty()));
--- a/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import java.util.Random;
 import java.util.function.LongBinaryOperator;
 import org.junit.jupiter.api.Test;
@@ -24,7 +24,7 @@
     private static LongBinaryOperator retryInSlots(DiscoveryWatch[] watches) {
         Random random = new Random(3);
         return (number, now) ->
-                watches[(int) number].lost(Loss.FAILED, now, now, random.nextDouble());
+                watches[(int) number].failed(Failure.FAILED, now, now, random.nextDouble());
     }
 
     private static DiscoveryWatch[] watches(int schedulers) {
@@ -40,9 +40,9 @@
             DiscoveryWatch[] watches, SerialDiscovery discovery, long at, Random random) {
         for (int number = 0; number < watches.length; number++) {
             DiscoveryWatch watch = watches[number];
-            watch.called(watch.start(0, 0.5));
-            watch.received();
-            discovery.pollAt(number, watch.lost(Loss.FAILED, at, at, random.nextDouble()));
+            watch.pollSent(watch.start(0, 0.5));
+            watch.updateReceived();
+            discovery.pollAt(number, watch.failed(Failure.FAILED, at, at, random.nextDouble()));
         }
     }
 
@@ -82,7 +82,7 @@
                 60 * SECOND,
                 (number, now) -> {
                     DiscoveryWatch watch = watches[(int) number];
-                    long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                    long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
                     assertFalse(
                             watch.isValid(counts),
                             number + " uses its list after a failure at " + now);
@@ -116,7 +116,7 @@
                     returns + 60 * SECOND,
                     (number, now) -> {
                         DiscoveryWatch watch = watches[(int) number];
-                        long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                        long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
                         boolean valid = watch.isValid(Math.max(now, returns + LEASE));
                         assertFalse(
                                 valid,
@@ -169,9 +169,9 @@
             long first =
                     watches[number].start(survives ? 0 : returns + 3_400_000, random.nextDouble());
             if (survives && !duringFirstPolls) {
-                watches[number].called(first);
-                watches[number].received();
-                first = watches[number].lost(Loss.FAILED, down, down, random.nextDouble());
+                watches[number].pollSent(first);
+                watches[number].updateReceived();
+                first = watches[number].failed(Failure.FAILED, down, down, random.nextDouble());
             }
             discovery.pollAt(number, first);
         }
@@ -179,7 +179,7 @@
                 60 * SECOND,
                 (number, now) -> {
                     DiscoveryWatch watch = watches[(int) number];
-                    long next = watch.lost(Loss.FAILED, now, now, random.nextDouble());
+                    long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
                     boolean valid =
                             survives(number) && watch.isValid(Math.max(now, returns + LEASE));
                     assertFalse(valid, number + " uses its list after a failure at " + now);
--- a/src/test/java/damsonslip/membership/DiscoveryModel.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModel.java
@@ -1,6 +1,6 @@
 package damsonslip.membership;
 
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -96,7 +96,7 @@
             silentSince = Long.MAX_VALUE;
             enter(Phase.WAITING);
             scheduleInPhase(watch.start(now, random.nextDouble()), this::poll);
-            watch.launched(launchedAt);
+            watch.processLaunched(launchedAt);
         }
 
         void kill() {
@@ -106,10 +106,10 @@
 
         void poll() {
             enter(Phase.POLLING);
-            watch.called(now);
+            watch.pollSent(now);
             long wait = Math.max(0, busyUntil - now);
             if (isDown(now) || wait > pollTimeout) {
-                scheduleInPhase(now + pollTimeout, () -> watchLost(Loss.FAILED, now));
+                scheduleInPhase(now + pollTimeout, () -> watchLost(Failure.FAILED, now));
             } else {
                 scheduleInPhase(now + wait + pollCost, this::open);
             }
@@ -119,7 +119,7 @@
         }
 
         private void open() {
-            watch.received();
+            watch.updateReceived();
             silentSince = Long.MAX_VALUE;
             enter(Phase.OPEN);
         }
@@ -128,19 +128,20 @@
             if (phase == Phase.OPEN) {
                 enter(Phase.SILENT);
                 silentSince = now;
-                scheduleInPhase(now + SILENCE_TIMEOUT, () -> watchLost(Loss.SILENT, silentSince));
+                scheduleInPhase(
+                        now + SILENCE_TIMEOUT, () -> watchLost(Failure.SILENT, silentSince));
             }
         }
 
-        void watchLost(Loss loss, long heardUs) {
+        void watchLost(Failure loss, long heardUs) {
             enter(Phase.WAITING);
-            scheduleInPhase(watch.lost(loss, heardUs, now, random.nextDouble()), this::poll);
+            scheduleInPhase(watch.failed(loss, heardUs, now, random.nextDouble()), this::poll);
         }
 
         /** Ends the connection, as discovery goes down. */
         void disconnect() {
             if (phase == Phase.OPEN || phase == Phase.POLLING) {
-                watchLost(Loss.FAILED, now);
+                watchLost(Failure.FAILED, now);
             }
         }
 
--- a/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -27,8 +27,8 @@
 
     private static DiscoveryWatch openWatch() {
         DiscoveryWatch watch = watch(1, 0);
-        watch.called(watch.start(0, 0.5));
-        watch.received();
+        watch.pollSent(watch.start(0, 0.5));
+        watch.updateReceived();
         return watch;
     }
 
@@ -50,7 +50,7 @@
     @Test
     void expiresListAfterPropagationAndGraceWhenWatchIsReset() {
         DiscoveryWatch watch = openWatch();
-        watch.lost(Loss.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
+        watch.failed(Failure.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
         assertTrue(watch.isValid(20 * SECOND + LEASE - 1));
         assertFalse(watch.isValid(20 * SECOND + LEASE));
     }
@@ -58,7 +58,7 @@
     @Test
     void countsSilenceFromLastMessageNotFromItsDetection() {
         DiscoveryWatch watch = openWatch();
-        watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
+        watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
         assertFalse(watch.isValid(20 * SECOND + LEASE));
     }
 
@@ -74,11 +74,11 @@
         "SILENT,UNREACHABLE,true"
     })
     void extendsListAfterFailedPollOnlyWhenDiscoveryIsUnreachable(
-            Loss ofWatch, Loss ofPoll, boolean extended) {
+            Failure ofWatch, Failure ofPoll, boolean extended) {
         DiscoveryWatch watch = openWatch();
-        watch.lost(ofWatch, 20 * SECOND, 20 * SECOND, 0.5);
-        watch.called(21 * SECOND);
-        watch.lost(ofPoll, 21 * SECOND, 23 * SECOND, 0.5);
+        watch.failed(ofWatch, 20 * SECOND, 20 * SECOND, 0.5);
+        watch.pollSent(21 * SECOND);
+        watch.failed(ofPoll, 21 * SECOND, 23 * SECOND, 0.5);
         assertEquals(extended, watch.isValid(20 * SECOND + LEASE));
         assertFalse(watch.isValid(21 * SECOND + LEASE));
     }
@@ -86,11 +86,11 @@
     @Test
     void extendsListWhenPollsFailForLongerThanShortOutage() {
         DiscoveryWatch watch = openWatch();
-        watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
+        watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
         for (long at = 24 * SECOND; at < 44 * SECOND; at += 5 * SECOND) {
             assertFalse(watch.isValid(23 * SECOND + LEASE), "not yet");
-            watch.called(at);
-            watch.lost(Loss.FAILED, at, at + 2 * SECOND, 0.5);
+            watch.pollSent(at);
+            watch.failed(Failure.FAILED, at, at + 2 * SECOND, 0.5);
         }
         assertTrue(watch.isValid(42 * SECOND));
     }
@@ -98,9 +98,9 @@
     @Test
     void shortensLeaseForShorterPollInterval() {
         DiscoveryWatch watch = new DiscoveryWatch(1, 0, 2 * SECOND, GRACE);
-        watch.called(watch.start(0, 0.5));
-        watch.received();
-        watch.lost(Loss.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
+        watch.pollSent(watch.start(0, 0.5));
+        watch.updateReceived();
+        watch.failed(Failure.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
         assertFalse(watch.isValid(20 * SECOND + 2 * SECOND + GRACE));
     }
 
@@ -108,11 +108,11 @@
     @Test
     void expiresListWhenConfigurationIsUnreadable() {
         DiscoveryWatch watch = openWatch();
-        watch.configurationUnread(20 * SECOND);
-        watch.configurationUnread(22 * SECOND);
-        watch.lost(Loss.FAILED, 21 * SECOND, 21 * SECOND, 0.5);
-        watch.called(22 * SECOND);
-        watch.lost(Loss.UNREACHABLE, 22 * SECOND, 22 * SECOND, 0.5);
+        watch.configurationUnreadable(20 * SECOND);
+        watch.configurationUnreadable(22 * SECOND);
+        watch.failed(Failure.FAILED, 21 * SECOND, 21 * SECOND, 0.5);
+        watch.pollSent(22 * SECOND);
+        watch.failed(Failure.UNREACHABLE, 22 * SECOND, 22 * SECOND, 0.5);
         assertTrue(watch.isValid(20 * SECOND + LEASE - 2 * SECOND - 1));
         assertFalse(
                 watch.isValid(20 * SECOND + LEASE - 2 * SECOND),
@@ -124,10 +124,11 @@
     @Test
     void pollsPromptlyAfterSilence() {
         DiscoveryWatch watch = watch(100, 7);
-        watch.called(watch.start(0, 0.5));
-        watch.received();
+        watch.pollSent(watch.start(0, 0.5));
+        watch.updateReceived();
         assertTrue(
-                watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.99) < 23 * SECOND + SECOND / 4);
+                watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.99)
+                        < 23 * SECOND + SECOND / 4);
     }
 
     @ParameterizedTest
@@ -136,10 +137,10 @@
         List<Long> calls = new ArrayList<>();
         for (int number = 0; number < schedulers; number++) {
             DiscoveryWatch watch = watch(schedulers, number);
-            watch.called(watch.start(0, 0.5));
-            watch.received();
+            watch.pollSent(watch.start(0, 0.5));
+            watch.updateReceived();
             long lost = 1_700_000_000L * SECOND + 123_456;
-            calls.add(watch.lost(Loss.FAILED, lost, lost, 0.5));
+            calls.add(watch.failed(Failure.FAILED, lost, lost, 0.5));
         }
         assertEquals(schedulers, calls.stream().distinct().count());
     }
@@ -148,12 +149,12 @@
     @Test
     void retriesTimedOutPollOneCycleLater() {
         DiscoveryWatch watch = watch(100, 42);
-        watch.called(watch.start(0, 0.5));
-        watch.received();
-        long first = watch.lost(Loss.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
+        watch.pollSent(watch.start(0, 0.5));
+        watch.updateReceived();
+        long first = watch.failed(Failure.FAILED, 20 * SECOND, 20 * SECOND, 0.5);
         for (int i = 0; i < 6; i++) {
-            watch.called(first);
-            long next = watch.lost(Loss.FAILED, first, first + 2 * SECOND, 0.99);
+            watch.pollSent(first);
+            long next = watch.failed(Failure.FAILED, first, first + 2 * SECOND, 0.99);
             assertEquals(first + 4_500_000, next, "failure " + i);
             first = next;
         }
@@ -169,23 +170,23 @@
     @Test
     void holdsBackKeptListUntilFirstPollEnds() {
         DiscoveryWatch answered = watch(1, 0);
-        answered.called(answered.start(0, 0.5));
+        answered.pollSent(answered.start(0, 0.5));
         assertFalse(answered.isUsable(SECOND));
-        answered.received();
+        answered.updateReceived();
         assertTrue(answered.isUsable(SECOND));
         DiscoveryWatch failed = watch(1, 0);
-        failed.called(failed.start(0, 0.5));
-        failed.lost(Loss.FAILED, SECOND, SECOND, 0.5);
+        failed.pollSent(failed.start(0, 0.5));
+        failed.failed(Failure.FAILED, SECOND, SECOND, 0.5);
         assertTrue(failed.isUsable(SECOND), "there is no newer list to be had");
         DiscoveryWatch late = watch(1, 0);
-        late.called(late.start(9 * SECOND, 0.5));
-        late.launched(0);
+        late.pollSent(late.start(9 * SECOND, 0.5));
+        late.processLaunched(0);
         assertFalse(late.isValid(9 * SECOND));
-        assertTrue(late.mayWait(9 * SECOND), "its first poll may bring a list");
-        late.lost(Loss.FAILED, 10 * SECOND, 10 * SECOND, 0.5);
-        assertFalse(late.mayWait(10 * SECOND));
+        assertTrue(late.mayBecomeUsable(9 * SECOND), "its first poll may bring a list");
+        late.failed(Failure.FAILED, 10 * SECOND, 10 * SECOND, 0.5);
+        assertFalse(late.mayBecomeUsable(10 * SECOND));
         DiscoveryWatch unanswered = watch(1, 0);
-        unanswered.called(unanswered.start(0, 0.5));
+        unanswered.pollSent(unanswered.start(0, 0.5));
         assertTrue(unanswered.isUsable(2 * SECOND), "a job cannot wait for ever");
     }
 
@@ -196,15 +197,15 @@
         DiscoveryWatch watch = watch(schedulers, schedulers / 2);
         long next = watch.start(0, 0.5);
         while (next < notBeforeS * SECOND) {
-            watch.called(next);
-            next = watch.lost(Loss.FAILED, next, next + 2 * SECOND, 0.5);
+            watch.pollSent(next);
+            next = watch.failed(Failure.FAILED, next, next + 2 * SECOND, 0.5);
             assertFalse(
                     watch.isValid(Math.max(next, LEASE)),
                     "the same may happen to a fleet that restarts after a short outage");
         }
         for (int i = 0; i < 3; i++) {
-            watch.called(next);
-            next = watch.lost(Loss.FAILED, next, next + 2 * SECOND, 0.5);
+            watch.pollSent(next);
+            next = watch.failed(Failure.FAILED, next, next + 2 * SECOND, 0.5);
         }
         assertEquals(schedulers <= 14, watch.isValid(next));
     }
@@ -213,8 +214,8 @@
     @Test
     void ignoresPollTimerWhileWatchIsOpen() {
         DiscoveryWatch watch = openWatch();
-        watch.called(10 * SECOND);
-        watch.lost(Loss.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
+        watch.pollSent(10 * SECOND);
+        watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
         assertFalse(watch.isValid(20 * SECOND + LEASE));
     }
 }
--- a/src/test/java/damsonslip/membership/SerialDiscovery.java
+++ b/src/test/java/damsonslip/membership/SerialDiscovery.java
@@ -1,6 +1,6 @@
 package damsonslip.membership;
 
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -29,7 +29,7 @@
     private static final int PUSHES_PER_POLL = 60;
 
     /** A poll that is due, or the loss of one. */
-    private record Due(long at, int scheduler, Loss loss) {}
+    private record Due(long at, int scheduler, Failure loss) {}
 
     private final DiscoveryWatch[] watches;
     private final long[] connectedAt;
@@ -81,7 +81,7 @@
     }
 
     private void poll(int scheduler, long at) {
-        watches[scheduler].called(at);
+        watches[scheduler].pollSent(at);
         countPoll(at);
         pushChanges(at);
         boolean down = at < downUntil;
@@ -90,7 +90,7 @@
             busyUntil = Math.max(busyUntil, at) + pollCost;
         }
         if (down || wait > POLL_TIMEOUT) {
-            due.add(new Due(at + POLL_TIMEOUT, scheduler, Loss.FAILED));
+            due.add(new Due(at + POLL_TIMEOUT, scheduler, Failure.FAILED));
         } else {
             connectedAt[scheduler] = at + wait + pollCost;
         }
--- a/src/test/java/damsonslip/membership/overrides/WorkerOverridesTest.java
+++ b/src/test/java/damsonslip/membership/overrides/WorkerOverridesTest.java
@@ -35,7 +35,7 @@
 
     @Test
     void listsDisabledWorkerAsDrainingWhateverDiscoverySays() {
-        listed(WorkerListChange.KEPT, running("a"), running("b"));
+        listed(WorkerListChange.CACHED, running("a"), running("b"));
         assertEquals(List.of(worker("a", WorkerStatus.DRAINING, 5)), overrides.disable("a"));
         assertEquals(List.of(), overrides.disable("a"), "a second time changes nothing");
         assertEquals(
@@ -58,7 +58,7 @@
 
     @Test
     void listsEnabledWorkerAsJustStarted() {
-        listed(WorkerListChange.KEPT, running("a"));
+        listed(WorkerListChange.CACHED, running("a"));
         overrides.disable("a");
         overrides.disable("a");
         assertEquals(List.of(worker("a", WorkerStatus.RUNNING, 100)), overrides.enable("a", 100));
@@ -78,7 +78,7 @@
     @Test
     void knowsRemovedWorkersButNotUnlistedIds() {
         assertFalse(overrides.isKnown("a"));
-        listed(WorkerListChange.KEPT, running("a"));
+        listed(WorkerListChange.CACHED, running("a"));
         listed(WorkerListChange.COMPLETE);
         assertTrue(overrides.isKnown("a"));
         assertEquals(Set.of(), overrides.listedWorkers());
@@ -106,7 +106,7 @@
 
     @Test
     void restoresOverridesInAnotherProcess() throws WorkerOverrides.MalformedException {
-        listed(WorkerListChange.KEPT, running("a"), running("b"), running("c"));
+        listed(WorkerListChange.CACHED, running("a"), running("b"), running("c"));
         overrides.disable("a");
         overrides.disable("b");
         overrides.enable("b", 100);
@@ -118,7 +118,7 @@
                         worker("b", WorkerStatus.RUNNING, 100),
                         running("c")),
                 next.apply(
-                        WorkerListChange.KEPT,
+                        WorkerListChange.CACHED,
                         List.of(running("a"), running("b"), running("c")),
                         now));
         overrides.enable("a", 150);
@@ -143,7 +143,7 @@
                 "damsonslip bans 1\nout a b\nend\n"
             })
     void rejectsMalformedTextWithoutChange(String text) {
-        listed(WorkerListChange.KEPT, running("a"), running("b"));
+        listed(WorkerListChange.CACHED, running("a"), running("b"));
         overrides.disable("b");
         assertThrows(WorkerOverrides.MalformedException.class, () -> overrides.restore(text));
         assertTrue(overrides.isDisabled("b"));
--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import damsonslip.membership.DiscoveryWatch;
-import damsonslip.membership.DiscoveryWatch.Loss;
+import damsonslip.membership.DiscoveryWatch.Failure;
 import damsonslip.testkit.BusyDiscovery;
 import damsonslip.testkit.Peer;
 import damsonslip.testkit.Peer.Message;
@@ -65,7 +65,7 @@
                             while (stopped.get() == 0) {
                                 try {
                                     TimeUnit.MICROSECONDS.sleep(Math.max(0, next - micros()));
-                                    watch.called(micros());
+                                    watch.pollSent(micros());
                                     call(busy, watch);
                                 } catch (IOException e) {
                                     // refused, or its watch was reset
@@ -73,8 +73,8 @@
                                     return;
                                 }
                                 next =
-                                        watch.lost(
-                                                Loss.FAILED,
+                                        watch.failed(
+                                                Failure.FAILED,
                                                 micros(),
                                                 micros(),
                                                 ThreadLocalRandom.current().nextDouble());
@@ -88,7 +88,7 @@
         try (Peer peer = Peer.connect(busy.port())) {
             peer.send("GET /v1/servers?watch=1&after=7 HTTP/1.1\r\nHost: discovery\r\n\r\n");
             if (peer.message().status() == 200) {
-                watch.received();
+                watch.updateReceived();
                 while (peer.line() != null) {
                     // reads what it is told until the watch is reset
                 }
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -1,9 +1,9 @@
 package damsonslip.platform;
 
-import java.net.InetAddress;
 import damsonslip.testkit.Peer;
 import damsonslip.testkit.Program;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -1,9 +1,9 @@
 package damsonslip.platform;
 
-import java.net.InetAddress;
 import damsonslip.testkit.Program;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/damsonslip/policy/CandidateProbingTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -1,8 +1,8 @@
 package damsonslip.policy;
 
 import static damsonslip.policy.ScriptedScheduler.SECOND;
-import static damsonslip.policy.ScriptedScheduler.jobClass;
 import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.jobClass;
 import static damsonslip.policy.ScriptedScheduler.sentTo;
 import static damsonslip.policy.ScriptedScheduler.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -61,7 +61,7 @@
     @BeforeEach
     void jobArrives() {
         scheduler.updateWorkerList(
-                WorkerListChange.KEPT,
+                WorkerListChange.CACHED,
                 IntStream.range(0, WORKERS)
                         .mapToObj(i -> worker("w" + i))
                         .toArray(WorkerEntry[]::new));
--- a/src/test/java/damsonslip/policy/FinalAnswerTest.java
+++ b/src/test/java/damsonslip/policy/FinalAnswerTest.java
@@ -38,7 +38,7 @@
     void rejectsJobBeforeItsDeadlineWithoutWorkers() {
         ScriptedScheduler scheduler =
                 ofClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
-        scheduler.updateWorkerList(WorkerListChange.KEPT);
+        scheduler.updateWorkerList(WorkerListChange.CACHED);
         long deadline = scheduler.now + 10 * SECOND;
         List<Action> at = new ArrayList<>(scheduler.jobArrives("a"));
         at.addAll(scheduler.advance(deadline - scheduler.now));
--- a/src/test/java/damsonslip/policy/LeaseProbingTest.java
+++ b/src/test/java/damsonslip/policy/LeaseProbingTest.java
@@ -1,8 +1,8 @@
 package damsonslip.policy;
 
 import static damsonslip.policy.ScriptedScheduler.SECOND;
-import static damsonslip.policy.ScriptedScheduler.jobClass;
 import static damsonslip.policy.ScriptedScheduler.actionsOfType;
+import static damsonslip.policy.ScriptedScheduler.jobClass;
 import static damsonslip.policy.ScriptedScheduler.sentTo;
 import static damsonslip.policy.ScriptedScheduler.worker;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -56,7 +56,7 @@
 
     /** Lists two workers, loses the watch and lets the list expire. */
     private void loseWorkerList() {
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
         long end = scheduler.now + NO_LIST_US;
@@ -197,7 +197,7 @@
     /** Discovery was heard after it, so that the last list would show a restart. */
     @Test
     void probesWorkerWhoseConnectionBrokeBeforeTheLastList() {
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         scheduler.handle(new ConnectionLost("a"));
         scheduler.handle(new ConnectionLost("b"));
@@ -228,7 +228,7 @@
 
     @Test
     void doesNotProbeWhileTheListIsValid() {
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         assertNotNull(sentTo(scheduler.jobArrives("j1"), "j1"));
         assertTrue(actionsOfType(scheduler.actions, ProbeWorker.class).isEmpty());
@@ -240,7 +240,7 @@
      */
     @Test
     void doesNotProbeOwnZoneBeforeTheFirstList() {
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         List<Action> all = new ArrayList<>(scheduler.jobArrives("j1"));
         all.addAll(scheduler.advance(SECOND));
         scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
@@ -254,7 +254,7 @@
     @Test
     void probesOtherZonesBeforeTheFirstList() {
         scheduler.updateWorkerList(
-                WorkerListChange.KEPT,
+                WorkerListChange.CACHED,
                 worker("a"),
                 worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         assertEquals("far", probedWorker(scheduler.jobArrives("j1")));
@@ -288,7 +288,7 @@
                                 List.of(),
                                 true,
                                 jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
-        other.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+        other.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         other.updateWorkerList(WorkerListChange.COMPLETE, worker("a"));
         other.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), other.now));
         other.now += NO_LIST_US;
--- a/src/test/java/damsonslip/policy/PoolDealingTest.java
+++ b/src/test/java/damsonslip/policy/PoolDealingTest.java
@@ -95,7 +95,7 @@
         for (int i = 0; i < 8; i++) {
             list.add(new WorkerEntry("w" + i, 0, 0, i % 2, WorkerStatus.RUNNING, Long.MIN_VALUE));
         }
-        scheduler.updateWorkerList(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, list.toArray(WorkerEntry[]::new));
         for (String to : workersUsedByClass(scheduler, 300).get(1)) {
             assertEquals(1, (to.charAt(1) - '0') % 2, to);
         }
@@ -111,7 +111,7 @@
         for (int i = 0; i < 8; i++) {
             list.add(worker("w" + i, i < 4 ? 1 : 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         }
-        scheduler.updateWorkerList(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, list.toArray(WorkerEntry[]::new));
         for (Set<String> used : workersUsedByClass(scheduler, 400)) {
             assertTrue(
                     used.stream().allMatch(w -> w.compareTo("w4") >= 0),
@@ -150,7 +150,7 @@
                 new ScriptedScheduler(settings(100, 0, IDEMPOTENT, IDEMPOTENT));
         long before = System.nanoTime();
         scheduler.updateWorkerList(
-                WorkerListChange.KEPT,
+                WorkerListChange.CACHED,
                 IntStream.range(0, 3_000)
                         .mapToObj(
                                 i ->
--- a/src/test/java/damsonslip/policy/RetryTest.java
+++ b/src/test/java/damsonslip/policy/RetryTest.java
@@ -73,7 +73,7 @@
     void retriesKeyedJobOnlyWithinItsScope(IdempotencyScope scope) {
         ScriptedScheduler scheduler = ofClass(Idempotency.IDEMPOTENT_WITH_KEY, scope);
         scheduler.updateWorkerList(
-                WorkerListChange.KEPT,
+                WorkerListChange.CACHED,
                 worker("a", 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE),
                 worker("b", 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE),
                 worker("c", 1, 1, WorkerStatus.RUNNING, Long.MIN_VALUE),
--- a/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -99,7 +99,7 @@
     private static List<Action> startWithJob(SchedulingPolicy policy) {
         List<WorkerEntry> workers = IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList();
         List<Action> actions = new ArrayList<>();
-        policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.KEPT, workers), actions);
+        policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CACHED, workers), actions);
         // nothing is sent before a list from discovery
         policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CHANGES, List.of()), actions);
         policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
--- a/src/test/java/damsonslip/policy/ScriptedScheduler.java
+++ b/src/test/java/damsonslip/policy/ScriptedScheduler.java
@@ -107,7 +107,7 @@
         for (int i = 0; i < count; i++) {
             list.add(worker("w" + i));
         }
-        updateWorkerList(WorkerListChange.KEPT, list.toArray(WorkerEntry[]::new));
+        updateWorkerList(WorkerListChange.CACHED, list.toArray(WorkerEntry[]::new));
         return this;
     }
 
--- a/src/test/java/damsonslip/policy/SimulatedScheduler.java
+++ b/src/test/java/damsonslip/policy/SimulatedScheduler.java
@@ -55,7 +55,7 @@
         policy = new SchedulingPolicy(fleet.site.settings(number), fleet.random.nextLong());
         jobs.clear();
         connected.clear();
-        list(WorkerListChange.KEPT, workerList);
+        list(WorkerListChange.CACHED, workerList);
     }
 
     void list(WorkerListChange change, List<WorkerEntry> list) {
--- a/src/test/java/damsonslip/policy/SlowStartTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartTest.java
@@ -37,7 +37,7 @@
             ScriptedScheduler scheduler =
                     new ScriptedScheduler(settings(schedulers, number, IDEMPOTENT));
             scheduler.updateWorkerList(
-                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, start));
+                    WorkerListChange.CACHED, worker("cold", 0, 0, WorkerStatus.RUNNING, start));
             for (int i = 0; i < 400; i++) {
                 String id = "job" + i;
                 if (sentTo(scheduler.jobArrives(id), id) != null) {
@@ -73,7 +73,7 @@
             ScriptedScheduler scheduler =
                     new ScriptedScheduler(settings(3, number / processes, IDEMPOTENT));
             scheduler.updateWorkerList(
-                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
+                    WorkerListChange.CACHED, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
             if (processes > 1) {
                 scheduler.handle(new SchedulersChanged(3 * processes, number));
             }
@@ -101,7 +101,7 @@
         int sent = 0;
         for (int number = 0; number < 40; number++) {
             ScriptedScheduler scheduler = new ScriptedScheduler(settings(40, number, IDEMPOTENT));
-            scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+            scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
             assertEquals("a", sentTo(scheduler.jobArrives("x"), "x"));
             scheduler.advance(SECOND / 5);
             scheduler.attemptEnds("x", 0, AttemptOutcome.SERVED);
@@ -126,7 +126,7 @@
         for (int i = 0; i < 24; i++) {
             fresh.add(worker("w" + i, 0, 0, WorkerStatus.RUNNING, SECOND));
         }
-        scheduler.updateWorkerList(WorkerListChange.KEPT, fresh.toArray(WorkerEntry[]::new));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, fresh.toArray(WorkerEntry[]::new));
         for (int turn = 0; turn < 3; turn++) {
             Set<String> reached = new HashSet<>();
             sendsOfSteps(scheduler, 90, "turn" + turn)
@@ -147,7 +147,7 @@
             ScriptedScheduler scheduler =
                     new ScriptedScheduler(settings(schedulers, number, IDEMPOTENT));
             scheduler.updateWorkerList(
-                    WorkerListChange.KEPT, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
+                    WorkerListChange.CACHED, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
             List<List<Send>> steps = sendsOfSteps(scheduler, 400, "job");
             for (int i = 0; i < 400; i++) {
                 sent[i] +=
--- a/src/test/java/damsonslip/policy/WorkerListTest.java
+++ b/src/test/java/damsonslip/policy/WorkerListTest.java
@@ -31,7 +31,7 @@
     @Test
     void sendsNothingToDrainingOrUnlistedWorkers() {
         ScriptedScheduler scheduler = ofClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"), worker("c"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"), worker("c"));
         scheduler.updateWorkerList(
                 WorkerListChange.CHANGES, worker("a", 0, 0, WorkerStatus.DRAINING, Long.MIN_VALUE));
         scheduler.updateWorkerList(
@@ -51,7 +51,7 @@
     @Test
     void callsDiscoveryAgainAfterEachFailure() {
         ScriptedScheduler scheduler = pollingScheduler();
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         assertEquals(1, actionsOfType(scheduler.advance(SECOND), WatchWorkerList.class).size());
         for (int i = 0; i < 8; i++) {
             scheduler.updateWorkerList(WorkerListChange.FAILED);
@@ -68,7 +68,7 @@
     @Test
     void rejectsJobsOnceTheWorkerListHasExpired() {
         ScriptedScheduler scheduler = pollingScheduler();
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         scheduler.advance(SECOND);
         scheduler.updateWorkerList(WorkerListChange.CHANGES);
         scheduler.updateWorkerList(WorkerListChange.FAILED);
@@ -87,7 +87,7 @@
     @Test
     void queuesJobsUntilTheFirstWorkerList() {
         ScriptedScheduler scheduler = pollingScheduler();
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("gone"), worker("here"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("gone"), worker("here"));
         assertNull(sentTo(scheduler.jobArrives("x"), "x"));
         scheduler.advance(SECOND / 2);
         assertEquals(
@@ -98,7 +98,7 @@
     @Test
     void doesNotRenewTheWorkerListByAnOverride() {
         ScriptedScheduler scheduler = pollingScheduler();
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"), worker("b"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.advance(5 * SECOND);
         scheduler.updateWorkerList(
                 WorkerListChange.OVERRIDES,
@@ -110,7 +110,7 @@
     @Test
     void answersQueuedJobsWhenTheWorkerListExpires() {
         ScriptedScheduler scheduler = pollingScheduler();
-        scheduler.updateWorkerList(WorkerListChange.KEPT, worker("a"));
+        scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         scheduler.advance(4 * SECOND);
         for (int i = 0; i < 12; i++) {
             scheduler.jobArrives("j" + i);
--- a/src/test/java/damsonslip/policy/WorkerSelectionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerSelectionTest.java
@@ -41,7 +41,7 @@
         ScriptedScheduler scheduler =
                 new ScriptedScheduler(settings(1, 0, List.of(), false, zonePrice, IDEMPOTENT));
         scheduler.updateWorkerList(
-                WorkerListChange.KEPT,
+                WorkerListChange.CACHED,
                 worker("near", 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE),
                 worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         scheduler.advance(2 * SECOND);
--- a/src/test/java/damsonslip/transport/BackpressureTest.java
+++ b/src/test/java/damsonslip/transport/BackpressureTest.java
@@ -39,11 +39,11 @@
         protected void received(ByteBuffer bytes) {
             write(() -> {}, ByteBuffer.allocate(bytes.remaining() * FACTOR));
             bytes.position(bytes.limit());
-            maxBacklog.accumulateAndGet(backlog(), Math::max);
+            maxBacklog.accumulateAndGet(backlogBytes(), Math::max);
         }
 
         @Override
-        protected void lost() {}
+        protected void connectionLost() {}
     }
 
     private final class AmplifierAcceptor implements ConnectionManager.ConnectionAcceptor {
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public void turnedBack() {}
+        public void admissionFailed() {}
 
         @Override
         public EventLoopConnection open(EndPoint endPoint) {
--- a/src/test/java/damsonslip/transport/ConnectionLimiterTest.java
+++ b/src/test/java/damsonslip/transport/ConnectionLimiterTest.java
@@ -49,7 +49,7 @@
             assertTrue(limiter.admit());
         }
         assertFalse(limiter.admit());
-        limiter.turnedBack();
+        limiter.admissionFailed();
         assertTrue(limiter.admit());
         assertFalse(limiter.admit());
     }
--- a/src/test/java/damsonslip/transport/EvictionTest.java
+++ b/src/test/java/damsonslip/transport/EvictionTest.java
@@ -41,7 +41,7 @@
         }
 
         @Override
-        protected void lost() {}
+        protected void connectionLost() {}
     }
 
     private static RequestConnection connect(
@@ -74,14 +74,14 @@
             CountDownLatch done = new CountDownLatch(1);
             loop.execute(
                     () -> {
-                        limiter.opened(first);
+                        limiter.connectionOpened(first);
                         try {
                             peer.getOutputStream().write('Q');
                             Thread.sleep(ARRIVAL_MS);
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
-                        limiter.opened(second);
+                        limiter.connectionOpened(second);
                         done.countDown();
                     });
             assertTrue(done.await(5, TimeUnit.SECONDS));
--- a/src/test/java/damsonslip/transport/LineDecoderTest.java
+++ b/src/test/java/damsonslip/transport/LineDecoderTest.java
@@ -14,16 +14,16 @@
     private final LineDecoder decoder = new LineDecoder(MAX_LINE_BYTES);
 
     private List<String> decode(String part) {
-        return decoder.take(part.getBytes(StandardCharsets.UTF_8));
+        return decoder.decode(part.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
     void joinsLineThatComesInParts() {
         assertEquals(List.of(), decode("on"));
-        assertEquals(2, decoder.begun());
+        assertEquals(2, decoder.unfinishedBytes());
         assertEquals(List.of("one", "two"), decode("e\r\ntwo\nth"));
-        assertEquals("th", decoder.rest());
-        assertEquals(0, decoder.begun());
+        assertEquals("th", decoder.takeUnfinished());
+        assertEquals(0, decoder.unfinishedBytes());
     }
 
     @Test
--- a/src/test/java/damsonslip/transport/WriteCompletionOrderTest.java
+++ b/src/test/java/damsonslip/transport/WriteCompletionOrderTest.java
@@ -47,7 +47,7 @@
         }
 
         @Override
-        protected void lost() {
+        protected void connectionLost() {
             writtenWhenLost.set(written.get());
         }
     }
--- a/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
+++ b/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
@@ -21,7 +21,7 @@
         rate.begin(0);
         for (long now = 0; now <= 60 * S; now += S / 100) {
             if (now > 0 && now % everyUs == 0) {
-                rate.moved(now, bytes);
+                rate.transferred(now, bytes);
             }
             if (rate.isTooSlow(now)) {
                 return now / 1e6;
@@ -63,17 +63,17 @@
     @Test
     void limitsPauseOfPeerThatWasFast() {
         rate.begin(0);
-        rate.moved(S / 10, 1_000_000);
+        rate.transferred(S / 10, 1_000_000);
         assertFalse(rate.isTooSlow(5 * S));
         assertTrue(rate.isTooSlow(5 * S + S / 10), "its credit is bounded");
-        rate.moved(5 * S + S / 5, 1_000_000);
+        rate.transferred(5 * S + S / 5, 1_000_000);
         assertTrue(rate.isTooSlow(5 * S + S / 5), "and an empty bucket stays empty");
     }
 
     @Test
     void toleratesClockThatStepsBack() {
         rate.begin(10 * S);
-        rate.moved(9 * S, 0);
+        rate.transferred(9 * S, 0);
         assertFalse(rate.isTooSlow(10 * S + S / 2));
         assertTrue(rate.isTooSlow(11 * S + S), "and the time after it counts");
     }
--- a/src/test/java/embedding/EmbeddingTest.java
+++ b/src/test/java/embedding/EmbeddingTest.java
@@ -67,7 +67,8 @@
     void runsAJobDrainsAWorkerAndRestarts() {
         SchedulingPolicy policy = new SchedulingPolicy(SETTINGS, 42);
         assertTrue(
-                sends(policy, 0, list(WorkerListChange.KEPT, "a", WorkerStatus.RUNNING)).isEmpty());
+                sends(policy, 0, list(WorkerListChange.CACHED, "a", WorkerStatus.RUNNING))
+                        .isEmpty());
         sends(policy, 1_000, list(WorkerListChange.CHANGES, "b", WorkerStatus.RUNNING));
         List<Send> sent =
                 sends(policy, 2_000, new JobArrived("job-1", 0, 0, null, 5_000_000, 1, 0));
@@ -80,7 +81,7 @@
         assertEquals("b", sent.get(0).worker());
 
         SchedulingPolicy restarted = new SchedulingPolicy(SETTINGS, 43);
-        sends(restarted, 200_000, list(WorkerListChange.KEPT, "b", WorkerStatus.RUNNING));
+        sends(restarted, 200_000, list(WorkerListChange.CACHED, "b", WorkerStatus.RUNNING));
         sent = sends(restarted, 210_000, new JobArrived("job-3", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("b", sent.get(0).worker());
     }
