--- a/src/main/java/damsonslip/engine/TraceTexts.java
+++ b/src/main/java/damsonslip/engine/TraceTexts.java
@@ -35,7 +35,7 @@
 
     static String of(DiscoveryAddressState state) {
         return switch (state) {
-            case UNREAD -> "address unread";
+            case UNREADABLE -> "address unread";
             case READ -> "address read";
             case MOVED -> "address moved";
             case CONFIRMED -> "address heard";
--- a/src/main/java/damsonslip/platform/ConfigurationReload.java
+++ b/src/main/java/damsonslip/platform/ConfigurationReload.java
@@ -100,7 +100,7 @@
                 "event=reload_refused reload: {}; the previous configuration stays in effect",
                 failure.getMessage());
         counters.add(Count.RELOADS_REFUSED);
-        report(DiscoveryAddressState.UNREAD, signalUs);
+        report(DiscoveryAddressState.UNREADABLE, signalUs);
     }
 
     private void report(DiscoveryAddressState state, long signalUs) {
--- a/src/main/java/damsonslip/policy/WorkerListWatch.java
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -72,7 +72,7 @@
     /** The configured address of discovery has changed, or could not be read. */
     void addressChanged(DiscoveryAddressChanged change) {
         switch (change.state()) {
-            case UNREAD -> discovery.configurationUnreadable(change.reloadRequestedUs());
+            case UNREADABLE -> discovery.configurationUnreadable(change.reloadRequestedUs());
             case READ -> discovery.configurationRead();
             case MOVED -> discovery.addressChanged(change.reloadRequestedUs());
             case CONFIRMED -> discovery.newAddressConfirmed();
