--- a/src/main/java/damsonslip/policy/AttemptResults.java
+++ b/src/main/java/damsonslip/policy/AttemptResults.java
@@ -54,7 +54,7 @@
         worker.load().ownSlotsEnded(job.slots(), context.nowUs());
         AttemptOutcome outcome = event.outcome();
         if (outcome == AttemptOutcome.SERVED || outcome == AttemptOutcome.FULL) {
-            worker.health().alive(context.nowUs());
+            worker.health().recordAlive(context.nowUs());
         }
         loadReports.accept(worker, event.report(), false);
         if (context.settings().loadReporting() == LoadReporting.NONE) {
@@ -87,7 +87,7 @@
     private void retryOrAnswer(JobAttempt attempt, AttemptOutcome outcome) {
         Job job = attempt.job();
         if (!outcome.provesNotRun()) {
-            job.mayHaveRun(attempt);
+            job.recordPossibleRun(attempt);
         }
         if (job.outstanding() > 0) {
             return;
--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -151,7 +151,7 @@
     }
 
     /** Records that this attempt has ended and may have run. */
-    void mayHaveRun(JobAttempt attempt) {
+    void recordPossibleRun(JobAttempt attempt) {
         possibleRuns++;
         if (firstPossibleRun == null) {
             firstPossibleRun = attempt;
--- a/src/main/java/damsonslip/policy/OutlierDetector.java
+++ b/src/main/java/damsonslip/policy/OutlierDetector.java
@@ -21,7 +21,7 @@
     private static final long ALIVE_US = 500_000;
 
     /** A job that is not idempotent is sent to an outlier only this long after its pause. */
-    private static final long DISTRUST_US = 4_000_000;
+    private static final long NON_IDEMPOTENT_HOLD_OFF_US = 4_000_000;
 
     /** A worker with this many failures in a row is an outlier. */
     private static final int OUTLIER_FAILURES = 2;
@@ -51,13 +51,13 @@
         WorkerHealth health = worker.health();
         if (report.totalSlots() > 0) {
             // a worker that fetches jobs is alive, however long it is at one
-            health.alive(context.nowUs());
+            health.recordAlive(context.nowUs());
         }
         boolean failing = report.errorsPerSecond() > MAX_ERRORS_PER_SECOND;
-        health.reportErrors(failing);
+        health.setReportsErrors(failing);
         if (failing) {
             // as an outlier: a job that is not idempotent is not the way to find out
-            health.assumeFailure();
+            health.recordAtLeastOneFailure();
             recordFailure(worker);
         } else if (report.freeSlots() >= 1) {
             health.resumeUnlessFailed();
@@ -67,7 +67,7 @@
     /** Takes in the end of an attempt. */
     void attemptEnded(Worker worker, AttemptOutcome outcome) {
         switch (outcome) {
-            case SERVED -> worker.health().served();
+            case SERVED -> worker.health().recordServed();
             case FULL -> pauseFull(worker);
             // an error counts: a worker that fails each job at once looks free and would draw all
             case ERROR -> jobFailed(worker);
@@ -134,10 +134,10 @@
     /**
      * Whether a job may be risked at a worker: outliers get idempotent ones, if there are others.
      */
-    boolean trusts(Worker worker, Job job) {
+    boolean allowsJob(Worker worker, Job job) {
         return !isOutlier(worker)
                 || job.hasIdempotency(Idempotency.IDEMPOTENT)
-                || context.nowUs() > worker.health().pausedUntilUs() + DISTRUST_US
+                || context.nowUs() > worker.health().pausedUntilUs() + NON_IDEMPOTENT_HOLD_OFF_US
                 || registry.all().stream()
                         .noneMatch(other -> other.isRunning() && !isOutlier(other));
     }
--- a/src/main/java/damsonslip/policy/Worker.java
+++ b/src/main/java/damsonslip/policy/Worker.java
@@ -124,12 +124,12 @@
     }
 
     /** Records that it does not run any more. */
-    void stopped() {
+    void recordStopped() {
         running = false;
     }
 
     /** Records that it still runs. */
-    void stillRunning(long nowUs) {
+    void recordStillRunning(long nowUs) {
         lastRunningUs = nowUs;
     }
 
--- a/src/main/java/damsonslip/policy/WorkerEligibility.java
+++ b/src/main/java/damsonslip/policy/WorkerEligibility.java
@@ -30,7 +30,7 @@
                 && isOfKind(worker, job.jobClass().workerKind())
                 && !outliers.isSilent(worker)
                 && job.isEligible(worker)
-                && outliers.trusts(worker, job)
+                && outliers.allowsJob(worker, job)
                 && slowStart.allows(worker, SlowStartBudget.costUs(job));
     }
 
--- a/src/main/java/damsonslip/policy/WorkerHealth.java
+++ b/src/main/java/damsonslip/policy/WorkerHealth.java
@@ -27,7 +27,7 @@
     }
 
     /** Records that the worker has failed at least once. */
-    void assumeFailure() {
+    void recordAtLeastOneFailure() {
         consecutiveFailures = Math.max(consecutiveFailures, 1);
     }
 
@@ -37,13 +37,13 @@
     }
 
     /** Records a job that was served; failures stand while the worker reports errors. */
-    void served() {
+    void recordServed() {
         consecutiveFailures = reportsErrors ? consecutiveFailures : 0;
         failedJobs = 0;
     }
 
     /** Records whether the last load report shows errors, of whichever scheduler. */
-    void reportErrors(boolean errors) {
+    void setReportsErrors(boolean errors) {
         reportsErrors = errors;
     }
 
@@ -78,7 +78,7 @@
     }
 
     /** Records that it has just shown that it works. */
-    void alive(long nowUs) {
+    void recordAlive(long nowUs) {
         lastAliveUs = nowUs;
     }
 
--- a/src/main/java/damsonslip/policy/WorkerRegistry.java
+++ b/src/main/java/damsonslip/policy/WorkerRegistry.java
@@ -58,7 +58,7 @@
         boolean changed = false;
         for (Worker worker : workers.values()) {
             changed |= worker.isRunning();
-            worker.stopped();
+            worker.recordStopped();
         }
         return changed;
     }
@@ -94,7 +94,7 @@
         for (Iterator<Worker> all = workers.values().iterator(); all.hasNext(); ) {
             Worker worker = all.next();
             if (worker.isRunning()) {
-                worker.stillRunning(nowUs);
+                worker.recordStillRunning(nowUs);
             } else if (worker.outstanding().isEmpty()
                     && nowUs - worker.lastRunningUs() > RETENTION_US) {
                 all.remove();
--- a/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
+++ b/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
@@ -44,7 +44,7 @@
         Job job = job(jobClass, 3);
         IdempotencyRules rules = rulesAt(jobClass, second * SECOND);
         assertTrue(rules.maySend(job), "it was not sent yet");
-        job.mayHaveRun(new JobAttempt(job, worker, SECOND));
+        job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.maySend(job));
     }
 
@@ -53,7 +53,7 @@
     void boundsTheRunsOfAJob(int maxRuns, boolean expected) {
         JobClass jobClass = jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, maxRuns);
-        job.mayHaveRun(new JobAttempt(job, worker, SECOND));
+        job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rulesAt(jobClass, 2 * SECOND).maySend(job));
     }
 
@@ -71,7 +71,7 @@
         Job job = job(jobClass, 3);
         IdempotencyRules rules = rulesAt(jobClass, 2 * SECOND);
         assertTrue(rules.isSafeToRetryByClient(job), "it never ran");
-        job.mayHaveRun(new JobAttempt(job, worker, SECOND));
+        job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.isSafeToRetryByClient(job));
     }
 }
--- a/src/test/java/damsonslip/policy/WorkerHealthTest.java
+++ b/src/test/java/damsonslip/policy/WorkerHealthTest.java
@@ -14,15 +14,15 @@
     @Test
     void forgetsFailuresWhenAJobIsServed() {
         health.countFailure();
-        health.served();
+        health.recordServed();
         assertEquals(0, health.consecutiveFailures());
     }
 
     @Test
     void keepsFailuresWhileTheWorkerReportsErrors() {
         health.countFailure();
-        health.reportErrors(true);
-        health.served();
+        health.setReportsErrors(true);
+        health.recordServed();
         assertEquals(1, health.consecutiveFailures());
     }
 
