--- a/src/main/java/damsonslip/policy/AdmissionControl.java
+++ b/src/main/java/damsonslip/policy/AdmissionControl.java
@@ -59,7 +59,7 @@
                         ? selector.select(pool, job, false)
                         : null;
         boolean slotFree = worker != null && hasFreeSlots(worker, job);
-        if (!withinQuota && !isSpare(pool, slotFree)) {
+        if (!withinQuota && !hasSpareSlots(pool, slotFree)) {
             overQuota++;
             completion.answerUnserved(job);
             return;
@@ -82,7 +82,7 @@
         return reliable && capacity.freeSlots(worker) >= job.slots();
     }
 
-    private boolean isSpare(WorkerPool pool, boolean slotFree) {
+    private boolean hasSpareSlots(WorkerPool pool, boolean slotFree) {
         return slotFree && capacity.freeShare(pool) >= SlotBorrowing.SPARE_SHARE;
     }
 
--- a/src/main/java/damsonslip/policy/AttemptMigration.java
+++ b/src/main/java/damsonslip/policy/AttemptMigration.java
@@ -16,7 +16,7 @@
     private static final long CHECK_INTERVAL_US = 100_000;
 
     /** The first check comes after this part of the job's slack, if that is longer. */
-    private static final double FIRST_CHECK_SLACK_PART = 0.12;
+    private static final double FIRST_CHECK_SLACK_FRACTION = 0.12;
 
     /** A job that starts before its first check adds this to the budget: enough for a lost zone. */
     private static final double BUDGET_FOR_PROMPT_START = 0.3;
@@ -61,8 +61,8 @@
     }
 
     private static long firstCheckDelayUs(Job job) {
-        long partOfSlackUs = (long) (FIRST_CHECK_SLACK_PART * job.homePool().slackUs());
-        return Math.max(CHECK_INTERVAL_US, partOfSlackUs);
+        long slackFractionUs = (long) (FIRST_CHECK_SLACK_FRACTION * job.homePool().slackUs());
+        return Math.max(CHECK_INTERVAL_US, slackFractionUs);
     }
 
     /** Updates the budget as a job has started. */
--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -13,12 +13,12 @@
  */
 final class Job implements Comparable<Job> {
     /** A job that has waited for this part of its slack counts as late. */
-    static final double LATE_SHARE = 0.3;
+    static final double LATE_SLACK_FRACTION = 0.3;
 
     private final JobArrived request;
     private final WorkerPool homePool;
     private final long arrivedUs;
-    private final long order;
+    private final long arrivalOrder;
     private final int affinityWorkers;
     private final List<JobAttempt> attempts = new ArrayList<>(1);
     private int outstanding;
@@ -34,14 +34,19 @@
      * Creates a job that was not sent yet.
      *
      * @param homePool the pool of its class
-     * @param order its number in the order of arrival
+     * @param arrivalOrder its number in the arrivalOrder of arrival
      * @param affinityWorkers how many workers the load of its affinity key needs
      */
-    Job(JobArrived request, WorkerPool homePool, long arrivedUs, long order, int affinityWorkers) {
+    Job(
+            JobArrived request,
+            WorkerPool homePool,
+            long arrivedUs,
+            long arrivalOrder,
+            int affinityWorkers) {
         this.request = request;
         this.homePool = homePool;
         this.arrivedUs = arrivedUs;
-        this.order = order;
+        this.arrivalOrder = arrivalOrder;
         this.affinityWorkers = affinityWorkers;
     }
 
@@ -114,7 +119,7 @@
 
     /** Whether it has waited too long to end in time, as most jobs go. */
     boolean isLate(long nowUs) {
-        return waitedUs(nowUs) > LATE_SHARE * homePool.slackUs();
+        return waitedUs(nowUs) > LATE_SLACK_FRACTION * homePool.slackUs();
     }
 
     /** Its attempts by number. */
@@ -208,6 +213,6 @@
 
     @Override
     public int compareTo(Job other) {
-        return Long.compare(order, other.order);
+        return Long.compare(arrivalOrder, other.arrivalOrder);
     }
 }
--- a/src/main/java/damsonslip/policy/QueueDispatcher.java
+++ b/src/main/java/damsonslip/policy/QueueDispatcher.java
@@ -9,10 +9,10 @@
     private static final long SWEEP_INTERVAL_US = 20_000;
 
     /** Jobs that stay at the head of a queue while later ones are tried. */
-    private static final int MAX_PASSED_OVER = 16;
+    private static final int MAX_SKIPPED_JOBS = 16;
 
     /** A job waits this part of its spare time for its own pool before it borrows a worker. */
-    private static final double BORROW_AFTER_PART = 0.15;
+    private static final double BORROW_AFTER_FRACTION = 0.15;
 
     private final DecisionContext context;
     private final WorkerPools pools;
@@ -53,12 +53,12 @@
     void sweep() {
         sweepScheduled = false;
         for (WorkerPool pool : pools.all()) {
-            slotsFreed(pool);
+            unblockAndDispatch(pool);
         }
     }
 
     /** Something has changed by which jobs of this pool, if it is not null, may be placed. */
-    void slotsFreed(WorkerPool pool) {
+    void unblockAndDispatch(WorkerPool pool) {
         if (pool != null) {
             pool.queue().setBlocked(false);
             dispatch(pool);
@@ -79,7 +79,7 @@
             return;
         }
         List<Job> waiting = new ArrayList<>(0);
-        while (!queue.isEmpty() && waiting.size() <= MAX_PASSED_OVER) {
+        while (!queue.isEmpty() && waiting.size() <= MAX_SKIPPED_JOBS) {
             Job job = queue.poll();
             if (job.isQueued() && staysQueued(job)) {
                 waiting.add(job);
@@ -103,13 +103,13 @@
             return true;
         }
         boolean maySend = idempotency.maySend(job);
-        Worker worker = maySend ? place(job) : null;
+        Worker worker = maySend ? selectWorker(job) : null;
         if (worker != null) {
             job.setQueued(false);
             sender.send(job, worker);
             return false;
         }
-        if (!maySend || !availability.mayWait() || makesOthersLate(job)) {
+        if (!maySend || !availability.mayWait() || wouldDelayLaterJobs(job)) {
             completion.answerUnserved(job);
             return false;
         }
@@ -118,17 +118,17 @@
     }
 
     /** If late jobs kept their place in the queue, all behind them would be just too late, too. */
-    private boolean makesOthersLate(Job job) {
+    private boolean wouldDelayLaterJobs(Job job) {
         return job.attempts().isEmpty()
                 && !job.homePool().queue().isEmpty()
                 && job.isLate(context.nowUs());
     }
 
-    private Worker place(Job job) {
+    private Worker selectWorker(Job job) {
         if (idempotency.mustStayInScope(job)) {
             return selector.selectInScope(job);
         }
-        boolean waited = job.waitedUs(context.nowUs()) >= patienceUs(job);
+        boolean waited = job.waitedUs(context.nowUs()) >= homePoolWaitUs(job);
         Worker candidate = selector.selectProbedCandidate(job);
         if (candidate != null) {
             return candidate;
@@ -138,10 +138,10 @@
     }
 
     /** How long a job waits for its own workers alone. */
-    private static double patienceUs(Job job) {
+    private static double homePoolWaitUs(Job job) {
         WorkerPool pool = job.homePool();
         return job.hasAffinity()
-                ? Job.LATE_SHARE * pool.slackUs()
-                : BORROW_AFTER_PART * (pool.objectiveUs() - pool.runTimes().meanUs());
+                ? Job.LATE_SLACK_FRACTION * pool.slackUs()
+                : BORROW_AFTER_FRACTION * (pool.objectiveUs() - pool.runTimes().meanUs());
     }
 }
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -218,8 +218,8 @@
             return;
         }
         jobComponents.attemptResults.attemptEnded(attempt, event);
-        queues.slotsFreed(attempt.worker().pool());
-        queues.slotsFreed(attempt.job().homePool());
+        queues.unblockAndDispatch(attempt.worker().pool());
+        queues.unblockAndDispatch(attempt.job().homePool());
     }
 
     private void clientDisconnected(ClientDisconnected event) {
@@ -239,7 +239,7 @@
         if (event.result().isHealthy()) {
             fleet.loadReports.accept(worker, event.report(), true);
         }
-        queues.slotsFreed(worker.pool());
+        queues.unblockAndDispatch(worker.pool());
     }
 
     private void connectionLost(ConnectionLost event) {
--- a/src/main/java/damsonslip/policy/SlotBorrowing.java
+++ b/src/main/java/damsonslip/policy/SlotBorrowing.java
@@ -33,7 +33,7 @@
         WorkerPool home = job.homePool();
         boolean notEligibleAtHome =
                 job.restrictsWorkers() && home.members().stream().noneMatch(job::isEligible);
-        double spareShare = isLostAtHome(job) ? 0 : SPARE_SHARE;
+        double spareShare = isRejectedOrLateAtHome(job) ? 0 : SPARE_SHARE;
         for (WorkerPool lender : pools.all()) {
             if (lender != home && (notEligibleAtHome || lends(lender, home, spareShare))) {
                 Worker worker = selector.select(lender, job, true);
@@ -47,7 +47,7 @@
     }
 
     /** Whether the job would be rejected or late at home: no job is while a slot is free. */
-    private boolean isLostAtHome(Job job) {
+    private boolean isRejectedOrLateAtHome(Job job) {
         return job.isLate(context.nowUs())
                 || job.homePool().members().stream()
                         .noneMatch(worker -> eligibility.mayTake(worker, job));
