--- a/src/main/java/damsonslip/policy/CapacityEstimator.java
+++ b/src/main/java/damsonslip/policy/CapacityEstimator.java
@@ -51,13 +51,13 @@
 
     private void observeFreeShare(Worker worker, double freeShare) {
         boolean warmingUp = slowStart.isWarmingUp(worker);
-        freeShareAnywhere(warmingUp).observe(freeShare, context.nowUs());
+        fleetFreeShare(warmingUp).observe(freeShare, context.nowUs());
         if (worker.pool() != null) {
-            worker.pool().freeShareLike(worker, warmingUp).observe(freeShare, context.nowUs());
+            worker.pool().freeShareEstimate(worker, warmingUp).observe(freeShare, context.nowUs());
         }
     }
 
-    private FreeShareEstimate freeShareAnywhere(boolean warmingUp) {
+    private FreeShareEstimate fleetFreeShare(boolean warmingUp) {
         return warmingUp ? slowStartFreeShare : warmFreeShare;
     }
 
@@ -65,18 +65,21 @@
      * The share of free slots at workers like this one. Where reports of the pool are few, as after
      * a new deal, it is close to the mean of all workers that are warming up, or all that are not.
      */
-    private double freeShareLike(Worker worker) {
+    private double similarWorkersFreeShare(Worker worker) {
         boolean warmingUp = slowStart.isWarmingUp(worker);
         long nowUs = context.nowUs();
-        double anywhere = freeShareAnywhere(warmingUp).share(1, nowUs);
+        double fleetShare = fleetFreeShare(warmingUp).share(1, nowUs);
         return worker.pool() == null
-                ? anywhere
-                : worker.pool().freeShareLike(worker, warmingUp).share(anywhere, nowUs);
+                ? fleetShare
+                : worker.pool().freeShareEstimate(worker, warmingUp).share(fleetShare, nowUs);
     }
 
     /** The share of free slots in a pool; 1 if it has no workers. */
     double freeShare(WorkerPool pool) {
-        return pool.members().stream().mapToDouble(this::freeShareLike).average().orElse(1);
+        return pool.members().stream()
+                .mapToDouble(this::similarWorkersFreeShare)
+                .average()
+                .orElse(1);
     }
 
     /** Free slots of a worker; below 0 if own jobs wait there to start. */
@@ -96,7 +99,8 @@
 
     private double othersSlots(Worker worker, double total) {
         int schedulers = context.settings().schedulers();
-        double others = total * (1 - freeShareLike(worker)) * (schedulers - 1) / schedulers;
+        double others =
+                total * (1 - similarWorkersFreeShare(worker)) * (schedulers - 1) / schedulers;
         if (worker.load().hasReport()) {
             others += reportWeight(worker) * (worker.load().othersSlots() - others);
         }
--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -34,7 +34,7 @@
      * Creates a job that was not sent yet.
      *
      * @param homePool the pool of its class
-     * @param arrivalOrder its number in the arrivalOrder of arrival
+     * @param arrivalOrder its position in the order of arrival
      * @param affinityWorkers how many workers the load of its affinity key needs
      */
     Job(
--- a/src/main/java/damsonslip/policy/PolicySnapshot.java
+++ b/src/main/java/damsonslip/policy/PolicySnapshot.java
@@ -65,7 +65,7 @@
                 worker.outstanding().size(),
                 capacity.freeSlots(worker),
                 pools.classOf(worker.pool()),
-                warmingUp ? slowStart.shareUs(worker) : 0);
+                warmingUp ? slowStart.windowBudgetUs(worker) : 0);
     }
 
     /** One line for the log, whose names the fleet report reads. */
--- a/src/main/java/damsonslip/policy/PoolDealer.java
+++ b/src/main/java/damsonslip/policy/PoolDealer.java
@@ -73,7 +73,7 @@
     /** Updates the pools' shares of the load; returns the load from all schedulers, at least 1. */
     private double updateLoadShares(Settings settings) {
         double sum = Arrays.stream(pools).mapToDouble(PoolDealer::load).sum();
-        if (sum > 0 && hasMovedLoad(sum)) {
+        if (sum > 0 && hasLoadShifted(sum)) {
             for (WorkerPool pool : pools) {
                 double steps = Math.max(1, Math.rint(load(pool) / sum * LOAD_STEPS));
                 pool.setLoadShare(steps / LOAD_STEPS);
@@ -82,7 +82,7 @@
         return Math.max(1, sum * settings.schedulers());
     }
 
-    private boolean hasMovedLoad(double totalLoad) {
+    private boolean hasLoadShifted(double totalLoad) {
         for (WorkerPool pool : pools) {
             double change = Math.abs(load(pool) / totalLoad - pool.loadShare());
             if (change > HYSTERESIS_STEPS / LOAD_STEPS) {
--- a/src/main/java/damsonslip/policy/ProbeRounds.java
+++ b/src/main/java/damsonslip/policy/ProbeRounds.java
@@ -13,7 +13,7 @@
     private static final long BATCH_INTERVAL_US = 20_000;
 
     /** Probes may cost this many points of service for each job. */
-    private static final double POINTS_PER_JOB = 0.003;
+    private static final double MAX_POINTS_PER_JOB = 0.003;
 
     private static final double MAX_PROBES_PER_JOB = 2;
 
@@ -26,7 +26,7 @@
     private static final double MAX_BATCH = 20;
 
     /** Keeps a price of 0 from being divided by. */
-    private static final double SMALLEST_PRICE = 1e-6;
+    private static final double MIN_PRICE = 1e-6;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -53,7 +53,7 @@
     }
 
     /** Sets the workers that are probed in turn. */
-    void cover(List<Worker> running) {
+    void setWorkers(List<Worker> running) {
         workers = running;
     }
 
@@ -78,8 +78,8 @@
 
     private double probesPerSecond(double jobsPerSecond) {
         Limits limits = context.settings().limits();
-        double affordable = POINTS_PER_JOB / Math.max(SMALLEST_PRICE, limits.probePrice());
-        double perJob = Math.min(MAX_PROBES_PER_JOB, affordable);
+        double affordablePerJob = MAX_POINTS_PER_JOB / Math.max(MIN_PRICE, limits.probePrice());
+        double perJob = Math.min(MAX_PROBES_PER_JOB, affordablePerJob);
         double useful = workers.size() * MICROS_PER_SECOND / MIN_WORKER_INTERVAL_US;
         return Math.min(useful, Math.max(jobsPerSecond, MIN_JOBS_PER_SECOND) * perJob);
     }
--- a/src/main/java/damsonslip/policy/RunTimeEstimator.java
+++ b/src/main/java/damsonslip/policy/RunTimeEstimator.java
@@ -51,15 +51,15 @@
      */
     double observe(Worker worker, double runTimeUs) {
         byWorker.computeIfAbsent(worker, unseen -> new WorkerMean()).add(runTimeUs);
-        double usualUs = usualUs(runTimeUs);
+        double baselineUs = baselineUs(runTimeUs);
         jobs++;
         double medianStep = Math.max(MIN_MEDIAN_STEP, 1.0 / jobs);
         medianUs *= 1 + medianStep * (runTimeUs > medianUs ? 0.5 : -0.5);
         meanUs += Math.max(MIN_MEAN_WEIGHT, 1.0 / jobs) * (runTimeUs - meanUs);
-        return Math.max(runTimeUs, NOISE_US) / Math.max(usualUs, NOISE_US);
+        return Math.max(runTimeUs, NOISE_US) / Math.max(baselineUs, NOISE_US);
     }
 
-    private double usualUs(double runTimeUs) {
+    private double baselineUs(double runTimeUs) {
         double[] means =
                 byWorker.values().stream()
                         .filter(mean -> mean.jobs >= MIN_SAMPLES)
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -164,7 +164,7 @@
 
     private void dealPools() {
         List<Worker> running = registry.running();
-        fleet.probeRounds.cover(running);
+        fleet.probeRounds.setWorkers(running);
         pools.deal(registry, running);
         queues.dispatchAll();
     }
--- a/src/main/java/damsonslip/policy/SlotEstimator.java
+++ b/src/main/java/damsonslip/policy/SlotEstimator.java
@@ -6,7 +6,7 @@
     static final int DEFAULT_SLOTS = 4;
 
     /** The default holds at least until this many reports have come. */
-    private static final int REPORTS_BEFORE_TRUST = 50;
+    private static final int MIN_REPORTS_TO_DROP_DEFAULT = 50;
 
     /** A figure counts as the number of slots if this part of the reports reaches it. */
     private static final double REPORTED_QUANTILE = 0.02;
@@ -31,12 +31,12 @@
         }
         double needed = Math.max(MIN_REPORTS, REPORTED_QUANTILE * reports[0]);
         int reaching = 0;
-        int figure = MAX_SLOTS;
-        while (figure > 1 && (reaching += reports[figure]) < needed) {
-            figure--;
+        int candidate = MAX_SLOTS;
+        while (candidate > 1 && (reaching += reports[candidate]) < needed) {
+            candidate--;
         }
-        provenSlots = figure;
-        slots = Math.max(figure, reports[0] < REPORTS_BEFORE_TRUST ? DEFAULT_SLOTS : 1);
+        provenSlots = candidate;
+        slots = Math.max(candidate, reports[0] < MIN_REPORTS_TO_DROP_DEFAULT ? DEFAULT_SLOTS : 1);
     }
 
     /** Slots of a worker of this kind. */
--- a/src/main/java/damsonslip/policy/SlowStartBudget.java
+++ b/src/main/java/damsonslip/policy/SlowStartBudget.java
@@ -18,7 +18,7 @@
     static final double CONNECTION_COST_US = 3_000;
 
     /** Part of the budget that is spent: job times are guesses, and windows overlap by two. */
-    private static final double SPENT_PART = 0.4;
+    private static final double BUDGET_FRACTION = 0.4;
 
     private final DecisionContext context;
     private final Guarantees guarantees;
@@ -53,12 +53,12 @@
             return true;
         }
         long window = window(worker);
-        double shareUs = shareUs(worker);
-        long turns = Math.max(1, (long) Math.ceil(costUs / shareUs));
+        double windowBudgetUs = windowBudgetUs(worker);
+        long turns = Math.max(1, (long) Math.ceil(costUs / windowBudgetUs));
         long turn = Math.floorMod(window + worker.slowStartTurnOffset(), turns);
         long ownTurn = Math.floorMod((long) context.settings().schedulerIndex(), turns);
         return turn == ownTurn
-                && worker.slowStartWindow().spentUs(window) + costUs <= shareUs * turns;
+                && worker.slowStartWindow().spentUs(window) + costUs <= windowBudgetUs * turns;
     }
 
     /** Records that work of this cost is sent there. */
@@ -77,16 +77,16 @@
     }
 
     /** This scheduler's share of the budget in the window at hand. */
-    double shareUs(Worker worker) {
+    double windowBudgetUs(Worker worker) {
         long windowUs = guarantees.overloadWindowUs();
-        double warmth = guarantees.slowStartShareAt(window(worker) * windowUs);
-        double allUs =
-                SPENT_PART
+        double capacityShare = guarantees.slowStartShareAt(window(worker) * windowUs);
+        double fleetBudgetUs =
+                BUDGET_FRACTION
                         * guarantees.overloadFactor()
-                        * warmth
+                        * capacityShare
                         * slots.provenSlotsOf(worker)
                         * windowUs;
-        return allUs / context.settings().schedulers();
+        return fleetBudgetUs / context.settings().schedulers();
     }
 
     private long window(Worker worker) {
@@ -99,6 +99,7 @@
         double spentUs = worker.slowStartWindow().spentUs(window(worker));
         int schedulers = context.settings().schedulers();
         return new SlowStartLoad(
-                spentUs / requestUs, shareUs(worker) / SPENT_PART * schedulers / requestUs);
+                spentUs / requestUs,
+                windowBudgetUs(worker) / BUDGET_FRACTION * schedulers / requestUs);
     }
 }
--- a/src/main/java/damsonslip/policy/WorkerAvailability.java
+++ b/src/main/java/damsonslip/policy/WorkerAvailability.java
@@ -42,18 +42,18 @@
 
     private boolean mayGetLease(Worker worker) {
         return worker.isRunning()
-                && couldKeepRunning(worker)
+                && canQualifyForLease(worker)
                 && worker.lease().mayBecomeValid(discovery.lastContactUs(), context.nowUs());
     }
 
     /** Whether a probe of this worker may lead to a lease. */
     boolean mayGrantLease(Worker worker) {
-        return couldKeepRunning(worker)
+        return canQualifyForLease(worker)
                 && worker.lease().isWorthProbing(discovery.lastContactUs(), context.nowUs());
     }
 
     /** A worker of the own zone has to show a connection since discovery was last heard. */
-    private boolean couldKeepRunning(Worker worker) {
+    private boolean canQualifyForLease(Worker worker) {
         return worker.zone() != context.settings().zone() || discovery.hasHadContact();
     }
 }
--- a/src/main/java/damsonslip/policy/WorkerListWatch.java
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -55,7 +55,7 @@
         }
         long lastReceivedUs = Math.min(nowUs, update.lastReceivedUs());
         double random = context.random().nextDouble();
-        long nextCallUs = discovery.failed(loss(end), lastReceivedUs, nowUs, random);
+        long nextCallUs = discovery.failed(failureOf(end), lastReceivedUs, nowUs, random);
         context.setTimerAt(nextCallUs, TimerLabels.LIST);
     }
 
@@ -84,7 +84,7 @@
         discovery.setFleet(change.schedulers(), change.schedulerIndex());
     }
 
-    private static Failure loss(WorkerListChange end) {
+    private static Failure failureOf(WorkerListChange end) {
         return switch (end) {
             case FAILED -> Failure.FAILED;
             case UNREACHABLE -> Failure.UNREACHABLE;
--- a/src/main/java/damsonslip/policy/WorkerPool.java
+++ b/src/main/java/damsonslip/policy/WorkerPool.java
@@ -68,7 +68,7 @@
     }
 
     /** The free share at its workers of this one's kind and zone, and also warming up or not. */
-    FreeShareEstimate freeShareLike(Worker worker, boolean warmingUp) {
+    FreeShareEstimate freeShareEstimate(Worker worker, boolean warmingUp) {
         FreeShareEstimate[][] estimates = warmingUp ? slowStartFreeShares : warmFreeShares;
         return estimates[worker.kind()][worker.zone()];
     }
