--- a/src/main/java/damsonslip/engine/Frontend.java
+++ b/src/main/java/damsonslip/engine/Frontend.java
@@ -24,9 +24,9 @@
      * Applies changed settings as far as that is possible while serving. Settings that cannot be
      * used are logged and change nothing. Called on a thread of its own.
      *
-     * @param signalNs when the operator asked for the reload, by {@link System#nanoTime}
+     * @param requestedNanoTime when the operator asked for the reload, by {@link System#nanoTime}
      */
-    void reload(long signalNs);
+    void reload(long requestedNanoTime);
 
     /**
      * Starts to send clients away until {@link #undrain}; returns false if the front cannot. Called
--- a/src/main/java/damsonslip/engine/WorkerGateway.java
+++ b/src/main/java/damsonslip/engine/WorkerGateway.java
@@ -25,10 +25,10 @@
     /**
      * Checks a worker's health; the result goes to {@link SchedulerEngine#probeEnded}.
      *
-     * @param connectedByUs the check uses a connection that was established by then, or any if this
-     *     is {@link Long#MAX_VALUE}
+     * @param connectedBeforeUs the check uses a connection that was established by then, or any if
+     *     this is {@link Long#MAX_VALUE}
      */
-    void probe(String worker, long connectedByUs);
+    void probe(String worker, long connectedBeforeUs);
 
     /** Watches the worker list; it goes to {@link SchedulerEngine#updateWorkers}. */
     void watchWorkerList();
--- a/src/main/java/damsonslip/engine/invariants/CloseGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/CloseGuard.java
@@ -11,17 +11,17 @@
      * How a client's connection ends.
      *
      * @param job the id of the request on it; empty if there is none
-     * @param responseOwed whether that request was read completely and has no response
+     * @param responsePending whether that request was read completely and has no response
      * @param byPeer whether the client has closed the connection
      * @param reason why the program closes it, for the log
      */
-    public record Facts(String job, boolean responseOwed, boolean byPeer, String reason) {}
+    public record Facts(String job, boolean responsePending, boolean byPeer, String reason) {}
 
     private CloseGuard() {}
 
     /** Returns the invariant that this end of a client's connection violates. */
     public static Optional<Violation> checkClientConnection(Facts facts) {
-        if (!facts.responseOwed() || facts.byPeer()) {
+        if (!facts.responsePending() || facts.byPeer()) {
             return Optional.empty();
         }
         return Optional.of(
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -130,7 +130,7 @@
 
     /** Faktory has no probes; a FETCH carries the same information. */
     @Override
-    public void probe(String wid, long connectedByUs) {
+    public void probe(String wid, long connectedBeforeUs) {
         loop.execute(() -> engine.probeEnded(wid, ProbeResult.UNREACHABLE, null));
     }
 
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -137,7 +137,7 @@
      * Reads the password again, for new connections; other settings take effect at the next start.
      */
     @Override
-    public void reload(long signalNs) {
+    public void reload(long requestedNanoTime) {
         try {
             FaktoryConfig reloaded = FaktoryConfig.read(file);
             password = new Password(reloaded.password());
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -205,8 +205,8 @@
     }
 
     @Override
-    public void reload(long signalNs) {
-        reload.run(loop.toEpochUs(signalNs));
+    public void reload(long requestedNanoTime) {
+        reload.run(loop.toEpochUs(requestedNanoTime));
     }
 
     @Override
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -364,8 +364,8 @@
         return closeFacts("", false);
     }
 
-    private CloseGuard.Facts closeFacts(String requestId, boolean responseOwed) {
-        return new CloseGuard.Facts(requestId, responseOwed, isClosedByPeer(), closeReason());
+    private CloseGuard.Facts closeFacts(String requestId, boolean responsePending) {
+        return new CloseGuard.Facts(requestId, responsePending, isClosedByPeer(), closeReason());
     }
 
     private String closeReason() {
--- a/src/main/java/damsonslip/platform/worker/WorkerClient.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -150,11 +150,11 @@
     }
 
     @Override
-    public void probe(String worker, long connectedByUs) {
-        if (connectedByUs == ANY_TIME) {
+    public void probe(String worker, long connectedBeforeUs) {
+        if (connectedBeforeUs == ANY_TIME) {
             prober.probe(worker);
         } else {
-            prober.probeOverConnectionOpenedBy(worker, connectedByUs);
+            prober.probeOverConnectionOpenedBy(worker, connectedBeforeUs);
         }
     }
 
--- a/src/test/java/damsonslip/engine/ActionExecutorTest.java
+++ b/src/test/java/damsonslip/engine/ActionExecutorTest.java
@@ -24,7 +24,7 @@
                 public void cancel(Attempt attempt) {}
 
                 @Override
-                public void probe(String worker, long connectedByUs) {}
+                public void probe(String worker, long connectedBeforeUs) {}
 
                 @Override
                 public void watchWorkerList() {}
--- a/src/test/java/damsonslip/engine/SchedulerEngineTest.java
+++ b/src/test/java/damsonslip/engine/SchedulerEngineTest.java
@@ -41,7 +41,7 @@
                 }
 
                 @Override
-                public void probe(String worker, long connectedByUs) {}
+                public void probe(String worker, long connectedBeforeUs) {}
 
                 @Override
                 public void watchWorkerList() {}
