--- a/src/main/java/damsonslip/engine/ActionExecutor.java
+++ b/src/main/java/damsonslip/engine/ActionExecutor.java
@@ -28,30 +28,30 @@
     private final EventLoop loop;
     private final Counters counters;
     private final RequestTrace trace;
-    private final Consumer<Event> events;
-    private final Supplier<WorkerGateway> workers;
+    private final Consumer<Event> eventSink;
+    private final Supplier<WorkerGateway> gateway;
     private final OpenRequests requests;
     private final AttemptManager attempts;
 
     /**
      * Creates the executor of one engine.
      *
-     * @param events takes the events that actions cause
-     * @param workers returns the gateway to the workers
+     * @param eventSink receives the events that actions cause
+     * @param gateway returns the gateway to the workers
      */
     ActionExecutor(
             EventLoop loop,
             Counters counters,
             RequestTrace trace,
-            Consumer<Event> events,
-            Supplier<WorkerGateway> workers,
+            Consumer<Event> eventSink,
+            Supplier<WorkerGateway> gateway,
             OpenRequests requests,
             AttemptManager attempts) {
         this.loop = loop;
         this.counters = counters;
         this.trace = trace;
-        this.events = events;
-        this.workers = workers;
+        this.eventSink = eventSink;
+        this.gateway = gateway;
         this.requests = requests;
         this.attempts = attempts;
     }
@@ -80,12 +80,12 @@
             requests.fail(fail.job());
         } else if (action instanceof ProbeWorker probe) {
             counters.add(Count.PROBES_SENT);
-            workers.get().probe(probe.worker(), probe.connectedBeforeUs());
+            gateway.get().probe(probe.worker(), probe.connectedBeforeUs());
         } else if (action instanceof SetTimer timer) {
-            loop.scheduleAt(timer.atUs(), () -> events.accept(new TimerDue(timer.label())));
+            loop.scheduleAt(timer.atUs(), () -> eventSink.accept(new TimerDue(timer.label())));
         } else if (action instanceof WatchWorkerList) {
             trace.workerListRequested();
-            workers.get().watchWorkerList();
+            gateway.get().watchWorkerList();
         } else if (action instanceof Log log) {
             LOG.info(log.text());
         }
--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -144,11 +144,11 @@
     }
 
     /** Ends the attempt and cancels its timeout; returns false if it had ended before. */
-    boolean end(AttemptOutcome how) {
+    boolean end(AttemptOutcome outcome) {
         if (!moveTo(State.ENDED)) {
             return false;
         }
-        outcome = how;
+        this.outcome = outcome;
         timeout.cancel();
         return true;
     }
--- a/src/main/java/damsonslip/engine/AttemptManager.java
+++ b/src/main/java/damsonslip/engine/AttemptManager.java
@@ -32,16 +32,16 @@
     private final EngineStatistics statistics;
     private final RequestTrace trace;
     private final EngineGuards guards;
-    private final Consumer<Event> events;
-    private final Supplier<WorkerGateway> workers;
+    private final Consumer<Event> eventSink;
+    private final Supplier<WorkerGateway> gateway;
     private final WorkerList workerList;
     private final OpenRequests requests;
 
     /**
      * Creates the manager of one engine's attempts.
      *
-     * @param events takes events for the decision module
-     * @param workers returns the gateway to the workers
+     * @param eventSink receives events for the decision module
+     * @param gateway returns the gateway to the workers
      */
     AttemptManager(
             EventLoop loop,
@@ -49,8 +49,8 @@
             EngineStatistics statistics,
             RequestTrace trace,
             EngineGuards guards,
-            Consumer<Event> events,
-            Supplier<WorkerGateway> workers,
+            Consumer<Event> eventSink,
+            Supplier<WorkerGateway> gateway,
             WorkerList workerList,
             OpenRequests requests) {
         this.loop = loop;
@@ -58,8 +58,8 @@
         this.statistics = statistics;
         this.trace = trace;
         this.guards = guards;
-        this.events = events;
-        this.workers = workers;
+        this.eventSink = eventSink;
+        this.gateway = gateway;
         this.workerList = workerList;
         this.requests = requests;
     }
@@ -69,7 +69,8 @@
         RequestContext context = requests.find(send.job());
         if (context == null) {
             // the request was finished while the module decided; it still expects an end
-            events.accept(new AttemptEnded(send.job(), 0, AttemptOutcome.NEVER_SENT, true, null));
+            eventSink.accept(
+                    new AttemptEnded(send.job(), 0, AttemptOutcome.NEVER_SENT, true, null));
             return;
         }
         statistics.count(Count.EXECUTIONS_SENT);
@@ -85,7 +86,7 @@
         if (context.isClosed() || !isPermitted) {
             ended(attempt, Attempt.Completion.of(AttemptOutcome.NEVER_SENT));
         } else {
-            workers.get().send(attempt);
+            gateway.get().send(attempt);
         }
     }
 
@@ -105,7 +106,7 @@
 
     private void stop(Attempt attempt, AttemptOutcome outcome) {
         if (attempt.isOpen()) {
-            workers.get().cancel(attempt);
+            gateway.get().cancel(attempt);
             ended(attempt, Attempt.Completion.of(outcome));
         }
     }
@@ -116,7 +117,7 @@
      */
     void withdrawUnsent(RequestContext context) {
         for (Attempt attempt : List.copyOf(context.attempts())) {
-            if (attempt.isOpen() && workers.get().withdrawUnsent(attempt)) {
+            if (attempt.isOpen() && gateway.get().withdrawUnsent(attempt)) {
                 ended(attempt, Attempt.Completion.of(AttemptOutcome.NEVER_SENT));
             }
         }
@@ -126,7 +127,7 @@
     void started(Attempt attempt) {
         if (attempt.markRunning()) {
             trace.started(attempt);
-            events.accept(new AttemptStarted(attempt.request().id(), attempt.number()));
+            eventSink.accept(new AttemptStarted(attempt.request().id(), attempt.number()));
         }
     }
 
@@ -143,7 +144,7 @@
         if (end.outcome() == AttemptOutcome.SERVED) {
             context.answer(Response.served(end.result()));
         }
-        events.accept(
+        eventSink.accept(
                 new AttemptEnded(
                         attempt.request().id(),
                         attempt.number(),
--- a/src/main/java/damsonslip/engine/EventLoop.java
+++ b/src/main/java/damsonslip/engine/EventLoop.java
@@ -21,7 +21,7 @@
 
     private final long startedUs = TimeUnit.MILLISECONDS.toMicros(System.currentTimeMillis());
     private final long startedNanoTime = System.nanoTime();
-    private final ScheduledThreadPoolExecutor thread =
+    private final ScheduledThreadPoolExecutor executor =
             new ScheduledThreadPoolExecutor(1, EventLoop::newThread);
     private final LoopLatency latency = new LoopLatency();
     private volatile Runnable failureListener = () -> {};
@@ -34,8 +34,8 @@
 
     /** Creates a loop; its thread starts with the first task and keeps the process alive. */
     public EventLoop() {
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
     private static Thread newThread(Runnable task) {
@@ -61,8 +61,8 @@
 
     /** Runs a task on the loop as soon as possible; does nothing after {@link #stop}. */
     public void execute(Runnable task) {
-        if (!thread.isShutdown()) {
-            thread.execute(guarded(task, System.nanoTime()));
+        if (!executor.isShutdown()) {
+            executor.execute(guarded(task, System.nanoTime()));
         }
     }
 
@@ -71,13 +71,13 @@
      * #stop}.
      */
     public Timer scheduleAt(long timeUs, Runnable task) {
-        if (thread.isShutdown()) {
+        if (executor.isShutdown()) {
             return () -> {};
         }
         long delayUs = Math.max(0, timeUs - nowUs());
         long dueNanoTime = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(delayUs);
         ScheduledFuture<?> scheduled =
-                thread.schedule(guarded(task, dueNanoTime), delayUs, TimeUnit.MICROSECONDS);
+                executor.schedule(guarded(task, dueNanoTime), delayUs, TimeUnit.MICROSECONDS);
         return () -> scheduled.cancel(false);
     }
 
@@ -98,12 +98,12 @@
 
     /** Returns the underlying executor, for a library that needs one for its own timers. */
     public ScheduledThreadPoolExecutor executor() {
-        return thread;
+        return executor;
     }
 
     /** Stops the loop after the tasks that are ready to run; scheduled ones are dropped. */
     public void stop() {
-        thread.shutdown();
+        executor.shutdown();
     }
 
     /** Keeps a failing task from ending the thread, and with it every other request. */
--- a/src/main/java/damsonslip/engine/OpenRequests.java
+++ b/src/main/java/damsonslip/engine/OpenRequests.java
@@ -24,7 +24,7 @@
     private final EngineStatistics statistics;
     private final RequestTrace trace;
     private final EngineGuards guards;
-    private final Consumer<Event> events;
+    private final Consumer<Event> eventSink;
     private final Map<String, RequestContext> contexts = new HashMap<>();
 
     /** One object for all requests. */
@@ -35,19 +35,19 @@
     /**
      * Creates an empty table.
      *
-     * @param events takes events for the decision module
+     * @param eventSink receives events for the decision module
      */
     OpenRequests(
             EventLoop loop,
             EngineStatistics statistics,
             RequestTrace trace,
             EngineGuards guards,
-            Consumer<Event> events) {
+            Consumer<Event> eventSink) {
         this.loop = loop;
         this.statistics = statistics;
         this.trace = trace;
         this.guards = guards;
-        this.events = events;
+        this.eventSink = eventSink;
     }
 
     /** Returns how many requests still lack their final response. */
@@ -76,16 +76,16 @@
             return context;
         }
         contexts.put(request.id(), context);
-        events.accept(
+        eventSink.accept(
                 new JobArrived(
                         request.id(),
                         request.jobClass(),
                         request.tenant(),
-                        request.subject(),
+                        request.affinityKey(),
                         request.deadlineUs(),
                         request.slots(),
                         request.memory(),
-                        request.maxExecutions(),
+                        request.maxRuns(),
                         request.eligibleWorkers()));
         return context;
     }
@@ -101,7 +101,7 @@
         openCount--;
         statistics.count(Count.QUERIES_GONE);
         trace.clientDisconnected(context.request());
-        events.accept(new ClientDisconnected(context.request().id()));
+        eventSink.accept(new ClientDisconnected(context.request().id()));
         return true;
     }
 
@@ -131,7 +131,9 @@
                 .map(context -> context.request().id())
                 .toList()
                 .forEach(
-                        id -> events.accept(new TimerDue(SchedulingPolicy.deadlineTimerLabel(id))));
+                        id ->
+                                eventSink.accept(
+                                        new TimerDue(SchedulingPolicy.deadlineTimerLabel(id))));
     }
 
     /** Forgets a request to which nothing more can happen. */
--- a/src/main/java/damsonslip/engine/Request.java
+++ b/src/main/java/damsonslip/engine/Request.java
@@ -14,8 +14,8 @@
  *     given
  * @param slots how many slots it takes at a worker
  * @param memory how many units of memory it takes at a worker
- * @param subject what it concerns; null if nothing in particular
- * @param maxExecutions how often it may be executed at most, whatever its class allows
+ * @param affinityKey what it concerns; null if nothing in particular
+ * @param maxRuns how often it may be executed at most, whatever its class allows
  * @param eligibleWorkers which workers, by id, can execute it; null if all can
  * @param payload the front's own form of the content, which the engine does not look into
  */
@@ -27,8 +27,8 @@
         long earliestDeadlineUs,
         int slots,
         double memory,
-        Long subject,
-        int maxExecutions,
+        Long affinityKey,
+        int maxRuns,
         Predicate<String> eligibleWorkers,
         Payload payload) {
     /** Content in a front's own form. */
--- a/src/main/java/damsonslip/engine/Response.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -31,7 +31,7 @@
         return new Response(Kind.THROTTLED, "", retryAfterUs, false);
     }
 
-    static Response failed(boolean late) {
-        return new Response(Kind.FAILED, "", NO_RETRY_AFTER, late);
+    static Response failed(boolean deadlineReached) {
+        return new Response(Kind.FAILED, "", NO_RETRY_AFTER, deadlineReached);
     }
 }
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -100,11 +100,11 @@
     /**
      * Starts with the worker list that an earlier process has cached.
      *
-     * @param workers the gateway to the workers
+     * @param gateway the gateway to the workers
      * @param cached the cached list; empty if there is none
      */
-    public void start(WorkerGateway workers, List<WorkerEntry> cached) {
-        gateway = workers;
+    public void start(WorkerGateway gateway, List<WorkerEntry> cached) {
+        this.gateway = gateway;
         workerList.load(cached);
         stateTrace.start();
     }
--- a/src/main/java/damsonslip/engine/WorkerList.java
+++ b/src/main/java/damsonslip/engine/WorkerList.java
@@ -21,20 +21,20 @@
     private final EventLoop loop;
     private final Counters counters;
     private final RequestTrace trace;
-    private final Consumer<Event> events;
+    private final Consumer<Event> eventSink;
     private final WorkerOverrides overrides = new WorkerOverrides();
     private boolean isLoaded;
 
     /**
      * Creates an empty list.
      *
-     * @param events takes events for the decision module
+     * @param eventSink receives events for the decision module
      */
-    WorkerList(EventLoop loop, Counters counters, RequestTrace trace, Consumer<Event> events) {
+    WorkerList(EventLoop loop, Counters counters, RequestTrace trace, Consumer<Event> eventSink) {
         this.loop = loop;
         this.counters = counters;
         this.trace = trace;
-        this.events = events;
+        this.eventSink = eventSink;
     }
 
     /** Whether a list was loaded, so that the module can decide. */
@@ -46,7 +46,7 @@
     void load(List<WorkerEntry> cached) {
         isLoaded = true;
         trace.workerListChanged(WorkerListChange.CACHED, cached);
-        events.accept(
+        eventSink.accept(
                 new WorkerListUpdate(
                         WorkerListChange.CACHED,
                         overrides.apply(WorkerListChange.CACHED, cached, loop.nowUs()),
@@ -57,7 +57,8 @@
     void update(WorkerListChange change, List<WorkerEntry> workers) {
         counters.add(Count.LIST_UPDATES);
         trace.workerListChanged(change, workers);
-        events.accept(new WorkerListUpdate(change, overrides.apply(change, workers, loop.nowUs())));
+        eventSink.accept(
+                new WorkerListUpdate(change, overrides.apply(change, workers, loop.nowUs())));
     }
 
     /**
@@ -68,7 +69,7 @@
     void updateFailed(WorkerListChange failure, long lastReadUs) {
         counters.add(Count.LIST_FAILURES);
         trace.workerListChanged(failure, List.of());
-        events.accept(new WorkerListUpdate(failure, List.of(), lastReadUs));
+        eventSink.accept(new WorkerListUpdate(failure, List.of(), lastReadUs));
     }
 
     /** Returns the zone and cell of a worker, zeros if no list has named it. */
@@ -116,7 +117,7 @@
     /** Overrides that are known before the first list are applied when it is loaded. */
     private void publish(List<WorkerEntry> changed) {
         if (!changed.isEmpty() && isLoaded) {
-            events.accept(new WorkerListUpdate(WorkerListChange.OVERRIDES, changed));
+            eventSink.accept(new WorkerListUpdate(WorkerListChange.OVERRIDES, changed));
         }
     }
 }
--- a/src/main/java/damsonslip/engine/invariants/RetryGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RetryGuard.java
@@ -40,7 +40,7 @@
         if (earlier.stream().anyMatch(EarlierAttempt::isOpen)) {
             return violation(Invariant.NO_SECOND_COPY, job, location, "an attempt is open");
         }
-        Optional<EarlierAttempt> firstRun = firstThatMayHaveRun(earlier);
+        Optional<EarlierAttempt> firstRun = firstPossibleRun(earlier);
         if (firstRun.isEmpty()) {
             return Optional.empty();
         }
@@ -53,11 +53,11 @@
                             location,
                             "it may have run at " + firstRun.get().location());
             case IDEMPOTENT_WITH_KEY ->
-                    checkKeyedRetry(job, jobClass, location, firstRun.get(), nowUs);
+                    checkRetryWithKey(job, jobClass, location, firstRun.get(), nowUs);
         };
     }
 
-    private static Optional<Violation> checkKeyedRetry(
+    private static Optional<Violation> checkRetryWithKey(
             String job,
             JobClass jobClass,
             WorkerLocation location,
@@ -65,7 +65,7 @@
             long nowUs) {
         long windowEndUs = firstRun.sentUs() + jobClass.idempotencyWindowUs() + SOCKET_SLACK_US;
         if (nowUs <= windowEndUs
-                && sharesKeys(jobClass.idempotencyScope(), firstRun.location(), location)) {
+                && recognizesKeysOf(jobClass.idempotencyScope(), firstRun.location(), location)) {
             return Optional.empty();
         }
         return violation(
@@ -84,7 +84,7 @@
         if (isSafeToRepeatAnywhere(jobClass)) {
             return Optional.empty();
         }
-        Optional<EarlierAttempt> firstRun = firstThatMayHaveRun(earlier);
+        Optional<EarlierAttempt> firstRun = firstPossibleRun(earlier);
         if (firstRun.isEmpty()) {
             return Optional.empty();
         }
@@ -103,12 +103,12 @@
         };
     }
 
-    private static Optional<EarlierAttempt> firstThatMayHaveRun(List<EarlierAttempt> earlier) {
+    private static Optional<EarlierAttempt> firstPossibleRun(List<EarlierAttempt> earlier) {
         return earlier.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
     }
 
     /** Whether the other worker recognizes idempotency keys that this one has seen. */
-    private static boolean sharesKeys(
+    private static boolean recognizesKeysOf(
             IdempotencyScope scope, WorkerLocation one, WorkerLocation other) {
         return switch (scope) {
             case ALL_WORKERS -> true;
--- a/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
+++ b/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
@@ -22,7 +22,7 @@
     private static final long MARGIN_US = 250_000;
 
     /** How long the request that is accepted last has until it is answered. */
-    private static final long LAST_REQUEST_US = 1_050_000;
+    private static final long LAST_REQUEST_TIME_US = 1_050_000;
 
     /** Front proxies open new connections for up to 0.4 s after the signal. */
     private static final long MIN_ACCEPT_US = 500_000;
@@ -34,9 +34,9 @@
      *     microseconds
      */
     public static ShutdownTimes of(long longestDeadlineUs) {
-        long answerDeadline =
+        long answerDeadlineUs =
                 Math.min(longestDeadlineUs, MAX_DEADLINE_US) + KILL_DELAY_US - MARGIN_US;
         return new ShutdownTimes(
-                Math.max(MIN_ACCEPT_US, answerDeadline - LAST_REQUEST_US), answerDeadline);
+                Math.max(MIN_ACCEPT_US, answerDeadlineUs - LAST_REQUEST_TIME_US), answerDeadlineUs);
     }
 }
--- a/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
+++ b/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
@@ -28,10 +28,10 @@
         "2500, false, false, 2499, CLOSE"
     })
     void keepsClosesOrRejectsByTimeAndConnectionState(
-            long nowMs, boolean busy, boolean midway, long idleSinceMs, Action expected) {
+            long nowMs, boolean busy, boolean partiallyRead, long idleSinceMs, Action expected) {
         ConnectionDraining draining = ConnectionDraining.forOperatorDrain(DRAINED_AT_US);
         long nowUs = DRAINED_AT_US + nowMs * 1_000;
         long idleSinceUs = DRAINED_AT_US + idleSinceMs * 1_000;
-        assertEquals(expected, draining.actionFor(nowUs, busy, midway, idleSinceUs));
+        assertEquals(expected, draining.actionFor(nowUs, busy, partiallyRead, idleSinceUs));
     }
 }
