--- a/src/main/java/damsonslip/engine/AttemptManager.java
+++ b/src/main/java/damsonslip/engine/AttemptManager.java
@@ -159,7 +159,7 @@
         JobClass jobClass = settings.classes().get(attempt.request().jobClass());
         if (jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !outcome.provesNotRun()) {
             attempt.context()
-                    .limitRetriesTo(
+                    .limitRetriesUntil(
                             attempt.sentUs()
                                     + jobClass.idempotencyWindowUs()
                                     - IDEMPOTENCY_WINDOW_MARGIN_US);
--- a/src/main/java/damsonslip/engine/OpenRequests.java
+++ b/src/main/java/damsonslip/engine/OpenRequests.java
@@ -28,7 +28,7 @@
     private final Map<String, RequestContext> contexts = new HashMap<>();
 
     /** One object for all requests. */
-    private final BiConsumer<RequestContext, Response> responseObserver = this::responseGiven;
+    private final BiConsumer<RequestContext, Response> responseObserver = this::onResponse;
 
     private int openCount;
 
@@ -143,7 +143,7 @@
         }
     }
 
-    private void responseGiven(RequestContext context, Response response) {
+    private void onResponse(RequestContext context, Response response) {
         openCount--;
         guards.checkResponse(context, response);
         trace.answered(context.request(), response);
--- a/src/main/java/damsonslip/engine/RequestContext.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -103,7 +103,7 @@
     }
 
     /** Limits further attempts to those that start before this time. */
-    void limitRetriesTo(long untilUs) {
+    void limitRetriesUntil(long untilUs) {
         retryUntilUs = Math.min(retryUntilUs, untilUs);
     }
 
--- a/src/main/java/damsonslip/engine/StateTrace.java
+++ b/src/main/java/damsonslip/engine/StateTrace.java
@@ -73,7 +73,7 @@
         policy.pools().forEach(pool -> writePool(pool, workers));
         workers.stream()
                 .filter(worker -> worker.running() && worker.warmingUp())
-                .forEach(StateTrace::writeWarmingWorker);
+                .forEach(StateTrace::writeWarmingUpWorker);
         loop.scheduleAfter(INTERVAL_US, this::writeAndReschedule);
     }
 
@@ -93,7 +93,7 @@
                 members);
     }
 
-    private static void writeWarmingWorker(WorkerState worker) {
+    private static void writeWarmingUpWorker(WorkerState worker) {
         LOG.debug("cold {} partUs={}", worker.id(), (long) worker.slowStartBudgetUs());
     }
 }
--- a/src/main/java/damsonslip/engine/invariants/RetryGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RetryGuard.java
@@ -65,7 +65,7 @@
             long nowUs) {
         long windowEndUs = firstRun.sentUs() + jobClass.idempotencyWindowUs() + SOCKET_SLACK_US;
         if (nowUs <= windowEndUs
-                && recognizesKeysOf(jobClass.idempotencyScope(), firstRun.location(), location)) {
+                && shareKeys(jobClass.idempotencyScope(), firstRun.location(), location)) {
             return Optional.empty();
         }
         return violation(
@@ -81,7 +81,7 @@
      */
     public static Optional<Violation> checkRejection(
             String job, JobClass jobClass, List<EarlierAttempt> earlier) {
-        if (isSafeToRepeatAnywhere(jobClass)) {
+        if (isIdempotentEverywhere(jobClass)) {
             return Optional.empty();
         }
         Optional<EarlierAttempt> firstRun = firstPossibleRun(earlier);
@@ -95,7 +95,7 @@
                 "it may have run there");
     }
 
-    private static boolean isSafeToRepeatAnywhere(JobClass jobClass) {
+    private static boolean isIdempotentEverywhere(JobClass jobClass) {
         return switch (jobClass.idempotency()) {
             case IDEMPOTENT -> true;
             case NOT_IDEMPOTENT -> false;
@@ -108,7 +108,7 @@
     }
 
     /** Whether the other worker recognizes idempotency keys that this one has seen. */
-    private static boolean recognizesKeysOf(
+    private static boolean shareKeys(
             IdempotencyScope scope, WorkerLocation one, WorkerLocation other) {
         return switch (scope) {
             case ALL_WORKERS -> true;
--- a/src/main/java/damsonslip/engine/invariants/SendGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/SendGuard.java
@@ -9,7 +9,7 @@
     private static final long TIME_LIMIT_SLACK_US = 150_000;
 
     /** Below this number of requests the tolerance is three standard deviations, not two. */
-    private static final double SMALL_SAMPLE = 30;
+    private static final double SMALL_CAPACITY = 30;
 
     /**
      * What is known about the attempt.
@@ -77,7 +77,7 @@
     private static boolean isOverloaded(SlowStartLoad load) {
         double capacity = load.capacity();
         double deviation = Math.sqrt(capacity);
-        double tolerance = capacity < SMALL_SAMPLE ? 3 * deviation + 3 : 2 * deviation + 2;
+        double tolerance = capacity < SMALL_CAPACITY ? 3 * deviation + 3 : 2 * deviation + 2;
         return load.requests() > capacity + tolerance;
     }
 
--- a/src/test/java/damsonslip/engine/CountersTest.java
+++ b/src/test/java/damsonslip/engine/CountersTest.java
@@ -7,7 +7,7 @@
 
 class CountersTest {
     @Test
-    void printsWhatIsNotZeroInTheOrderOfTheConstants() {
+    void printsNonZeroCountersInTheOrderOfTheConstants() {
         Counters counters = new Counters();
         assertEquals("counters", counters.toString());
         counters.add(Count.PROBES_SENT);
--- a/src/test/java/damsonslip/engine/EngineFixtures.java
+++ b/src/test/java/damsonslip/engine/EngineFixtures.java
@@ -26,7 +26,7 @@
     }
 
     private static Settings settings(boolean mayCancel) {
-        JobClass once =
+        JobClass nonIdempotent =
                 new JobClass(
                         200_000,
                         2,
@@ -41,7 +41,7 @@
                 0,
                 1,
                 1,
-                List.of(once),
+                List.of(nonIdempotent),
                 List.of(),
                 new Limits(3, mayCancel, false, 0, 0),
                 new Guarantees(50_000, 500_000, 10_000_000, 1, 0, 1, 1_000_000),
--- a/src/test/java/damsonslip/engine/GracefulShutdownTest.java
+++ b/src/test/java/damsonslip/engine/GracefulShutdownTest.java
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void endsAtItsTimeLimitThoughSomethingIsOpen() throws Exception {
+    void endsAtItsTimeLimitEvenIfRequestsAreOpen() throws Exception {
         GracefulShutdown shutdown = shutdown(SHORT_US, SHORT_US);
         loop.execute(shutdown::start);
         loop.execute(shutdown::start);
--- a/src/test/java/damsonslip/engine/LifecyclePhaseTest.java
+++ b/src/test/java/damsonslip/engine/LifecyclePhaseTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void drainsWhileServingOnlyAndReturns() {
+    void drainsOnlyWhileServingAndCanBeUndone() {
         assertFalse(phase.drain());
         phase.advanceTo(State.SERVING);
         assertTrue(phase.drain());
--- a/src/test/java/damsonslip/engine/OpenRequestsTest.java
+++ b/src/test/java/damsonslip/engine/OpenRequestsTest.java
@@ -35,13 +35,13 @@
         return new OpenRequests(loop, statistics, trace, guards, events::add);
     }
 
-    private RequestContext submit(String id, long timeLeftUs) {
-        Request request = EngineFixtures.request(id, loop.nowUs() + timeLeftUs);
+    private RequestContext submit(String id, long remainingUs) {
+        Request request = EngineFixtures.request(id, loop.nowUs() + remainingUs);
         return requests.submit(request, responses::add);
     }
 
     @Test
-    void rejectsRequestsBeyondTheLimitWithoutAskingTheModule() {
+    void rejectsRequestsBeyondTheLimitWithoutConsultingThePolicy() {
         for (int i = 0; i < SchedulerEngine.MAX_OPEN_REQUESTS; i++) {
             submit("q" + i, FAR_DEADLINE_US);
         }
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void forgetsARequestOnceItIsAnswered() {
+    void removesARequestOnceItIsAnswered() {
         submit("q", FAR_DEADLINE_US);
         assertTrue(requests.contains("q"));
         requests.answer("q", Response.throttled(5));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void tellsFailuresAtTheDeadlineFromOthers() {
+    void distinguishesFailuresAtTheDeadlineFromOthers() {
         submit("early", FAR_DEADLINE_US);
         submit("late", 0);
         requests.fail("early");
@@ -86,10 +86,10 @@
     }
 
     @Test
-    void letsTheModuleAnswerAllOpenRequests() {
+    void answersAllOpenRequestsThroughThePolicy() {
         submit("q", FAR_DEADLINE_US);
-        RequestContext left = submit("r", FAR_DEADLINE_US);
-        requests.abandon(left);
+        RequestContext abandoned = submit("r", FAR_DEADLINE_US);
+        requests.abandon(abandoned);
         events.clear();
         requests.answerAllOpen();
         assertEquals(List.of(new TimerDue(SchedulingPolicy.deadlineTimerLabel("q"))), events);
--- a/src/test/java/damsonslip/engine/RequestContextTest.java
+++ b/src/test/java/damsonslip/engine/RequestContextTest.java
@@ -91,8 +91,8 @@
 
     @Test
     void startsNoAttemptAfterTheRetryWindow() {
-        context.limitRetriesTo(5_000);
-        context.limitRetriesTo(9_000);
+        context.limitRetriesUntil(5_000);
+        context.limitRetriesUntil(9_000);
         Attempt attempt = attempt();
         assertTrue(attempt.mayBeWritten(4_999));
         assertFalse(attempt.mayBeWritten(5_000));
--- a/src/test/java/damsonslip/engine/RequestTraceTest.java
+++ b/src/test/java/damsonslip/engine/RequestTraceTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void recordsAWorkerThatLeftTheList() {
+    void recordsAWorkerRemovedFromTheList() {
         WorkerEntry removed = new WorkerEntry("a", 0, 0, 0, WorkerStatus.REMOVED, 0);
         trace.workerListChanged(WorkerListChange.CHANGES, List.of(removed));
         assertNewest(" drain_told id=a detail=GONE figure=0");
--- a/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
+++ b/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
@@ -10,7 +10,7 @@
     private static final long NOW = 50_000 * MS;
 
     @Test
-    void permitsNoCloseWhileAResponseIsOwed() {
+    void permitsNoCloseWhileAResponseIsPending() {
         assertViolates(
                 Invariant.NO_CLOSE_WITHOUT_ANSWER,
                 CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, false, "idle")));
--- a/src/test/java/damsonslip/engine/invariants/RetryGuardTest.java
+++ b/src/test/java/damsonslip/engine/invariants/RetryGuardTest.java
@@ -56,10 +56,11 @@
 
     @Test
     void permitsRetryOfNonIdempotentRequestOnlyIfItNeverRan() {
-        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
-        assertTrue(retry(once, SAME_ZONE, neverRan(MS)).isEmpty());
+        JobClass nonIdempotent = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
+        assertTrue(retry(nonIdempotent, SAME_ZONE, neverRan(MS)).isEmpty());
         assertViolates(
-                Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, retry(once, SAME_ZONE, mayHaveRun(MS)));
+                Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                retry(nonIdempotent, SAME_ZONE, mayHaveRun(MS)));
         JobClass idempotent = jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         assertTrue(retry(idempotent, SAME_ZONE, mayHaveRun(MS)).isEmpty());
     }
--- a/src/test/java/damsonslip/engine/invariants/SendGuardTest.java
+++ b/src/test/java/damsonslip/engine/invariants/SendGuardTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void permitsTimeLimitOfTheRemainingTimeAndItsSlack() {
+    void permitsTimeLimitsUpToTheRemainingTimePlusSlack() {
         assertTrue(check(Long.MAX_VALUE, true, 900 * MS, 1_050 * MS, null).isEmpty());
         assertViolates(
                 Invariant.NO_MORE_TIME_TOLD_THAN_LEFT,
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void permitsSlowStartLoadOfTheCapacityAndItsTolerance() {
+    void permitsSlowStartLoadUpToTheCapacityPlusTolerance() {
         assertTrue(check(Long.MAX_VALUE, true, 900 * MS, 0, new SlowStartLoad(122, 100)).isEmpty());
         assertViolates(
                 Invariant.NO_COLD_WORKER_OVERLOADED,
