--- a/src/main/java/damsonslip/config/ConfigurationTree.java
+++ b/src/main/java/damsonslip/config/JsonTreeReader.java
@@ -16,11 +16,11 @@
  * make starts longer, and nothing is mapped here. Nesting depth and lengths are bounded by the
  * parser.
  */
-public final class ConfigurationTree {
+public final class JsonTreeReader {
     private static final JsonFactory PARSERS = new JsonFactory();
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
 
-    private ConfigurationTree() {}
+    private JsonTreeReader() {}
 
     /** Decodes the first value; null if there is none. */
     public static JsonNode read(String text) throws JsonProcessingException {
--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -57,7 +57,7 @@
 
     private static JsonNode parse(String file) throws ConfigurationException {
         try {
-            JsonNode root = ConfigurationTree.read(Files.readString(Path.of(file)));
+            JsonNode root = JsonTreeReader.read(Files.readString(Path.of(file)));
             if (root == null || !root.isObject()) {
                 throw new ConfigurationException("config: " + file + ": not a JSON object");
             }
--- a/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.ConfigurationTree;
+import damsonslip.config.JsonTreeReader;
 import damsonslip.config.SiteSettings;
 import damsonslip.policy.api.WorkerEntry;
 import damsonslip.policy.api.WorkerStatus;
@@ -41,7 +41,7 @@
      */
     public EndpointList decode(String json) throws MalformedListException {
         try {
-            return decode(ConfigurationTree.read(json));
+            return decode(JsonTreeReader.read(json));
         } catch (JsonProcessingException e) {
             throw new MalformedListException(
                     "host group: not JSON: "
--- a/src/main/java/damsonslip/platform/codec/JobProgress.java
+++ b/src/main/java/damsonslip/platform/codec/JobProgress.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
-import damsonslip.config.ConfigurationTree;
+import damsonslip.config.JsonTreeReader;
 import damsonslip.policy.api.LoadReport;
 import java.util.Optional;
 
@@ -35,7 +35,7 @@
      */
     public static Optional<JobProgress> decode(String line, String requestId) {
         try {
-            JsonNode node = ConfigurationTree.read(line);
+            JsonNode node = JsonTreeReader.read(line);
             if (node == null
                     || !requestId.equals(node.path(WireNames.Progress.REQUEST_ID).asText())) {
                 return Optional.empty();
--- a/src/main/java/damsonslip/tools/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import damsonslip.config.ConfigurationException;
-import damsonslip.config.ConfigurationTree;
+import damsonslip.config.JsonTreeReader;
 import damsonslip.config.SiteSettings;
 import java.util.Locale;
 import java.util.SplittableRandom;
@@ -55,7 +55,7 @@
 
     SiteSettings site() throws ConfigurationException {
         try {
-            return SiteSettings.read(ConfigurationTree.read(settingsText()));
+            return SiteSettings.read(JsonTreeReader.read(settingsText()));
         } catch (JsonProcessingException e) {
             throw new IllegalStateException("the hollow fleet's own settings", e);
         }
--- a/src/test/java/damsonslip/config/TreeTest.java
+++ b/src/test/java/damsonslip/config/JsonTreeReaderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The tree is the one that the library's own mapper gives. */
-class TreeTest {
+class JsonTreeReaderTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -25,19 +25,18 @@
                 "{} trailing"
             })
     void valuesAreAsTheMapperReadsThem(String text) throws JsonProcessingException {
-        assertEquals(new ObjectMapper().readTree(text), ConfigurationTree.read(text));
+        assertEquals(new ObjectMapper().readTree(text), JsonTreeReader.read(text));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1,", "{\"a\"}", "{\"a\":}", "nul", "{a:1}", "\"open", "[1 2]"})
     void halfAValueIsNone(String text) {
-        assertThrows(JsonProcessingException.class, () -> ConfigurationTree.read(text));
+        assertThrows(JsonProcessingException.class, () -> JsonTreeReader.read(text));
     }
 
     @Test
     void nothingIsNullAndDepthIsBounded() throws JsonProcessingException {
-        assertNull(ConfigurationTree.read("  "));
-        assertThrows(
-                JsonProcessingException.class, () -> ConfigurationTree.read("[".repeat(5_000)));
+        assertNull(JsonTreeReader.read("  "));
+        assertThrows(JsonProcessingException.class, () -> JsonTreeReader.read("[".repeat(5_000)));
     }
 }
