--- a/src/main/java/damsonslip/config/SiteSettings.java
+++ b/src/main/java/damsonslip/config/SiteSettings.java
@@ -11,25 +11,25 @@
  * @param settings the settings of the decisions
  * @param classNames the job classes' names, by index
  * @param tenantNames the tenants' names, by index; empty where there are none
- * @param deadlinesUs the longest time budget of a request, by class
+ * @param maxTimeBudgetsUs the longest time budget of a request, by class
  * @param zoneNames the zones' names, by index
- * @param kindNames the machine kinds' names, by index
- * @param idleUs the idle timeout of workers, after which they close a connection
- * @param connectUs the connect timeout
- * @param probeUs the timeout of a probe
- * @param retryAfter whether rejections carry Retry-After
+ * @param machineKindNames the machine kinds' names, by index
+ * @param workerIdleTimeoutUs the idle timeout of workers, after which they close a connection
+ * @param connectTimeoutUs the connect timeout
+ * @param probeTimeoutUs the timeout of a probe
+ * @param sendsRetryAfter whether rejections carry Retry-After
  */
 public record SiteSettings(
         Settings settings,
         List<String> classNames,
         List<String> tenantNames,
-        List<Long> deadlinesUs,
+        List<Long> maxTimeBudgetsUs,
         List<String> zoneNames,
-        List<String> kindNames,
-        long idleUs,
-        long connectUs,
-        long probeUs,
-        boolean retryAfter) {
+        List<String> machineKindNames,
+        long workerIdleTimeoutUs,
+        long connectTimeoutUs,
+        long probeTimeoutUs,
+        boolean sendsRetryAfter) {
     /** Older load reports are of no use. */
     private static final double PROBE_TIMEOUT_S = 0.5;
 
@@ -63,8 +63,8 @@
     }
 
     /** The longest time budget of a request of this class. */
-    public long deadlineUs(int jobClass) {
-        return deadlinesUs.get(jobClass);
+    public long maxTimeBudgetUs(int jobClass) {
+        return maxTimeBudgetsUs.get(jobClass);
     }
 
     private static long micros(JsonNode node, String name, double fallback) {
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -165,7 +165,10 @@
 
     private void beginShutdown() {
         long longestDeadlineUs =
-                config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+                config.site().maxTimeBudgetsUs().stream()
+                        .mapToLong(Long::longValue)
+                        .max()
+                        .orElse(0);
         GracefulShutdown shutdown =
                 new GracefulShutdown(
                         loop,
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -222,7 +222,7 @@
         if (entry.record().hasWaitingClient()) {
             return options.deadlineMs();
         }
-        long classDeadlineMs = site.deadlineUs(entry.jobClass()) / 1000;
+        long classDeadlineMs = site.maxTimeBudgetUs(entry.jobClass()) / 1000;
         long reservationMs = options.reservationMs() + RESERVATION_MARGIN_MS;
         return lifecycle.nowMs() + Math.max(classDeadlineMs, reservationMs);
     }
--- a/src/main/java/damsonslip/faktory/WorkerRegistry.java
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -89,7 +89,7 @@
                         hello.wid(),
                         hello.process(),
                         labelIndex(site.zoneNames(), hello.labels()),
-                        labelIndex(site.kindNames(), hello.labels()),
+                        labelIndex(site.machineKindNames(), hello.labels()),
                         loop.nowUs());
         worker.connections.add(connection);
         workers.put(hello.wid(), worker);
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -114,7 +114,7 @@
 
     private void assemble(InetSocketAddress discovery) throws IOException {
         ConnectionManager connections =
-                ConnectionManager.start(loop, config.site().connectUs() / MICROS_PER_MILLI);
+                ConnectionManager.start(loop, config.site().connectTimeoutUs() / MICROS_PER_MILLI);
         int perSide = descriptors.connectionsPerSide(1);
         clients =
                 new ClientServer(
--- a/src/main/java/damsonslip/platform/PlatformShutdown.java
+++ b/src/main/java/damsonslip/platform/PlatformShutdown.java
@@ -35,7 +35,10 @@
         this.phase = phase;
         this.engine = engine;
         this.longestDeadlineUs =
-                config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+                config.site().maxTimeBudgetsUs().stream()
+                        .mapToLong(Long::longValue)
+                        .max()
+                        .orElse(0);
         this.times = ShutdownTimes.of(longestDeadlineUs);
     }
 
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -75,7 +75,7 @@
             int overflow) {
         this.connections = connections;
         this.decoder = new RequestDecoder(site);
-        this.sendsRetryAfter = site.retryAfter();
+        this.sendsRetryAfter = site.sendsRetryAfter();
         this.engine = engine;
         this.phase = phase;
         this.counters = counters;
--- a/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
@@ -30,7 +30,7 @@
     public EndpointListDecoder(
             SiteSettings site, Function<String, InetSocketAddress> addressLookup) {
         this.zoneNames = site.zoneNames();
-        this.machineKinds = site.kindNames();
+        this.machineKinds = site.machineKindNames();
         this.addressLookup = addressLookup;
     }
 
--- a/src/main/java/damsonslip/platform/codec/RequestDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/RequestDecoder.java
@@ -76,7 +76,7 @@
 
     private long timeBudgetUs(HttpRequest request, int jobClass) {
         String budget = request.header(WireNames.Header.TIME_BUDGET);
-        return budget == null ? site.deadlineUs(jobClass) : WireFormat.parseMicros(budget);
+        return budget == null ? site.maxTimeBudgetUs(jobClass) : WireFormat.parseMicros(budget);
     }
 
     private static HttpForward forward(HttpRequest request) throws BadRequestException {
--- a/src/main/java/damsonslip/platform/worker/WorkerClient.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -73,7 +73,7 @@
                         !pollsWorkerList);
         WorkerStatistics statistics = new WorkerStatistics(counters, engine.eventLog(), loop);
         this.inFlight = new InFlightAttempts(engine, loop);
-        this.pool = new ConnectionPool(loop, statistics, site.idleUs());
+        this.pool = new ConnectionPool(loop, statistics, site.workerIdleTimeoutUs());
         this.connector =
                 new WorkerConnector(
                         connections, pool, inFlight, engine, statistics, maxConnections);
@@ -91,7 +91,7 @@
                         statistics);
         this.prober =
                 new WorkerProber(
-                        engine, loop, registry, permission, pool, connector, site.probeUs());
+                        engine, loop, registry, permission, pool, connector, site.probeTimeoutUs());
     }
 
     /**
