--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -35,7 +35,7 @@
     /**
      * File descriptors used at most: the connections, the listener, and the three of its selector.
      */
-    public static final int SOCKETS = MAX_CONNECTIONS + OVERFLOW + 4;
+    public static final int MAX_FILE_DESCRIPTORS = MAX_CONNECTIONS + OVERFLOW + 4;
 
     /** Required by the selector; no outgoing connections are made here. */
     private static final long CONNECT_TIMEOUT_MS = 1_000;
--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -15,8 +15,8 @@
  * @param listen the address on which clients connect
  * @param discovery the address of discovery
  * @param seed the seed of the random numbers
- * @param sockets how many file descriptors the process may hold
- * @param known the cached endpoint list of an earlier process, undecoded
+ * @param maxFileDescriptors how many file descriptors the process may hold
+ * @param cachedEndpointList the cached endpoint list of an earlier process, undecoded
  * @param site the settings of the deployment
  * @param mgmt the address of the management port; empty for none
  */
@@ -25,8 +25,8 @@
         String listen,
         String discovery,
         long seed,
-        int sockets,
-        JsonNode known,
+        int maxFileDescriptors,
+        JsonNode cachedEndpointList,
         SiteSettings site,
         String mgmt) {
     private static final int MIN_SOCKETS = 128;
--- a/src/main/java/damsonslip/platform/DescriptorBudget.java
+++ b/src/main/java/damsonslip/platform/DescriptorBudget.java
@@ -18,9 +18,10 @@
     private final int reserved;
 
     DescriptorBudget(SchedulerConfig config) {
-        this.descriptors = config.sockets();
+        this.descriptors = config.maxFileDescriptors();
         this.reserved =
-                OTHER_DESCRIPTORS + (config.mgmt().isEmpty() ? 0 : ManagementServer.SOCKETS);
+                OTHER_DESCRIPTORS
+                        + (config.mgmt().isEmpty() ? 0 : ManagementServer.MAX_FILE_DESCRIPTORS);
     }
 
     /** How many clients may exceed their number for the moment. */
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -93,7 +93,8 @@
         InetSocketAddress listen = ConfiguredAddress.parse("listen", config.listen());
         InetSocketAddress discovery = ConfiguredAddress.parse("discovery", config.discovery());
         assemble(discovery);
-        EndpointList cached = CachedWorkerList.decode(config.known(), workers.listDecoder());
+        EndpointList cached =
+                CachedWorkerList.decode(config.cachedEndpointList(), workers.listDecoder());
         processes =
                 new ProcessCoordination(
                         loop,
