--- a/src/main/java/damsonslip/admin/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -49,22 +49,22 @@
                 server.loop()
                         .scheduleAfter(
                                 REQUEST_TIMEOUT_US,
-                                () -> finish(ManagementResponse.no("no whole call came")));
+                                () -> reject(ManagementResponse.failure("no whole call came")));
         server.connectionOpened(this);
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        byte[] part = new byte[bytes.remaining()];
-        bytes.get(part);
+        byte[] chunk = new byte[bytes.remaining()];
+        bytes.get(chunk);
         if (requestEnded) {
             return;
         }
-        List<String> complete = lines.decode(part);
-        if (complete == null
-                || complete.stream().anyMatch(line -> line.length() > MAX_LINE_LENGTH)) {
-            finish(ManagementResponse.no("the line is too long"));
-        } else if (!complete.isEmpty()) {
+        List<String> completeLines = lines.decode(chunk);
+        if (completeLines == null
+                || completeLines.stream().anyMatch(line -> line.length() > MAX_LINE_LENGTH)) {
+            reject(ManagementResponse.failure("the line is too long"));
+        } else if (!completeLines.isEmpty()) {
             requestEnded = true;
             timeout.cancel();
             timeout =
@@ -73,18 +73,18 @@
                                     RESPONSE_TIMEOUT_US,
                                     () ->
                                             respond(
-                                                    ManagementResponse.no(
+                                                    ManagementResponse.failure(
                                                             "not done yet; say it again")));
-            server.answer(complete.get(0), this::respond);
+            server.execute(completeLines.get(0), this::respond);
         }
     }
 
-    /** Whether its request is being carried out. */
-    boolean awaitsResult() {
+    /** Whether a complete request was received and has not been responded to yet. */
+    boolean awaitsResponse() {
         return requestEnded && !responded;
     }
 
-    private void finish(ByteBuffer response) {
+    private void reject(ByteBuffer response) {
         if (!requestEnded) {
             requestEnded = true;
             respond(response);
@@ -99,7 +99,7 @@
             server.loop()
                     .scheduleAfter(
                             REQUEST_TIMEOUT_US,
-                            this::closeNow); // the response gets as long as the request
+                            this::closeNow); // the time limit for reading the response
         }
     }
 
@@ -118,7 +118,7 @@
      * The order in which connections are closed when there are too many: those being closed anyway,
      * then the oldest.
      */
-    static int closingOrder(ManagementConnection one, ManagementConnection other) {
+    static int evictionOrder(ManagementConnection one, ManagementConnection other) {
         int byLingering = Boolean.compare(other.isLingering(), one.isLingering());
         return byLingering != 0 ? byLingering : Long.compare(one.openedUs, other.openedUs);
     }
--- a/src/main/java/damsonslip/admin/management/ManagementResponse.java
+++ b/src/main/java/damsonslip/admin/management/ManagementResponse.java
@@ -16,7 +16,7 @@
     }
 
     /** {@code NO} with the reason, on one line. */
-    static ByteBuffer no(String reason) {
+    static ByteBuffer failure(String reason) {
         return encode("NO " + reason + "\n");
     }
 
--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -49,8 +49,8 @@
                 new ConnectionLimiter<>(
                         MAX_CONNECTIONS,
                         OVERFLOW,
-                        connection -> !connection.awaitsResult(),
-                        ManagementConnection::closingOrder));
+                        connection -> !connection.awaitsResponse(),
+                        ManagementConnection::evictionOrder));
         this.loop = loop;
     }
 
@@ -75,25 +75,25 @@
         operations = newOperations;
     }
 
-    /** Executes a request; calls {@code response} on the loop, at once or later. */
-    void answer(String line, Consumer<ByteBuffer> response) {
+    /** Executes a request; calls {@code onResponse} on the loop, at once or later. */
+    void execute(String line, Consumer<ByteBuffer> onResponse) {
         if (operations == null) {
-            response.accept(ManagementResponse.no("starting"));
+            onResponse.accept(ManagementResponse.failure("starting"));
             return;
         }
         try {
-            answer(ManagementRequest.decode(line), response);
+            execute(ManagementRequest.decode(line), onResponse);
         } catch (ManagementRequest.MalformedException e) {
-            response.accept(ManagementResponse.no(e.getMessage()));
+            onResponse.accept(ManagementResponse.failure(e.getMessage()));
         }
     }
 
-    private void answer(ManagementRequest request, Consumer<ByteBuffer> response) {
+    private void execute(ManagementRequest request, Consumer<ByteBuffer> onResponse) {
         Consumer<OperationResult> onResult =
-                result -> response.accept(ManagementResponse.of(result));
+                result -> onResponse.accept(ManagementResponse.of(result));
         switch (request.verb()) {
             case READY -> onResult.accept(operations.ready());
-            case STATS -> response.accept(ManagementResponse.of(operations.metrics()));
+            case STATS -> onResponse.accept(ManagementResponse.of(operations.metrics()));
             case DISABLE -> operations.disable(request.workerId(), onResult);
             case ENABLE -> operations.enable(request.workerId(), onResult);
             case DRAIN -> onResult.accept(operations.drain());
