--- a/src/main/java/damsonslip/admin/management/ManagementConnection.java
+++ b/src/main/java/damsonslip/admin/management/ManagementConnection.java
@@ -12,18 +12,18 @@
  * to the loop.
  */
 final class ManagementConnection extends EventLoopConnection {
-    /** Bytes of a request: a verb and a worker's id. */
+    /** Enough for a verb and a worker's id. */
     private static final int MAX_LINE_LENGTH = 512;
 
     /**
-     * Time for a complete request, and again for reading the response: twice what a response may
-     * take by the page.
+     * How long the peer may take to send a complete request, and again to read the response: twice
+     * the second within which the scheduler has to respond.
      */
     private static final long REQUEST_TIMEOUT_US = 2_000_000;
 
     /**
-     * Operators' tools expect a response within a second, also where the disk takes longer; a
-     * repeated request is harmless.
+     * How long a request may take until it is reported as not done yet. Operators' tools expect a
+     * response within a second, even if the disk takes longer; repeating the request is harmless.
      */
     private static final long RESPONSE_TIMEOUT_US = 900_000;
 
@@ -31,7 +31,7 @@
     private final LineDecoder lines = new LineDecoder(MAX_LINE_LENGTH);
     private EventLoop.Timer timeout;
 
-    /** A complete request was received, or the time for it is over. */
+    /** Whether a complete request was received, or can no longer be. */
     private boolean requestEnded;
 
     private boolean responded;
@@ -115,8 +115,8 @@
     }
 
     /**
-     * The order in which connections are closed when there are too many: those being closed anyway,
-     * then the oldest.
+     * Orders connections for eviction at the connection limit: first those that linger after their
+     * response, then the oldest.
      */
     static int evictionOrder(ManagementConnection one, ManagementConnection other) {
         int byLingering = Boolean.compare(other.isLingering(), one.isLingering());
--- a/src/main/java/damsonslip/admin/management/ManagementRequest.java
+++ b/src/main/java/damsonslip/admin/management/ManagementRequest.java
@@ -3,8 +3,8 @@
 /**
  * A decoded request of the management protocol.
  *
- * @param verb what is asked for
- * @param workerId the worker that it concerns; null for a verb that takes none
+ * @param verb the operation
+ * @param workerId the worker to which it applies; null for a verb that takes none
  */
 record ManagementRequest(Verb verb, String workerId) {
     /** The verbs, spelled as on the wire. */
@@ -23,7 +23,7 @@
         }
     }
 
-    /** A line that is not a request; the message is sent to the caller. */
+    /** A line that is not a valid request; the message is sent to the caller. */
     static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /** Decodes a line; blanks around and between its words do not matter. */
+    /** Decodes a line; leading, trailing and repeated white space is ignored. */
     static ManagementRequest decode(String line) throws MalformedException {
         String[] words = line.strip().split("[ \t]+", 0);
         Verb verb = null;
--- a/src/main/java/damsonslip/admin/management/ManagementResponse.java
+++ b/src/main/java/damsonslip/admin/management/ManagementResponse.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * A line in StatsD's format for each metric, {@code router.NAME:VALUE|c} or {@code |g}, and
-     * {@code END}.
+     * One line in StatsD's format for each metric, {@code router.NAME:VALUE|c} for a counter or
+     * {@code |g} for a gauge, and a last line {@code END}.
      */
     static ByteBuffer of(List<Metric> metrics) {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -15,29 +15,29 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * Listens on the management port, on a selector of its own, so that operators get through whatever
- * the clients do. Connections are accepted on the selector's thread; everything else runs on the
- * event loop.
+ * Listens on the management port. It has a selector of its own, so that operators can connect
+ * whatever the load from clients. Connections are accepted on the selector's thread; everything
+ * else runs on the event loop.
  */
 public final class ManagementServer extends LimitedAcceptor<ManagementConnection> {
     /**
-     * Connections at a time; beyond that the one that has been open longest without a complete
-     * request is closed.
+     * Limit of open connections. Beyond it the connection that has been open longest without a
+     * complete request is evicted.
      */
     private static final int MAX_CONNECTIONS = 12;
 
     /**
-     * Connections accepted in a burst, before the loop has closed others: a complete request may be
-     * among them.
+     * How many more connections may be open until the loop has evicted others, so that a complete
+     * request that arrives in a burst of connections is not lost.
      */
     private static final int OVERFLOW = 24;
 
     /**
-     * File descriptors used at most: the connections, the listener, and the three of its selector.
+     * Upper limit of file descriptors: the connections, the listener, and three for the selector.
      */
     public static final int MAX_FILE_DESCRIPTORS = MAX_CONNECTIONS + OVERFLOW + 4;
 
-    /** Required by the selector; no outgoing connections are made here. */
+    /** Required by {@link ConnectionManager}; this server makes no outgoing connections. */
     private static final long CONNECT_TIMEOUT_MS = 1_000;
 
     private final EventLoop loop;
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Starts to listen; requests are answered with {@code NO} until {@link #serve}.
+     * Starts to listen; every request fails with {@code NO} until {@link #serve} is called.
      *
      * @throws ConfigurationException if the address is malformed or cannot be bound
      */
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Executes requests from now on; called on the loop. */
+    /** Executes requests from now on. Called on the loop. */
     public void serve(Operations newOperations) {
         operations = newOperations;
     }
