--- a/src/main/java/damsonslip/admin/upgrade/DirectoryLock.java
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryLock.java
@@ -37,7 +37,7 @@
                                 file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
                 FileLock lock = acquire(channel)) {
             if (lock == null) {
-                throw new IOException("another process is busy with " + NAME);
+                throw new IOException("cannot acquire the lock " + NAME);
             }
             task.run();
         }
--- a/src/main/java/damsonslip/admin/upgrade/DirectoryThread.java
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryThread.java
@@ -60,7 +60,7 @@
      * Runs an access on the thread, and then one of the callbacks on the loop; has no effect once
      * closed. Called on the loop.
      */
-    <T> void run(Access<T> access, Consumer<T> done, Consumer<IOException> failed) {
+    <T> void run(Access<T> access, Consumer<T> onSuccess, Consumer<IOException> onFailure) {
         if (closed) {
             return;
         }
@@ -68,9 +68,9 @@
                 () -> {
                     try {
                         T result = access.run();
-                        loop.execute(() -> done.accept(result));
+                        loop.execute(() -> onSuccess.accept(result));
                     } catch (IOException e) {
-                        loop.execute(() -> failed.accept(e));
+                        loop.execute(() -> onFailure.accept(e));
                     }
                 });
     }
@@ -93,16 +93,16 @@
         try {
             return result.get(LOOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
-            throw new IOException("the change could not be made", e);
+            throw new IOException("the event loop did not run the task, or it failed", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    /** Runs a last task on the thread after those before it; later accesses have no effect. */
-    void close(Runnable last) {
+    /** Runs a final task on the thread after those queued; later accesses have no effect. */
+    void close(Runnable finalTask) {
         closed = true;
-        thread.execute(last);
+        thread.execute(finalTask);
     }
 }
--- a/src/main/java/damsonslip/admin/upgrade/LockFiles.java
+++ b/src/main/java/damsonslip/admin/upgrade/LockFiles.java
@@ -52,7 +52,7 @@
         // the lock briefly
         ownFile = FileChannel.open(unnumbered, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (ownFile.tryLock() == null) {
-            throw new IOException("the mark of this process is held by another");
+            throw new IOException("lock file " + UNNUMBERED + " is locked by another process");
         }
         Files.move(unnumbered, path(ownNumber), StandardCopyOption.ATOMIC_MOVE);
     }
--- a/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
+++ b/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
@@ -16,7 +16,7 @@
 /** The file with the operators' worker overrides, shared by all processes. Not thread-safe. */
 final class OverridesFile {
     private static final String NAME = "damsonslip-bans";
-    private static final String PART_NAME = NAME + ".part";
+    private static final String TEMPORARY_NAME = NAME + ".part";
 
     private final Path directory;
     private final Path file;
@@ -42,7 +42,7 @@
             return Optional.empty();
         }
         String text = Files.readString(file);
-        lastVersion = version; // only now: what could not be read is read again
+        lastVersion = version; // set last, so that a failed read is repeated
         return Optional.of(text);
     }
 
@@ -51,9 +51,13 @@
      * and once this returns it leaves the new one.
      */
     void write(String overrides) throws IOException {
-        Path part = directory.resolve(PART_NAME);
-        writeDurably(part, overrides);
-        Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = directory.resolve(TEMPORARY_NAME);
+        writeDurably(temporary, overrides);
+        Files.move(
+                temporary,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         syncDirectory();
         lastVersion = currentVersion();
     }
@@ -88,7 +92,7 @@
                             attributes.lastModifiedTime(),
                             attributes.size(),
                             String.valueOf(attributes.fileKey())));
-        } catch (NoSuchFileException e) { // no operator has changed anything yet
+        } catch (NoSuchFileException e) { // no operator has changed an override yet
             return Optional.empty();
         }
     }
--- a/src/main/java/damsonslip/admin/upgrade/ProcessState.java
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -24,7 +24,7 @@
 
     /** Returns the state in these bytes of a lock file; one not written yet counts as starting. */
     static ProcessState decode(byte[] bytes) {
-        String found = new String(bytes, StandardCharsets.US_ASCII);
-        return found.equals(SERVING.text) ? SERVING : STARTING;
+        String decoded = new String(bytes, StandardCharsets.US_ASCII);
+        return decoded.equals(SERVING.text) ? SERVING : STARTING;
     }
 }
--- a/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
+++ b/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
@@ -45,7 +45,7 @@
      *
      * @throws IOException if the lock file cannot be written
      */
-    public void markServing() throws IOException {
+    public void announceServing() throws IOException {
         lockFiles.writeState(ProcessState.SERVING);
     }
 
@@ -60,7 +60,8 @@
         List<Peer> others = new ArrayList<>();
         for (Path file : lockFiles.list()) {
             int number = LockFiles.numberOf(file);
-            if (number != ownNumber) { // opening the own file would release its lock
+            // closing a second channel on the own lock file would release its lock
+            if (number != ownNumber) {
                 LockFiles.readState(file)
                         .map(state -> new Peer(number, state == ProcessState.SERVING))
                         .ifPresent(others::add);
--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -31,10 +31,10 @@
     /** Whether the other processes know that this one serves. */
     private enum Announcement {
         /** This process does not serve yet. */
-        NOT_DUE,
-        /** It serves, and its lock file could not be written; the next poll writes it again. */
-        DUE,
-        /** Written to the lock file, or being written. */
+        NOT_NEEDED,
+        /** It serves, but writing the lock file failed; the next poll tries again. */
+        FAILED,
+        /** It serves, and the lock file has been written or is being written. */
         MADE
     }
 
@@ -44,7 +44,7 @@
     private final SchedulerEngine engine;
     private final Consumer<PeerProcesses> peersListener;
     private PeerProcesses peers = PeerProcesses.ALONE;
-    private Announcement announcement = Announcement.NOT_DUE;
+    private Announcement announcement = Announcement.NOT_NEEDED;
 
     /**
      * What a poll of the directory found.
@@ -75,7 +75,7 @@
         try {
             apply(poll());
         } catch (IOException e) {
-            pollFailed(e);
+            logPollFailure(e);
         }
         scheduleNextPoll();
     }
@@ -85,7 +85,7 @@
     }
 
     private void pollPeriodically() {
-        repeatAnnouncement();
+        retryFailedAnnouncement();
         pollThen(this::scheduleNextPoll);
     }
 
@@ -94,15 +94,15 @@
      * than the polling interval.
      */
     public void refresh(Runnable next) {
-        AtomicBoolean started = new AtomicBoolean();
-        Runnable once =
+        AtomicBoolean hasRun = new AtomicBoolean();
+        Runnable runOnce =
                 () -> {
-                    if (started.compareAndSet(false, true)) {
+                    if (hasRun.compareAndSet(false, true)) {
                         next.run();
                     }
                 };
-        loop.scheduleAfter(POLL_INTERVAL_US, once);
-        pollThen(once);
+        loop.scheduleAfter(POLL_INTERVAL_US, runOnce);
+        pollThen(runOnce);
     }
 
     private void pollThen(Runnable next) {
@@ -113,7 +113,7 @@
                     next.run();
                 },
                 error -> {
-                    pollFailed(error);
+                    logPollFailure(error);
                     next.run();
                 });
     }
@@ -122,8 +122,8 @@
         return new PollResult(directory.readChangedOverrides(), directory.peers());
     }
 
-    private static void pollFailed(IOException error) {
-        LOG.warn("the folder of marks and bans cannot be read: {}", error.getMessage());
+    private static void logPollFailure(IOException error) {
+        LOG.warn("shared directory cannot be read: {}", error.getMessage());
     }
 
     private void apply(PollResult result) {
@@ -145,7 +145,9 @@
             engine.restoreOverrides(text);
             LOG.info("took over the operators' bans");
         } catch (WorkerOverrides.MalformedException e) {
-            LOG.warn("the kept bans cannot be used: {}", e.getMessage());
+            LOG.warn(
+                    "ignored malformed worker overrides in the shared directory: {}",
+                    e.getMessage());
         }
     }
 
@@ -156,18 +158,18 @@
     public void announceServing() {
         announcement = Announcement.MADE;
         try {
-            directory.markServing();
+            directory.announceServing();
         } catch (IOException e) {
             announcementFailed(e);
         }
     }
 
-    private void repeatAnnouncement() {
-        if (announcement == Announcement.DUE) {
+    private void retryFailedAnnouncement() {
+        if (announcement == Announcement.FAILED) {
             announcement = Announcement.MADE;
             directoryThread.run(
                     () -> {
-                        directory.markServing();
+                        directory.announceServing();
                         return null;
                     },
                     done -> {},
@@ -176,7 +178,7 @@
     }
 
     private void announcementFailed(IOException error) {
-        announcement = Announcement.DUE;
+        announcement = Announcement.FAILED;
         LOG.warn("event=mark_not_written error=\"{}\"", error.getMessage());
     }
 
@@ -206,15 +208,15 @@
 
     /** Reads the others' overrides, applies the change on top, and writes the result. */
     private void publish(Runnable change) throws IOException {
-        Optional<String> others = directory.readChangedOverrides();
-        String changed =
+        Optional<String> changedElsewhere = directory.readChangedOverrides();
+        String merged =
                 directoryThread.onLoop(
                         () -> {
-                            others.ifPresent(this::applyOverrides);
+                            changedElsewhere.ifPresent(this::applyOverrides);
                             change.run();
                             return engine.overridesText();
                         });
-        directory.writeOverrides(changed);
+        directory.writeOverrides(merged);
     }
 
     /**
