--- a/src/main/java/damsonslip/admin/upgrade/DirectoryLock.java
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryLock.java
@@ -6,18 +6,18 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** The lock that a process holds while it changes the shared directory. */
+/** The inter-process lock that is held while the shared directory is changed. */
 final class DirectoryLock {
     private static final String NAME = "damsonslip-guard";
 
-    /** Other processes hold the lock for as long as writing a small file takes. */
+    /** 50 ms in all: other processes hold the lock only while they write a small file. */
     private static final int MAX_RETRIES = 25;
 
     private static final long RETRY_DELAY_MS = 2;
 
     private final Path file;
 
-    /** An action that must not run in two processes at once. */
+    /** An action that must not run in two processes at the same time. */
     interface Task {
         void run() throws IOException;
     }
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Runs a task while no other process runs one.
+     * Runs a task while holding the lock.
      *
      * @throws IOException from the task, or if the lock is not free within 50 ms
      */
--- a/src/main/java/damsonslip/admin/upgrade/DirectoryThread.java
+++ b/src/main/java/damsonslip/admin/upgrade/DirectoryThread.java
@@ -12,19 +12,19 @@
 import java.util.function.Supplier;
 
 /**
- * Accesses the shared directory on a thread of its own, since a disk may take seconds, and returns
- * the results to the event loop. The loop never waits for this thread, so this thread may wait for
- * the loop.
+ * Accesses the shared directory on a thread of its own, since disk I/O may block for seconds, and
+ * returns the results to the event loop. The loop never waits for this thread, so this thread may
+ * wait for the loop without a deadlock.
  */
 final class DirectoryThread {
-    /** The loop runs a task at once; one that does not in this time has been stopped. */
+    /** The loop runs tasks without delay; one that has not by then has been stopped. */
     private static final long LOOP_TIMEOUT_MS = 5_000;
 
     private final EventLoop loop;
     private final ThreadPoolExecutor thread = startThread();
     private boolean closed;
 
-    /** An access to the directory. */
+    /** One read or write of the directory. */
     interface Access<T> {
         T run() throws IOException;
     }
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Starts the thread at once: one that the system refuses later would cost the access that asked
-     * for it.
+     * Starts the thread eagerly: if the system refused to start one later, the access that needed
+     * it would be lost.
      */
     private static ThreadPoolExecutor startThread() {
         ThreadPoolExecutor executor =
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Runs an access on the thread, and then one of the callbacks on the loop; has no effect once
-     * closed. Called on the loop.
+     * Runs an access on the thread, and then one of the callbacks on the loop; has no effect after
+     * {@link #close}. Called on the loop.
      */
     <T> void run(Access<T> access, Consumer<T> onSuccess, Consumer<IOException> onFailure) {
         if (closed) {
--- a/src/main/java/damsonslip/admin/upgrade/LockFiles.java
+++ b/src/main/java/damsonslip/admin/upgrade/LockFiles.java
@@ -15,20 +15,20 @@
 import java.util.Optional;
 
 /**
- * The lock files of the processes of one scheduler, and the one that this process holds.
+ * The lock files of all processes of one scheduler, with the one that this process holds.
  *
  * <p>Each process holds an exclusive lock on a file of its own, whose name ends in the process's
- * number. The operating system releases the lock however the process ends, so the lock, not the
- * file's presence or a process id, shows that its holder is alive. The file's content is the
- * holder's {@link ProcessState}. A process must not open its own lock file a second time: closing
- * any channel on a file releases the process's locks on it (POSIX).
+ * number. The operating system releases the lock however the process ends, so liveness is told by
+ * the lock and not by the file's presence or a process id. The file's content is the holder's
+ * {@link ProcessState}. A process must not open its own lock file a second time: closing any
+ * channel on a file releases the process's locks on it (POSIX).
  *
  * <p>Not thread-safe.
  */
 final class LockFiles {
     private static final String PREFIX = "damsonslip-mark-";
 
-    /** The name of a lock file that has no number yet. */
+    /** The name of a lock file until it has been locked and numbered. */
     private static final String UNNUMBERED = PREFIX + "new";
 
     private static final String NUMBER = "[0-9]{1,8}";
@@ -48,8 +48,8 @@
     void register() throws IOException {
         ownNumber = 1 + removeDead();
         Path unnumbered = directory.resolve(UNNUMBERED);
-        // locked before it gets the name under which other processes probe it, since a probe holds
-        // the lock briefly
+        // locked before the rename: other processes test the lock under the final name, and such
+        // a test holds the lock briefly
         ownFile = FileChannel.open(unnumbered, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         if (ownFile.tryLock() == null) {
             throw new IOException("lock file " + UNNUMBERED + " is locked by another process");
@@ -71,8 +71,7 @@
     }
 
     /**
-     * Undoes a registration that failed: a lock that stayed would keep this process from trying
-     * again.
+     * Undoes a failed registration: if the lock stayed held, a retry by this process would fail.
      */
     void unregister() throws IOException {
         if (ownFile != null) {
@@ -81,12 +80,11 @@
         }
     }
 
-    /** Announces the state of this process to the others. */
+    /** Writes the state of this process, which announces it to the others. */
     void writeState(ProcessState state) throws IOException {
         ownFile.write(state.encode(), 0);
     }
 
-    /** Returns the number of this process. */
     int ownNumber() {
         return ownNumber;
     }
@@ -113,7 +111,7 @@
         return file.getFileName().toString().substring(PREFIX.length());
     }
 
-    /** Returns the state in another process's lock file, or nothing if its holder is dead. */
+    /** Returns the state in another process's lock file; empty if its holder is dead. */
     static Optional<ProcessState> readState(Path other) throws IOException {
         try (FileChannel channel =
                         FileChannel.open(other, StandardOpenOption.READ, StandardOpenOption.WRITE);
--- a/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
+++ b/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
@@ -21,10 +21,10 @@
     private final Path directory;
     private final Path file;
 
-    /** The version that this process has last read or written; empty before. */
+    /** The version that this process last read or wrote; empty if it has done neither. */
     private Optional<Version> lastVersion = Optional.empty();
 
-    /** Differs between versions of a file, since each is written to a new one. */
+    /** Identifies a version of the file; each one is written to a new file, with another key. */
     private record Version(FileTime modified, long size, String fileKey) {}
 
     OverridesFile(Path directory) {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** Makes the new name durable as well. */
+    /** Makes the rename durable. */
     private void syncDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
--- a/src/main/java/damsonslip/admin/upgrade/ProcessState.java
+++ b/src/main/java/damsonslip/admin/upgrade/ProcessState.java
@@ -8,7 +8,7 @@
     STARTING("starting"),
     SERVING("serving ");
 
-    /** Length of each text, so that one state overwrites the other whole. */
+    /** Length of each text; equal, so that one state overwrites the other completely. */
     static final int LENGTH = SERVING.text.length();
 
     private final String text;
@@ -22,7 +22,7 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Returns the state in these bytes of a lock file; one not written yet counts as starting. */
+    /** Returns the state that a lock file holds; one without content yet counts as starting. */
     static ProcessState decode(byte[] bytes) {
         String decoded = new String(bytes, StandardCharsets.US_ASCII);
         return decoded.equals(SERVING.text) ? SERVING : STARTING;
--- a/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
+++ b/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * The directory through which processes of one scheduler see each other ({@link LockFiles}) and
- * share the operators' worker overrides ({@link OverridesFile}). Changes are made under one {@link
- * DirectoryLock}.
+ * The directory through which processes of one scheduler detect each other ({@link LockFiles}) and
+ * share the operators' worker overrides ({@link OverridesFile}). Changes are made while holding the
+ * {@link DirectoryLock}.
  *
  * <p>Not thread-safe.
  */
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Announces to the other processes that this one serves from now on.
+     * Announces to the other processes that this one is serving.
      *
      * @throws IOException if the lock file cannot be written
      */
@@ -50,8 +50,8 @@
     }
 
     /**
-     * Probes the lock files of the other processes and returns the position of this one among those
-     * alive.
+     * Tests which of the other lock files are locked and returns the position of this process among
+     * the live ones.
      *
      * @throws IOException if the directory or a lock file cannot be read
      */
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Runs a task while no other process runs one on this directory.
+     * Runs a task while holding the lock of this directory, which excludes other processes.
      *
      * @throws IOException from the task, or if the lock is not free within 50 ms
      */
--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -15,20 +15,20 @@
  * Keeps this process consistent with the other processes of its scheduler: polls the shared
  * directory for peers and for worker overrides, and publishes changes of the overrides.
  *
- * <p>Methods are called on the event loop, and listeners run on it. The directory is accessed on
- * the {@link DirectoryThread}, except for the first poll and the first announcement, which happen
- * before any client is served.
+ * <p>Methods are called on the event loop, and callbacks run on it unless they say otherwise. The
+ * directory is accessed on the {@link DirectoryThread}, except for the first poll and the first
+ * announcement, which happen before any client is served.
  */
 public final class UpgradeCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(UpgradeCoordinator.class);
 
     /**
-     * Polling interval: a fifth of the 0.5 s within which a disabled worker may still get requests
-     * from any process.
+     * A fifth of the 0.5 s during which any process may still send requests to a worker that an
+     * operator has disabled.
      */
     private static final long POLL_INTERVAL_US = 100_000;
 
-    /** Whether the other processes know that this one serves. */
+    /** Whether this process has announced to the others that it serves. */
     private enum Announcement {
         /** This process does not serve yet. */
         NOT_NEEDED,
@@ -70,7 +70,7 @@
         this.peersListener = peersListener;
     }
 
-    /** Polls now, waiting for the directory, and periodically from then on until {@link #close}. */
+    /** Polls at once, blocking on the directory, and then periodically until {@link #close}. */
     public void start() {
         try {
             apply(poll());
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Polls once more and then runs this; without waiting for the poll if the disk takes longer
-     * than the polling interval.
+     * Polls once more and then runs this action, which does not wait for the poll any longer than
+     * one polling interval.
      */
     public void refresh(Runnable next) {
         AtomicBoolean hasRun = new AtomicBoolean();
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Replaces the overrides of this process by those of another. */
+    /** Replaces the overrides of this process with those that another has written. */
     private void applyOverrides(String text) {
         try {
             engine.restoreOverrides(text);
@@ -152,8 +152,8 @@
     }
 
     /**
-     * Announces that this process serves, waiting for the directory. If that fails, each poll
-     * announces it again until it succeeds.
+     * Announces that this process serves, blocking on the directory. If that fails, each poll
+     * retries it until it succeeds.
      */
     public void announceServing() {
         announcement = Announcement.MADE;
@@ -193,8 +193,8 @@
      *
      * @param change applies it to the engine; runs on the loop
      * @param published runs once the change is durable
-     * @param failed runs if the directory cannot be read or written; the change may then hold in
-     *     this process only
+     * @param failed runs if the directory cannot be read or written; the change may then be in
+     *     effect in this process only
      */
     public void changeOverrides(Runnable change, Runnable published, Consumer<IOException> failed) {
         directoryThread.run(
@@ -206,7 +206,7 @@
                 failed);
     }
 
-    /** Reads the others' overrides, applies the change on top, and writes the result. */
+    /** Reads the overrides of other processes, applies the change on top, and writes the result. */
     private void publish(Runnable change) throws IOException {
         Optional<String> changedElsewhere = directory.readChangedOverrides();
         String merged =
