--- a/src/main/java/damsonslip/admin/management/ManagementResponse.java
+++ b/src/main/java/damsonslip/admin/management/ManagementResponse.java
@@ -16,13 +16,13 @@
     }
 
     /** {@code NO} with the reason, on one line. */
-    static ByteBuffer no(String reason) {
+    static ByteBuffer failure(String reason) {
         return encode("NO " + reason + "\n");
     }
 
     /**
-     * A line in StatsD's format for each metric, {@code router.NAME:VALUE|c} or {@code |g}, and
-     * {@code END}.
+     * One line in StatsD's format for each metric, {@code router.NAME:VALUE|c} for a counter or
+     * {@code |g} for a gauge, and a last line {@code END}.
      */
     static ByteBuffer of(List<Metric> metrics) {
         StringBuilder text = new StringBuilder();
