--- a/src/main/java/damsonslip/engine/ActionExecutor.java
+++ b/src/main/java/damsonslip/engine/ActionExecutor.java
@@ -18,7 +18,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Executes the actions of the decision module.
+ * Executes the actions of the scheduling policy.
  *
  * <p>Used on the {@link EventLoop} only.
  */
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Executes an action. A failure is logged and counted, and does not keep the actions after it
-     * from being executed, such as the timer by which the request gets a response.
+     * Executes an action. A failure is logged and counted, and does not prevent the actions after
+     * it, such as setting the timer that answers the request at its deadline.
      */
     void execute(Action action) {
         try {
--- a/src/main/java/damsonslip/engine/Attempt.java
+++ b/src/main/java/damsonslip/engine/Attempt.java
@@ -15,16 +15,16 @@
  * <p>Used on the {@link EventLoop} only; times are in microseconds on its clock.
  */
 public final class Attempt {
-    /** How far the attempt has come, as far as the engine knows. */
+    /** The progress of the attempt, as known to the engine. */
     enum State {
-        /** Handed to the {@link WorkerGateway}. */
+        /** Passed to the {@link WorkerGateway}. */
         SENT,
-        /** The worker has reported that it runs the request. */
+        /** The worker has reported that it started the request. */
         RUNNING,
-        /** Ended with an outcome; later reports do not count. */
+        /** Ended with an outcome; later reports are ignored. */
         ENDED;
 
-        /** A worker may report more than once that it runs a request. */
+        /** A worker may report more than once that it started a request. */
         private static final Map<State, Set<State>> SUCCESSORS =
                 new EnumMap<>(
                         Map.of(
@@ -82,33 +82,34 @@
         return location.worker();
     }
 
-    /** Returns when the decision module sent the attempt. */
+    /** Returns when the policy sent the attempt. */
     public long sentUs() {
         return sentUs;
     }
 
     /**
-     * Whether the attempt may still be written to its worker. Asked when a connection that the
-     * attempt had to wait for is ready: the client may have disconnected since, or the time in
-     * which workers recognize a repetition may have passed. Reads pending input of the client's
-     * connection, because a close may be queued there while the loop is busy.
+     * Whether the attempt may still be written to its worker. Called when a connection that the
+     * attempt had to wait for is ready: the client may have disconnected meanwhile, or the window
+     * in which workers recognize a retry may have passed. Reads the pending input of the client's
+     * connection, since a close may be queued there while the loop is busy.
      */
     public boolean mayBeWritten(long nowUs) {
-        // reading the client's input may end this attempt, hence the second look at its state
+        // reading the client's input may end this attempt, so its state is checked again
         return isOpen() && nowUs < startByUs && context.isClientWaiting() && isOpen();
     }
 
     /**
-     * Whether the client still waits. Reads pending input of its connection first, so the attempt
-     * may have ended when this call returns.
+     * Whether the client still waits. Reads the pending input of its connection first, so the
+     * attempt may have ended when this call returns.
      */
     public boolean isClientWaiting() {
         return context.isClientWaiting();
     }
 
     /**
-     * Returns how long the upload of the request is expected to take, in microseconds, from earlier
-     * attempts that were abandoned during the upload. It shortens the time limit of the worker.
+     * Returns how long the upload of the request is expected to take, in microseconds, according to
+     * earlier attempts that were abandoned during the upload. The worker's time limit is reduced by
+     * this time.
      */
     public long expectedUploadUs() {
         return context.expectedUploadUs();
@@ -124,7 +125,7 @@
         return timeoutAtUs;
     }
 
-    /** Whether the end of the attempt is still awaited. */
+    /** Whether the attempt has not ended yet. */
     public boolean isOpen() {
         return state != State.ENDED;
     }
@@ -133,12 +134,12 @@
         return state;
     }
 
-    /** Sets the timer that fires when the scheduler stops waiting. */
+    /** Sets the timer that ends the attempt when it times out. */
     void startTimeout(EventLoop.Timer timer) {
         timeout = timer;
     }
 
-    /** Records that the worker runs the request; returns false if the attempt has ended. */
+    /** Records that the worker started the request; returns false if the attempt has ended. */
     boolean markRunning() {
         return moveTo(State.RUNNING);
     }
@@ -161,7 +162,7 @@
         return true;
     }
 
-    /** Returns what the guard of further attempts needs to know about this one. */
+    /** Returns this attempt as the invariant guard of retries sees it. */
     EarlierAttempt asEarlierAttempt() {
         return new EarlierAttempt(location, sentUs, isOpen(), !isOpen() && outcome.provesNotRun());
     }
@@ -174,7 +175,7 @@
      * @param result what the worker returned, if it served the request; null otherwise
      */
     public record Completion(AttemptOutcome outcome, LoadReport report, String result) {
-        /** Returns an end without load report and result. */
+        /** Returns a completion without load report and result. */
         public static Completion of(AttemptOutcome outcome) {
             return new Completion(outcome, null, null);
         }
--- a/src/main/java/damsonslip/engine/AttemptManager.java
+++ b/src/main/java/damsonslip/engine/AttemptManager.java
@@ -16,14 +16,14 @@
 import java.util.function.Supplier;
 
 /**
- * Makes the attempts that the decision module asks for, and tracks each until its end.
+ * Makes the attempts that the scheduling policy requests, and tracks each until it ends.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 final class AttemptManager {
     /**
-     * A repetition has to start this much before the idempotency window ends, since it counts only
-     * when the worker has received it completely.
+     * A retry must start this long before the idempotency window ends, since the worker compares
+     * the window with the time at which it has received the retry completely.
      */
     private static final long IDEMPOTENCY_WINDOW_MARGIN_US = 20_000;
 
@@ -40,7 +40,7 @@
     /**
      * Creates the manager of one engine's attempts.
      *
-     * @param eventSink receives events for the decision module
+     * @param eventSink receives events for the policy
      * @param gateway returns the gateway to the workers
      */
     AttemptManager(
@@ -64,11 +64,11 @@
         this.requests = requests;
     }
 
-    /** Makes the next attempt of a request. */
+    /** Starts the next attempt of a request. */
     void send(Send send) {
         RequestContext context = requests.find(send.job());
         if (context == null) {
-            // the request was finished while the module decided; it still expects an end
+            // the request was finished meanwhile; the policy still expects the attempt to end
             eventSink.accept(
                     new AttemptEnded(send.job(), 0, AttemptOutcome.NEVER_SENT, true, null));
             return;
@@ -96,7 +96,7 @@
                 : request.deadlineUs();
     }
 
-    /** Stops waiting for an attempt that the decision module cancels. */
+    /** Cancels an attempt at the request of the policy. */
     void cancel(Cancel cancel) {
         RequestContext context = requests.find(cancel.job());
         if (context != null && cancel.attempt() < context.attempts().size()) {
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Gives up the attempts that are still being written. A complete request would be executed
-     * although its client has disconnected, and not every configuration allows to cancel it then.
+     * Abandons the attempts that are still being written. Once written completely, a request would
+     * be executed although its client has disconnected, and not every configuration allows
+     * cancelling it then.
      */
     void withdrawUnsent(RequestContext context) {
         for (Attempt attempt : List.copyOf(context.attempts())) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Records that the worker runs the request of an open attempt. */
+    /** Records that the worker has started the request; does nothing if the attempt has ended. */
     void started(Attempt attempt) {
         if (attempt.markRunning()) {
             trace.started(attempt);
@@ -154,7 +155,7 @@
         requests.removeIfFinished(context);
     }
 
-    /** Workers recognize a repetition only within a window after an attempt that may have run. */
+    /** Workers recognize a retry only within a window after an attempt that may have run. */
     private void limitRetries(Attempt attempt, AttemptOutcome outcome) {
         JobClass jobClass = settings.classes().get(attempt.request().jobClass());
         if (jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY && !outcome.provesNotRun()) {
--- a/src/main/java/damsonslip/engine/Counters.java
+++ b/src/main/java/damsonslip/engine/Counters.java
@@ -7,14 +7,14 @@
 import java.util.function.BiConsumer;
 
 /**
- * Counts what the program has accepted, sent and answered since its start.
+ * Counts what the process has accepted, sent and answered since its start.
  *
  * <p>Thread-safe.
  */
 public final class Counters {
     /**
      * What is counted. Operators see the names in lower case at the console and in the log, and
-     * tools read them there, so they stay as they are.
+     * tools parse them there, so they must not change.
      */
     public enum Count {
         /** Requests and jobs that were accepted. */
@@ -29,11 +29,11 @@
         ANSWERS_THROTTLED,
         /** Final responses to requests that failed. */
         ANSWERS_FAILED,
-        /** Attempts that the decision module has sent. */
+        /** Attempts requested by the policy. */
         EXECUTIONS_SENT,
         /** Attempts whose last byte was written to the worker. */
         EXECUTIONS_WRITTEN,
-        /** Attempts that a worker has served. */
+        /** Attempts that a worker served. */
         EXECUTIONS_SERVED,
         /** Attempts that a worker answered with an error. */
         EXECUTIONS_ERROR,
@@ -43,41 +43,41 @@
         EXECUTIONS_TIMED_OUT,
         /** Attempts for which no connection could be established. */
         EXECUTIONS_NOT_CONNECTED,
-        /** Attempts whose connection ended before the response. */
+        /** Attempts whose connection closed before the response was complete. */
         EXECUTIONS_RESET,
-        /** Attempts that the decision module has cancelled. */
+        /** Attempts that were cancelled by the policy. */
         EXECUTIONS_CANCELLED,
         /** Attempts that ended before they were written. */
         EXECUTIONS_NEVER_SENT,
-        /** Health checks that the decision module has asked for. */
+        /** Health checks requested by the policy. */
         PROBES_SENT,
-        /** Connections to workers that were established. */
+        /** Connections established to workers. */
         SERVER_LINKS_OPENED,
-        /** Connections to workers that were closed after an idle time. */
+        /** Connections to workers that were closed because they were idle for too long. */
         SERVER_LINKS_CLOSED_IDLE,
-        /** Connections to workers that were evicted in favour of another one. */
+        /** Connections to workers that were evicted to make room for another one. */
         SERVER_LINKS_CLOSED_FOR_ROOM,
-        /** Connections that clients have opened. */
+        /** Connections opened by clients. */
         CLIENT_LINKS_OPENED,
         /** Worker lists, and changes to them, from discovery. */
         LIST_UPDATES,
-        /** Calls to discovery, and watches on it, that have ended. */
+        /** Calls to discovery that failed, and watches on it that ended. */
         LIST_FAILURES,
         /** Attempts that were not written because the worker may no longer be sent to. */
         DRAINED_SENDS_STOPPED,
         /** Fetches of Faktory workers that were answered with a job. */
         FETCHES_ANSWERED,
-        /** Pushes of jobs that were accepted before. */
+        /** Pushes of jobs that had been accepted before. */
         PUSHES_REPEATED,
         /** Pushes of jobs that were rejected. */
         PUSHES_REFUSED,
-        /** Reports of Faktory workers on jobs that they no longer hold. */
+        /** Reports of Faktory workers on jobs that are no longer assigned to them. */
         WORDS_LATE,
-        /** Failed runs of jobs that no producer waits for. */
+        /** Failed runs of jobs whose result no producer awaits. */
         RUNS_FAILED,
         /** Jobs that were discarded because they had expired. */
         JOBS_EXPIRED,
-        /** Connections with a wrong password. */
+        /** Connections rejected because of a wrong password. */
         PASSWORDS_WRONG,
         /** Connection attempts to workers that were abandoned. */
         SERVER_DIALS_GIVEN_UP,
@@ -85,7 +85,7 @@
         SLOW_READERS_LET_GO,
         /** Peers that were disconnected because they sent too slowly. */
         SLOW_SENDERS_LET_GO,
-        /** Uploads that were abandoned because the worker took them too slowly. */
+        /** Uploads that were abandoned because the worker read them too slowly. */
         UPLOADS_GIVEN_UP,
         /** Reloads of the settings that were applied. */
         RELOADS_DONE,
@@ -93,7 +93,7 @@
         RELOADS_REFUSED,
         /** Violations of invariants. */
         INVARIANTS_VIOLATED,
-        /** Actions of the decision module whose execution failed. */
+        /** Actions of the policy whose execution failed. */
         ACTIONS_FAILED,
         /** Tasks of the event loop that failed. */
         TASKS_FAILED
@@ -118,7 +118,7 @@
         return counts.get(count).get();
     }
 
-    /** Passes name and value of every counter that is not zero to the consumer. */
+    /** Passes the name and value of every counter that is not zero to the consumer. */
     public void forEachNonZero(BiConsumer<String, Long> consumer) {
         for (Count count : Count.values()) {
             long value = get(count);
--- a/src/main/java/damsonslip/engine/EngineGuards.java
+++ b/src/main/java/damsonslip/engine/EngineGuards.java
@@ -18,15 +18,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Collects the facts that the invariant guards need about requests and attempts, and logs
- * violations together with the newest events.
+ * Passes facts about requests and attempts to the invariant guards, and logs violations together
+ * with the newest events.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 final class EngineGuards {
     private static final Logger LOG = LoggerFactory.getLogger(EngineGuards.class);
 
-    /** System property with an {@link InvariantMonitor.Mode} in any case; report by default. */
+    /** System property with an {@link InvariantMonitor.Mode} in any case; default: report. */
     private static final String MODE_PROPERTY = "damsonslip.invariants";
 
     private static final int EVENTS_PER_VIOLATION = 16;
@@ -61,7 +61,7 @@
         return monitor;
     }
 
-    /** Whether the request may be attempted at this worker now, after its earlier attempts. */
+    /** Whether the request may be attempted at this worker now, given its earlier attempts. */
     boolean permitsAttempt(RequestContext context, WorkerLocation location, long nowUs) {
         Request request = context.request();
         return monitor.permits(
@@ -78,7 +78,7 @@
      *
      * @param timeLimitUs the time limit that the worker is given
      * @param drainingSinceUs when the worker was reported as draining or removed; {@link
-     *     Long#MAX_VALUE} if it runs
+     *     Long#MAX_VALUE} if it is running
      */
     boolean permitsSend(Attempt attempt, long timeLimitUs, long drainingSinceUs) {
         Request request = attempt.request();
--- a/src/main/java/damsonslip/engine/EngineStatistics.java
+++ b/src/main/java/damsonslip/engine/EngineStatistics.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * Counts requests, attempts and responses: in the program's {@link Counters}, and final responses
- * by class and kind.
+ * Counts requests, attempts and responses in the process-wide {@link Counters}, and final responses
+ * also by class and kind.
  *
  * <p>Used on the {@link EventLoop} only.
  */
@@ -15,7 +15,7 @@
     private final Counters counters;
     private final int classCount;
 
-    /** For each kind of response, its number by class. */
+    /** The number of responses of each kind, indexed by class. */
     private final Map<Response.Kind, long[]> responses = new EnumMap<>(Response.Kind.class);
 
     EngineStatistics(Counters counters, int classCount) {
--- a/src/main/java/damsonslip/engine/EventLog.java
+++ b/src/main/java/damsonslip/engine/EventLog.java
@@ -5,25 +5,25 @@
 import java.util.Locale;
 
 /**
- * Keeps the newest events in memory. They are shown at the console, and logged with a violation of
- * an invariant, where the events that led to it matter. Logging a line for each event would cost
- * more than the event itself.
+ * Keeps the newest events in memory, since logging a line for each event would cost more than
+ * handling the event. They are shown at the console, and logged together with a violation of an
+ * invariant to show what led to it.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 public final class EventLog {
     /**
      * What happened to a request, a connection or the worker list. Operators see the names in lower
-     * case at the console and in the log, so they stay as they are.
+     * case at the console and in the log, so they must not change.
      */
     public enum Kind {
         /** A request was read completely and accepted. */
         TAKEN,
-        /** The decision module has sent it to a worker. */
+        /** The policy has sent it to a worker. */
         SENT,
-        /** Its last byte was written. */
+        /** Its last byte was written to the worker. */
         WRITTEN,
-        /** The worker has reported that it runs it. */
+        /** The worker has reported that it started the request. */
         STARTED,
         /** An attempt has ended. */
         ENDED,
@@ -33,22 +33,23 @@
         DEPARTED,
         /** A message of a client was rejected as invalid. */
         REFUSED_AS_BAD,
-        /** A client's connection has ended. */
+        /** A client's connection was closed. */
         CLIENT_CLOSED,
         /** Discovery has sent workers, or its address has changed. */
         LISTED,
         /** A worker was listed as draining or removed. */
         DRAIN_TOLD,
-        /** A call to discovery or the watch on it has ended. */
+        /** A call to discovery has failed or the watch on it has ended. */
         LIST_LOST,
-        /** The program has moved to another phase of its life. */
+        /** The process has moved to another {@link LifecyclePhase}. */
         PHASE
     }
 
     /**
      * One event.
      *
-     * @param detail what the kind needs: a worker, an outcome, a reason
+     * @param detail depends on the kind, such as a worker, an outcome or a reason
+     * @param figure a number that depends on the kind
      */
     private record Entry(long atUs, Kind kind, String id, Object detail, long figure) {
         @Override
@@ -61,7 +62,7 @@
 
     private static final int CAPACITY = 1_024;
 
-    /** A ring: the entry with sequence number n is at index n modulo the capacity. */
+    /** A ring buffer: the entry with sequence number n is at index n modulo the capacity. */
     private final Entry[] entries = new Entry[CAPACITY];
 
     private long nextSequence;
@@ -78,10 +79,10 @@
     }
 
     /**
-     * Returns the newest events as text, the oldest of them first.
+     * Returns the newest events as text, in the order in which they occurred.
      *
-     * @param limit how many at most
-     * @param id only events with this id are returned, unless it is empty
+     * @param limit the maximum number of events
+     * @param id returns only events with this id, or all if it is empty
      */
     public List<String> newest(int limit, String id) {
         List<String> found = new ArrayList<>();
--- a/src/main/java/damsonslip/engine/EventLoop.java
+++ b/src/main/java/damsonslip/engine/EventLoop.java
@@ -7,11 +7,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The single thread on which all decisions are made, with its clock. State that is used only on
- * this thread needs no locks.
+ * The single thread on which all scheduling decisions are made, with its clock. State that is used
+ * only on this thread needs no locks.
  *
  * <p>The clock gives microseconds since the Unix epoch and never goes backwards: it follows the
- * system's monotonic clock from the moment at which the loop was created.
+ * system's monotonic clock from the creation of the loop on.
  *
  * <p>Thread-safe, except for {@link #latency}.
  */
@@ -26,9 +26,9 @@
     private final LoopLatency latency = new LoopLatency();
     private volatile Runnable failureListener = () -> {};
 
-    /** A task that is scheduled. */
+    /** A scheduled task. */
     public interface Timer {
-        /** Keeps the task from being run; without effect if it was run already. */
+        /** Cancels the task; does nothing if it has already run. */
         void cancel();
     }
 
@@ -91,7 +91,7 @@
         failureListener = listener;
     }
 
-    /** Returns how long tasks have waited for the thread; read on the loop. */
+    /** Returns how long tasks waited for the thread; may be read on the loop only. */
     public LoopLatency latency() {
         return latency;
     }
@@ -101,19 +101,19 @@
         return executor;
     }
 
-    /** Stops the loop after the tasks that are ready to run; scheduled ones are dropped. */
+    /** Stops the loop after the tasks that are ready to run; those due later are dropped. */
     public void stop() {
         executor.shutdown();
     }
 
-    /** Keeps a failing task from ending the thread, and with it every other request. */
+    /** Wraps a task so that a failure is logged and ends neither the thread nor other requests. */
     private Runnable guarded(Runnable task, long dueNanoTime) {
         return () -> {
             try {
                 latency.add(TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - dueNanoTime));
                 task.run();
             } catch (RuntimeException | Error e) { // the executor would swallow an Error silently
-                LOG.error("event=task_failed a task failed and was dropped", e);
+                LOG.error("event=task_failed a task on the event loop failed", e);
                 failureListener.run();
             }
         };
--- a/src/main/java/damsonslip/engine/GracefulShutdown.java
+++ b/src/main/java/damsonslip/engine/GracefulShutdown.java
@@ -4,9 +4,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Moves the program through its shutdown. At first it accepts connections as before, since clients
- * still open them; then the listeners are closed; and once nothing is open any more, or a time
- * limit has passed, the program ends.
+ * Moves the process through its shutdown. Connections are accepted at first, since clients still
+ * open them; then the listeners are closed; and once nothing is open any more, or a time limit has
+ * passed, the process ends.
  *
  * <p>Used on the {@link EventLoop} only; times are in microseconds.
  */
@@ -23,14 +23,14 @@
     private long phaseEndUs;
 
     /**
-     * Creates a shutdown that starts with {@link #start}.
+     * Creates a shutdown, which begins when {@link #start} is called.
      *
-     * @param acceptUs how long connections are accepted as before
-     * @param finishUs how long after that something may still be open
-     * @param hasSuccessor whether another process accepts the connections, so that this one need
-     *     not
+     * @param acceptUs how long connections are still accepted
+     * @param finishUs how long requests and connections may stay open after that
+     * @param hasSuccessor whether another process accepts connections, so that this one may stop
+     *     before {@code acceptUs} has passed
      * @param closeListeners closes the listeners
-     * @param isFinished whether nothing is open any more
+     * @param isFinished whether no request or connection is open any more
      */
     public GracefulShutdown(
             EventLoop loop,
@@ -49,7 +49,7 @@
         this.isFinished = isFinished;
     }
 
-    /** Starts the shutdown; does nothing if one was started already. */
+    /** Starts the shutdown; does nothing if it was started before. */
     public void start() {
         if (!phase.hasReached(State.LEAVING)) {
             phase.advanceTo(State.LEAVING);
--- a/src/main/java/damsonslip/engine/LifecyclePhase.java
+++ b/src/main/java/damsonslip/engine/LifecyclePhase.java
@@ -5,28 +5,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The phase of the program between its start and its exit. It only moves forward, except that
+ * The phase of the process between its start and its exit. It only moves forward, except that
  * {@link #undrain} reverses {@link #drain}.
  *
  * <p>Thread-safe.
  */
 public final class LifecyclePhase {
     /**
-     * The phases in their order. Operators see the names in lower case, so they stay as they are.
+     * The phases in their order. Operators see the names in lower case, so they must not change.
      */
     public enum State {
-        /** Reads the settings; accepts nothing yet. */
+        /** The settings are being read; nothing is accepted yet. */
         STARTING,
-        /** Accepts requests. */
+        /** Requests are accepted. */
         SERVING,
         /**
-         * Accepts requests but sends clients away: not ready, and each response is the last on its
-         * connection. May return to {@link #SERVING}.
+         * Drained by an operator: requests are still accepted, but readiness checks fail and each
+         * response closes its connection. May return to {@link #SERVING}.
          */
         DRAINED,
-        /** Shutting down: still accepts requests, and each response is the last one as well. */
+        /** Shutting down: requests are still accepted, and each response closes its connection. */
         LEAVING,
-        /** Accepts nothing more; answers the open requests. */
+        /** Nothing more is accepted; the open requests are being answered. */
         FINISHING,
         /** Every request is answered; the process may exit. */
         ENDED
@@ -45,12 +45,12 @@
         return state() == expected;
     }
 
-    /** Whether this phase, or a later one, is reached. */
+    /** Whether this phase or a later one has been reached. */
     public boolean hasReached(State expected) {
         return state().compareTo(expected) >= 0;
     }
 
-    /** Moves forward to a phase and calls the listeners; does nothing if it is reached already. */
+    /** Advances to a phase and calls the listeners; does nothing if it was reached before. */
     public void advanceTo(State next) {
         List<Runnable> toNotify;
         synchronized (this) {
@@ -64,7 +64,7 @@
         toNotify.forEach(Runnable::run);
     }
 
-    /** Moves from serving to drained; returns whether the phase is drained now. */
+    /** Moves from serving to drained; returns whether the process is drained now. */
     public synchronized boolean drain() {
         if (state == State.SERVING) {
             state = State.DRAINED;
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Adds a listener that {@link #advanceTo} calls on its caller's thread. */
+    /** Adds a listener, which {@link #advanceTo} calls on the thread of its caller. */
     public synchronized void onChange(Runnable listener) {
         listeners.add(listener);
     }
@@ -87,8 +87,8 @@
     /**
      * Waits until a phase is reached.
      *
-     * @return false if the timeout in milliseconds has passed before
-     * @throws InterruptedException if the thread is interrupted while it waits
+     * @return false if the timeout passes first
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
     public synchronized boolean await(State expected, long timeoutMillis)
             throws InterruptedException {
--- a/src/main/java/damsonslip/engine/LoopLatency.java
+++ b/src/main/java/damsonslip/engine/LoopLatency.java
@@ -4,13 +4,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long tasks have waited for the {@link EventLoop}: from when a task was handed over, or was
- * due, until it started.
+ * A histogram of how long tasks waited for the {@link EventLoop}: from when a task was submitted,
+ * or was due, until it started.
  *
  * <p>Used on the loop only; times are in microseconds.
  */
 public final class LoopLatency {
-    /** Longer waits are counted as this long. */
+    /** Longer waits are recorded as this value. */
     private static final long MAX_RECORDED_US = TimeUnit.SECONDS.toMicros(60);
 
     /** A resolution of one percent, which takes about 20 KB. */
--- a/src/main/java/damsonslip/engine/OpenRequests.java
+++ b/src/main/java/damsonslip/engine/OpenRequests.java
@@ -12,12 +12,12 @@
 import java.util.function.Consumer;
 
 /**
- * The accepted requests, from their acceptance until their last attempt has ended.
+ * The requests that await their final response or the end of an attempt.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 final class OpenRequests {
-    /** A request that fails this shortly before its deadline fails because of the deadline. */
+    /** A failure this shortly before the deadline is reported as a missed deadline. */
     private static final long DEADLINE_MARGIN_US = 50_000;
 
     private final EventLoop loop;
@@ -27,7 +27,7 @@
     private final Consumer<Event> eventSink;
     private final Map<String, RequestContext> contexts = new HashMap<>();
 
-    /** One object for all requests. */
+    /** Shared by all requests, to avoid one object for each. */
     private final BiConsumer<RequestContext, Response> responseObserver = this::onResponse;
 
     private int openCount;
@@ -35,7 +35,7 @@
     /**
      * Creates an empty table.
      *
-     * @param eventSink receives events for the decision module
+     * @param eventSink receives events for the policy
      */
     OpenRequests(
             EventLoop loop,
@@ -50,7 +50,7 @@
         this.eventSink = eventSink;
     }
 
-    /** Returns how many requests still lack their final response. */
+    /** Returns how many requests await their final response. */
     int openCount() {
         return openCount;
     }
@@ -60,12 +60,12 @@
         return contexts.containsKey(id);
     }
 
-    /** Returns the context of a request, or null if it is finished or was never accepted. */
+    /** Returns the context of a request, or null if it is finished or unknown. */
     RequestContext find(String id) {
         return contexts.get(id);
     }
 
-    /** Accepts a request; rejects it at once if too many are open. */
+    /** Accepts a request, or rejects it immediately if too many are open. */
     RequestContext submit(Request request, ResponseListener listener) {
         statistics.count(Count.QUERIES_TAKEN);
         trace.accepted(request);
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Closes a request whose client has disconnected and tells the decision module; returns false
-     * without any effect if it was closed already.
+     * Closes a request whose client has disconnected and notifies the policy; returns false without
+     * any effect if it was closed already.
      */
     boolean abandon(RequestContext context) {
         if (!context.abandon()) {
@@ -105,7 +105,7 @@
         return true;
     }
 
-    /** Gives the final response to a request, if it is known and lacks one. */
+    /** Gives a request its final response; does nothing if it is unknown or has one. */
     void answer(String id, Response response) {
         RequestContext context = contexts.get(id);
         if (context != null) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Ends a request as failed, or as timed out if its deadline is reached. */
+    /** Answers a request as failed, and records whether the deadline was the reason. */
     void fail(String id) {
         RequestContext context = contexts.get(id);
         if (context != null) {
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Has every open request answered now, as if its deadline were reached. */
+    /** Makes the policy answer every open request now, as if its deadline were reached. */
     void answerAllOpen() {
         contexts.values().stream()
                 .filter(context -> !context.isClosed())
@@ -136,7 +136,7 @@
                                         new TimerDue(SchedulingPolicy.deadlineTimerLabel(id))));
     }
 
-    /** Forgets a request to which nothing more can happen. */
+    /** Removes a request if it is closed and has no open attempt. */
     void removeIfFinished(RequestContext context) {
         if (context.isFinished()) {
             contexts.remove(context.request().id());
--- a/src/main/java/damsonslip/engine/PolicyDispatcher.java
+++ b/src/main/java/damsonslip/engine/PolicyDispatcher.java
@@ -9,10 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers events to the decision module one at a time and has the actions that follow executed.
+ * Delivers events to the scheduling policy one at a time and passes the resulting actions to an
+ * executor.
  *
- * <p>Executing an action may cause another event at once. That event waits until all actions of the
- * current one are executed, so the module sees events in order and is never re-entered.
+ * <p>Executing an action may cause another event. That event is queued until all actions of the
+ * current one are executed, so the policy receives events in order and is never re-entered.
  *
  * <p>Used on the {@link EventLoop} only.
  */
--- a/src/main/java/damsonslip/engine/Request.java
+++ b/src/main/java/damsonslip/engine/Request.java
@@ -3,21 +3,21 @@
 import java.util.function.Predicate;
 
 /**
- * A client's request in the engine's terms, whatever the protocol that it came by.
+ * A client's request, independent of the protocol by which it arrived.
  *
- * @param id the client's id of it, unique among the open requests
+ * @param id the id that the client gave it, unique among the open requests
  * @param jobClass the index of its class
  * @param tenant the index of its tenant; 0 if there are no tenants
  * @param deadlineUs when the client stops waiting, on the {@link EventLoop}'s clock
  * @param earliestDeadlineUs the earliest time at which the client may have stopped waiting, if the
  *     process was delayed and the time of arrival is uncertain; limits the time that a worker is
  *     given
- * @param slots how many slots it takes at a worker
- * @param memory how many units of memory it takes at a worker
- * @param affinityKey what it concerns; null if nothing in particular
- * @param maxRuns how often it may be executed at most, whatever its class allows
- * @param eligibleWorkers which workers, by id, can execute it; null if all can
- * @param payload the front's own form of the content, which the engine does not look into
+ * @param slots how many slots it occupies at a worker
+ * @param memory how many units of memory it occupies at a worker
+ * @param affinityKey the program or data set that it uses; null if none
+ * @param maxRuns how many of its attempts may have run at most, even if its class allows more
+ * @param eligibleWorkers tells by id which workers can run it; null if all can
+ * @param payload the content in the frontend's representation, opaque to the engine
  */
 public record Request(
         String id,
@@ -31,6 +31,6 @@
         int maxRuns,
         Predicate<String> eligibleWorkers,
         Payload payload) {
-    /** Content in a front's own form. */
+    /** Content in the representation of a frontend. */
     public interface Payload {}
 }
--- a/src/main/java/damsonslip/engine/RequestContext.java
+++ b/src/main/java/damsonslip/engine/RequestContext.java
@@ -10,12 +10,12 @@
 
 /**
  * The state of one accepted request: its attempts and its single final response. It connects the
- * client side of the program with the worker side, which do not know each other.
+ * client side with the worker side, which do not depend on each other.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 public final class RequestContext {
-    /** What the client of the request can still expect. */
+    /** Whether the client still waits for the final response. */
     enum State {
         /** The client waits for the final response. */
         OPEN,
@@ -46,7 +46,7 @@
     private long expectedUploadUs;
 
     /**
-     * Creates the context of a request that was just accepted.
+     * Creates the context of a request that has just been accepted.
      *
      * @param responseObserver called with the final response before the listener
      */
@@ -59,7 +59,7 @@
         this.responseObserver = responseObserver;
     }
 
-    /** Returns the request as the client sent it. */
+    /** Returns the request. */
     public Request request() {
         return request;
     }
@@ -89,37 +89,37 @@
         openAttempts--;
     }
 
-    /** Whether nothing more can happen to the request: it is closed and no attempt is open. */
+    /** Whether the request is closed and has no open attempt, so that its state can be dropped. */
     boolean isFinished() {
         return isClosed() && openAttempts == 0;
     }
 
     /**
-     * Until when a further attempt may start, on the loop's clock: later, workers would not
-     * recognize it as a repetition. {@link Long#MAX_VALUE} while no attempt limits it.
+     * Returns the time before which a retry has to start, on the loop's clock: later, workers would
+     * not recognize it as a retry. {@link Long#MAX_VALUE} if no earlier attempt limits it.
      */
     long retryUntilUs() {
         return retryUntilUs;
     }
 
-    /** Limits further attempts to those that start before this time. */
+    /** Limits retries to those that start before this time. */
     void limitRetriesUntil(long untilUs) {
         retryUntilUs = Math.min(retryUntilUs, untilUs);
     }
 
-    /** The longest upload that an earlier attempt would have needed, in microseconds; 0 if none. */
+    /** Returns the longest recorded upload time, in microseconds; 0 if none was recorded. */
     long expectedUploadUs() {
         return expectedUploadUs;
     }
 
-    /** Records how long an abandoned upload would have taken. */
+    /** Records how long an abandoned upload would have taken, in microseconds. */
     void recordUploadTime(long uploadUs) {
         expectedUploadUs = Math.max(expectedUploadUs, uploadUs);
     }
 
     /**
-     * Whether the client still waits. Reads pending input of its connection first, so this call may
-     * itself report that the client has disconnected.
+     * Whether the client still waits. Reads the pending input of its connection first, so this call
+     * may itself report that the client has disconnected.
      */
     boolean isClientWaiting() {
         if (!isClosed()) {
--- a/src/main/java/damsonslip/engine/RequestTrace.java
+++ b/src/main/java/damsonslip/engine/RequestTrace.java
@@ -13,13 +13,14 @@
 
 /**
  * Records what happens to requests and to the worker list in the {@link EventLog}, and writes a
- * line for each to the trace log if its logger is set to debug. The words of the lines are read by
- * {@code damsonslip.tools.fleetreport}, which puts the logs of a fleet together.
+ * line for each to the trace log if its logger is set to debug. {@code
+ * damsonslip.tools.fleetreport} parses these lines to merge the logs of a fleet, so their format
+ * must not change.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 final class RequestTrace {
-    /** Name of the logger by which operators enable the trace; independent of class names. */
+    /** Name of the logger by which operators enable the trace; must not change with class names. */
     static final String LOGGER_NAME = "damsonslip.core.Trace";
 
     private static final Logger LOG = LoggerFactory.getLogger(LOGGER_NAME);
--- a/src/main/java/damsonslip/engine/Response.java
+++ b/src/main/java/damsonslip/engine/Response.java
@@ -4,20 +4,20 @@
  * The single final response to a request.
  *
  * @param kind whether the request was served
- * @param result what the worker returned, if served; empty otherwise
- * @param retryAfterUs if throttled, after how many microseconds a retry makes sense; {@link
+ * @param result the worker's result, if served; empty otherwise
+ * @param retryAfterUs if throttled, after how many microseconds the client should retry; {@link
  *     #NO_RETRY_AFTER} if unknown
  * @param deadlineReached if failed, whether the deadline was the reason
  */
 public record Response(Kind kind, String result, long retryAfterUs, boolean deadlineReached) {
-    /** Means an unknown time in {@link #retryAfterUs}. */
+    /** Value of {@link #retryAfterUs} if the time is unknown. */
     public static final long NO_RETRY_AFTER = 0;
 
     /** How a request ends. */
     public enum Kind {
         /** A worker has served it. */
         SERVED,
-        /** It was rejected because of overload; a retry does no harm. */
+        /** It was rejected because of overload; a retry is harmless. */
         THROTTLED,
         /** It could not be served before its deadline, or not at all. */
         FAILED
--- a/src/main/java/damsonslip/engine/ResponseListener.java
+++ b/src/main/java/damsonslip/engine/ResponseListener.java
@@ -1,14 +1,13 @@
 package damsonslip.engine;
 
-/** The client side of one request, implemented by a front. Called on the {@link EventLoop}. */
+/** The client side of one request, implemented by a frontend; called on the {@link EventLoop}. */
 public interface ResponseListener {
-    /** Takes the final response; called at most once, and never after the client disconnected. */
+    /** Receives the final response; called at most once, and never after a disconnect. */
     void respond(Response response);
 
     /**
-     * Reads the input that is pending on the client's connection, and reports a disconnect before
-     * it returns. An attempt must not start for a client that has disconnected while the loop was
-     * busy.
+     * Reads the pending input of the client's connection and reports a disconnect before returning,
+     * so that no attempt starts for a client that disconnected while the loop was busy.
      */
     default void readPendingInput() {}
 }
--- a/src/main/java/damsonslip/engine/SchedulerEngine.java
+++ b/src/main/java/damsonslip/engine/SchedulerEngine.java
@@ -21,8 +21,8 @@
 import java.util.Set;
 
 /**
- * The scheduler behind a front: accepts requests, reports what happens to the decision module, and
- * executes its actions through a {@link WorkerGateway}.
+ * The scheduler behind a frontend: accepts requests, reports events to the scheduling policy, and
+ * executes the policy's actions through a {@link WorkerGateway}.
  *
  * <p>This class only connects the parts of the engine: {@link OpenRequests}, {@link
  * AttemptManager}, {@link WorkerList}, {@link PolicyDispatcher}, {@link ActionExecutor} and {@link
@@ -30,7 +30,7 @@
  * clock.
  */
 public final class SchedulerEngine {
-    /** Requests beyond this number of open ones are rejected without asking the module. */
+    /** Requests beyond this number of open ones are rejected without consulting the policy. */
     public static final int MAX_OPEN_REQUESTS = 2_000;
 
     private final EventLoop loop;
@@ -53,7 +53,7 @@
     /**
      * Creates an engine without workers; call {@link #start} before anything else.
      *
-     * @param seed seeds the random choices of the decision module
+     * @param seed seeds the random choices of the policy
      */
     public SchedulerEngine(Settings settings, long seed, EventLoop loop, Counters counters) {
         this.loop = loop;
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Starts with the worker list that an earlier process has cached.
+     * Starts with the worker list that an earlier process cached.
      *
      * @param gateway the gateway to the workers
      * @param cached the cached list; empty if there is none
@@ -109,12 +109,12 @@
         stateTrace.start();
     }
 
-    /** Whether {@link #start} was called, so that there is a worker list to decide by. */
+    /** Whether {@link #start} was called, so that there is a worker list. */
     public boolean isStarted() {
         return workerList.isLoaded();
     }
 
-    /** Divides this scheduler's capacity anew when processes of it have started or ended. */
+    /** Divides this scheduler's capacity again after processes of it have started or ended. */
     public void updatePeerProcesses(PeerProcesses peers) {
         dispatcher.deliver(
                 new SchedulersChanged(
@@ -122,7 +122,7 @@
                         settings.schedulerIndex() * peers.processes() + peers.index()));
     }
 
-    /** Returns the monitor that counts violations of the operators' rules. */
+    /** Returns the monitor that counts violations of invariants. */
     public InvariantMonitor invariantMonitor() {
         return guards.monitor();
     }
@@ -152,7 +152,7 @@
         return statistics.responseCount(jobClass, kind);
     }
 
-    /** Returns the number of requests that still lack their final response. */
+    /** Returns the number of requests that await their final response. */
     public int openRequestCount() {
         return requests.openCount();
     }
@@ -163,7 +163,7 @@
     }
 
     /**
-     * Accepts a request; the listener may get the response before this returns.
+     * Accepts a request; the listener may be called before this method returns.
      *
      * @param request a request whose id is not in use, see {@link #isIdInUse}
      */
@@ -171,7 +171,7 @@
         return requests.submit(request, listener);
     }
 
-    /** Closes a request whose client has disconnected; does nothing if it is closed. */
+    /** Closes a request whose client has disconnected; does nothing if it is closed already. */
     public void clientDisconnected(RequestContext context) {
         if (requests.abandon(context)) {
             attempts.withdrawUnsent(context);
@@ -179,28 +179,28 @@
         }
     }
 
-    /** Has every open request answered now, as if its deadline were reached. */
+    /** Answers every open request now, as if its deadline were reached. */
     public void answerAllOpen() {
         requests.answerAllOpen();
     }
 
-    /** Whether the worker may be sent to, by discovery's last list or its own health checks. */
+    /** Whether the worker may be sent to, by discovery's list or by a lease from health checks. */
     public boolean isUsable(String worker) {
         return policy.mayUse(worker, loop.nowUs());
     }
 
     /**
-     * Whether the first byte of an attempt may be written now, by the invariants.
+     * Whether the invariants permit writing the first byte of an attempt now.
      *
      * @param timeLimitUs the time limit that the worker is given
      * @param drainingSinceUs when the worker was reported as draining or removed; {@link
-     *     Long#MAX_VALUE} if it runs
+     *     Long#MAX_VALUE} if it is running
      */
     public boolean permitsSend(Attempt attempt, long timeLimitUs, long drainingSinceUs) {
         return guards.permitsSend(attempt, timeLimitUs, drainingSinceUs);
     }
 
-    /** Records that the worker runs the request; does nothing if the attempt has ended. */
+    /** Records that the worker has started the request; does nothing if the attempt has ended. */
     public void attemptStarted(Attempt attempt) {
         attempts.started(attempt);
     }
@@ -221,16 +221,16 @@
     }
 
     /**
-     * Records that a call to discovery or the watch on it has ended.
+     * Records that a call to discovery has failed or that the watch on it has ended.
      *
-     * @param lastReadUs when something was last read from discovery
+     * @param lastReadUs when data from discovery was last read
      */
     public void workerListFailed(WorkerListChange failure, long lastReadUs) {
         workerList.updateFailed(failure, lastReadUs);
     }
 
     /**
-     * Records how far a change of discovery's address has come.
+     * Records the progress of a change of discovery's address.
      *
      * @param sinceUs when the operator asked for the reload
      */
@@ -239,7 +239,7 @@
         dispatcher.deliver(new DiscoveryAddressChanged(state, sinceUs));
     }
 
-    /** Records that the peer has closed an idle connection to a worker. */
+    /** Records that a worker has closed an idle connection. */
     public void workerConnectionLost(String worker) {
         dispatcher.deliver(new ConnectionLost(worker));
     }
@@ -255,7 +255,8 @@
     }
 
     /**
-     * Sends a worker no new requests until {@link #enableWorker}; returns false if it is unknown.
+     * Stops sending new requests to a worker until {@link #enableWorker}; returns false if the
+     * worker is unknown.
      */
     public boolean disableWorker(String worker) {
         if (!workerList.disable(worker)) {
@@ -265,7 +266,7 @@
         return true;
     }
 
-    /** Uses a worker again, as one that has just started; returns false if it is unknown. */
+    /** Enables a worker again, with slow start; returns false if it is unknown. */
     public boolean enableWorker(String worker) {
         return workerList.enable(worker);
     }
@@ -275,13 +276,13 @@
         return workerList.isDisabled(worker);
     }
 
-    /** Returns the overrides as text for {@link #restoreOverrides} in another process. */
+    /** Serializes the operators' overrides for {@link #restoreOverrides} in another process. */
     public String overridesText() {
         return workerList.overridesText();
     }
 
     /**
-     * Replaces the overrides by those of another process.
+     * Replaces the operators' overrides by those of another process.
      *
      * @throws WorkerOverrides.MalformedException if the text is incomplete or of another version
      */
--- a/src/main/java/damsonslip/engine/StateTrace.java
+++ b/src/main/java/damsonslip/engine/StateTrace.java
@@ -12,15 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the settings, and once a second the counters, pools and warming workers to the trace log.
- * The words of its lines are read by {@code damsonslip.tools.fleetreport}.
+ * Writes the settings once, and the counters, the pools and the workers in slow start every second,
+ * to the trace log. {@code damsonslip.tools.fleetreport} parses these lines, so their format must
+ * not change.
  *
  * <p>Used on the {@link EventLoop} only.
  */
 final class StateTrace {
     private static final Logger LOG = LoggerFactory.getLogger(RequestTrace.LOGGER_NAME);
 
-    /** The fleet report sums the logs of all schedulers by second. */
+    /** The fleet report adds up the logs of all schedulers per second. */
     private static final long INTERVAL_US = TimeUnit.SECONDS.toMicros(1);
 
     private final boolean isEnabled = LOG.isDebugEnabled();
@@ -60,7 +61,7 @@
         }
     }
 
-    /** Writes the state now and then once a second, if the trace is enabled. */
+    /** Writes the state immediately and then once a second, if the trace is enabled. */
     void start() {
         if (isEnabled) {
             writeAndReschedule();
--- a/src/main/java/damsonslip/engine/TraceTexts.java
+++ b/src/main/java/damsonslip/engine/TraceTexts.java
@@ -5,9 +5,9 @@
 import damsonslip.policy.api.WorkerStatus;
 
 /**
- * The words for enum constants in the {@link EventLog} and in the trace log. Operators know them,
- * and {@code damsonslip.tools.fleetreport} reads them, so they do not change with the names of the
- * constants.
+ * The texts that stand for enum constants in the {@link EventLog} and in the trace log. Operators
+ * know them and {@code damsonslip.tools.fleetreport} parses them, so they must not change when
+ * constants are renamed.
  */
 final class TraceTexts {
     private TraceTexts() {}
--- a/src/main/java/damsonslip/engine/WorkerList.java
+++ b/src/main/java/damsonslip/engine/WorkerList.java
@@ -12,8 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * The worker list as the decision module sees it: discovery's list with the operators' overrides
- * applied. Passes every change on to the module.
+ * The worker list as the scheduling policy sees it: discovery's list with the operators' overrides
+ * applied. Reports every change to the policy.
  *
  * <p>Used on the {@link EventLoop} only.
  */
@@ -28,7 +28,7 @@
     /**
      * Creates an empty list.
      *
-     * @param eventSink receives events for the decision module
+     * @param eventSink receives events for the policy
      */
     WorkerList(EventLoop loop, Counters counters, RequestTrace trace, Consumer<Event> eventSink) {
         this.loop = loop;
@@ -37,12 +37,12 @@
         this.eventSink = eventSink;
     }
 
-    /** Whether a list was loaded, so that the module can decide. */
+    /** Whether a list was loaded, so that the policy can make decisions. */
     boolean isLoaded() {
         return isLoaded;
     }
 
-    /** Loads the list that an earlier process has cached. */
+    /** Loads the list that an earlier process cached. */
     void load(List<WorkerEntry> cached) {
         isLoaded = true;
         trace.workerListChanged(WorkerListChange.CACHED, cached);
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Records that a call to discovery or the watch on it has ended.
+     * Records that a call to discovery has failed or that the watch on it has ended.
      *
-     * @param lastReadUs when something was last read from discovery
+     * @param lastReadUs when data from discovery was last read
      */
     void updateFailed(WorkerListChange failure, long lastReadUs) {
         counters.add(Count.LIST_FAILURES);
@@ -72,7 +72,7 @@
         eventSink.accept(new WorkerListUpdate(failure, List.of(), lastReadUs));
     }
 
-    /** Returns the zone and cell of a worker, zeros if no list has named it. */
+    /** Returns the zone and cell of a worker; both are 0 if it was never listed. */
     WorkerLocation locate(String worker) {
         WorkerEntry listed = overrides.listed(worker);
         return listed == null
@@ -114,7 +114,7 @@
         publish(overrides.restore(text));
     }
 
-    /** Overrides that are known before the first list are applied when it is loaded. */
+    /** Reports changed entries; overrides that precede the first list are applied on loading it. */
     private void publish(List<WorkerEntry> changed) {
         if (!changed.isEmpty() && isLoaded) {
             eventSink.accept(new WorkerListUpdate(WorkerListChange.OVERRIDES, changed));
--- a/src/main/java/damsonslip/engine/invariants/CloseGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/CloseGuard.java
@@ -2,24 +2,24 @@
 
 import java.util.Optional;
 
-/** Checks the end of a client's or a worker's connection, and the time of a final response. */
+/** Checks the close of a client's or a worker's connection, and the time of a final response. */
 public final class CloseGuard {
     /** A response later than this after the deadline counts as lost (STANDING). */
     private static final long MAX_LATENESS_US = 500_000;
 
     /**
-     * How a client's connection ends.
+     * How a client's connection was closed.
      *
      * @param job the id of the request on it; empty if there is none
-     * @param responsePending whether that request was read completely and has no response
+     * @param responsePending whether that request was read completely and has no response yet
      * @param byPeer whether the client has closed the connection
-     * @param reason why the program closes it, for the log
+     * @param reason why the scheduler closed it, for the log
      */
     public record Facts(String job, boolean responsePending, boolean byPeer, String reason) {}
 
     private CloseGuard() {}
 
-    /** Returns the invariant that this end of a client's connection violates. */
+    /** Returns the invariant that closing a client's connection this way violates. */
     public static Optional<Violation> checkClientConnection(Facts facts) {
         if (!facts.responsePending() || facts.byPeer()) {
             return Optional.empty();
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Returns the invariant that the end of a worker's connection violates. Called after everything
-     * that follows from that end is done.
+     * Returns the invariant that the close of a worker's connection violates. Called after the
+     * close has been handled completely.
      *
      * @param attemptOpen whether the attempt on the connection is still open
      */
--- a/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
+++ b/src/main/java/damsonslip/engine/invariants/InvariantMonitor.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * Counts violations of invariants and decides whether the action may proceed. In production it does
- * and the violation is reported, since a guard may be wrong; in tests it is refused, so that the
- * fault shows.
+ * Counts violations of invariants and decides whether the action may proceed. In production the
+ * violation is reported and the action proceeds, since a guard may be wrong; in tests the action is
+ * refused, so that the fault shows.
  *
  * <p>Not thread-safe.
  */
@@ -31,7 +31,7 @@
     private final Reporter reporter;
     private final Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
 
-    /** Creates a monitor that has seen no violation. */
+    /** Creates a monitor with all counts at zero. */
     public InvariantMonitor(Mode mode, Reporter reporter) {
         this.mode = mode;
         this.reporter = reporter;
@@ -48,7 +48,7 @@
         return mode == Mode.REPORT;
     }
 
-    /** Returns how many actions have violated, or would have violated, an invariant. */
+    /** Returns how many actions violated, or would have violated, an invariant. */
     public long count(Invariant invariant) {
         return counts.getOrDefault(invariant, 0L);
     }
--- a/src/main/java/damsonslip/engine/invariants/RetryGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/RetryGuard.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Checks a retry, and a rejection, against the outcome of the earlier attempts. */
+/** Checks a retry or a rejection against the outcomes of the earlier attempts. */
 public final class RetryGuard {
-    /** Added to every time limit on sockets (PROTOCOL). */
+    /** Tolerance on every time limit that is measured at sockets (PROTOCOL). */
     private static final long SOCKET_SLACK_US = 50_000;
 
-    /** A worker, with its zone and its cell. */
+    /** A worker with its zone and cell. */
     public record WorkerLocation(String worker, int zone, int cell) {}
 
     /**
@@ -18,8 +18,8 @@
      *
      * @param location where it was sent
      * @param sentUs when it was sent
-     * @param isOpen whether its end is still awaited
-     * @param provenNotRun whether its end proves that it was never executed
+     * @param isOpen whether it has not ended yet
+     * @param provenNotRun whether its outcome proves that the worker did not run the request
      */
     public record EarlierAttempt(
             WorkerLocation location, long sentUs, boolean isOpen, boolean provenNotRun) {
@@ -76,8 +76,8 @@
     }
 
     /**
-     * Returns the invariant that a rejection would violate: it promises that the request had no
-     * effect, or that a repetition has none.
+     * Returns the invariant that a rejection would violate. A rejection promises the client that
+     * the request had no effect, or that a retry will have none.
      */
     public static Optional<Violation> checkRejection(
             String job, JobClass jobClass, List<EarlierAttempt> earlier) {
@@ -107,7 +107,7 @@
         return earlier.stream().filter(EarlierAttempt::mayHaveRun).findFirst();
     }
 
-    /** Whether the other worker recognizes idempotency keys that this one has seen. */
+    /** Whether workers at both locations share the idempotency keys that they have seen. */
     private static boolean shareKeys(
             IdempotencyScope scope, WorkerLocation one, WorkerLocation other) {
         return switch (scope) {
--- a/src/main/java/damsonslip/engine/invariants/SendGuard.java
+++ b/src/main/java/damsonslip/engine/invariants/SendGuard.java
@@ -3,27 +3,27 @@
 import damsonslip.policy.api.SlowStartLoad;
 import java.util.Optional;
 
-/** Checks an attempt at the moment at which its first byte is about to be written. */
+/** Checks an attempt when its first byte is about to be written to the worker. */
 public final class SendGuard {
-    /** A worker may be given this much more than its client's remaining time (STANDING). */
+    /** A worker's time limit may exceed its client's remaining time by this much (STANDING). */
     private static final long TIME_LIMIT_SLACK_US = 150_000;
 
-    /** Below this number of requests the tolerance is three standard deviations, not two. */
+    /** Below this capacity the tolerance is three standard deviations instead of two. */
     private static final double SMALL_CAPACITY = 30;
 
     /**
      * What is known about the attempt.
      *
      * @param job the request's id
-     * @param worker where it is sent
+     * @param worker the id of the worker that it goes to
      * @param nowUs the current time
      * @param drainingSinceUs when the worker was reported as draining or removed; {@link
-     *     Long#MAX_VALUE} if it runs
-     * @param drainGraceUs how long after that it may still be sent to
+     *     Long#MAX_VALUE} if it is running
+     * @param drainGraceUs how long after that requests may still be sent to it
      * @param clientWaits whether the client has neither disconnected nor been answered
-     * @param clientDeadlineUs when the client stops waiting, at the earliest
+     * @param clientDeadlineUs the earliest time at which the client may stop waiting
      * @param timeLimitUs the time limit that the worker is given
-     * @param slowStartLoad the worker's load while it is in slow start; null if it is warm
+     * @param slowStartLoad the worker's load in slow start; null if it is not in slow start
      */
     public record Facts(
             String job,
@@ -73,7 +73,7 @@
         return Optional.empty();
     }
 
-    /** Arrivals are random, so some more requests than the capacity are tolerated (STANDING). */
+    /** Arrivals are random, so a limited excess over the capacity is tolerated (STANDING). */
     private static boolean isOverloaded(SlowStartLoad load) {
         double capacity = load.capacity();
         double deviation = Math.sqrt(capacity);
--- a/src/main/java/damsonslip/engine/shutdown/ConnectionDraining.java
+++ b/src/main/java/damsonslip/engine/shutdown/ConnectionDraining.java
@@ -1,17 +1,17 @@
 package damsonslip.engine.shutdown;
 
 /**
- * Connection draining: sends clients away without losing a request. A response with {@code
- * Connection: close} is safe, so a busy connection is closed by its response. An idle connection
- * has to be closed by the program, which may race with a request. Therefore idle connections are
- * kept for a settling time, in which new ones may still be opened; then those that have been idle
- * for a while are closed; and at last all that owe no response.
+ * The rules of connection draining, which closes clients' connections without losing a request. A
+ * busy connection is closed safely by its response, with {@code Connection: close}. An idle one has
+ * to be closed by the scheduler while the client may be sending a request on it. Therefore idle
+ * connections are kept for a settling time, during which clients may still open new ones; then
+ * those that have been idle for a while are closed; and finally all without an open request.
  *
  * <p>Immutable; all times are in microseconds, on the caller's clock.
  *
  * @param sinceUs when draining began
- * @param settleUs how long after the beginning idle connections are kept
- * @param minIdleUs how long a connection has to be idle to be closed after that
+ * @param settleUs the settling time, from the beginning of draining
+ * @param minIdleUs how long a connection must have been idle to be closed after that
  * @param closeAllUs how long after the beginning all connections without an open request are
  *     closed, and a request that has not arrived completely is rejected
  */
@@ -30,36 +30,36 @@
     private static final long UPGRADE_SETTLE_US = 300_000;
     private static final long UPGRADE_MIN_IDLE_US = 700_000;
 
-    /** Connections are closed this much before the old process stops to accept. */
+    /** All connections are closed this long before the old process stops accepting new ones. */
     private static final long UPGRADE_MARGIN_US = 600_000;
 
     private static final long UPGRADE_MIN_CLOSE_ALL_US = 400_000;
 
-    /** A client that connected at the last moment is about to send its request. */
+    /** Leaves time for the first request on a connection that was opened at the last moment. */
     private static final long SHUTDOWN_MIN_IDLE_US = 150_000;
 
     private static final long SHUTDOWN_CLOSE_ALL_US = 300_000;
 
     /** What to do with a connection. */
     public enum Action {
-        /** Leave it open. */
+        /** Keep it open. */
         KEEP,
         /** Close it. */
         CLOSE,
-        /** Reject the request that has arrived in part, and close it. */
+        /** Reject the request that has been partially read, and close the connection. */
         REJECT
     }
 
-    /** For an operator's {@code DRAIN}, which the process outlives. */
+    /** For an operator's {@code DRAIN}, after which the process keeps running. */
     public static ConnectionDraining forOperatorDrain(long nowUs) {
         return new ConnectionDraining(
                 nowUs, OPERATOR_SETTLE_US, OPERATOR_MIN_IDLE_US, OPERATOR_CLOSE_ALL_US);
     }
 
     /**
-     * For an upgrade whose new process already serves. Whatever is accepted must be answered before
-     * the old process may be killed, and clients that reconnect reach the new one, so connections
-     * are closed early.
+     * For an upgrade whose new process already serves. Every accepted request must be answered
+     * before the old process may be killed, and clients that reconnect reach the new one, so
+     * connections are closed early.
      */
     public static ConnectionDraining forUpgrade(long nowUs, ShutdownTimes times) {
         long closeAllUs = Math.max(UPGRADE_MIN_CLOSE_ALL_US, times.acceptUs() - UPGRADE_MARGIN_US);
@@ -67,8 +67,8 @@
     }
 
     /**
-     * For listeners that were closed some time after the signal: open connections have been asked
-     * to close by their responses since.
+     * For a shutdown without successor, after the listeners are closed. It needs no settling time,
+     * since responses have carried {@code Connection: close} since the signal.
      */
     public static ConnectionDraining forShutdown(long nowUs) {
         return new ConnectionDraining(nowUs, 0, SHUTDOWN_MIN_IDLE_US, SHUTDOWN_CLOSE_ALL_US);
@@ -78,7 +78,7 @@
      * Decides what to do with a connection.
      *
      * @param busy whether a request on it awaits its response
-     * @param partiallyRead whether a request has arrived in part
+     * @param partiallyRead whether only a part of a request has arrived
      * @param idleSinceUs when it was opened, or its last response was sent
      */
     public Action actionFor(long nowUs, boolean busy, boolean partiallyRead, long idleSinceUs) {
--- a/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
+++ b/src/main/java/damsonslip/engine/shutdown/ShutdownTimes.java
@@ -1,15 +1,15 @@
 package damsonslip.engine.shutdown;
 
 /**
- * The phases of a graceful shutdown, as times after the signal. The process may be killed 0.7 s
- * after the longest request deadline, or 3.7 s after the signal if that is earlier; all times
- * follow from the deadlines in the settings.
+ * The phases of a graceful shutdown, as times after the termination signal. The process may be
+ * killed 0.7 s after the longest request deadline, or 3.7 s after the signal if that is earlier;
+ * all times are derived from the deadlines in the settings.
  *
  * <p>Immutable.
  *
- * @param acceptUs how long new connections and requests are accepted as before, in microseconds:
+ * @param acceptUs how long new connections and requests are still accepted, in microseconds:
  *     clients must not find the port closed, and another scheduler may just be starting
- * @param answerDeadlineUs when every open request has been answered, in microseconds
+ * @param answerDeadlineUs by when every open request must be answered, in microseconds
  */
 public record ShutdownTimes(long acceptUs, long answerDeadlineUs) {
     /** Longer deadlines do not delay the kill any further. */
@@ -18,10 +18,10 @@
     /** From the longest deadline to the kill. */
     private static final long KILL_DELAY_US = 700_000;
 
-    /** Kept free before the kill: a response has to be sent, and the machine may be busy. */
+    /** Margin before the kill: the last responses have to be sent, and the machine may be busy. */
     private static final long MARGIN_US = 250_000;
 
-    /** How long the request that is accepted last has until it is answered. */
+    /** Time for the request that is accepted last, unless {@link #MIN_ACCEPT_US} shortens it. */
     private static final long LAST_REQUEST_TIME_US = 1_050_000;
 
     /** Front proxies open new connections for up to 0.4 s after the signal. */
--- a/src/test/java/damsonslip/engine/ActionExecutorTest.java
+++ b/src/test/java/damsonslip/engine/ActionExecutorTest.java
@@ -17,7 +17,7 @@
             new WorkerGateway() {
                 @Override
                 public void send(Attempt attempt) {
-                    throw new IllegalStateException("a fault of the front");
+                    throw new IllegalStateException("a fault in the frontend");
                 }
 
                 @Override
@@ -43,7 +43,7 @@
                     Request request = EngineFixtures.request("q", loop.nowUs() + DEADLINE_US);
                     accepted.complete(engine.submit(request, answered::complete));
                 });
-        assertNotNull(accepted.get(5, TimeUnit.SECONDS), "the call returns");
+        assertNotNull(accepted.get(5, TimeUnit.SECONDS), "submit returned although sending failed");
         assertEquals(Response.Kind.FAILED, answered.get(5, TimeUnit.SECONDS).kind());
         assertEquals(1, counters.get(Count.ACTIONS_FAILED));
         loop.stop();
--- a/src/test/java/damsonslip/engine/EngineFixtures.java
+++ b/src/test/java/damsonslip/engine/EngineFixtures.java
@@ -20,7 +20,7 @@
         return settings(true);
     }
 
-    /** The same for a scheduler that may not cancel attempts. */
+    /** The same settings for a scheduler that may not cancel attempts. */
     static Settings settingsWithoutCancel() {
         return settings(false);
     }
--- a/src/test/java/damsonslip/engine/RequestTraceTest.java
+++ b/src/test/java/damsonslip/engine/RequestTraceTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The words that operators and the fleet report know, whatever the constants are called. */
+/** The texts that operators and the fleet report depend on, whatever the constants are called. */
 class RequestTraceTest {
     private final EventLog log = new EventLog();
     private final RequestTrace trace = new RequestTrace(log, new EventLoop());
--- a/src/test/java/damsonslip/engine/SchedulerEngineTest.java
+++ b/src/test/java/damsonslip/engine/SchedulerEngineTest.java
@@ -24,7 +24,7 @@
     private final List<Attempt> sent = new ArrayList<>();
     private final List<Response> responses = new ArrayList<>();
 
-    /** Keeps the attempts it is given, as a worker that never answers. */
+    /** Records the attempts that it is given, like a worker that never answers. */
     private final WorkerGateway gateway =
             new WorkerGateway() {
                 @Override
--- a/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
+++ b/src/test/java/damsonslip/engine/invariants/CloseGuardTest.java
@@ -15,7 +15,8 @@
                 Invariant.NO_CLOSE_WITHOUT_ANSWER,
                 CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, false, "idle")));
         assertTrue(
-                CloseGuard.checkClientConnection(new CloseGuard.Facts("q", true, true, "left"))
+                CloseGuard.checkClientConnection(
+                                new CloseGuard.Facts("q", true, true, "disconnected"))
                         .isEmpty());
     }
 
--- a/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
+++ b/src/test/java/damsonslip/engine/shutdown/ConnectionDrainingTest.java
@@ -10,8 +10,8 @@
     private static final long DRAINED_AT_US = 1_000_000_000;
 
     /**
-     * Times in milliseconds after the drain began. A request that is accepted later than 2 s after
-     * the command must not be open 4 s after it.
+     * Times in milliseconds after the drain began. Incomplete requests are rejected from 1.6 s on:
+     * a request that is accepted later than 2 s after the command must not be open 4 s after it.
      */
     @ParameterizedTest
     @CsvSource({
