--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -93,7 +93,8 @@
         InetSocketAddress listen = ConfiguredAddress.parse("listen", config.listen());
         InetSocketAddress discovery = ConfiguredAddress.parse("discovery", config.discovery());
         assemble(discovery);
-        EndpointList cached = CachedWorkerList.decode(config.known(), workers.listDecoder());
+        EndpointList cached =
+                CachedWorkerList.decode(config.cachedEndpointList(), workers.listDecoder());
         processes =
                 new ProcessCoordination(
                         loop,
@@ -114,7 +115,7 @@
 
     private void assemble(InetSocketAddress discovery) throws IOException {
         ConnectionManager connections =
-                ConnectionManager.start(loop, config.site().connectUs() / MICROS_PER_MILLI);
+                ConnectionManager.start(loop, config.site().connectTimeoutUs() / MICROS_PER_MILLI);
         int perSide = descriptors.connectionsPerSide(1);
         clients =
                 new ClientServer(
--- a/src/main/java/damsonslip/policy/WorkerListWatch.java
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -55,7 +55,7 @@
         }
         long lastReceivedUs = Math.min(nowUs, update.lastReceivedUs());
         double random = context.random().nextDouble();
-        long nextCallUs = discovery.failed(loss(end), lastReceivedUs, nowUs, random);
+        long nextCallUs = discovery.failed(failureOf(end), lastReceivedUs, nowUs, random);
         context.setTimerAt(nextCallUs, TimerLabels.LIST);
     }
 
@@ -72,7 +72,7 @@
     /** The configured address of discovery has changed, or could not be read. */
     void addressChanged(DiscoveryAddressChanged change) {
         switch (change.state()) {
-            case UNREAD -> discovery.configurationUnreadable(change.reloadRequestedUs());
+            case UNREADABLE -> discovery.configurationUnreadable(change.reloadRequestedUs());
             case READ -> discovery.configurationRead();
             case MOVED -> discovery.addressChanged(change.reloadRequestedUs());
             case CONFIRMED -> discovery.newAddressConfirmed();
@@ -84,7 +84,7 @@
         discovery.setFleet(change.schedulers(), change.schedulerIndex());
     }
 
-    private static Failure loss(WorkerListChange end) {
+    private static Failure failureOf(WorkerListChange end) {
         return switch (end) {
             case FAILED -> Failure.FAILED;
             case UNREACHABLE -> Failure.UNREACHABLE;
