--- a/src/main/java/damsonslip/admin/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleClient.java
@@ -36,24 +36,28 @@
             throws ConfigurationException, IOException {
         String address = arguments.isEmpty() ? DEFAULT_ADDRESS : arguments.get(0);
         try (Socket socket = connect(address)) {
-            BufferedReader in =
+            BufferedReader fromServer =
                     new BufferedReader(
                             new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            PrintWriter to =
+            PrintWriter toServer =
                     new PrintWriter(socket.getOutputStream(), true, StandardCharsets.UTF_8);
             if (arguments.size() > 1) {
-                out.println(ask(String.join(" ", arguments.subList(1, arguments.size())), in, to));
+                out.println(
+                        execute(
+                                String.join(" ", arguments.subList(1, arguments.size())),
+                                fromServer,
+                                toServer));
             } else {
-                prompt(address, in, to);
+                prompt(address, fromServer, toServer);
             }
         }
     }
 
     private static Socket connect(String address) throws ConfigurationException {
         try {
-            InetSocketAddress where = Address.parse(address);
+            InetSocketAddress socketAddress = Address.parse(address);
             Socket socket = new Socket();
-            socket.connect(where, TIMEOUT_MS);
+            socket.connect(socketAddress, TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             return socket;
         } catch (IllegalArgumentException e) {
@@ -63,12 +67,13 @@
         }
     }
 
-    private static String ask(String line, BufferedReader in, PrintWriter to) throws IOException {
-        to.println(line);
+    private static String execute(String line, BufferedReader fromServer, PrintWriter toServer)
+            throws IOException {
+        toServer.println(line);
         StringBuilder answer = new StringBuilder();
-        for (String next = in.readLine();
+        for (String next = fromServer.readLine();
                 !ConsoleConnection.END_OF_ANSWER.equals(next);
-                next = in.readLine()) {
+                next = fromServer.readLine()) {
             if (next == null) {
                 throw new IOException("the scheduler has gone");
             }
@@ -77,7 +82,7 @@
         return answer.toString().stripTrailing();
     }
 
-    private static void prompt(String address, BufferedReader in, PrintWriter to)
+    private static void prompt(String address, BufferedReader fromServer, PrintWriter toServer)
             throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().dumb(true).build()) {
             LineReader reader =
@@ -92,7 +97,7 @@
                     return;
                 }
                 if (!line.isEmpty()) {
-                    terminal.writer().println(ask(line, in, to));
+                    terminal.writer().println(execute(line, fromServer, toServer));
                     terminal.flush();
                 }
             }
--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -24,20 +24,21 @@
     /**
      * The same as for the platform's clients: 5 s of grace, a window of 10 s, and at least 2 KB/s.
      */
-    private static final MinimumDataRate.Limits READING =
+    private static final MinimumDataRate.Limits MIN_READ_RATE =
             new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     private final ConsoleServer server;
     private final LineDecoder lines = new LineDecoder(MAX_LINE_BYTES);
     private final ArrayDeque<String> commands = new ArrayDeque<>();
-    private final OutboundRateMonitor reading;
+    private final OutboundRateMonitor readRate;
     private boolean answering;
 
     ConsoleConnection(EndPoint endPoint, ConsoleServer server) {
         super(endPoint, server.loop());
         this.server = server;
-        this.reading =
-                new OutboundRateMonitor(server.loop(), READING, this::backlogBytes, this::tooSlow);
+        this.readRate =
+                new OutboundRateMonitor(
+                        server.loop(), MIN_READ_RATE, this::backlogBytes, this::closeSlowReader);
     }
 
     @Override
@@ -48,21 +49,21 @@
     @Override
     protected void received(ByteBuffer bytes) {
         if (answering) {
-            return; // offered again once the command before has been answered
+            return; // the bytes are offered again once the answer has been written
         }
-        byte[] part = new byte[bytes.remaining()];
-        bytes.get(part);
-        List<String> complete = lines.decode(part);
-        if (complete == null) {
+        byte[] chunk = new byte[bytes.remaining()];
+        bytes.get(chunk);
+        List<String> completeLines = lines.decode(chunk);
+        if (completeLines == null) {
             closeNow();
             return;
         }
-        commands.addAll(complete);
-        next();
+        commands.addAll(completeLines);
+        answerNext();
     }
 
-    private void next() {
-        reading.end();
+    private void answerNext() {
+        readRate.end();
         String line = commands.poll();
         answering = line != null;
         if (answering) {
@@ -75,21 +76,23 @@
     private void answer(String text) {
         String answer = text.stripTrailing() + "\n" + END_OF_ANSWER + "\n";
         write(
-                () -> server.loop().execute(this::next),
+                () -> server.loop().execute(this::answerNext),
                 ByteBuffer.wrap(answer.getBytes(StandardCharsets.UTF_8)));
         if (!isClosed()) {
-            reading.begin();
+            readRate.begin();
         }
     }
 
-    private void tooSlow() {
-        server.slowReader();
+    private void closeSlowReader() {
+        server.slowReaderClosed();
         closeNow();
     }
 
     /** How the peer reads a pending answer; null if there is none. */
     SlowPeer slowPeer() {
-        return reading.isWatching() ? reading.describe("reads the console", remoteAddress()) : null;
+        return readRate.isWatching()
+                ? readRate.describe("reads the console", remoteAddress())
+                : null;
     }
 
     @Override
@@ -97,7 +100,7 @@
 
     @Override
     protected void connectionClosed() {
-        reading.end();
+        readRate.end();
         server.closed(this);
     }
 }
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -85,7 +85,7 @@
         openCount.decrementAndGet();
     }
 
-    void slowReader() {
+    void slowReaderClosed() {
         counters.add(Count.SLOW_READERS_LET_GO);
         LOG.warn("a console reads nothing of its answer and is let go");
     }
@@ -102,10 +102,10 @@
         String[] words = line.trim().split("\\s+");
         String command = words[0].toLowerCase(Locale.ROOT);
         Consumer<OperationResult> onResult = result -> done.accept(result.message());
-        boolean namesWorker = words.length == 2;
-        if (namesWorker && command.equals("disable")) {
+        boolean hasWorkerId = words.length == 2;
+        if (hasWorkerId && command.equals("disable")) {
             operations.disable(words[1], onResult);
-        } else if (namesWorker && command.equals("enable")) {
+        } else if (hasWorkerId && command.equals("enable")) {
             operations.enable(words[1], onResult);
         } else {
             done.accept(answer(command, words));
--- a/src/main/java/damsonslip/admin/console/ConsoleTables.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleTables.java
@@ -125,16 +125,16 @@
                 row(
                         "%-22s %-16s %9s %9s %6s",
                         "peer", "what it does", "bytes", "bytes/s", "left s");
-        for (SlowPeer slow :
+        for (SlowPeer slowPeer :
                 SlowPeer.disconnectedSoonest(Stream.concat(front.slowPeers().stream(), consoles))) {
             text.append(
                     row(
                             "%-22s %-16s %9d %9.0f %6.1f",
-                            slow.peer(),
-                            slow.activity(),
-                            slow.pendingBytes(),
-                            slow.bytesPerSecond(),
-                            slow.remainingUs() / MICROS_PER_SECOND));
+                            slowPeer.peer(),
+                            slowPeer.activity(),
+                            slowPeer.pendingBytes(),
+                            slowPeer.bytesPerSecond(),
+                            slowPeer.remainingUs() / MICROS_PER_SECOND));
         }
         return text.toString();
     }
--- a/src/main/java/damsonslip/admin/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -81,11 +81,14 @@
     }
 
     private void change(
-            String id, Predicate<String> change, String changed, Consumer<OperationResult> done) {
+            String id,
+            Predicate<String> change,
+            String successMessage,
+            Consumer<OperationResult> done) {
         AtomicBoolean isListed = new AtomicBoolean();
         overrides.change(
                 () -> isListed.set(change.test(id)),
-                () -> done.accept(result(id, isListed.get(), changed)),
+                () -> done.accept(result(id, isListed.get(), successMessage)),
                 error -> {
                     LOG.warn("event=overrides_not_stored error=\"{}\"", error.getMessage());
                     done.accept(
@@ -94,12 +97,12 @@
                 });
     }
 
-    private static OperationResult result(String id, boolean isListed, String changed) {
+    private static OperationResult result(String id, boolean isListed, String successMessage) {
         if (!isListed) {
             return OperationResult.failure("no such worker: " + id);
         }
-        LOG.info("operator: {}", changed);
-        return OperationResult.success(changed);
+        LOG.info("operator: {}", successMessage);
+        return OperationResult.success(successMessage);
     }
 
     /** Starts connection draining: connections of clients are closed while the process stays up. */
@@ -135,15 +138,15 @@
         }
         metrics.add(Metric.counter("dispatches", counters.get(Count.EXECUTIONS_WRITTEN)));
         metrics.add(Metric.gauge("concurrent", engine.openRequestCount()));
-        Set<String> targets = engine.listedWorkers();
+        Set<String> listedIds = engine.listedWorkers();
         Map<String, WorkerState> states =
                 engine.workerStates().stream()
                         .collect(Collectors.toMap(WorkerState::id, worker -> worker));
-        metrics.add(Metric.gauge("targets", targets.size()));
+        metrics.add(Metric.gauge("targets", listedIds.size()));
         metrics.add(
                 Metric.gauge(
                         "targets_disabled",
-                        targets.stream()
+                        listedIds.stream()
                                 .map(states::get)
                                 .filter(
                                         worker ->
