--- a/src/main/java/damsonslip/admin/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleClient.java
@@ -19,7 +19,7 @@
 import org.jline.terminal.Terminal;
 import org.jline.terminal.TerminalBuilder;
 
-/** The operator's terminal: sends commands to a running scheduler and prints its answers. */
+/** The operator's terminal: sends commands to a running scheduler and prints the answers. */
 public final class ConsoleClient {
     private static final String DEFAULT_ADDRESS = "127.0.0.1:7420";
     private static final int TIMEOUT_MS = 5_000;
@@ -27,10 +27,10 @@
     private ConsoleClient() {}
 
     /**
-     * Runs the command in the arguments, or opens a prompt if there is none.
+     * Runs the command in the arguments, or opens a prompt if they contain none.
      *
-     * @param arguments the scheduler's address and a command; both may be left out
-     * @throws BadInput if the address is malformed or nothing listens there
+     * @param arguments the scheduler's console address and a command; both are optional
+     * @throws ConfigurationException if the address is malformed or cannot be connected to
      */
     public static void run(List<String> arguments, PrintStream out)
             throws ConfigurationException, IOException {
@@ -102,7 +102,7 @@
                 }
             }
         } catch (EndOfFileException | UserInterruptException e) {
-            // the operator's own way of leaving
+            // Ctrl-D or Ctrl-C closes the console
         }
     }
 }
--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -12,17 +12,18 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A console connection: a command line in, the lines of its answer out, ended by a full stop on a
- * line of its own. A command is answered once the previous answer has been read, so that a peer
- * that pipelines commands and reads nothing occupies one answer and one buffer of lines. Confined
- * to the event loop.
+ * A console connection: receives command lines and writes the lines of each answer, followed by a
+ * line with only a full stop. A command is executed once the previous answer has been written, so
+ * that a peer that pipelines commands without reading takes up no more memory than one answer and
+ * one buffer of lines. Confined to the event loop.
  */
 final class ConsoleConnection extends EventLoopConnection {
     static final String END_OF_ANSWER = ".";
     private static final int MAX_LINE_BYTES = 4 * 1024;
 
     /**
-     * The same as for the platform's clients: 5 s of grace, a window of 10 s, and at least 2 KB/s.
+     * The same as for the platform's clients: a grace period of 5 s, a bucket of 10 s, and at least
+     * 2 KB/s.
      */
     private static final MinimumDataRate.Limits MIN_READ_RATE =
             new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
@@ -88,7 +89,7 @@
         closeNow();
     }
 
-    /** How the peer reads a pending answer; null if there is none. */
+    /** Returns the peer's progress in reading a pending answer; null if none is pending. */
     SlowPeer slowPeer() {
         return readRate.isWatching()
                 ? readRate.describe("reads the console", remoteAddress())
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers the operators' console inside the scheduler. Listens only if a console address is
- * configured.
+ * Executes the commands of the operators' console inside the scheduler. Created only if a console
+ * address is configured.
  */
 public final class ConsoleServer implements ConnectionManager.ConnectionAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleServer.class);
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Answers one command line, on the event loop so that the answer is a consistent snapshot.
-     * Calls {@code done} at once or later.
+     * Executes a command line. Runs on the event loop, so that the answer is a consistent snapshot;
+     * calls {@code done} at once or later.
      */
     void answer(String line, Consumer<String> done) {
         String[] words = line.trim().split("\\s+");
--- a/src/main/java/damsonslip/admin/console/ConsoleTables.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleTables.java
@@ -15,9 +15,7 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/**
- * Formats the scheduler's state as the tables that the console shows. Used on the event loop only.
- */
+/** Formats the scheduler's state as tables for the console. Used on the event loop only. */
 final class ConsoleTables {
     private static final int MAX_EVENTS = 100;
     private static final double MICROS_PER_MILLI = 1e3;
--- a/src/main/java/damsonslip/admin/operations/OperationResult.java
+++ b/src/main/java/damsonslip/admin/operations/OperationResult.java
@@ -3,8 +3,8 @@
 /**
  * The result of an operator's command.
  *
- * @param succeeded whether what was asked for holds now
- * @param message a few plain words for the operator
+ * @param succeeded whether the requested state is in effect
+ * @param message a short text for the operator
  */
 public record OperationResult(boolean succeeded, String message) {
     static OperationResult success(String message) {
--- a/src/main/java/damsonslip/admin/operations/Operations.java
+++ b/src/main/java/damsonslip/admin/operations/Operations.java
@@ -26,11 +26,10 @@
     private static final Logger LOG = LoggerFactory.getLogger(Operations.class);
 
     /**
-     * Applies a change of the worker overrides and, where there is a store, makes it outlive the
-     * process.
+     * Applies changes of the worker overrides and stores them, so that they outlive the process.
      */
     public interface OverrideStore {
-        /** Stores nothing: changes end with the process. */
+        /** Applies changes without storing them: they are lost when the process ends. */
         OverrideStore NONE =
                 (change, stored, failed) -> {
                     change.run();
@@ -49,7 +48,7 @@
     private final Frontend front;
     private final OverrideStore overrides;
 
-    /** Creates the commands of the scheduler behind this front. */
+    /** Creates the commands for the scheduler behind this front. */
     public Operations(
             LifecyclePhase phase, Counters counters, Frontend front, OverrideStore overrides) {
         this.phase = phase;
@@ -58,7 +57,7 @@
         this.overrides = overrides;
     }
 
-    /** Whether the scheduler serves, and its phase. */
+    /** Succeeds if the scheduler is serving; the message is its phase. */
     public OperationResult ready() {
         State state = phase.state();
         return new OperationResult(state == State.SERVING, state.name().toLowerCase(Locale.ROOT));
@@ -73,8 +72,8 @@
     }
 
     /**
-     * Enables a disabled worker, which is treated as one that has just started; {@code done} is
-     * called on the loop, at once or later.
+     * Enables a disabled worker, which then warms up like one that has just started; {@code done}
+     * is called on the loop, at once or later.
      */
     public void enable(String id, Consumer<OperationResult> done) {
         change(id, front.engine()::enableWorker, id + " is used again", done);
@@ -105,7 +104,7 @@
         return OperationResult.success(successMessage);
     }
 
-    /** Starts connection draining: connections of clients are closed while the process stays up. */
+    /** Starts connection draining: clients' connections are closed while the process stays up. */
     public OperationResult drain() {
         if (phase.hasReached(State.LEAVING)) {
             return OperationResult.success("leaving already");
