--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -29,7 +29,7 @@
         JsonNode cachedEndpointList,
         SiteSettings site,
         String mgmt) {
-    private static final int MIN_SOCKETS = 128;
+    private static final int MIN_FILE_DESCRIPTORS = 128;
 
     /**
      * Reads the file that {@code ROUTER_CONFIG} names. Keys that the file lacks are taken from the
@@ -49,7 +49,7 @@
                 required(root, "listen", environment.get("ROUTER_LISTEN")),
                 required(root, "discovery", environment.get("ROUTER_DISCOVERY")),
                 seed(root.path("seed").asText("0")),
-                Math.max(MIN_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
+                Math.max(MIN_FILE_DESCRIPTORS, root.path("limits").path("sockets").asInt(1024)),
                 root.path("known"),
                 SiteSettings.read(root.path("settings")),
                 root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
--- a/src/main/java/damsonslip/config/SettingsReader.java
+++ b/src/main/java/damsonslip/config/SettingsReader.java
@@ -16,7 +16,7 @@
  * missing ones have defaults. This is the only place that knows the wire's names of these settings.
  */
 public final class SettingsReader {
-    private static final int ANY_KIND = -1;
+    private static final int ANY_MACHINE_KIND = -1;
     private static final double MICROS_PER_SECOND = 1e6;
 
     private SettingsReader() {}
@@ -70,7 +70,7 @@
                 idempotency,
                 idempotencyScope,
                 micros(lane, "window_s", 0),
-                specifics.path("class_kind").path(index).asInt(ANY_KIND));
+                specifics.path("class_kind").path(index).asInt(ANY_MACHINE_KIND));
     }
 
     private static Idempotency idempotency(JsonNode lane) throws ConfigurationException {
@@ -112,15 +112,15 @@
                 number(prices, "cross_zone", 0));
     }
 
-    private static Guarantees guarantees(JsonNode limits) throws ConfigurationException {
+    private static Guarantees guarantees(JsonNode guarantees) throws ConfigurationException {
         return new Guarantees(
-                micros(limits, "grace_to_answer_s", 0),
-                micros(limits, "drain_grace_s", 0),
-                micros(limits, "ask_every_s", 10),
-                number(limits, "cold_share", 1),
-                micros(limits, "cold_s", 0),
-                number(limits, "fall_multiple", 1),
-                micros(limits, "fall_s", 1));
+                micros(guarantees, "grace_to_answer_s", 0),
+                micros(guarantees, "drain_grace_s", 0),
+                micros(guarantees, "ask_every_s", 10),
+                number(guarantees, "cold_share", 1),
+                micros(guarantees, "cold_s", 0),
+                number(guarantees, "fall_multiple", 1),
+                micros(guarantees, "fall_s", 1));
     }
 
     private static boolean pollsWorkerList(JsonNode mode) throws ConfigurationException {
@@ -132,12 +132,12 @@
     }
 
     private static LoadReporting loadReporting(JsonNode conf) throws ConfigurationException {
-        String how = conf.path("reporting").path("how").asText("silent");
-        return switch (how) {
+        String mode = conf.path("reporting").path("how").asText("silent");
+        return switch (mode) {
             case "piggyback" -> LoadReporting.WITH_RESPONSES;
             case "pull" -> LoadReporting.BY_PROBE;
             case "silent" -> LoadReporting.NONE;
-            default -> throw new ConfigurationException("settings: reporting.how: " + how);
+            default -> throw new ConfigurationException("settings: reporting.how: " + mode);
         };
     }
 
--- a/src/main/java/damsonslip/config/SiteSettings.java
+++ b/src/main/java/damsonslip/config/SiteSettings.java
@@ -45,15 +45,15 @@
                     "settings: instances, the number of schedulers, is missing");
         }
         Settings settings = SettingsReader.read(conf);
-        List<Long> deadlines = new ArrayList<>();
+        List<Long> maxTimeBudgets = new ArrayList<>();
         for (JsonNode lane : conf.path("lanes")) {
-            deadlines.add(micros(lane, "hard_limit_s", 5));
+            maxTimeBudgets.add(micros(lane, "hard_limit_s", 5));
         }
         return new SiteSettings(
                 settings,
                 names(conf.path("lanes"), "name"),
                 names(conf.path("realms"), "name"),
-                List.copyOf(deadlines),
+                List.copyOf(maxTimeBudgets),
                 names(conf.path("azs"), null),
                 names(conf.path("shapes"), null),
                 micros(conf.path("limits"), "conn_idle_s", 15),
