--- a/src/main/java/damsonslip/config/ConfigurationException.java
+++ b/src/main/java/damsonslip/config/ConfigurationException.java
@@ -1,6 +1,6 @@
 package damsonslip.config;
 
-/** A configuration or input that cannot be used. The message is one line that names the error. */
+/** A configuration or input that cannot be used; the message describes the error in one line. */
 public class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/damsonslip/config/JsonTreeReader.java
+++ b/src/main/java/damsonslip/config/JsonTreeReader.java
@@ -12,9 +12,9 @@
 import java.io.UncheckedIOException;
 
 /**
- * Reads JSON text into Jackson's tree with the parser alone. Jackson's {@code ObjectMapper} would
- * make starts longer, and nothing is mapped here. Nesting depth and lengths are bounded by the
- * parser.
+ * Reads JSON text into Jackson's tree model with Jackson's parser alone. Loading its {@code
+ * ObjectMapper} would make starts longer, and nothing here is mapped to objects. The parser limits
+ * nesting depth and lengths.
  */
 public final class JsonTreeReader {
     private static final JsonFactory PARSERS = new JsonFactory();
--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -13,10 +13,11 @@
  *
  * @param name its name
  * @param listen the address on which clients connect
- * @param discovery the address of discovery
+ * @param discovery the address of the discovery service
  * @param seed the seed of the random numbers
- * @param maxFileDescriptors how many file descriptors the process may hold
- * @param cachedEndpointList the cached endpoint list of an earlier process, undecoded
+ * @param maxFileDescriptors how many file descriptors the processes of this scheduler may hold
+ *     together
+ * @param cachedEndpointList the endpoint list that an earlier process had, not decoded yet
  * @param site the settings of the deployment
  * @param mgmt the address of the management port; empty for none
  */
--- a/src/main/java/damsonslip/config/SettingsReader.java
+++ b/src/main/java/damsonslip/config/SettingsReader.java
@@ -12,8 +12,9 @@
 import java.util.List;
 
 /**
- * Reads the settings of the decisions from their form on the wire. Unknown keys are ignored,
- * missing ones have defaults. This is the only place that knows the wire's names of these settings.
+ * Reads the scheduling policy's settings from the JSON object in which the platform supplies them.
+ * Unknown keys are ignored, missing ones have defaults. No other class knows the platform's names
+ * of these settings.
  */
 public final class SettingsReader {
     private static final int ANY_MACHINE_KIND = -1;
--- a/src/main/java/damsonslip/config/SiteSettings.java
+++ b/src/main/java/damsonslip/config/SiteSettings.java
@@ -6,17 +6,18 @@
 import java.util.List;
 
 /**
- * The settings of a deployment: those of the decisions, with names and limits for the network.
+ * The settings of a site, which is one deployment: those of the scheduling policy, with the names
+ * and time limits that the network protocols need.
  *
- * @param settings the settings of the decisions
+ * @param settings the settings of the scheduling policy
  * @param classNames the job classes' names, by index
  * @param tenantNames the tenants' names, by index; empty where there are none
  * @param maxTimeBudgetsUs the longest time budget of a request, by class
  * @param zoneNames the zones' names, by index
  * @param machineKindNames the machine kinds' names, by index
- * @param workerIdleTimeoutUs the idle timeout of workers, after which they close a connection
- * @param connectTimeoutUs the connect timeout
- * @param probeTimeoutUs the timeout of a probe
+ * @param workerIdleTimeoutUs how long workers keep an idle connection before they close it
+ * @param connectTimeoutUs the time limit for connecting to a worker
+ * @param probeTimeoutUs the time limit for a response to a probe
  * @param sendsRetryAfter whether rejections carry Retry-After
  */
 public record SiteSettings(
@@ -30,7 +31,7 @@
         long connectTimeoutUs,
         long probeTimeoutUs,
         boolean sendsRetryAfter) {
-    /** Older load reports are of no use. */
+    /** A load report that takes longer would be too old to be of use. */
     private static final double PROBE_TIMEOUT_S = 0.5;
 
     /**
@@ -39,7 +40,7 @@
      * @throws ConfigurationException if a setting is missing or wrong
      */
     public static SiteSettings read(JsonNode conf) throws ConfigurationException {
-        // no default is safe: every quota and threshold is divided by the number of schedulers
+        // has no safe default: every quota and threshold is divided by the number of schedulers
         if (conf.isObject() && !conf.path("instances").isNumber()) {
             throw new ConfigurationException(
                     "settings: instances, the number of schedulers, is missing");
--- a/src/main/java/damsonslip/config/UnreadableConfigurationException.java
+++ b/src/main/java/damsonslip/config/UnreadableConfigurationException.java
@@ -1,8 +1,8 @@
 package damsonslip.config;
 
 /**
- * A configuration file that could not be read. Unlike one with wrong content it may be readable
- * later, so reading it is worth a retry.
+ * A configuration file that could not be read. Unlike wrong content, this may be temporary, so
+ * callers may retry.
  */
 public final class UnreadableConfigurationException extends ConfigurationException {
     private static final long serialVersionUID = 1L;
