--- a/src/main/java/damsonslip/cli/FleetCommand.java
+++ b/src/main/java/damsonslip/cli/FleetCommand.java
@@ -58,12 +58,12 @@
      *
      * @throws ConfigurationException if this is no folder, or holds no traces
      */
-    static void run(Path folder, PrintStream out) throws ConfigurationException, IOException {
-        if (!Files.isDirectory(folder)) {
-            throw new ConfigurationException("fleet: not a folder of logs: " + folder);
+    static void run(Path directory, PrintStream out) throws ConfigurationException, IOException {
+        if (!Files.isDirectory(directory)) {
+            throw new ConfigurationException("fleet: not a folder of logs: " + directory);
         }
         List<Path> files;
-        try (Stream<Path> listed = Files.list(folder)) {
+        try (Stream<Path> listed = Files.list(directory)) {
             files = listed.filter(Files::isRegularFile).sorted().toList();
         }
         PriorityQueue<Log> logs =
@@ -77,7 +77,7 @@
         if (logs.isEmpty()) {
             throw new ConfigurationException(
                     "fleet: no traces in "
-                            + folder
+                            + directory
                             + "; run the schedulers with deploy/trace.toml");
         }
         Fleet fleet = new Fleet();
--- a/src/main/java/damsonslip/cli/Main.java
+++ b/src/main/java/damsonslip/cli/Main.java
@@ -53,7 +53,7 @@
      *     usage; {@link #KEEPS_RUNNING} if it has started a scheduler
      */
     static int run(String[] args, InputStream in, OutputStream out, PrintStream err) {
-        if (!isUsage(args)) {
+        if (!isValidUsage(args)) {
             err.println(USAGE);
             return WRONG_USAGE;
         }
@@ -78,7 +78,7 @@
     }
 
     /** Whether there is such a command with this number of arguments. */
-    private static boolean isUsage(String[] args) {
+    private static boolean isValidUsage(String[] args) {
         if (args.length == 0) {
             return false;
         }
--- a/src/main/java/damsonslip/cli/Rehearsal.java
+++ b/src/main/java/damsonslip/cli/Rehearsal.java
@@ -21,8 +21,8 @@
  * which most of a start is spent loading classes.
  */
 final class Rehearsal {
-    private static final String ID_FIELD = "X-Correlation-Id: ";
-    private static final int REQUESTS = 3;
+    private static final String ID_HEADER = "X-Correlation-Id: ";
+    private static final int REQUEST_COUNT = 3;
     private static final int TIMEOUT_MS = 3_000;
     private static final String CONFIG =
             """
@@ -57,9 +57,9 @@
      * exit of the process shuts it down.
      */
     static void run() throws ConfigurationException, IOException {
-        Path folder = Files.createTempDirectory("rehearsal");
-        try (ServerSocket worker = socket();
-                ServerSocket discovery = socket()) {
+        Path directory = Files.createTempDirectory("rehearsal");
+        try (ServerSocket worker = listenOnLoopback();
+                ServerSocket discovery = listenOnLoopback()) {
             serve(
                     worker,
                     """
@@ -71,46 +71,47 @@
             int managementPort = freePort();
             Path config =
                     Files.writeString(
-                            folder.resolve("config.json"),
+                            directory.resolve("config.json"),
                             CONFIG.formatted(
                                     clientPort,
                                     discovery.getLocalPort(),
                                     managementPort,
                                     worker.getLocalPort()));
             ServeCommand.start(
-                    null, Map.of("ROUTER_CONFIG", config.toString(), "TMPDIR", folder.toString()));
-            use(clientPort, managementPort);
+                    null,
+                    Map.of("ROUTER_CONFIG", config.toString(), "TMPDIR", directory.toString()));
+            exerciseScheduler(clientPort, managementPort);
         } finally {
-            try (Stream<Path> files = Files.walk(folder)) {
+            try (Stream<Path> files = Files.walk(directory)) {
                 files.sorted(Comparator.reverseOrder())
                         .forEach(file -> file.toFile().deleteOnExit());
             }
         }
     }
 
-    /** Sends requests, a malformed one among them, a reload and management commands. */
-    private static void use(int clientPort, int managementPort) throws IOException {
-        for (int i = 0; i < REQUESTS; i++) {
-            String answer = ask(clientPort, REQUEST.formatted(i).replace("\n", "\r\n"));
+    /** Sends requests, one of them malformed, a reload signal and management commands. */
+    private static void exerciseScheduler(int clientPort, int managementPort) throws IOException {
+        for (int i = 0; i < REQUEST_COUNT; i++) {
+            String answer = exchange(clientPort, REQUEST.formatted(i).replace("\n", "\r\n"));
             if (!answer.startsWith("HTTP/1.1 200")) {
                 throw new IOException(
                         "the rehearsal was not served: " + answer.lines().findFirst().orElse(""));
             }
         }
-        ask(clientPort, "nonsense\r\n\r\n");
+        exchange(clientPort, "nonsense\r\n\r\n");
         Signal.raise(new Signal("HUP"));
         for (String command : List.of("READY", "STATS", "nonsense")) {
-            ask(managementPort, command + "\n");
+            exchange(managementPort, command + "\n");
         }
     }
 
-    private static ServerSocket socket() throws IOException {
+    private static ServerSocket listenOnLoopback() throws IOException {
         return new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket free = socket()) {
-            return free.getLocalPort();
+        try (ServerSocket socket = listenOnLoopback()) {
+            return socket.getLocalPort();
         }
     }
 
@@ -137,14 +138,18 @@
 
     private static void answer(Socket peer, String lines) throws IOException {
         byte[] bytes = new byte[4096];
-        String asked =
+        String request =
                 new String(
                         bytes,
                         0,
                         Math.max(0, peer.getInputStream().read(bytes)),
                         StandardCharsets.UTF_8);
-        int at = asked.indexOf(ID_FIELD);
-        String id = at < 0 ? "" : asked.substring(at + ID_FIELD.length(), asked.indexOf('\r', at));
+        int idStart = request.indexOf(ID_HEADER);
+        String id =
+                idStart < 0
+                        ? ""
+                        : request.substring(
+                                idStart + ID_HEADER.length(), request.indexOf('\r', idStart));
         String body =
                 String.format(lines, id, "{\"generation\":2,\"reset\":false,\"instances\":[]}\n");
         peer.getOutputStream()
@@ -159,7 +164,7 @@
                                 .getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String ask(int port, String text) throws IOException {
+    private static String exchange(int port, String text) throws IOException {
         try (Socket client = new Socket()) {
             client.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MS);
--- a/src/main/java/damsonslip/cli/SignalTable.java
+++ b/src/main/java/damsonslip/cli/SignalTable.java
@@ -18,7 +18,7 @@
  * for. Where it is not open, or another JDK keeps its handlers elsewhere, the JDK's own table stays
  * and one line of the log says so.
  */
-@SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK's field is one
+@SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK field's type
 final class SignalTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
     private static final Logger LOG = LoggerFactory.getLogger(SignalTable.class);
@@ -31,19 +31,19 @@
     /** Installed by the first signal that is directed; null where the JDK's table stays. */
     private static final SignalTable INSTALLED = install();
 
-    private record Direction(Signal signal, SignalThread thread) {}
+    private record Registration(Signal signal, SignalThread thread) {}
 
-    /** By the name that the JDK's own signals have as text, such as {@code SIGTERM}. */
-    private final transient Map<String, Direction> directions = new ConcurrentHashMap<>();
+    /** Keyed by the text form of the JDK's signals, such as {@code SIGTERM}. */
+    private final transient Map<String, Registration> registrations = new ConcurrentHashMap<>();
 
     private SignalTable(Map<?, ?> handlers) {
         super(handlers);
     }
 
-    /** Hands this signal to the thread from now on, if the table could be installed. */
-    static void direct(Signal signal, SignalThread thread) {
+    /** Passes this signal to the thread from now on, if the table could be installed. */
+    static void register(Signal signal, SignalThread thread) {
         if (INSTALLED != null) {
-            INSTALLED.directions.put(signal.toString(), new Direction(signal, thread));
+            INSTALLED.registrations.put(signal.toString(), new Registration(signal, thread));
         }
     }
 
@@ -52,7 +52,7 @@
             Class<?> jdkSignal = Class.forName(JDK_CLASS);
             Field field = jdkSignal.getDeclaredField(JDK_FIELD);
             field.setAccessible(true);
-            synchronized (jdkSignal) { // as Signal.handle does, which changes the table
+            synchronized (jdkSignal) { // the lock under which Signal.handle changes the table
                 SignalTable table = new SignalTable((Map<?, ?>) field.get(null));
                 field.set(null, table);
                 return table;
@@ -67,11 +67,11 @@
 
     @Override
     public Object get(Object jdkSignal) {
-        Direction direction = directions.get(jdkSignal.toString());
-        if (direction == null || !Thread.currentThread().getName().equals(DISPATCHER)) {
+        Registration registration = registrations.get(jdkSignal.toString());
+        if (registration == null || !Thread.currentThread().getName().equals(DISPATCHER)) {
             return super.get(jdkSignal);
         }
-        direction.thread().receive(direction.signal());
+        registration.thread().receive(registration.signal());
         return null;
     }
 
--- a/src/main/java/damsonslip/cli/SignalThread.java
+++ b/src/main/java/damsonslip/cli/SignalThread.java
@@ -46,8 +46,8 @@
         thread.start("signals-" + names[0]);
         for (String name : names) {
             Signal signal = new Signal(name);
-            Signal.handle(signal, asked -> action.run(asked, System.nanoTime()));
-            SignalTable.direct(signal, thread);
+            Signal.handle(signal, raised -> action.run(raised, System.nanoTime()));
+            SignalTable.register(signal, thread);
         }
     }
 
@@ -68,7 +68,7 @@
                 Received next = received.take();
                 action.run(next.signal(), next.atNs());
             } catch (InterruptedException e) {
-                return; // only a JVM that ends interrupts this thread
+                return; // nothing but the end of the JVM interrupts this thread
             } catch (RuntimeException | Error e) {
                 LOG.error("event=signal_action_failed", e);
             }
