--- a/src/main/java/damsonslip/cli/FleetCommand.java
+++ b/src/main/java/damsonslip/cli/FleetCommand.java
@@ -19,15 +19,15 @@
 import java.util.stream.Stream;
 
 /**
- * The command {@code fleet}: reads a folder of schedulers' logs, one file each, and prints what
- * they did together.
+ * The command {@code fleet}: reads a directory with one log file for each scheduler and prints a
+ * report over all of them.
  */
 final class FleetCommand {
     private FleetCommand() {}
 
     /**
-     * A scheduler's log and its next line; logs are read side by side, since together they may not
-     * fit in memory.
+     * A scheduler's log and its next trace line. Logs are merged while they are read, since
+     * together they may not fit in memory.
      */
     private static final class Log {
         private final String name;
@@ -41,6 +41,7 @@
             reader = new BufferedReader(new InputStreamReader(Files.newInputStream(file), decoder));
         }
 
+        /** Reads up to the next trace line; returns false and closes the log if there is none. */
         boolean advance() throws IOException {
             for (String text = reader.readLine(); text != null; text = reader.readLine()) {
                 next = Line.of(text);
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Prints the report over all log files in this folder.
+     * Prints the report over all log files in a directory.
      *
-     * @throws ConfigurationException if this is no folder, or holds no traces
+     * @throws ConfigurationException if this is not a directory, or holds no traces
      */
     static void run(Path directory, PrintStream out) throws ConfigurationException, IOException {
         if (!Files.isDirectory(directory)) {
--- a/src/main/java/damsonslip/cli/Main.java
+++ b/src/main/java/damsonslip/cli/Main.java
@@ -28,12 +28,12 @@
     private static final int FAILED = 1;
     private static final int WRONG_USAGE = 2;
 
-    /** The process goes on after {@link #run} has returned. */
+    /** Not an exit code: the process keeps running after {@link #run} has returned. */
     private static final int KEEPS_RUNNING = -1;
 
     private Main() {}
 
-    /** Runs the command that the arguments name, and exits unless it has started a scheduler. */
+    /** Runs the command in the arguments, and exits unless it has started a scheduler. */
     public static void main(String[] args) {
         int code =
                 run(
--- a/src/main/java/damsonslip/cli/Rehearsal.java
+++ b/src/main/java/damsonslip/cli/Rehearsal.java
@@ -17,8 +17,8 @@
 
 /**
  * The command {@code rehearse}: a scheduler serves a few requests on loopback and exits. The build
- * runs it so that the JVM can archive the classes that serving needs (class data sharing), without
- * which most of a start is spent loading classes.
+ * runs it so that the JVM can archive the classes that serving needs (class data sharing); without
+ * the archive most of the start-up time is spent loading classes.
  */
 final class Rehearsal {
     private static final String ID_HEADER = "X-Correlation-Id: ";
@@ -53,8 +53,8 @@
     private Rehearsal() {}
 
     /**
-     * Starts a scheduler with a management port and sends it requests, a reload and commands. The
-     * exit of the process shuts it down.
+     * Starts a scheduler with a management port and sends it requests, a reload signal and
+     * commands. The scheduler is shut down when the process exits.
      */
     static void run() throws ConfigurationException, IOException {
         Path directory = Files.createTempDirectory("rehearsal");
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Answers every request with these lines: as a worker, or as discovery with an empty list of
-     * changes.
+     * Answers every request with these lines, as a worker does, or as discovery with an empty list
+     * of changes.
      */
     private static void serve(ServerSocket server, String lines) {
         Thread thread =
@@ -127,7 +127,7 @@
                                 try (Socket peer = server.accept()) {
                                     answer(peer, lines);
                                 } catch (IOException e) {
-                                    // accepts the next connection, unless the rehearsal has ended
+                                    // accept the next connection, unless the rehearsal has ended
                                 }
                             }
                         },
--- a/src/main/java/damsonslip/cli/ReloadSignal.java
+++ b/src/main/java/damsonslip/cli/ReloadSignal.java
@@ -4,7 +4,7 @@
 
 /**
  * Handles SIGHUP, which reloads the configuration. The signal is handled from the start of the
- * process to its end, since the JVM would exit on it otherwise.
+ * process to its end, since it would terminate the JVM otherwise.
  *
  * <p>Thread-safe.
  */
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Sets the action that each signal runs, and runs it at once if one is pending.
+     * Sets the action to run on each signal, and runs it at once if a signal is pending.
      *
-     * @param newAction gets the time at which the signal was received, by {@link System#nanoTime};
-     *     of several pending signals that of the first
+     * @param newAction receives the {@link System#nanoTime} at which the signal was received;
+     *     several pending signals run it once, with the time of the first
      */
     synchronized void onReload(LongConsumer newAction) {
         action = newAction;
--- a/src/main/java/damsonslip/cli/ServeCommand.java
+++ b/src/main/java/damsonslip/cli/ServeCommand.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 
 /**
- * The command {@code serve}: the process of one scheduler, from its start to its exit.
+ * The command {@code serve}: runs the process of one scheduler, from its start to its exit.
  *
- * <p>The order of a start matters: signals are handled before the configuration is read; the
+ * <p>The order of the start matters: signals are handled before the configuration is read; the
  * shutdown is registered and the management port listens before the first client is accepted.
  */
 final class ServeCommand {
-    /** After this time a shutdown no longer waits for open requests. */
+    /** How long a shutdown waits for open requests. */
     private static final long MAX_SHUTDOWN_MS = 60_000;
 
     private static final String CONSOLE_VARIABLE = "DAMSONSLIP_CONSOLE";
@@ -36,7 +36,7 @@
     private final Counters counters = new Counters();
     private Thread shutdownHook;
 
-    /** A front with the addresses for operators that its configuration names. */
+    /** A front with the addresses for operators from its configuration. */
     private record ConfiguredFront(
             Frontend front,
             Operations.OverrideStore overrides,
@@ -88,14 +88,14 @@
 
     private void startFront(ConfiguredFront configured) throws ConfigurationException, IOException {
         Frontend front = configured.front();
-        // before the first connection: a signal in between would drop its request
+        // before the first connection, since a signal in between would drop its request
         Runnable shutdown = () -> shutDown(front);
         shutdownHook = new Thread(shutdown, "stop");
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         terminationSignal.beforeExit(shutdown);
         ManagementServer management = new ManagementServer(loop);
         if (!configured.managementAddress().isBlank()) {
-            // before clients connect: an address in use ends the program
+            // before clients connect, since an address in use ends the program
             management.listen(configured.managementAddress());
         }
         front.start();
@@ -105,11 +105,11 @@
                     .listen(configured.consoleAddress());
         }
         reloadSignal.onReload(front::reload);
-        // last: an operator who reads that the scheduler is ready may send any signal
+        // last, since an operator may send any signal once the scheduler reports that it is ready
         loop.execute(() -> management.serve(operations));
     }
 
-    /** Removes the hook of a start that has failed: there is nothing to shut down. */
+    /** Removes the hook after a failed start, when there is nothing to shut down. */
     private void removeShutdownHook() {
         try {
             if (shutdownHook != null) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Shuts the front down gracefully; returns when it has ended, or after the longest time. */
+    /** Shuts the front down gracefully; returns once it has ended or the time limit is over. */
     private void shutDown(Frontend front) {
         front.shutDown();
         try {
--- a/src/main/java/damsonslip/cli/SignalTable.java
+++ b/src/main/java/damsonslip/cli/SignalTable.java
@@ -10,13 +10,13 @@
 import sun.misc.Signal;
 
 /**
- * Takes the place of the JDK's table of signal handlers. The JDK's dispatcher looks a signal up
- * there and starts a thread for the handler that it finds; this table hands the signal to a {@link
- * SignalThread} instead and names no handler.
+ * Replaces the JDK's table of signal handlers. The JDK's dispatcher looks a signal up there and
+ * starts a thread for the handler that it finds; this table passes the signal to a {@link
+ * SignalThread} instead and returns no handler.
  *
- * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar asks
- * for. Where it is not open, or another JDK keeps its handlers elsewhere, the JDK's own table stays
- * and one line of the log says so.
+ * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar
+ * requests. If it is not open, or a JDK stores its handlers elsewhere, the JDK's own table stays in
+ * place and a warning is logged.
  */
 @SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK field's type
 final class SignalTable extends Hashtable<Object, Object> {
@@ -25,10 +25,10 @@
     private static final String JDK_CLASS = "jdk.internal.misc.Signal";
     private static final String JDK_FIELD = "handlers";
 
-    /** The thread on which the JDK dispatches; others look handlers up in order to replace them. */
+    /** The JDK's dispatching thread; others look handlers up only in order to replace them. */
     private static final String DISPATCHER = "Signal Dispatcher";
 
-    /** Installed by the first signal that is directed; null where the JDK's table stays. */
+    /** Installed when this class is first used; null if the JDK's table stays in place. */
     private static final SignalTable INSTALLED = install();
 
     private record Registration(Signal signal, SignalThread thread) {}
@@ -75,7 +75,7 @@
         return null;
     }
 
-    /** Two tables are never compared; the JDK does not. */
+    /** Identity is enough, since the JDK never compares tables. */
     @Override
     public boolean equals(Object other) {
         return this == other;
--- a/src/main/java/damsonslip/cli/SignalThread.java
+++ b/src/main/java/damsonslip/cli/SignalThread.java
@@ -7,10 +7,9 @@
 import sun.misc.Signal;
 
 /**
- * A thread, started beforehand, on which the action of a signal runs. The JDK starts a thread for
- * each signal that it receives and drops the signal if the system cannot start one
- * (pthread_create(3), EAGAIN). Signals are handled one after the other, in the order in which they
- * were received.
+ * A thread, started in advance, that runs the action for a signal. The JDK starts a thread for each
+ * signal that it receives, and drops the signal if the system cannot start one (pthread_create(3),
+ * EAGAIN). Signals are handled one at a time, in the order in which they were received.
  */
 final class SignalThread {
     private static final Logger LOG = LoggerFactory.getLogger(SignalThread.class);
@@ -18,12 +17,12 @@
     private final Action action;
     private final BlockingQueue<Received> received = new LinkedBlockingQueue<>();
 
-    /** What to do on a signal. */
+    /** The action to run on a signal. */
     interface Action {
         /**
          * Handles one signal.
          *
-         * @param receivedNs when the process received it, by {@link System#nanoTime}
+         * @param receivedNs the {@link System#nanoTime} at which the process received it
          */
         void run(Signal signal, long receivedNs);
     }
@@ -35,9 +34,9 @@
     }
 
     /**
-     * Runs the action on each of these signals from now on, in place of what the JDK does by
-     * itself. Where the JDK's table of handlers cannot be replaced, the action runs on a thread
-     * that the JDK starts then.
+     * Runs the action on each of these signals from now on, instead of the JDK's default action. If
+     * the JDK's table of handlers cannot be replaced, the action runs on a thread that the JDK
+     * starts on each signal.
      *
      * @param names names of signals without their prefix, such as {@code TERM}
      */
@@ -57,7 +56,7 @@
         thread.start();
     }
 
-    /** Queues a signal; called on the JDK's thread that dispatches signals, which must not wait. */
+    /** Queues a signal; called on the JDK's dispatching thread, which must not block. */
     void receive(Signal signal) {
         received.add(new Received(signal, System.nanoTime()));
     }
--- a/src/main/java/damsonslip/cli/TerminationSignal.java
+++ b/src/main/java/damsonslip/cli/TerminationSignal.java
@@ -3,13 +3,13 @@
 import sun.misc.Signal;
 
 /**
- * Handles SIGTERM and SIGINT: shuts the scheduler down gracefully, or exits at once before there is
- * one.
+ * Handles SIGTERM and SIGINT: shuts the scheduler down gracefully and exits; exits at once if none
+ * has been started yet.
  *
  * <p>Thread-safe.
  */
 final class TerminationSignal {
-    /** A shell's exit code for a process that a signal has ended, less the signal's number. */
+    /** Shells report this plus the signal's number as the exit code of a process it has ended. */
     private static final int EXIT_CODE_BASE = 128;
 
     private Runnable shutdown = () -> {};
@@ -23,7 +23,7 @@
         return termination;
     }
 
-    /** Sets what has to be done before the process exits. */
+    /** Sets the action to run before the process exits. */
     synchronized void beforeExit(Runnable newShutdown) {
         shutdown = newShutdown;
     }
--- a/src/main/java/damsonslip/cli/package-info.java
+++ b/src/main/java/damsonslip/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: chooses a command, and runs the process of a scheduler with its signals. Called
- * by the JVM alone; may use every other package.
+ * The command line: selects a command, runs the process of a scheduler and handles its signals.
+ * Called by the JVM only; may use every other package.
  */
 package damsonslip.cli;
