--- a/src/test/java/damsonslip/admin/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -17,13 +17,13 @@
 class ConsoleTest {
     @TempDir Path dir;
     private final int port = Program.freePort();
-    private final int console = Program.freePort();
-    private final int mgmt = Program.freePort();
+    private final int consolePort = Program.freePort();
+    private final int managementPort = Program.freePort();
 
-    private String ask(String... command) throws IOException, InterruptedException {
+    private String runCommand(String... command) throws IOException, InterruptedException {
         String[] arguments = new String[command.length + 2];
         arguments[0] = "console";
-        arguments[1] = "127.0.0.1:" + console;
+        arguments[1] = "127.0.0.1:" + consolePort;
         System.arraycopy(command, 0, arguments, 2, command.length);
         try (Program program = new Program(null, arguments)) {
             program.exit();
@@ -31,22 +31,22 @@
         }
     }
 
-    private String call(String line) throws IOException {
-        try (Peer caller = Peer.connect(mgmt).send(line + "\n")) {
-            return caller.line();
+    private String sendToManagement(String line) throws IOException {
+        try (Peer connection = Peer.connect(managementPort).send(line + "\n")) {
+            return connection.line();
         }
     }
 
     @Test
-    void anOperatorSeesHowThingsStandAndDrainsAWorker() throws Exception {
+    void showsStateAndDisablesWorker() throws Exception {
         String file =
                 FaktoryServer.settings(
                         port,
                         "memory",
                         "127.0.0.1:7420",
-                        "127.0.0.1:" + console,
+                        "127.0.0.1:" + consolePort,
                         "mgmt = \"\"",
-                        "mgmt = \"127.0.0.1:" + mgmt + "\"",
+                        "mgmt = \"127.0.0.1:" + managementPort + "\"",
                         "cold_share = 1.0",
                         "cold_share = 0.9");
         try (Program program =
@@ -56,44 +56,51 @@
                 FaktoryPeer producer = new FaktoryPeer(port, "", "")) {
             producer.push("job-00001", "apply-submit", 30, "");
             assertEquals("job-00001", worker.fetch());
-            assertTrue(ask("workers").matches("(?s)worker .*w1 +cold +0 +0 +1 .*"), ask("workers"));
-            assertTrue(ask("pools").contains("apply-submit"));
-            assertTrue(ask("queues").matches("(?s).*apply-submit +1 +0 +[0-9]+.*"), ask("queues"));
-            assertTrue(ask("counters").matches("(?s).*queries_taken +1\n.*"), ask("counters"));
             assertTrue(
-                    ask("waits")
+                    runCommand("workers").matches("(?s)worker .*w1 +cold +0 +0 +1 .*"),
+                    runCommand("workers"));
+            assertTrue(runCommand("pools").contains("apply-submit"));
+            assertTrue(
+                    runCommand("queues").matches("(?s).*apply-submit +1 +0 +[0-9]+.*"),
+                    runCommand("queues"));
+            assertTrue(
+                    runCommand("counters").matches("(?s).*queries_taken +1\n.*"),
+                    runCommand("counters"));
+            assertTrue(
+                    runCommand("waits")
                             .matches("(?s)tasks .*\n[0-9]+ +[0-9.]+ +[0-9.]+ +[0-9.]+ +[0-9.]+\n"),
-                    ask("waits"));
+                    runCommand("waits"));
             try (Peer slow = Peer.connect(port).send("HELLO {\"v\":2,")) {
                 assertTrue(
-                        ask("slow")
+                        runCommand("slow")
                                 .matches(
                                         "(?s)peer .*127.0.0.1:[0-9]+ +sends a command +[0-9]+"
                                                 + " +[0-9]+ +[0-9.]+\n"),
-                        ask("slow"));
+                        runCommand("slow"));
             }
-            assertEquals("serving\n", ask("phase"));
-            assertEquals("YES serving", call("READY"));
+            assertEquals("serving\n", runCommand("phase"));
+            assertEquals("YES serving", sendToManagement("READY"));
             assertEquals(
                     "router.success.status-read:0|c",
-                    call("STATS"),
-                    "the same figures as the console's");
+                    sendToManagement("STATS"),
+                    "the same metrics as on the console");
             assertTrue(
-                    ask("stats").matches("(?s).*dispatches +1\n.*concurrent +1\n.*targets +1\n.*"),
-                    ask("stats"));
+                    runCommand("stats")
+                            .matches("(?s).*dispatches +1\n.*concurrent +1\n.*targets +1\n.*"),
+                    runCommand("stats"));
             assertTrue(
-                    call("DRAIN").startsWith("NO "),
-                    "a producer has no word that sends it elsewhere");
-            assertEquals("no such worker: w9\n", ask("disable", "w9"));
-            assertEquals("w1 gets nothing new\n", ask("disable", "w1"));
-            assertTrue(ask("jump").startsWith("unknown command: jump"));
-            assertEquals("+OK", worker.ack("job-00001"), "what it has it may finish");
+                    sendToManagement("DRAIN").startsWith("NO "),
+                    "the Faktory protocol cannot redirect producers");
+            assertEquals("no such worker: w9\n", runCommand("disable", "w9"));
+            assertEquals("w1 gets nothing new\n", runCommand("disable", "w1"));
+            assertTrue(runCommand("jump").startsWith("unknown command: jump"));
+            assertEquals("+OK", worker.ack("job-00001"), "a disabled worker may finish its job");
             assertEquals("+OK", producer.push("job-00002", "status-read", 3, ""));
             assertNull(worker.fetch());
             assertEquals("{\"state\":\"quiet\"}", worker.call("BEAT {\"wid\":\"w1\"}"));
         }
         assertTrue(
-                ask("phase").startsWith("damsonslip: console: nothing answers"),
-                "a plain word where there is nobody");
+                runCommand("phase").startsWith("damsonslip: console: nothing answers"),
+                "one line if no scheduler listens");
     }
 }
--- a/src/test/java/damsonslip/admin/management/ManagementRequestTest.java
+++ b/src/test/java/damsonslip/admin/management/ManagementRequestTest.java
@@ -10,7 +10,7 @@
 
 class ManagementRequestTest {
     @Test
-    void aLineIsOneCall() throws ManagementRequest.MalformedException {
+    void decodesVerbAndWorkerId() throws ManagementRequest.MalformedException {
         assertEquals(new ManagementRequest(Verb.READY, null), ManagementRequest.decode("READY\r"));
         assertEquals(
                 new ManagementRequest(Verb.DISABLE, "s-1"),
@@ -29,7 +29,7 @@
                 "DRAINED",
                 "READY\u0000"
             })
-    void whatIsNoCallIsTold(String line) {
+    void rejectsMalformedRequests(String line) {
         assertThrows(
                 ManagementRequest.MalformedException.class, () -> ManagementRequest.decode(line));
     }
--- a/src/test/java/damsonslip/admin/upgrade/OverridesFileTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/OverridesFileTest.java
@@ -17,11 +17,11 @@
     void readsOnlyWhatAnotherProcessHasWritten() throws IOException {
         OverridesFile one = new OverridesFile(directory);
         OverridesFile other = new OverridesFile(directory);
-        assertEquals(Optional.empty(), one.readIfChanged(), "nothing is written yet");
+        assertEquals(Optional.empty(), one.readIfChanged(), "nothing has been written yet");
         one.write("first");
-        assertEquals(Optional.empty(), one.readIfChanged(), "written by itself");
+        assertEquals(Optional.empty(), one.readIfChanged(), "its own write is not reported");
         assertEquals(Optional.of("first"), other.readIfChanged());
-        assertEquals(Optional.empty(), other.readIfChanged(), "read already");
+        assertEquals(Optional.empty(), other.readIfChanged(), "the same version is reported once");
         other.write("second");
         assertEquals(Optional.of("second"), one.readIfChanged());
         assertEquals("second", Files.readString(directory.resolve("damsonslip-bans")));
--- a/src/test/java/damsonslip/cli/FleetCommandTest.java
+++ b/src/test/java/damsonslip/cli/FleetCommandTest.java
@@ -27,42 +27,42 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
-    private int fleet(String... args) {
+    private int run(String... args) {
         PrintStream errors = new PrintStream(err, true, StandardCharsets.UTF_8);
         return Main.run(args, new ByteArrayInputStream(new byte[0]), out, errors);
     }
 
-    /** Each line is {@code milliseconds text}, or only the text, at the time of the line before. */
-    private void log(String name, String lines) throws Exception {
-        StringBuilder text = new StringBuilder("a line of somebody else's\n");
-        int at = 0;
+    /** Each line is {@code milliseconds text}, or only the text for the time of the line before. */
+    private void writeLog(String name, String lines) throws Exception {
+        StringBuilder text = new StringBuilder("a line that is not a trace\n");
+        int atMs = 0;
         for (String line : lines.split("\n", 0)) {
             if (Character.isDigit(line.charAt(0))) {
-                at = Integer.parseInt(line.substring(0, line.indexOf(' ')));
+                atMs = Integer.parseInt(line.substring(0, line.indexOf(' ')));
                 line = line.substring(line.indexOf(' ') + 1);
             }
             text.append(
                     String.format(
                             "%s10:00:%02d.%03d DEBUG Trace - %s%n",
-                            name.equals("n1.log") ? "0.650 " : "", at / 1000, at % 1000, line));
+                            name.equals("n1.log") ? "0.650 " : "", atMs / 1000, atMs % 1000, line));
         }
         Files.writeString(dir.resolve(name), text);
     }
 
     private String report() {
-        assertEquals(0, fleet("fleet", dir.toString()), err.toString(StandardCharsets.UTF_8));
+        assertEquals(0, run("fleet", dir.toString()), err.toString(StandardCharsets.UTF_8));
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static void has(String report, String pattern) {
+    private static void assertHasLine(String report, String pattern) {
         assertTrue(
                 report.lines().anyMatch(line -> line.trim().replaceAll(" +", " ").matches(pattern)),
                 pattern + "\n" + report);
     }
 
     @Test
-    void everyQueryThatEarnsNothingHasOneReasonAndSecondsAddUp() throws Exception {
-        log(
+    void givesEachLossOneReasonAndSumsUpSeconds() throws Exception {
+        writeLog(
                 "n0.log",
                 START
                         + """
@@ -98,7 +98,7 @@
                         sent q5 n=0 to=a
                         """
                         + START.replace("settings", "3000 settings"));
-        log(
+        writeLog(
                 "n1.log",
                 START
                         + """
@@ -113,33 +113,29 @@
                         answered q6 as=SERVED retryUs=0
                         """);
         String report = report();
-        has(report, "2 schedulers, 2 workers, 4 seconds");
-        has(
-                report,
-                "0 2 0\\.0 0 2 1 0 0 0 0 0 0 0 2 0 0 0 0 0 0 1 1 1"); // taken 2, served 1, sent 2,
-        // list calls, to cold
-        // q2 late; q3 refused, q7 given up, q8 at its time; q4 failed after an error; links, one
-        // closed idle, probes
-        has(report, "1 2 1\\.5 0 4 1 1 1 1 1 0 1 0 1 0 0 1 3 1 4 0 0 0");
-        has(
-                report,
-                "2 2 0\\.0 2 2 1 0 0 0 0 0 0 2 .*"); // q3 and q7 come back within a tenth of each
-        // other
-        has(report, "1 \\[0 alike 0\\.50 rate 10-16 share 2-3\\]");
-        has(report, "b jobs 1 late 1: 1=0\\.1/0\\.5 by 2");
-        has(report, "worth offered 24, earned 6; lost, by reason");
-        has(report, "3 12\\.5% 1 served late by a cold worker");
-        has(report, "3 12\\.5% 1 turned away at once while warm workers had free slots");
-        has(report, "3 12\\.5% 1 given up after an execution that ended in error");
-        has(report, "3 12\\.5% 1 its scheduler ended with it open, and began anew");
+        assertHasLine(report, "2 schedulers, 2 workers, 4 seconds");
+        // 2 taken, 1 served, 2 sent, one list call, which failed, and one sent to a cold worker
+        assertHasLine(report, "0 2 0\\.0 0 2 1 0 0 0 0 0 0 0 2 0 0 0 0 0 0 1 1 1");
+        // q2 served late, q3 rejected, q7 given up, q8 out of time, q4 failed after an error;
+        // 3 connections opened, 1 closed when idle, 4 probes
+        assertHasLine(report, "1 2 1\\.5 0 4 1 1 1 1 1 0 1 0 1 0 0 1 3 1 4 0 0 0");
+        // q3 and q7 are told to retry within the same tenth of a second
+        assertHasLine(report, "2 2 0\\.0 2 2 1 0 0 0 0 0 0 2 .*");
+        assertHasLine(report, "1 \\[0 alike 0\\.50 rate 10-16 share 2-3\\]");
+        assertHasLine(report, "b jobs 1 late 1: 1=0\\.1/0\\.5 by 2");
+        assertHasLine(report, "worth offered 24, earned 6; lost, by reason");
+        assertHasLine(report, "3 12\\.5% 1 served late by a cold worker");
+        assertHasLine(report, "3 12\\.5% 1 turned away at once while warm workers had free slots");
+        assertHasLine(report, "3 12\\.5% 1 given up after an execution that ended in error");
+        assertHasLine(report, "3 12\\.5% 1 its scheduler ended with it open, and began anew");
     }
 
     @Test
-    void whatIsNoFolderOfTracesGetsOnePlainLine() throws Exception {
-        assertEquals(1, fleet("fleet", dir.resolve("none").toString()));
+    void reportsMissingTracesInOneLine() throws Exception {
+        assertEquals(1, run("fleet", dir.resolve("none").toString()));
         Files.writeString(dir.resolve("n0.log"), "10:00:00.000 INFO Platform - n0 listens\n");
-        assertEquals(1, fleet("fleet", dir.toString()));
-        assertEquals(2, fleet("fleet"));
+        assertEquals(1, run("fleet", dir.toString()));
+        assertEquals(2, run("fleet"));
         assertEquals(3, err.toString(StandardCharsets.UTF_8).lines().count());
     }
 }
--- a/src/test/java/damsonslip/cli/RehearsalTest.java
+++ b/src/test/java/damsonslip/cli/RehearsalTest.java
@@ -12,16 +12,16 @@
  */
 class RehearsalTest {
     @Test
-    void itServesItsOwnQueriesAndEnds() throws Exception {
+    void servesItsOwnRequestsAndExits() throws Exception {
         try (Program program = new Program(null, "rehearse")) {
             assertEquals(0, program.exit(), program.said());
             assertTrue(program.said().contains("rehearsal listens on"), program.said());
             assertTrue(
                     program.said().contains("reload: discovery is at"),
-                    "what a signal needs is archived as well");
+                    "classes for a reload are archived as well");
             assertTrue(
                     program.said().contains("counters queries_taken=3 "),
-                    "and so is a stop: " + program.said());
+                    "classes for a shutdown are archived as well: " + program.said());
         }
     }
 }
--- a/src/test/java/damsonslip/cli/SimHostTest.java
+++ b/src/test/java/damsonslip/cli/SimHostTest.java
@@ -39,7 +39,7 @@
                 new PrintStream(err, true, StandardCharsets.UTF_8));
     }
 
-    private int play(String input) {
+    private int runSimHost(String input) {
         return run(input, "simhost");
     }
 
@@ -48,15 +48,15 @@
     }
 
     @Test
-    void anEmptyBatchGetsDoneAndTheEndOfInputEndsWell() {
-        assertEquals(0, play(BEGIN + END + BEGIN + END));
+    void answersEmptyBatchesAndSucceedsAtEndOfInput() {
+        assertEquals(0, runSimHost(BEGIN + END + BEGIN + END));
         assertEquals("{\"cmd\":\"done\"}\n{\"cmd\":\"done\"}\n", out());
         assertEquals("", err.toString(StandardCharsets.UTF_8));
     }
 
     @Test
-    void aJobIsPlacedAndItsDeadlineIsExactToTheMicrosecond() {
-        assertEquals(0, play(BEGIN + CREATE + LIST + JOB + END));
+    void placesJobWithDeadlineExactToTheMicrosecond() {
+        assertEquals(0, runSimHost(BEGIN + CREATE + LIST + JOB + END));
         assertTrue(
                 out().contains(
                                 "{\"cmd\":\"place\",\"dispatcher\":3,\"op_id\":\"8e29c4da5d3a91c4\",\"runner\":\"runner_a\",\"try_for_s\":0.000000}\n"),
@@ -66,20 +66,20 @@
     }
 
     @Test
-    void aKilledInstanceMayBeCreatedAgainInTheSameBatch() {
+    void recreatesKilledInstanceInTheSameBatch() {
         String kill = "{\"cmd\":\"kill\",\"dispatcher\":3}\n";
-        assertEquals(0, play(BEGIN + CREATE + LIST + kill + CREATE + LIST + JOB + END));
+        assertEquals(0, runSimHost(BEGIN + CREATE + LIST + kill + CREATE + LIST + JOB + END));
         assertEquals(2, out().split("\"cmd\":\"place\"", -1).length, "placed once: " + out());
     }
 
     @Test
-    void eventsForUnknownInstancesAndJobsAreIgnored() {
-        String late =
+    void ignoresEventsForUnknownInstancesAndJobs() {
+        String unknown =
                 "{\"cmd\":\"result\",\"dispatcher\":9,\"op_id\":\"00\",\"round_no\":0,\"runner\":\"r\",\"reason\":\"Ok\",\"cost_time_s\":1,\"closed\":true,\"remark\":null,\"load\":null}\n"
                     + "{\"cmd\":\"memo\",\"dispatcher\":3,\"src\":1,\"octets\":\"00\"}\n"
                     + "{\"cmd\":\"vanished\",\"dispatcher\":3,\"op_id\":\"00\"}\n"
                     + "{\"cmd\":\"deadline_hit\",\"dispatcher\":3,\"label\":\"j:00\"}\n";
-        assertEquals(0, play(BEGIN + CREATE + LIST + late + END));
+        assertEquals(0, runSimHost(BEGIN + CREATE + LIST + unknown + END));
         assertFalse(out().contains("internal_error"));
     }
 
@@ -96,22 +96,22 @@
                         + " none",
                 "[1]|line 2: not a JSON object"
             })
-    void badInputGetsOnePlainLine(String line, String message) {
-        assertEquals(1, play(BEGIN + line + "\n" + END));
-        String said = err.toString(StandardCharsets.UTF_8);
-        assertTrue(said.contains(message), said);
-        assertEquals(1, said.lines().count(), said);
+    void reportsMalformedInputInOneLine(String line, String message) {
+        assertEquals(1, runSimHost(BEGIN + line + "\n" + END));
+        String errors = err.toString(StandardCharsets.UTF_8);
+        assertTrue(errors.contains(message), errors);
+        assertEquals(1, errors.lines().count(), errors);
         assertEquals("", out());
     }
 
     @Test
-    void settingsThatCannotBeActedOnAreNamed() {
-        assertEquals(1, play(BEGIN + CREATE.replace("\"aim_s\":0.2", "\"aim_s\":-1") + END));
+    void namesInvalidSettings() {
+        assertEquals(1, runSimHost(BEGIN + CREATE.replace("\"aim_s\":0.2", "\"aim_s\":-1") + END));
         assertTrue(err.toString(StandardCharsets.UTF_8).contains("settings: aim: -1000000"));
     }
 
     @Test
-    void wrongUsageIsExplained() {
+    void printsUsageOnWrongArguments() {
         assertEquals(2, run(""));
         assertEquals(2, run("", "simulate"));
         assertTrue(err.toString(StandardCharsets.UTF_8).startsWith("usage: "));
--- a/src/test/java/damsonslip/config/JsonTreeReaderTest.java
+++ b/src/test/java/damsonslip/config/JsonTreeReaderTest.java
@@ -24,18 +24,18 @@
                 "  {\n  \"indented\" : [ 1 ,\n 2 ] }\n",
                 "{} trailing"
             })
-    void valuesAreAsTheMapperReadsThem(String text) throws JsonProcessingException {
+    void readsValuesAsObjectMapperDoes(String text) throws JsonProcessingException {
         assertEquals(new ObjectMapper().readTree(text), JsonTreeReader.read(text));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"{", "[1,", "{\"a\"}", "{\"a\":}", "nul", "{a:1}", "\"open", "[1 2]"})
-    void halfAValueIsNone(String text) {
+    void rejectsIncompleteAndMalformedValues(String text) {
         assertThrows(JsonProcessingException.class, () -> JsonTreeReader.read(text));
     }
 
     @Test
-    void nothingIsNullAndDepthIsBounded() throws JsonProcessingException {
+    void returnsNullForNoValueAndLimitsDepth() throws JsonProcessingException {
         assertNull(JsonTreeReader.read("  "));
         assertThrows(JsonProcessingException.class, () -> JsonTreeReader.read("[".repeat(5_000)));
     }
