--- a/src/test/java/damsonslip/admin/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The console as an operator uses it, against a running scheduler. */
+/** Runs console commands against a running scheduler, as an operator does. */
 class ConsoleTest {
     @TempDir Path dir;
     private final int port = Program.freePort();
--- a/src/test/java/damsonslip/admin/upgrade/OverridesFileTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/OverridesFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of worker overrides as two processes see it. */
+/** The file of worker overrides as read and written by two processes. */
 class OverridesFileTest {
     @TempDir Path directory;
 
--- a/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
+++ b/src/test/java/damsonslip/admin/upgrade/SharedDirectoryTest.java
@@ -24,7 +24,7 @@
 
     @TempDir Path dir;
 
-    /** Another process that probes the lock files for live holders as fast as it can. */
+    /** A process that continuously tests whether the lock files are locked. */
     public static final class Prober {
         private Prober() {}
 
@@ -50,14 +50,14 @@
                     Thread.onSpinWait();
                 }
             } catch (IOException e) {
-                // it was removed meanwhile
+                // the file was removed since it was listed
             }
         }
     }
 
     /**
-     * A probe between the creation of a lock file and its lock would hold the lock briefly, and the
-     * start would fail.
+     * A probe holds the lock of a file briefly. If a lock file could be probed between its creation
+     * and its being locked, the registration would fail and with it the start.
      */
     @Test
     void registersWhileAnotherProcessProbesLockFiles() throws Exception {
--- a/src/test/java/damsonslip/cli/FleetCommandTest.java
+++ b/src/test/java/damsonslip/cli/FleetCommandTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The command that sums a folder of logs: two schedulers, two workers, one query for each way to
- * end.
+ * The report over a directory of logs: two schedulers, two workers and one request for each way in
+ * which a request can end.
  */
 class FleetCommandTest {
     private static final String START =
--- a/src/test/java/damsonslip/cli/RehearsalTest.java
+++ b/src/test/java/damsonslip/cli/RehearsalTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the build runs to archive classes: it fails, and with it the build, unless its queries are
- * served.
+ * The command that the build runs to archive classes: if its requests are not served, it fails and
+ * with it the build.
  */
 class RehearsalTest {
     @Test
--- a/src/test/java/damsonslip/cli/SimHostTest.java
+++ b/src/test/java/damsonslip/cli/SimHostTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter over streams: framing, values, and bad input. */
+/** The simulator's protocol over streams: framing, values and malformed input. */
 class SimHostTest {
     private static final String CONF =
             "{\"instances\":1,\"slot_no\":0,\"zone\":0,\"azs\":[\"z\"],\"shapes\":[\"k\"],"
--- a/src/test/java/damsonslip/config/JsonTreeReaderTest.java
+++ b/src/test/java/damsonslip/config/JsonTreeReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The tree is the one that the library's own mapper gives. */
+/** Checks that the trees equal those of Jackson's {@code ObjectMapper}. */
 class JsonTreeReaderTest {
     @ParameterizedTest
     @ValueSource(
