--- a/src/main/java/damsonslip/admin/console/ConsoleConnection.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleConnection.java
@@ -68,7 +68,7 @@
         String line = commands.poll();
         answering = line != null;
         if (answering) {
-            server.answer(line, this::answer);
+            server.execute(line, this::answer);
         } else {
             resumeReading();
         }
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -98,7 +98,7 @@
      * Executes a command line. Runs on the event loop, so that the answer is a consistent snapshot;
      * calls {@code done} at once or later.
      */
-    void answer(String line, Consumer<String> done) {
+    void execute(String line, Consumer<String> done) {
         String[] words = line.trim().split("\\s+");
         String command = words[0].toLowerCase(Locale.ROOT);
         Consumer<OperationResult> onResult = result -> done.accept(result.message());
--- a/src/main/java/damsonslip/admin/management/ManagementServer.java
+++ b/src/main/java/damsonslip/admin/management/ManagementServer.java
@@ -16,8 +16,8 @@
 
 /**
  * Listens on the management port. It has a selector of its own, so that operators can connect
- * whatever the load from clients. Connections are accepted on the selector's thread; everything
- * else runs on the event loop.
+ * regardless of the load from clients. Connections are accepted on the selector's thread;
+ * everything else runs on the event loop.
  */
 public final class ManagementServer extends LimitedAcceptor<ManagementConnection> {
     /**
--- a/src/main/java/damsonslip/admin/upgrade/LockFiles.java
+++ b/src/main/java/damsonslip/admin/upgrade/LockFiles.java
@@ -18,8 +18,8 @@
  * The lock files of all processes of one scheduler, with the one that this process holds.
  *
  * <p>Each process holds an exclusive lock on a file of its own, whose name ends in the process's
- * number. The operating system releases the lock however the process ends, so liveness is told by
- * the lock and not by the file's presence or a process id. The file's content is the holder's
+ * number. The operating system releases the lock however the process ends, so liveness follows from
+ * the lock and not from the file's presence or a process id. The file's content is the holder's
  * {@link ProcessState}. A process must not open its own lock file a second time: closing any
  * channel on a file releases the process's locks on it (POSIX).
  *
