--- a/src/main/java/damsonslip/admin/console/ConsoleClient.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleClient.java
@@ -19,7 +19,7 @@
 import org.jline.terminal.Terminal;
 import org.jline.terminal.TerminalBuilder;
 
-/** The operator's terminal: sends commands to a running scheduler and prints its answers. */
+/** The operator's terminal: sends commands to a running scheduler and prints the answers. */
 public final class ConsoleClient {
     private static final String DEFAULT_ADDRESS = "127.0.0.1:7420";
     private static final int TIMEOUT_MS = 5_000;
@@ -27,33 +27,37 @@
     private ConsoleClient() {}
 
     /**
-     * Runs the command in the arguments, or opens a prompt if there is none.
+     * Runs the command in the arguments, or opens a prompt if they contain none.
      *
-     * @param arguments the scheduler's address and a command; both may be left out
-     * @throws BadInput if the address is malformed or nothing listens there
+     * @param arguments the scheduler's console address and a command; both are optional
+     * @throws ConfigurationException if the address is malformed or cannot be connected to
      */
     public static void run(List<String> arguments, PrintStream out)
             throws ConfigurationException, IOException {
         String address = arguments.isEmpty() ? DEFAULT_ADDRESS : arguments.get(0);
         try (Socket socket = connect(address)) {
-            BufferedReader in =
+            BufferedReader fromServer =
                     new BufferedReader(
                             new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
-            PrintWriter to =
+            PrintWriter toServer =
                     new PrintWriter(socket.getOutputStream(), true, StandardCharsets.UTF_8);
             if (arguments.size() > 1) {
-                out.println(ask(String.join(" ", arguments.subList(1, arguments.size())), in, to));
+                out.println(
+                        execute(
+                                String.join(" ", arguments.subList(1, arguments.size())),
+                                fromServer,
+                                toServer));
             } else {
-                prompt(address, in, to);
+                prompt(address, fromServer, toServer);
             }
         }
     }
 
     private static Socket connect(String address) throws ConfigurationException {
         try {
-            InetSocketAddress where = Address.parse(address);
+            InetSocketAddress socketAddress = Address.parse(address);
             Socket socket = new Socket();
-            socket.connect(where, TIMEOUT_MS);
+            socket.connect(socketAddress, TIMEOUT_MS);
             socket.setSoTimeout(TIMEOUT_MS);
             return socket;
         } catch (IllegalArgumentException e) {
@@ -63,12 +67,13 @@
         }
     }
 
-    private static String ask(String line, BufferedReader in, PrintWriter to) throws IOException {
-        to.println(line);
+    private static String execute(String line, BufferedReader fromServer, PrintWriter toServer)
+            throws IOException {
+        toServer.println(line);
         StringBuilder answer = new StringBuilder();
-        for (String next = in.readLine();
+        for (String next = fromServer.readLine();
                 !ConsoleConnection.END_OF_ANSWER.equals(next);
-                next = in.readLine()) {
+                next = fromServer.readLine()) {
             if (next == null) {
                 throw new IOException("the scheduler has gone");
             }
@@ -77,7 +82,7 @@
         return answer.toString().stripTrailing();
     }
 
-    private static void prompt(String address, BufferedReader in, PrintWriter to)
+    private static void prompt(String address, BufferedReader fromServer, PrintWriter toServer)
             throws IOException {
         try (Terminal terminal = TerminalBuilder.builder().dumb(true).build()) {
             LineReader reader =
@@ -92,12 +97,12 @@
                     return;
                 }
                 if (!line.isEmpty()) {
-                    terminal.writer().println(ask(line, in, to));
+                    terminal.writer().println(execute(line, fromServer, toServer));
                     terminal.flush();
                 }
             }
         } catch (EndOfFileException | UserInterruptException e) {
-            // the operator's own way of leaving
+            // Ctrl-D or Ctrl-C closes the console
         }
     }
 }
--- a/src/main/java/damsonslip/admin/console/ConsoleServer.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleServer.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers the operators' console inside the scheduler. Listens only if a console address is
- * configured.
+ * Executes the commands of the operators' console inside the scheduler. Created only if a console
+ * address is configured.
  */
 public final class ConsoleServer implements ConnectionManager.ConnectionAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleServer.class);
@@ -85,7 +85,7 @@
         openCount.decrementAndGet();
     }
 
-    void slowReader() {
+    void slowReaderClosed() {
         counters.add(Count.SLOW_READERS_LET_GO);
         LOG.warn("a console reads nothing of its answer and is let go");
     }
@@ -95,17 +95,17 @@
     }
 
     /**
-     * Answers one command line, on the event loop so that the answer is a consistent snapshot.
-     * Calls {@code done} at once or later.
+     * Executes a command line. Runs on the event loop, so that the answer is a consistent snapshot;
+     * calls {@code done} at once or later.
      */
-    void answer(String line, Consumer<String> done) {
+    void execute(String line, Consumer<String> done) {
         String[] words = line.trim().split("\\s+");
         String command = words[0].toLowerCase(Locale.ROOT);
         Consumer<OperationResult> onResult = result -> done.accept(result.message());
-        boolean namesWorker = words.length == 2;
-        if (namesWorker && command.equals("disable")) {
+        boolean hasWorkerId = words.length == 2;
+        if (hasWorkerId && command.equals("disable")) {
             operations.disable(words[1], onResult);
-        } else if (namesWorker && command.equals("enable")) {
+        } else if (hasWorkerId && command.equals("enable")) {
             operations.enable(words[1], onResult);
         } else {
             done.accept(answer(command, words));
--- a/src/main/java/damsonslip/admin/console/ConsoleTables.java
+++ b/src/main/java/damsonslip/admin/console/ConsoleTables.java
@@ -15,9 +15,7 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/**
- * Formats the scheduler's state as the tables that the console shows. Used on the event loop only.
- */
+/** Formats the scheduler's state as tables for the console. Used on the event loop only. */
 final class ConsoleTables {
     private static final int MAX_EVENTS = 100;
     private static final double MICROS_PER_MILLI = 1e3;
@@ -125,16 +123,16 @@
                 row(
                         "%-22s %-16s %9s %9s %6s",
                         "peer", "what it does", "bytes", "bytes/s", "left s");
-        for (SlowPeer slow :
+        for (SlowPeer slowPeer :
                 SlowPeer.disconnectedSoonest(Stream.concat(front.slowPeers().stream(), consoles))) {
             text.append(
                     row(
                             "%-22s %-16s %9d %9.0f %6.1f",
-                            slow.peer(),
-                            slow.activity(),
-                            slow.pendingBytes(),
-                            slow.bytesPerSecond(),
-                            slow.remainingUs() / MICROS_PER_SECOND));
+                            slowPeer.peer(),
+                            slowPeer.activity(),
+                            slowPeer.pendingBytes(),
+                            slowPeer.bytesPerSecond(),
+                            slowPeer.remainingUs() / MICROS_PER_SECOND));
         }
         return text.toString();
     }
--- a/src/main/java/damsonslip/cli/SignalTable.java
+++ b/src/main/java/damsonslip/cli/SignalTable.java
@@ -10,40 +10,40 @@
 import sun.misc.Signal;
 
 /**
- * Takes the place of the JDK's table of signal handlers. The JDK's dispatcher looks a signal up
- * there and starts a thread for the handler that it finds; this table hands the signal to a {@link
- * SignalThread} instead and names no handler.
+ * Replaces the JDK's table of signal handlers. The JDK's dispatcher looks a signal up there and
+ * starts a thread for the handler that it finds; this table passes the signal to a {@link
+ * SignalThread} instead and returns no handler.
  *
- * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar asks
- * for. Where it is not open, or another JDK keeps its handlers elsewhere, the JDK's own table stays
- * and one line of the log says so.
+ * <p>It needs {@code java.base/jdk.internal.misc} to be open, which the manifest of the jar
+ * requests. If it is not open, or a JDK stores its handlers elsewhere, the JDK's own table stays in
+ * place and a warning is logged.
  */
-@SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK's field is one
+@SuppressWarnings({"JdkObsolete", "UnsynchronizedOverridesSynchronized"}) // the JDK field's type
 final class SignalTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
     private static final Logger LOG = LoggerFactory.getLogger(SignalTable.class);
     private static final String JDK_CLASS = "jdk.internal.misc.Signal";
     private static final String JDK_FIELD = "handlers";
 
-    /** The thread on which the JDK dispatches; others look handlers up in order to replace them. */
+    /** The JDK's dispatching thread; others look handlers up only in order to replace them. */
     private static final String DISPATCHER = "Signal Dispatcher";
 
-    /** Installed by the first signal that is directed; null where the JDK's table stays. */
+    /** Installed when this class is first used; null if the JDK's table stays in place. */
     private static final SignalTable INSTALLED = install();
 
-    private record Direction(Signal signal, SignalThread thread) {}
+    private record Registration(Signal signal, SignalThread thread) {}
 
-    /** By the name that the JDK's own signals have as text, such as {@code SIGTERM}. */
-    private final transient Map<String, Direction> directions = new ConcurrentHashMap<>();
+    /** Keyed by the text form of the JDK's signals, such as {@code SIGTERM}. */
+    private final transient Map<String, Registration> registrations = new ConcurrentHashMap<>();
 
     private SignalTable(Map<?, ?> handlers) {
         super(handlers);
     }
 
-    /** Hands this signal to the thread from now on, if the table could be installed. */
-    static void direct(Signal signal, SignalThread thread) {
+    /** Passes this signal to the thread from now on, if the table could be installed. */
+    static void register(Signal signal, SignalThread thread) {
         if (INSTALLED != null) {
-            INSTALLED.directions.put(signal.toString(), new Direction(signal, thread));
+            INSTALLED.registrations.put(signal.toString(), new Registration(signal, thread));
         }
     }
 
@@ -52,7 +52,7 @@
             Class<?> jdkSignal = Class.forName(JDK_CLASS);
             Field field = jdkSignal.getDeclaredField(JDK_FIELD);
             field.setAccessible(true);
-            synchronized (jdkSignal) { // as Signal.handle does, which changes the table
+            synchronized (jdkSignal) { // the lock under which Signal.handle changes the table
                 SignalTable table = new SignalTable((Map<?, ?>) field.get(null));
                 field.set(null, table);
                 return table;
@@ -67,15 +67,15 @@
 
     @Override
     public Object get(Object jdkSignal) {
-        Direction direction = directions.get(jdkSignal.toString());
-        if (direction == null || !Thread.currentThread().getName().equals(DISPATCHER)) {
+        Registration registration = registrations.get(jdkSignal.toString());
+        if (registration == null || !Thread.currentThread().getName().equals(DISPATCHER)) {
             return super.get(jdkSignal);
         }
-        direction.thread().receive(direction.signal());
+        registration.thread().receive(registration.signal());
         return null;
     }
 
-    /** Two tables are never compared; the JDK does not. */
+    /** Identity is enough, since the JDK never compares tables. */
     @Override
     public boolean equals(Object other) {
         return this == other;
--- a/src/main/java/damsonslip/config/SchedulerConfig.java
+++ b/src/main/java/damsonslip/config/SchedulerConfig.java
@@ -13,10 +13,11 @@
  *
  * @param name its name
  * @param listen the address on which clients connect
- * @param discovery the address of discovery
+ * @param discovery the address of the discovery service
  * @param seed the seed of the random numbers
- * @param maxFileDescriptors how many file descriptors the process may hold
- * @param cachedEndpointList the cached endpoint list of an earlier process, undecoded
+ * @param maxFileDescriptors how many file descriptors the processes of this scheduler may hold
+ *     together
+ * @param cachedEndpointList the endpoint list that an earlier process had, not decoded yet
  * @param site the settings of the deployment
  * @param mgmt the address of the management port; empty for none
  */
@@ -29,7 +30,7 @@
         JsonNode cachedEndpointList,
         SiteSettings site,
         String mgmt) {
-    private static final int MIN_SOCKETS = 128;
+    private static final int MIN_FILE_DESCRIPTORS = 128;
 
     /**
      * Reads the file that {@code ROUTER_CONFIG} names. Keys that the file lacks are taken from the
@@ -49,7 +50,7 @@
                 required(root, "listen", environment.get("ROUTER_LISTEN")),
                 required(root, "discovery", environment.get("ROUTER_DISCOVERY")),
                 seed(root.path("seed").asText("0")),
-                Math.max(MIN_SOCKETS, root.path("limits").path("sockets").asInt(1024)),
+                Math.max(MIN_FILE_DESCRIPTORS, root.path("limits").path("sockets").asInt(1024)),
                 root.path("known"),
                 SiteSettings.read(root.path("settings")),
                 root.path("mgmt").asText(environment.getOrDefault("ROUTER_MGMT", "")));
--- a/src/test/java/damsonslip/cli/RehearsalTest.java
+++ b/src/test/java/damsonslip/cli/RehearsalTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the build runs to archive classes: it fails, and with it the build, unless its queries are
- * served.
+ * The command that the build runs to archive classes: if its requests are not served, it fails and
+ * with it the build.
  */
 class RehearsalTest {
     @Test
-    void itServesItsOwnQueriesAndEnds() throws Exception {
+    void servesItsOwnRequestsAndExits() throws Exception {
         try (Program program = new Program(null, "rehearse")) {
             assertEquals(0, program.exit(), program.said());
             assertTrue(program.said().contains("rehearsal listens on"), program.said());
             assertTrue(
                     program.said().contains("reload: discovery is at"),
-                    "what a signal needs is archived as well");
+                    "classes for a reload are archived as well");
             assertTrue(
                     program.said().contains("counters queries_taken=3 "),
-                    "and so is a stop: " + program.said());
+                    "classes for a shutdown are archived as well: " + program.said());
         }
     }
 }
