--- a/src/main/java/damsonslip/platform/codec/HttpForward.java
+++ b/src/main/java/damsonslip/platform/codec/ForwardedRequest.java
@@ -3,14 +3,14 @@
 import damsonslip.engine.Request;
 
 /** The parts of a client's request that are forwarded to a worker unchanged. Immutable. */
-public final class HttpForward implements Request.Payload {
+public final class ForwardedRequest implements Request.Payload {
     private final String method;
     private final String target;
     private final String idempotencyKey;
     private final String contentType;
     private final byte[] body;
 
-    HttpForward(
+    ForwardedRequest(
             String method, String target, String idempotencyKey, String contentType, byte[] body) {
         this.method = method;
         this.target = target;
--- a/src/main/java/damsonslip/platform/codec/OutboundRequests.java
+++ b/src/main/java/damsonslip/platform/codec/OutboundRequests.java
@@ -19,7 +19,7 @@
      * @param timeBudgetUs how long the worker may take
      */
     public static ByteBuffer[] job(Request request, long timeBudgetUs) {
-        HttpForward forward = (HttpForward) request.payload();
+        ForwardedRequest forward = (ForwardedRequest) request.payload();
         HttpFields.Mutable fields =
                 HttpFields.build()
                         .add(WireNames.Header.HOST, WORKER_HOST)
--- a/src/main/java/damsonslip/platform/codec/RequestDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/RequestDecoder.java
@@ -79,10 +79,10 @@
         return budget == null ? site.deadlineUs(jobClass) : WireFormat.parseMicros(budget);
     }
 
-    private static HttpForward forward(HttpRequest request) throws BadRequestException {
+    private static ForwardedRequest forward(HttpRequest request) throws BadRequestException {
         String key = request.header(WireNames.Header.IDEMPOTENCY_KEY);
         String contentType = request.header(WireNames.Header.CONTENT_TYPE);
-        return new HttpForward(
+        return new ForwardedRequest(
                 request.method(),
                 requirePrintable("target", request.target(), '!'),
                 requirePrintable(WireNames.Header.IDEMPOTENCY_KEY, key, ' '),
