--- a/src/main/java/damsonslip/platform/DescriptorBudget.java
+++ b/src/main/java/damsonslip/platform/DescriptorBudget.java
@@ -12,7 +12,7 @@
     private static final int OTHER_DESCRIPTORS = 24;
 
     /** One part in this many is for connections that are accepted before others are closed. */
-    private static final int OVERFLOW_PART = 8;
+    private static final int OVERFLOW_DIVISOR = 8;
 
     private final int descriptors;
     private final int reserved;
@@ -25,7 +25,7 @@
 
     /** How many clients may exceed their number for the moment. */
     int clientOverflow(int processes) {
-        return descriptors / processes / OVERFLOW_PART;
+        return descriptors / processes / OVERFLOW_DIVISOR;
     }
 
     /** How many connections clients and workers may each have. */
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -166,7 +166,7 @@
                     return;
                 }
                 receivedRequest = decoded;
-                moveTo(ClientConnectionState.RECEIVED);
+                transitionTo(ClientConnectionState.RECEIVED);
             }
             case HEALTH -> respond(ClientResponse.health(server.isHealthy()));
         }
@@ -179,12 +179,12 @@
         }
         Request request = receivedRequest;
         receivedRequest = null;
-        moveTo(ClientConnectionState.ADMITTING);
+        transitionTo(ClientConnectionState.ADMITTING);
         try {
             RequestContext admitted = server.admit(request, this);
             if (!admitted.isClosed()) {
                 context = admitted;
-                moveTo(ClientConnectionState.PROCESSING);
+                transitionTo(ClientConnectionState.PROCESSING);
             }
         } catch (BadRequestException e) {
             reject(e);
@@ -216,7 +216,7 @@
     }
 
     private void respond(ClientResponse response) {
-        moveTo(ClientConnectionState.RESPONDING);
+        transitionTo(ClientConnectionState.RESPONDING);
         closing |= !reader.isPersistent() || !server.isReady();
         write(this::responseWritten, response.encode(closing));
         if (!isClosed()) {
@@ -231,13 +231,13 @@
             closeAfterWrites();
             return;
         }
-        moveTo(ClientConnectionState.RECEIVING);
+        transitionTo(ClientConnectionState.RECEIVING);
         idleSinceUs = loop.nowUs();
         reader.reset();
         loop.execute(this::resumeReading);
     }
 
-    private void moveTo(ClientConnectionState next) {
+    private void transitionTo(ClientConnectionState next) {
         state = state.next(next);
     }
 
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -39,7 +39,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
 
     /** Unread responses may hold one part in this many of the heap, all together. */
-    private static final int RESPONSE_PART_OF_HEAP = 8;
+    private static final int RESPONSE_HEAP_DIVISOR = 8;
 
     /** How often connections are checked while they are drained. */
     private static final long DRAIN_INTERVAL_US = 50_000;
@@ -204,7 +204,7 @@
         if (!newest.isWatching()) {
             return;
         }
-        long budget = Runtime.getRuntime().maxMemory() / RESPONSE_PART_OF_HEAP;
+        long budget = Runtime.getRuntime().maxMemory() / RESPONSE_HEAP_DIVISOR;
         List<ClientConnection> overBudget =
                 BufferBudget.chooseOverBudget(
                         budget,
--- a/src/main/java/damsonslip/platform/codec/LoadReportDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/LoadReportDecoder.java
@@ -13,14 +13,14 @@
             return null;
         }
         return new LoadReport(
-                figure(report, WireNames.Load.FREE_SLOTS),
-                figure(report, WireNames.Load.FREE_MEMORY),
-                figure(report, WireNames.Load.RESERVED_MEMORY),
+                number(report, WireNames.Load.FREE_SLOTS),
+                number(report, WireNames.Load.FREE_MEMORY),
+                number(report, WireNames.Load.RESERVED_MEMORY),
                 Double.NaN,
-                figure(report, WireNames.Load.ERRORS_PER_SECOND));
+                number(report, WireNames.Load.ERRORS_PER_SECOND));
     }
 
-    private static double figure(JsonNode report, String name) {
+    private static double number(JsonNode report, String name) {
         return report.path(name).asDouble(Double.NaN);
     }
 
@@ -33,15 +33,15 @@
         double freeMemory = Double.NaN;
         double reservedMemory = Double.NaN;
         double errorsPerSecond = Double.NaN;
-        String figures = header.substring(WireNames.Load.TEXT_FORMAT.length());
-        for (String figure : figures.split(",", -1)) {
-            int separator = figure.indexOf('=');
+        String entries = header.substring(WireNames.Load.TEXT_FORMAT.length());
+        for (String entry : entries.split(",", -1)) {
+            int separator = entry.indexOf('=');
             if (separator < 0) {
                 continue;
             }
             try {
-                double value = Double.parseDouble(figure.substring(separator + 1).trim());
-                switch (figure.substring(0, separator).trim()) {
+                double value = Double.parseDouble(entry.substring(separator + 1).trim());
+                switch (entry.substring(0, separator).trim()) {
                     case WireNames.Load.FREE_SLOTS -> freeSlots = value;
                     case WireNames.Load.FREE_MEMORY -> freeMemory = value;
                     case WireNames.Load.RESERVED_MEMORY -> reservedMemory = value;
--- a/src/main/java/damsonslip/platform/worker/AttemptSender.java
+++ b/src/main/java/damsonslip/platform/worker/AttemptSender.java
@@ -116,8 +116,8 @@
             return;
         }
         inFlight.add(attempt, connection);
-        boolean repeatable = idempotency(attempt) == Idempotency.IDEMPOTENT;
-        connection.sendJob(attempt, timeBudgetUs, repeatable);
+        boolean idempotent = idempotency(attempt) == Idempotency.IDEMPOTENT;
+        connection.sendJob(attempt, timeBudgetUs, idempotent);
     }
 
     /**
--- a/src/main/java/damsonslip/platform/worker/WorkerConnection.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -76,7 +76,7 @@
     private Attempt attempt;
 
     /** Whether the attempt's job may run twice. */
-    private boolean repeatable;
+    private boolean idempotent;
 
     /** The probe whose result is awaited, or null. */
     private Probe probe;
@@ -153,11 +153,11 @@
      * Sends a job.
      *
      * @param timeBudgetUs how long the worker may take
-     * @param mayRepeat whether the job may run twice
+     * @param isIdempotent whether the job may run twice
      */
-    void sendJob(Attempt next, long timeBudgetUs, boolean mayRepeat) {
+    void sendJob(Attempt next, long timeBudgetUs, boolean isIdempotent) {
         attempt = next;
-        repeatable = mayRepeat;
+        idempotent = isIdempotent;
         sendRequest(OutboundRequests.job(next.request(), timeBudgetUs));
     }
 
@@ -183,7 +183,7 @@
         used = true;
         head = null;
         loadReport = null;
-        moveOn(Event.REQUEST_STARTED);
+        transition(Event.REQUEST_STARTED);
         long bytes = BufferUtil.remaining(request);
         if (LargeUpload.isLarge(bytes)) {
             LargeUpload upload = LargeUpload.begin(request, bytes, loop.nowUs());
@@ -215,7 +215,7 @@
     }
 
     private void requestWritten() {
-        moveOn(Event.REQUEST_WRITTEN);
+        transition(Event.REQUEST_WRITTEN);
         uploadMonitor.end();
         if (probe == null) {
             owner.statistics().requestWritten(attempt);
@@ -319,9 +319,9 @@
         if (probe != null) {
             settleProbe(head.isOk() ? probe.resultIfOk() : ProbeResult.UNHEALTHY, loadReport);
         } else {
-            settleAttempt(CompletedResponse.outcome(head, repeatable || isOwnResponse()), null);
+            settleAttempt(CompletedResponse.outcome(head, idempotent || isOwnResponse()), null);
         }
-        moveOn(Event.RESPONSE_COMPLETED);
+        transition(Event.RESPONSE_COMPLETED);
         lines.takeUnfinished();
         if (reusable) {
             idleSinceUs = loop.nowUs();
@@ -346,7 +346,7 @@
         if (attempt != null) {
             Attempt settled = attempt;
             attempt = null;
-            moveOn(Event.OUTCOME_KNOWN);
+            transition(Event.OUTCOME_KNOWN);
             owner.attempts().ended(settled, new Attempt.Completion(outcome, loadReport, result));
         }
     }
@@ -355,7 +355,7 @@
         if (probe != null) {
             probe.timeout().cancel();
             probe = null;
-            moveOn(Event.OUTCOME_KNOWN);
+            transition(Event.OUTCOME_KNOWN);
             owner.engine().probeEnded(worker, result, report);
         }
     }
@@ -378,7 +378,7 @@
                 isRequestWritten() ? AttemptOutcome.RESET : AttemptOutcome.NOT_CONNECTED, null);
     }
 
-    private void moveOn(Event event) {
+    private void transition(Event event) {
         state = state.after(event);
     }
 
--- a/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
+++ b/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
@@ -43,11 +43,11 @@
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    private void list(boolean whole, String... entries) throws MalformedListException {
+    private void list(boolean complete, String... entries) throws MalformedListException {
         registry.apply(
                 decoder.decode(
                         "{\"generation\":1,\"reset\":"
-                                + whole
+                                + complete
                                 + ",\"instances\":["
                                 + String.join(",", entries)
                                 + "]}"),
