--- a/src/main/java/damsonslip/platform/ConfigurationReload.java
+++ b/src/main/java/damsonslip/platform/ConfigurationReload.java
@@ -92,7 +92,7 @@
         }
         LOG.info("event=reloaded reload: discovery is at {}", fresh.discovery());
         counters.add(Count.RELOADS_DONE);
-        loop.execute(() -> workers.moveDiscovery(discovery, signalUs));
+        loop.execute(() -> workers.changeDiscoveryAddress(discovery, signalUs));
     }
 
     private void reportFailure(ConfigurationException failure, long signalUs) {
--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -79,7 +79,7 @@
      *
      * @param reloadUs when the operators asked for the reload
      */
-    public void moveTo(InetSocketAddress next, long reloadUs) {
+    public void changeAddress(InetSocketAddress next, long reloadUs) {
         engine.discoveryAddressChanged(DiscoveryAddressState.READ, reloadUs);
         if (!next.equals(address)) {
             address = next;
--- a/src/main/java/damsonslip/platform/worker/WorkerClient.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -168,8 +168,8 @@
      *
      * @param reloadUs when the operators asked for the reload
      */
-    public void moveDiscovery(InetSocketAddress address, long reloadUs) {
-        discovery.moveTo(address, reloadUs);
+    public void changeDiscoveryAddress(InetSocketAddress address, long reloadUs) {
+        discovery.changeAddress(address, reloadUs);
     }
 
     /**
