--- a/src/main/java/damsonslip/platform/CachedWorkerList.java
+++ b/src/main/java/damsonslip/platform/CachedWorkerList.java
@@ -6,7 +6,7 @@
 import damsonslip.platform.codec.EndpointListDecoder;
 import damsonslip.platform.codec.MalformedListException;
 
-/** The endpoint list that the configuration holds, as this scheduler had it before a restart. */
+/** The endpoint list that is cached in the configuration: the last one before a restart. */
 final class CachedWorkerList {
     private CachedWorkerList() {}
 
@@ -14,7 +14,7 @@
      * Decodes the cached list.
      *
      * @return the list, which is empty if the configuration holds none
-     * @throws ConfigurationException if it holds something else
+     * @throws ConfigurationException if the cached value is not an endpoint list
      */
     static EndpointList decode(JsonNode cached, EndpointListDecoder decoder)
             throws ConfigurationException {
--- a/src/main/java/damsonslip/platform/ConfigurationReload.java
+++ b/src/main/java/damsonslip/platform/ConfigurationReload.java
@@ -17,17 +17,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reloads the configuration on SIGHUP. Discovery's address takes effect at once; requests in flight
- * and the endpoint list stay as they are. Runs on the signal's own thread, which may block: the
- * signal is not repeated, so a file that cannot be read is retried.
+ * Reloads the configuration on SIGHUP. A new discovery address takes effect at once; requests in
+ * flight and the endpoint list are not affected. Runs on the signal's own thread, which may block:
+ * the signal is not repeated, so reading is retried if the file cannot be read.
  */
 final class ConfigurationReload {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationReload.class);
 
-    /** A file that is being written is complete within this time. */
+    /** How long an invalid file is retried, since it may still be being written. */
     private static final long PARTIAL_FILE_TIMEOUT_MS = 1_000;
 
-    /** Short beside the 1.5 s for which discovery stays at its old address. */
+    /** Short compared with the 1.5 s for which discovery keeps serving at its old address. */
     private static final long RETRY_INTERVAL_MS = 100;
 
     private final EventLoop loop;
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Reads the configuration until it is usable. An unreadable file is retried without limit; one
-     * that is readable and wrong is retried while it may be incomplete, and then refused.
+     * Reads the configuration until it is valid. An unreadable file is retried indefinitely; a
+     * readable but invalid one is retried while it may be incomplete, and then rejected.
      *
-     * @param signalUs when the operators asked for it
+     * @param signalUs when the signal was received
      */
     void run(long signalUs) {
         long deadlineNs =
@@ -87,8 +87,8 @@
         if (!fresh.listen().equals(current.listen()) || !fresh.site().equals(current.site())) {
             LOG.warn(
                     "event=reload_incomplete"
-                            + " reload: another listen or other settings take effect at the next"
-                            + " start only");
+                            + " reload: changes to the listen address or to other settings"
+                            + " take effect at the next start only");
         }
         LOG.info("event=reloaded reload: discovery is at {}", fresh.discovery());
         counters.add(Count.RELOADS_DONE);
--- a/src/main/java/damsonslip/platform/ConfiguredAddress.java
+++ b/src/main/java/damsonslip/platform/ConfiguredAddress.java
@@ -4,15 +4,15 @@
 import damsonslip.transport.Address;
 import java.net.InetSocketAddress;
 
-/** Reads the addresses in the configuration. */
+/** Parses the addresses in the configuration. */
 final class ConfiguredAddress {
     private ConfiguredAddress() {}
 
     /**
-     * Reads an address.
+     * Parses an address.
      *
-     * @param name of the setting, for the message
-     * @throws ConfigurationException if the text is no address
+     * @param name the name of the setting, for the error message
+     * @throws ConfigurationException if the text is not an address
      */
     static InetSocketAddress parse(String name, String text) throws ConfigurationException {
         try {
--- a/src/main/java/damsonslip/platform/DescriptorBudget.java
+++ b/src/main/java/damsonslip/platform/DescriptorBudget.java
@@ -11,7 +11,10 @@
     /** For files, the selector and discovery. */
     private static final int OTHER_DESCRIPTORS = 24;
 
-    /** One part in this many is for connections that are accepted before others are closed. */
+    /**
+     * One in this many descriptors is for connections that are accepted before others are closed
+     * for them.
+     */
     private static final int OVERFLOW_DIVISOR = 8;
 
     private final int descriptors;
@@ -23,7 +26,7 @@
                 OTHER_DESCRIPTORS + (config.mgmt().isEmpty() ? 0 : ManagementServer.SOCKETS);
     }
 
-    /** How many clients may exceed their number for the moment. */
+    /** How many client connections may temporarily exceed {@link #connectionsPerSide}. */
     int clientOverflow(int processes) {
         return descriptors / processes / OVERFLOW_DIVISOR;
     }
--- a/src/main/java/damsonslip/platform/Platform.java
+++ b/src/main/java/damsonslip/platform/Platform.java
@@ -33,16 +33,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The platform's front: assembles the clients' side, the workers' side and discovery, starts them
- * in order, and passes on what operators ask for. {@link #start}, {@link #reload} and {@link
- * #close} are called on threads of their own; everything else runs on the event loop.
+ * The platform's front end: assembles the client side, the worker side and discovery, starts them
+ * in order, and carries out operators' commands. {@link #start}, {@link #reload} and {@link #close}
+ * are called on other threads; everything else runs on the event loop.
  */
 public final class Platform implements Frontend {
     private static final Logger LOG = LoggerFactory.getLogger(Platform.class);
 
     /**
-     * A start that takes longer has failed. Many processes that start at once hold each other up,
-     * and one that ended early for that would have to be started again.
+     * A start that takes longer has failed. The limit is generous, since many processes that start
+     * at once slow each other down, and one that gave up early would have to be started again.
      */
     private static final long START_TIMEOUT_MS = 30_000;
 
@@ -130,7 +130,7 @@
         reload = new ConfigurationReload(loop, phase, counters, config, environment, workers);
     }
 
-    /** Learns the operators' overrides and the other processes before the first request. */
+    /** Reads the operators' overrides and finds the other processes before the first request. */
     private void begin(
             EndpointList cached, InetSocketAddress listen, CompletableFuture<Boolean> listening) {
         engine.start(workers, workers.begin(cached));
@@ -142,7 +142,7 @@
     private void listen(InetSocketAddress address, CompletableFuture<Boolean> listening) {
         try {
             checkStart();
-            phase.advanceTo(State.SERVING); // before the first client can ask for the health
+            phase.advanceTo(State.SERVING); // before the first health check can arrive
             boolean serving = phase.is(State.SERVING);
             if (serving) {
                 ListeningPort listener = clients.listen(address, processes.isShared());
@@ -169,7 +169,7 @@
         engine.invariantMonitor().permits(StartGuard.check(facts));
     }
 
-    /** Whether the listener is open; false if a shutdown came first. */
+    /** Waits for the listener to open; returns false if a shutdown began first. */
     private static boolean awaitListening(CompletableFuture<Boolean> listening) throws IOException {
         try {
             return listening.get(START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -183,7 +183,9 @@
         }
     }
 
-    /** The processes of one scheduler share its capacity and its descriptors. */
+    /**
+     * Adapts the limits of capacity and descriptors, which the processes of one scheduler share.
+     */
     private void peersChanged(PeerProcesses peers) {
         engine.updatePeerProcesses(peers);
         int perSide = descriptors.connectionsPerSide(peers.processes());
@@ -196,8 +198,8 @@
      * Changes the operators' overrides in all processes of this scheduler.
      *
      * @param change makes the change in this process
-     * @param onStored runs once it is stored
-     * @param onFailure receives the reason if it cannot be stored
+     * @param onStored runs once the change is stored
+     * @param onFailure receives the reason if the change cannot be stored
      */
     public void changeOverrides(
             Runnable change, Runnable onStored, Consumer<IOException> onFailure) {
--- a/src/main/java/damsonslip/platform/PlatformShutdown.java
+++ b/src/main/java/damsonslip/platform/PlatformShutdown.java
@@ -12,7 +12,7 @@
 import damsonslip.transport.ListeningPort;
 
 /**
- * The graceful shutdown of the platform's front: requests are accepted for a while, then the
+ * The graceful shutdown of the platform's front end: requests are accepted for a while, then the
  * listener is closed and connections are drained, and the process ends once nothing is in flight.
  * Used on the event loop only.
  */
@@ -39,7 +39,7 @@
         this.times = ShutdownTimes.of(longestDeadlineUs);
     }
 
-    /** Connections are accepted from now on, and have to be drained by a shutdown. */
+    /** Notes that connections are accepted from now on, so a shutdown has to drain them. */
     void acceptingStarted(
             ListeningPort openListener,
             ClientServer clientServer,
@@ -49,7 +49,7 @@
         processes = processCoordination;
     }
 
-    /** Begins the shutdown; ends at once where no client could have connected yet. */
+    /** Begins the shutdown; ends at once if no client could have connected yet. */
     void begin() {
         long beginUs = loop.nowUs();
         if (listener == null) {
--- a/src/main/java/damsonslip/platform/ProcessCoordination.java
+++ b/src/main/java/damsonslip/platform/ProcessCoordination.java
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Coordination with the other processes of this scheduler, through a shared directory, where the
- * configuration allows for several. Used on the event loop only, except where noted.
+ * Coordination with the other processes of this scheduler, through a shared directory, if the
+ * configuration allows several processes. Used on the event loop only, except where noted.
  */
 final class ProcessCoordination {
     private static final Logger LOG = LoggerFactory.getLogger(ProcessCoordination.class);
@@ -39,12 +39,12 @@
     private final Consumer<PeerProcesses> onPeersChanged;
     private boolean openAttempted;
 
-    /** Null where there is no directory, or it could not be used until now. */
+    /** Null if there is no shared directory, or it has not been usable so far. */
     private UpgradeCoordinator coordinator;
 
     /**
-     * @param directory null where this is the only process of the scheduler
-     * @param onPeersChanged receives the processes of this scheduler
+     * @param directory null if this is the only process of the scheduler
+     * @param onPeersChanged receives the processes of this scheduler when they change
      */
     ProcessCoordination(
             EventLoop loop,
@@ -63,7 +63,7 @@
      * The directory that the processes of one scheduler share; null if there cannot be another
      * process.
      *
-     * @throws ConfigurationException if the directory that is configured cannot be used
+     * @throws ConfigurationException if the configured directory cannot be used
      */
     static Path configuredDirectory(SchedulerConfig config, Map<String, String> environment)
             throws ConfigurationException {
@@ -87,14 +87,14 @@
         return directory != null;
     }
 
-    /** Whether the overrides in the directory are known, or there is none. */
+    /** Whether reading the overrides in the directory was attempted, or there is no directory. */
     boolean areOverridesLoaded() {
         return !isShared() || openAttempted;
     }
 
     /**
-     * Reads the directory and joins the other processes. A full or failing disk does not keep this
-     * process from serving: it serves by itself, and tries again.
+     * Reads the directory and joins the other processes. A full or failing disk does not prevent
+     * this process from serving: it serves without the others and retries.
      */
     void open() {
         if (!isShared() || phase.hasReached(State.FINISHING)) {
@@ -116,24 +116,24 @@
         }
     }
 
-    /** Shows the other processes that this one serves. */
+    /** Announces to the other processes that this one is serving. */
     void announceServing() {
         if (coordinator != null) {
             coordinator.announceServing();
         }
     }
 
-    /** Whether another process of this scheduler runs. */
+    /** Whether another process of this scheduler is running. */
     boolean hasPeers() {
         return coordinator != null && coordinator.peers().processes() > 1;
     }
 
-    /** Whether a newer process serves. */
+    /** Whether a newer process is serving. */
     boolean hasSuccessor() {
         return coordinator != null && coordinator.peers().hasSuccessor();
     }
 
-    /** Runs an action once it is known which other processes serve. */
+    /** Runs an action after refreshing the state of the other processes. */
     void refresh(Runnable action) {
         if (coordinator == null) {
             action.run();
@@ -146,8 +146,8 @@
      * Changes the operators' overrides in all processes of this scheduler.
      *
      * @param change makes the change in this process
-     * @param onStored runs once it is stored
-     * @param onFailure receives the reason if it cannot be stored
+     * @param onStored runs once the change is stored
+     * @param onFailure receives the reason if the change cannot be stored
      */
     void changeOverrides(Runnable change, Runnable onStored, Consumer<IOException> onFailure) {
         if (coordinator != null) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /** Leaves the directory; called on the thread that ends the program. */
+    /** Removes this process from the directory; called on the thread that ends the program. */
     void close() {
         if (coordinator == null) {
             return;
@@ -170,7 +170,7 @@
         CountDownLatch closed = new CountDownLatch(1);
         loop.execute(() -> coordinator.close(closed::countDown));
         try {
-            // A lock file that stays is harmless: nobody holds its lock.
+            // A lock file that is left behind is harmless: no process holds its lock.
             closed.await(CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
