--- a/src/main/java/damsonslip/platform/worker/AttemptSender.java
+++ b/src/main/java/damsonslip/platform/worker/AttemptSender.java
@@ -11,8 +11,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Sends attempts to workers, over an idle connection or a new one. An attempt that is not written
- * ends with an outcome which proves that it never ran.
+ * Sends attempts to workers, over an idle connection or a new one. An attempt that cannot be
+ * written ends with an outcome which proves that it never ran.
  */
 final class AttemptSender {
     private final SiteSettings site;
@@ -46,7 +46,7 @@
         this.statistics = statistics;
     }
 
-    /** Sends an attempt, at once or as soon as a connection has come up. */
+    /** Sends an attempt, at once or as soon as a connection is established. */
     void send(Attempt attempt) {
         if (!attempt.mayBeWritten(loop.nowUs())) {
             fail(attempt, AttemptOutcome.NEVER_SENT);
@@ -79,14 +79,17 @@
         return site.settings().classes().get(attempt.request().jobClass()).idempotency();
     }
 
-    /** A lack of sockets on this machine says nothing of the worker. */
+    /** A shortage of sockets on this machine says nothing about the worker. */
     private static AttemptOutcome outcomeOf(ConnectFailure failure) {
         return failure == ConnectFailure.LOCAL
                 ? AttemptOutcome.NEVER_SENT
                 : AttemptOutcome.NOT_CONNECTED;
     }
 
-    /** The client may have disconnected, or the time for a repeat passed, during the connect. */
+    /**
+     * Sends the attempt, unless the client has disconnected, or the time for a retry has passed,
+     * during the connect.
+     */
     private void connected(WorkerConnection connection, Attempt attempt) {
         if (attempt.mayBeWritten(loop.nowUs())) {
             sendOver(connection, attempt);
@@ -101,7 +104,7 @@
         if (!permission.maySend(worker)) {
             statistics.sendStoppedByDraining();
             pool.release(connection);
-            // A lease that has expired meanwhile says nothing of the worker.
+            // A lease that has expired meanwhile says nothing about the worker.
             fail(
                     attempt,
                     permission.mayProbe(worker)
--- a/src/main/java/damsonslip/platform/worker/CompletedResponse.java
+++ b/src/main/java/damsonslip/platform/worker/CompletedResponse.java
@@ -3,18 +3,18 @@
 import damsonslip.platform.codec.ResponseHead;
 import damsonslip.policy.api.AttemptOutcome;
 
-/** Judges a worker's response that is complete without a final line on the job. */
+/** Classifies a worker's response that is complete but has no final line on the job. */
 final class CompletedResponse {
     private CompletedResponse() {}
 
     /**
-     * What the response proves of the attempt.
+     * The outcome of the attempt, as far as the response proves it.
      *
-     * @param trusted whether the response certainly belongs to the attempt, or a second run would
-     *     do no harm
+     * @param trusted whether the response certainly belongs to the attempt, or the job may run
+     *     twice
      */
     static AttemptOutcome outcome(ResponseHead head, boolean trusted) {
-        if (head.isOk()) { // as little as a connection that breaks
+        if (head.isOk()) { // proves as little as a broken connection
             return AttemptOutcome.RESET;
         }
         if (!head.isRejection()) {
--- a/src/main/java/damsonslip/platform/worker/ConnectionPool.java
+++ b/src/main/java/damsonslip/platform/worker/ConnectionPool.java
@@ -17,11 +17,11 @@
 import java.util.stream.Stream;
 
 /**
- * The open connections to workers, with the idle ones of each worker. Idle connections are closed
- * before the worker's own idle timeout, at which a request would race with the close.
+ * The open connections to workers, and the idle ones of each worker for reuse. Idle connections are
+ * closed before the worker's own idle timeout, at which a request would race with the close.
  */
 final class ConnectionPool {
-    /** Distance that is kept from the worker's idle timeout. */
+    /** Margin that is kept before the worker's idle timeout. */
     private static final long IDLE_MARGIN_US = 3_000_000;
 
     private static final long SWEEP_INTERVAL_US = 500_000;
@@ -39,7 +39,7 @@
     private final Set<WorkerConnection> open = new HashSet<>();
 
     /**
-     * @param workerIdleTimeoutUs after which a worker closes an idle connection
+     * @param workerIdleTimeoutUs the time after which a worker closes an idle connection
      */
     ConnectionPool(EventLoop loop, WorkerStatistics statistics, long workerIdleTimeoutUs) {
         this.loop = loop;
@@ -47,7 +47,7 @@
         this.maxIdleUs = workerIdleTimeoutUs - Math.min(IDLE_MARGIN_US, workerIdleTimeoutUs / 2);
     }
 
-    /** Begins to close connections that have been idle for too long. */
+    /** Starts to close connections regularly that have been idle for too long. */
     void startSweeping() {
         loop.scheduleAfter(SWEEP_INTERVAL_US, this::sweep);
     }
@@ -65,12 +65,12 @@
     }
 
     /**
-     * Takes the idle connection that was used last, so that the others age and can be closed in
+     * Takes the most recently used idle connection, so that the others age and can be closed in
      * time.
      *
-     * @param idempotency of the request that it is to carry; one that must not run twice needs a
-     *     connection on which no late response can arrive, and a lower risk of a break
-     * @return null if none is fit
+     * @param idempotency of the request that is to be sent; one that must not run twice needs a
+     *     connection on which no late response can arrive, and which is less likely to break
+     * @return null if none is suitable
      */
     WorkerConnection takeIdle(String worker, Idempotency idempotency) {
         while (true) {
@@ -108,7 +108,7 @@
         return found;
     }
 
-    /** Takes an idle connection that was opened by then, if there is one. */
+    /** Takes an idle connection that was opened by the given time, if there is one. */
     Optional<WorkerConnection> takeIdleOpenedBy(String worker, long openedByUs) {
         ArrayDeque<WorkerConnection> connections = idle.getOrDefault(worker, NO_CONNECTIONS);
         Optional<WorkerConnection> found =
@@ -122,7 +122,7 @@
         return found;
     }
 
-    /** Whether the worker has a connection that was opened by then, idle or busy. */
+    /** Whether the worker has a connection that was opened by the given time, idle or busy. */
     boolean hasConnectionOpenedBy(String worker, long openedByUs) {
         return open.stream()
                 .anyMatch(
@@ -136,12 +136,12 @@
         return idleUs < maxIdleUs && idleRisk.isAcceptable(idleUs, true);
     }
 
-    /** Records whether a connection broke under the first request after this idle time. */
+    /** Records whether a connection broke during the first request after this idle time. */
     void recordReuse(long idleUs, boolean broke) {
         idleRisk.record(idleUs, broke);
     }
 
-    /** Adds a connection that has come up. */
+    /** Adds a connection that has been established. */
     void opened(WorkerConnection connection) {
         statistics.connectionOpened();
         open.add(connection);
@@ -152,7 +152,7 @@
         idle.computeIfAbsent(connection.worker(), worker -> new ArrayDeque<>()).addLast(connection);
     }
 
-    /** Forgets a connection that is closed. */
+    /** Removes a closed connection. */
     void closed(WorkerConnection connection) {
         open.remove(connection);
         idle.getOrDefault(connection.worker(), NO_CONNECTIONS).remove(connection);
@@ -178,7 +178,10 @@
         return oldest.isPresent();
     }
 
-    /** Closes idle connections, those first that have been idle for longest, down to this size. */
+    /**
+     * Closes idle connections, those that have been idle for longest first, until at most this many
+     * connections are open or none is idle.
+     */
     void shrinkTo(int size) {
         List<WorkerConnection> surplus =
                 idle.values().stream()
@@ -199,7 +202,7 @@
         connection.closeNow();
     }
 
-    /** The workers that have yet to take a request. */
+    /** The workers to which a request is being written. */
     Stream<SlowPeer> slowPeers() {
         return open.stream().map(WorkerConnection::slowPeer).filter(Objects::nonNull);
     }
--- a/src/main/java/damsonslip/platform/worker/ConnectionState.java
+++ b/src/main/java/damsonslip/platform/worker/ConnectionState.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * The states of a connection to a worker, by the request that it carries. A connection that is
- * closed keeps the state in which it was closed, which decides what the loss proves.
+ * The states of a connection to a worker, by the request that it carries. A closed connection keeps
+ * the state in which it was closed, which decides what the loss of the connection proves about the
+ * request.
  */
 enum ConnectionState {
     /** Carries no request. */
@@ -19,7 +20,7 @@
     /** The outcome was reported; the rest of the response is still to be read. */
     AWAITING_END;
 
-    /** What changes the state. */
+    /** The events that change the state. */
     enum Event {
         REQUEST_STARTED,
         REQUEST_WRITTEN,
@@ -56,12 +57,12 @@
         return next;
     }
 
-    /** Whether the last byte of the request at hand was written. */
+    /** Whether the last byte of the current request was written. */
     boolean isRequestWritten() {
         return this == AWAITING_OUTCOME || this == AWAITING_END;
     }
 
-    /** Whether the outcome of the request at hand was reported. */
+    /** Whether the outcome of the current request was reported. */
     boolean isSettled() {
         return this == SETTLED_WHILE_SENDING || this == AWAITING_END;
     }
--- a/src/main/java/damsonslip/platform/worker/IdleConnectionRisk.java
+++ b/src/main/java/damsonslip/platform/worker/IdleConnectionRisk.java
@@ -1,13 +1,13 @@
 package damsonslip.platform.worker;
 
 /**
- * Estimates how likely an idle connection is to break under its next request, by the time that it
- * has been idle. Workers, or network elements before them, may drop idle connections long before
- * the limit in the settings and without notice. Such a connection looks open, and a request that is
- * written to it may have run as far as anybody can prove. Used on the event loop only.
+ * Estimates how likely an idle connection is to break during its next request, by its idle time.
+ * Workers, or network elements in between, may drop idle connections long before the limit in the
+ * settings and without notice. Such a connection still looks open, and it cannot be proved that a
+ * request that is written to it has not run. Used on the event loop only.
  */
 final class IdleConnectionRisk {
-    /** The upper bound of the first age bucket; each further one is twice as wide. */
+    /** The upper bound of the first bucket of idle times; it doubles with each further bucket. */
     private static final long FIRST_BUCKET_US = 25_000;
 
     private static final int BUCKETS = 11;
@@ -15,10 +15,13 @@
     /** Weight of the newest observation in the moving average. */
     private static final double SMOOTHING = 0.1;
 
-    /** Part by which the estimates decay at each step, so that a rejected age is tried again. */
+    /**
+     * Fraction by which the estimates decay at each step, so that a rejected idle time is tried
+     * again.
+     */
     private static final double DECAY = 0.015;
 
-    /** For a request that must not be repeated: its loss costs more than a new connection. */
+    /** For a request that must not run twice: losing it costs more than a new connection. */
     private static final double MAX_RISK_NOT_IDEMPOTENT = 0.015;
 
     private static final double MAX_RISK = 0.12;
@@ -33,7 +36,9 @@
         return bucket;
     }
 
-    /** Records whether a connection that had been idle for this long broke under its request. */
+    /**
+     * Records whether a connection that had been idle for this long broke during its next request.
+     */
     void record(long idleUs, boolean broke) {
         int bucket = bucket(idleUs);
         breakRates[bucket] += SMOOTHING * ((broke ? 1 : 0) - breakRates[bucket]);
@@ -51,7 +56,7 @@
         return risk <= (idempotent ? MAX_RISK : MAX_RISK_NOT_IDEMPOTENT);
     }
 
-    /** Lets the estimates decay; called at even intervals of half a second. */
+    /** Decays the estimates; called every half second. */
     void decay() {
         for (int bucket = 0; bucket < BUCKETS; bucket++) {
             breakRates[bucket] *= 1 - DECAY;
--- a/src/main/java/damsonslip/platform/worker/InFlightAttempts.java
+++ b/src/main/java/damsonslip/platform/worker/InFlightAttempts.java
@@ -23,7 +23,7 @@
         connections.put(attempt, connection);
     }
 
-    /** The worker reports that it has started the job. */
+    /** Reports to the engine that the worker has started the job. */
     void started(Attempt attempt) {
         engine.attemptStarted(attempt);
     }
@@ -34,7 +34,7 @@
         engine.attemptEnded(attempt, end);
     }
 
-    /** Closes the connection of an attempt that nobody waits for any more. */
+    /** Closes the connection of an attempt whose result is no longer needed. */
     void cancel(Attempt attempt) {
         WorkerConnection connection = connections.remove(attempt);
         if (connection != null) {
@@ -56,7 +56,9 @@
         return true;
     }
 
-    /** Checks that the attempt of a closed connection ends within this turn of the event loop. */
+    /**
+     * Checks that the attempt of a closed connection ends within this iteration of the event loop.
+     */
     void checkEndsAfterClose(Attempt attempt) {
         loop.execute(
                 () ->
--- a/src/main/java/damsonslip/platform/worker/LargeUpload.java
+++ b/src/main/java/damsonslip/platform/worker/LargeUpload.java
@@ -5,19 +5,19 @@
 /**
  * The upload of a request that may take longer than the worker's time budget allows for. All bytes
  * but the last one are written first: as long as the last byte is missing, the job provably does
- * not run, and may be sent elsewhere if the upload turns out to be slow.
+ * not run, and may be sent to another worker if the upload turns out to be slow.
  */
 final class LargeUpload {
-    /** Smaller requests fit into the system's socket buffers, and are written at once. */
+    /** Smaller requests fit into the operating system's socket buffers, and are written at once. */
     private static final int MIN_BYTES = 8 * 1024;
 
     /**
-     * The time budget counts from the request's last byte, and may exceed the client's by 0.15 s; a
-     * third of that is kept for a process that is held up.
+     * The worker's time budget counts from the request's last byte, and may exceed the client's by
+     * 0.15 s; a third of that is reserved for delays of this process.
      */
     private static final long MAX_DELAY_US = 100_000;
 
-    /** Factor by which a measured upload time is raised when it is expected of the next attempt. */
+    /** The upload time that is expected of the next attempt, as a multiple of the measured one. */
     private static final double EXPECTATION_FACTOR = 1.25;
 
     private final long totalBytes;
@@ -43,7 +43,7 @@
         return new LargeUpload(totalBytes, lastByte, nowUs);
     }
 
-    /** Records how many bytes the system did not take at once. */
+    /** Records how many bytes the operating system did not accept at once. */
     void queued(long bytes) {
         queuedBytes = bytes;
     }
@@ -53,22 +53,22 @@
     }
 
     /**
-     * Estimates how long the worker takes to receive the whole request. What the system has taken
-     * at once reaches the worker at the rate of the rest.
+     * Estimates how long the worker takes to receive the complete request. The bytes that the
+     * operating system accepted at once are taken to reach the worker at the rate of the rest.
      *
-     * @param nowUs when all but the last byte was taken
+     * @param nowUs when all bytes but the last one had been accepted
      */
     long estimatedUs(long nowUs) {
         long elapsedUs = nowUs - startedUs;
         return queuedBytes == 0 ? elapsedUs : elapsedUs * totalBytes / queuedBytes;
     }
 
-    /** Whether an upload was so slow that the time budget in its head is wrong. */
+    /** Whether an upload was so slow that the time budget in its header is wrong. */
     static boolean isTooSlow(long estimatedUs, long expectedUs) {
         return estimatedUs > expectedUs + MAX_DELAY_US;
     }
 
-    /** The upload time to expect of a further attempt. */
+    /** The upload time to expect of the next attempt. */
     static long expectationAfter(long estimatedUs) {
         return (long) (estimatedUs * EXPECTATION_FACTOR);
     }
--- a/src/main/java/damsonslip/platform/worker/SendPermission.java
+++ b/src/main/java/damsonslip/platform/worker/SendPermission.java
@@ -5,8 +5,9 @@
 import damsonslip.platform.discovery.WorkerRegistry;
 
 /**
- * Whether a worker may be sent to at this moment. Checked right before a send, since the worker may
- * have begun to drain, or may have been barred by an operator, while its connection came up.
+ * Decides whether a worker may be sent requests at this moment. Checked right before a send, since
+ * the worker may have begun to drain, or may have been disabled by an operator, while its
+ * connection was being established.
  */
 final class SendPermission {
     private final WorkerRegistry registry;
@@ -19,12 +20,17 @@
         this.loop = loop;
     }
 
-    /** Whether jobs may be sent: requires a valid lease on the list as well. */
+    /**
+     * Whether jobs may be sent; also requires a valid lease, by the endpoint list or by health
+     * checks.
+     */
     boolean maySend(String worker) {
         return engine.isUsable(worker) && mayProbe(worker);
     }
 
-    /** Whether it may be probed; a probe renews what is known of a worker, so needs no lease. */
+    /**
+     * Whether the worker may be probed; needs no lease, since a probe renews what is known of it.
+     */
     boolean mayProbe(String worker) {
         return registry.maySend(worker, loop.nowUs()) && !engine.isDisabled(worker);
     }
--- a/src/main/java/damsonslip/platform/worker/WorkerClient.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerClient.java
@@ -20,17 +20,17 @@
 import java.util.stream.Stream;
 
 /**
- * The engine's way to the workers and to discovery. Assembles the parts of this package and passes
- * each call on to the one that is responsible. Used on the event loop only.
+ * The engine's gateway to the workers and to discovery. Assembles the parts of this package and
+ * delegates each call to the one that is responsible. Used on the event loop only.
  */
 public final class WorkerClient implements WorkerGateway {
-    /** Any connection serves for a probe. */
+    /** For a probe that may use any connection, whenever it was opened. */
     private static final long ANY_TIME = Long.MAX_VALUE;
 
-    /** Where discovery pushes its list, the list arrives at once unless discovery is down. */
+    /** How long to wait for a pushed list, which arrives at once unless discovery is down. */
     private static final long FIRST_PUSHED_LIST_TIMEOUT_US = 500_000;
 
-    /** After this time the policy sends by the cached list, with or without discovery. */
+    /** After this time the policy uses the cached list, whether or not discovery responds. */
     private static final long FIRST_POLLED_LIST_TIMEOUT_US = DiscoveryWatch.FIRST_LIST_TIMEOUT_US;
 
     private final SchedulerEngine engine;
@@ -46,7 +46,7 @@
     private final WorkerProber prober;
 
     /**
-     * Connects to nothing yet.
+     * Opens no connection yet.
      *
      * @param discoveryAddress where discovery listens
      * @param maxConnections how many connections to workers may be open
@@ -95,16 +95,17 @@
     }
 
     /**
-     * Decodes endpoint lists; before {@link #begin}, also on the thread that starts the program.
+     * The decoder of endpoint lists; before {@link #begin}, it is used on the thread that starts
+     * the program.
      */
     public EndpointListDecoder listDecoder() {
         return listDecoder;
     }
 
     /**
-     * Begins with the list that was cached over a restart.
+     * Starts with the list that was cached before a restart.
      *
-     * @return its workers, for the decisions
+     * @return its workers, for the scheduling policy
      */
     public List<WorkerEntry> begin(EndpointList cached) {
         pool.startSweeping();
@@ -112,11 +113,11 @@
     }
 
     /**
-     * Runs an action once this scheduler knows enough to serve. Where lists are pushed, that is
-     * when the first one has been received or has not come in time. Where they are polled, the
-     * cached list is enough unless another process serves meanwhile.
+     * Runs an action once this scheduler knows enough to serve. If lists are pushed, that is when
+     * the first one has been received or has not arrived in time. If they are polled, the cached
+     * list is enough, unless another process is serving meanwhile.
      *
-     * @param peerServing whether another process of this scheduler serves until then
+     * @param peerServing whether another process of this scheduler is serving
      */
     public void whenReadyToServe(boolean peerServing, Runnable action) {
         if (!pollsWorkerList) {
@@ -164,24 +165,24 @@
     }
 
     /**
-     * Takes discovery's address from a reloaded configuration.
+     * Applies discovery's address from a reloaded configuration.
      *
-     * @param reloadUs when the operators asked for the reload
+     * @param reloadUs when the reload was requested
      */
     public void changeDiscoveryAddress(InetSocketAddress address, long reloadUs) {
         discovery.changeAddress(address, reloadUs);
     }
 
     /**
-     * Reports to the decisions whether a reloaded configuration could be read.
+     * Reports to the scheduling policy whether a reloaded configuration could be read.
      *
-     * @param reloadUs when the operators asked for the reload
+     * @param reloadUs when the reload was requested
      */
     public void reportReload(DiscoveryAddressState state, long reloadUs) {
         engine.discoveryAddressChanged(state, reloadUs);
     }
 
-    /** The workers that have yet to take a request. */
+    /** The workers to which a request is being written. */
     public Stream<SlowPeer> slowPeers() {
         return pool.slowPeers();
     }
--- a/src/main/java/damsonslip/platform/worker/WorkerConnection.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnection.java
@@ -29,8 +29,8 @@
  */
 final class WorkerConnection extends EventLoopConnection implements ResponseReader.Listener {
     /**
-     * How long a connection has to be idle until no late second response to its last request can
-     * arrive, so that a response without an id belongs to the next request.
+     * After this idle time no late duplicate response to the last request can arrive, so a response
+     * without an id belongs to the next request.
      */
     static final long QUIET_PERIOD_US = 100_000;
 
@@ -38,18 +38,22 @@
     private static final int MAX_LOGGED_LINE_CHARS = 80;
 
     /**
-     * How fast a worker has to take a request. Workers are near, and a request has 64 KB at most:
-     * the largest one may take two seconds, and half a second without progress is a stall.
+     * The rate at which a worker has to receive a request. Workers are close on the network, and a
+     * request has 64 KB at most: the largest one may take two seconds, and half a second without
+     * progress is a stall.
      */
     private static final MinimumDataRate.Limits UPLOAD_RATE =
             new MinimumDataRate.Limits(500_000, 500_000, 32 * 1024);
 
-    /** After a response's final line its end arrives at once, or never. */
+    /**
+     * How long to wait for the end of a response after its final line: it arrives at once, or
+     * never.
+     */
     private static final long RESPONSE_END_TIMEOUT_US = 500_000;
 
     private static final long NEVER_USED = -1;
 
-    /** The parts of the program that a connection reports to. */
+    /** The components that a connection reports to. */
     record Owner(
             ConnectionPool pool,
             InFlightAttempts attempts,
@@ -81,15 +85,15 @@
     /** The probe whose result is awaited, or null. */
     private Probe probe;
 
-    /** How long it had been idle before the request at hand, or {@link #NEVER_USED}. */
+    /** How long the connection had been idle before the current request, or {@link #NEVER_USED}. */
     private long idleBeforeRequestUs = NEVER_USED;
 
-    /** The head of the response at hand; null until it was read. */
+    /** The head of the current response; null until it was read. */
     private ResponseHead head;
 
     private LoadReport loadReport;
 
-    /** Runs from the outcome to the end of the response, or null. */
+    /** Limits the time from the outcome to the end of the response, or null. */
     private EventLoop.Timer responseEndTimer;
 
     /**
@@ -118,23 +122,23 @@
         return idleSinceUs;
     }
 
-    /** Whether the connection is open, and was already at that time. */
+    /** Whether the connection is open, and was already open at that time. */
     boolean isOpenSince(long timeUs) {
         return !isClosed() && openedUs <= timeUs;
     }
 
-    /** Whether the connection is open after everything that has arrived was read. */
+    /** Whether the connection is open after all pending input was read. */
     boolean isStillOpen() {
         readAvailable();
         return !isClosed();
     }
 
-    /** Whether the last byte of the request at hand was written. */
+    /** Whether the last byte of the current request was written. */
     boolean isRequestWritten() {
         return state.isRequestWritten();
     }
 
-    /** How the worker takes the request that is being written to it; null if none is. */
+    /** How fast the worker receives its request; null if none is being written. */
     SlowPeer slowPeer() {
         return uploadMonitor.isWatching()
                 ? uploadMonitor.describe("takes a request", worker)
@@ -165,14 +169,14 @@
      * Sends a probe.
      *
      * @param timeoutUs within which the response has to arrive
-     * @param resultIfOk the result that a response of 200 means
+     * @param resultIfOk the result to report if the response has status 200
      */
     void sendProbe(long timeoutUs, ProbeResult resultIfOk) {
         probe = new Probe(resultIfOk, loop.scheduleAfter(timeoutUs, this::probeTimedOut));
         sendRequest(OutboundRequests.probe());
     }
 
-    /** Closes the connection under an attempt that nobody waits for any more. */
+    /** Closes the connection of an attempt whose result is no longer needed. */
     void abort() {
         attempt = null;
         closeNow();
@@ -228,7 +232,10 @@
         fail();
     }
 
-    /** A client that has disconnected cancels its attempt before more of it is written. */
+    /**
+     * Reads the client's input first: if it has disconnected, its attempt is cancelled before more
+     * of it is written.
+     */
     @Override
     protected void readyForIo() {
         if (attempt != null && !isRequestWritten()) {
@@ -236,7 +243,7 @@
         }
     }
 
-    /** Reads first what has arrived unread while the event loop was held up. */
+    /** Reads first what may have arrived while the event loop was blocked. */
     private void probeTimedOut() {
         Probe due = probe;
         readAvailable();
@@ -252,7 +259,7 @@
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (state == ConnectionState.IDLE) { // would be taken for the next request's response
+        if (state == ConnectionState.IDLE) { // unrequested, would pass for the next response
             closeNow();
             return;
         }
@@ -278,7 +285,7 @@
         }
         List<String> complete = lines.decode(part);
         if (complete == null) {
-            responseMalformed("a line without end");
+            responseMalformed("line too long");
             return;
         }
         complete.forEach(this::lineReceived);
@@ -308,7 +315,7 @@
 
     @Override
     public void responseCompleted(boolean reusable) {
-        if (isClosed()) { // by one of the response's lines
+        if (isClosed()) { // one of the response's lines has closed it
             return;
         }
         stopResponseEndTimer();
@@ -331,7 +338,7 @@
         }
     }
 
-    /** Whether a response without an id can only belong to the request at hand. */
+    /** Whether a response without an id can only belong to the current request. */
     private boolean isOwnResponse() {
         return idleBeforeRequestUs == NEVER_USED || idleBeforeRequestUs >= QUIET_PERIOD_US;
     }
@@ -365,7 +372,7 @@
         connectionLost();
     }
 
-    /** What the loss proves depends on whether the last byte of the request was written. */
+    /** Settles the request; its outcome depends on whether its last byte was written. */
     @Override
     protected void connectionLost() {
         if (state == ConnectionState.IDLE) {
--- a/src/main/java/damsonslip/platform/worker/WorkerConnector.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerConnector.java
@@ -15,13 +15,13 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * Opens connections to workers within a limit of descriptors, of which a pending connect holds one
+ * Opens connections to workers within a limit of descriptors. A pending connect holds a descriptor,
  * as an open connection does.
  */
 final class WorkerConnector {
     /**
-     * The least limit. Two processes that share the smallest number of descriptors would otherwise
-     * have none left; with these, each still serves.
+     * The minimum of the limit. Two processes that share the smallest number of descriptors would
+     * otherwise have none left for workers; with these, each can still serve.
      */
     private static final int MIN_CONNECTIONS = 8;
 
@@ -31,7 +31,7 @@
     private final SchedulerEngine engine;
     private final WorkerStatistics statistics;
 
-    /** Connects that have neither come up nor failed, the oldest first. */
+    /** Connects that have neither succeeded nor failed, the oldest first. */
     private final Set<PendingConnect> pending = new LinkedHashSet<>();
 
     private int maxConnections;
@@ -58,19 +58,19 @@
     }
 
     /**
-     * Makes room for one more connection: by abandoning the oldest connect that nobody waits for
-     * any more, else by closing the connection that has been idle for longest.
+     * Ensures that one more connection may be opened. At the limit, abandons the oldest connect
+     * that is no longer needed, else closes the connection that has been idle for longest.
      *
-     * @return whether there is room
+     * @return whether a connection may be opened
      */
     boolean reserveDescriptor() {
         if (pool.size() + pending.size() < maxConnections) {
             return true;
         }
-        Optional<PendingConnect> unwanted =
+        Optional<PendingConnect> unneeded =
                 pending.stream().filter(connect -> !connect.isWanted.getAsBoolean()).findFirst();
-        if (unwanted.isPresent()) {
-            unwanted.get().abandon();
+        if (unneeded.isPresent()) {
+            unneeded.get().abandon();
             return true;
         }
         return pool.evictOldestIdle();
@@ -79,9 +79,9 @@
     /**
      * Opens a connection, for which a descriptor has to be reserved.
      *
-     * @param isWanted whether anybody still waits for the connection
+     * @param isWanted whether the connection is still needed
      * @param onOpen receives the connection
-     * @param onFailure receives the reason if it does not come up
+     * @param onFailure receives the reason if the connect fails
      */
     void connect(
             String worker,
@@ -125,7 +125,7 @@
         private void opened(WorkerConnection connection) {
             if (pending.remove(this)) {
                 onOpen.accept(connection);
-            } else { // abandoned in the moment in which it came up
+            } else { // abandoned just as it was established
                 connection.closeNow();
             }
         }
--- a/src/main/java/damsonslip/platform/worker/WorkerProber.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerProber.java
@@ -20,7 +20,7 @@
     private final long timeoutUs;
 
     /**
-     * @param timeoutUs within which a worker has to respond to a probe
+     * @param timeoutUs the time within which a worker has to respond to a probe
      */
     WorkerProber(
             SchedulerEngine engine,
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Probes a worker over any connection; the result is reported to the engine, never within the
-     * call where none is sent.
+     * Probes a worker over any connection, and reports the result to the engine. If no probe is
+     * sent, that is reported after this call has returned.
      */
     void probe(String worker) {
         InetSocketAddress address = registry.address(worker);
@@ -56,7 +56,7 @@
             connector.connect(
                     worker,
                     address,
-                    () -> false, // the first to be abandoned where descriptors are short
+                    () -> false, // the first to be abandoned if descriptors run short
                     this::probeOver,
                     failure -> engine.probeEnded(worker, resultOf(failure), null));
         } else {
@@ -64,7 +64,9 @@
         }
     }
 
-    /** Probes a worker over an idle connection that was opened by then, if there is one. */
+    /**
+     * Probes a worker over an idle connection that was opened by the given time, if there is one.
+     */
     void probeOverConnectionOpenedBy(String worker, long openedByUs) {
         if (registry.address(worker) == null || !permission.mayProbe(worker)) {
             reportLater(worker, ProbeResult.NOT_SENT);
@@ -79,7 +81,10 @@
         reportLater(worker, busy ? ProbeResult.NOT_SENT : ProbeResult.NO_LASTING_CONNECTION);
     }
 
-    /** The worker may have begun to drain while the connection came up. */
+    /**
+     * Sends the probe, unless the worker has begun to drain while the connection was being
+     * established.
+     */
     private void probeOver(WorkerConnection connection) {
         String worker = connection.worker();
         if (permission.mayProbe(worker)) {
--- a/src/main/java/damsonslip/platform/worker/WorkerStatistics.java
+++ b/src/main/java/damsonslip/platform/worker/WorkerStatistics.java
@@ -68,7 +68,7 @@
         counters.add(Count.UPLOADS_GIVEN_UP);
         LOG.warn(
                 "event=upload_stalled worker {} takes a request too slowly;"
-                        + " it is given up before its last byte",
+                        + " the upload is aborted before its last byte",
                 worker);
     }
 
--- a/src/main/java/damsonslip/platform/worker/package-info.java
+++ b/src/main/java/damsonslip/platform/worker/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The workers' side: sends attempts and probes to workers over pooled connections and reports to
- * the engine how they end.
+ * The worker side: sends attempts and probes to workers over pooled connections and reports to the
+ * engine how they end.
  *
  * <ul>
- *   <li>{@link damsonslip.platform.worker.WorkerClient} is the engine's port; it assembles the
+ *   <li>{@link damsonslip.platform.worker.WorkerClient} is the engine's gateway; it assembles the
  *       rest.
- *   <li>{@code AttemptSender} begins and cancels attempts, {@code WorkerProber} probes.
+ *   <li>{@code AttemptSender} sends attempts, {@code InFlightAttempts} tracks and cancels them,
+ *       {@code WorkerProber} sends probes.
  *   <li>{@code ConnectionPool} holds the open connections, {@code WorkerConnector} opens them
  *       within the limit of descriptors.
  *   <li>{@code WorkerConnection} is one connection with its state machine.
