--- a/src/main/java/damsonslip/platform/client/ArrivalTimes.java
+++ b/src/main/java/damsonslip/platform/client/ArrivalTimes.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Remembers when the buffered bytes of a connection have arrived. The time budget of a pipelined
- * request counts from its arrival, not from the response to the request before it. Used on the
- * event loop only.
+ * Records when the buffered bytes of a connection arrived. The time budget of a pipelined request
+ * counts from its arrival, not from the response to the request before it. Used on the event loop
+ * only.
  */
 final class ArrivalTimes {
     /** Bytes that arrive within this time are recorded together. */
--- a/src/main/java/damsonslip/platform/client/ClientConnection.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnection.java
@@ -33,20 +33,23 @@
         SERVED
     }
 
-    /** Time for a request to be complete, from the connection's start or its first bytes. */
+    /**
+     * Within this time a request has to be complete, counted from the opening of the connection or
+     * from the request's first bytes.
+     */
     private static final long REQUEST_TIMEOUT_US = 2_000_000;
 
     /**
-     * How fast a client has to read its response: a stall may last 5 s at first, and later as long
-     * as what was read is worth at 2 KB/s, a weak mobile link. A response that fits into the
-     * system's socket buffers never stalls.
+     * The rate at which a client has to read its response: it may pause for 5 s at first, and later
+     * for as long as the bytes that it has read take at 2 KB/s, the rate of a weak mobile link, but
+     * 10 s at most. A response that fits into the operating system's socket buffers never stalls.
      */
     private static final MinimumDataRate.Limits RESPONSE_RATE =
             new MinimumDataRate.Limits(5_000_000, 10_000_000, 2 * 1024);
 
     /**
-     * How much is buffered behind a request: one further message. While there is room for more, the
-     * end of the connection is noticed behind what was pipelined.
+     * How many bytes are buffered after a request: one further message. Until the buffer is full, a
+     * close by the client is noticed even after pipelined bytes.
      */
     private static final int MAX_PIPELINED_BYTES =
             WireFormat.MAX_HEADER_BYTES + WireFormat.MAX_BODY_BYTES;
@@ -60,15 +63,15 @@
     private ClientConnectionState state = ClientConnectionState.RECEIVING;
 
     /**
-     * The complete request in state {@link ClientConnectionState#RECEIVED}, else null. Where the
-     * event loop was held up, the client's close may have arrived right behind its request.
+     * The complete request in state {@link ClientConnectionState#RECEIVED}, else null. If the event
+     * loop was blocked, the client's close may have arrived right after its request.
      */
     private Request receivedRequest;
 
     /** The request in state {@link ClientConnectionState#PROCESSING}, else null. */
     private RequestContext context;
 
-    /** Whether the connection is closed behind the response at hand. */
+    /** Whether the connection is closed after the current response. */
     private boolean closing;
 
     /** Limits the time for a request to arrive, or null. */
@@ -134,8 +137,8 @@
     }
 
     /**
-     * Checks the bytes behind the request at hand. If they cannot begin another request, its length
-     * was too small, and a request that was cut off must not be served.
+     * Checks the bytes after the current request. If they cannot begin another request, the
+     * announced length was too small, and a truncated request must not be served.
      */
     private void checkPipelined(ByteBuffer bytes) {
         boolean isRequest = RequestReader.mayBeginRequest(bytes);
@@ -191,7 +194,7 @@
         }
     }
 
-    /** During the admission there is nothing to read: everything was read right before it. */
+    /** During admission there is nothing to read: all input was read right before it. */
     @Override
     public void readPendingInput() {
         if (context != null) {
@@ -208,7 +211,10 @@
         respond(ClientResponse.of(response, server.sendsRetryAfter()));
     }
 
-    /** Closes the connection behind the response: a bad message may have others hidden in it. */
+    /**
+     * Closes the connection after the response: a malformed message may hide others (request
+     * smuggling).
+     */
     private void reject(BadRequestException failure) {
         closing = true;
         server.rejected(failure);
@@ -252,7 +258,7 @@
         }
     }
 
-    /** A connection that sends nothing, or never completes its request, would take up room. */
+    /** Closes a connection that sends nothing or never completes its request, to free its place. */
     private void requestTimedOut() {
         requestTimer = null;
         boolean wasMidRequest = reader.isMidRequest();
@@ -263,12 +269,12 @@
         if (wasMidRequest) {
             stopRequestTimer();
             reject(BadRequestException.incomplete());
-        } else if (!reader.isMidRequest()) { // a request that begins now has its own time
+        } else if (!reader.isMidRequest()) { // a request that has just begun has a timer of its own
             closeAfterWrites();
         }
     }
 
-    /** How the client reads its response. */
+    /** How fast the client reads its response. */
     SlowPeer slowPeer() {
         return responseMonitor.describe("reads an answer", remoteAddress());
     }
@@ -325,7 +331,7 @@
         return !isBusy() && !reader.isMidRequest();
     }
 
-    /** Whether it may be closed to make room for others. */
+    /** Whether it may be closed to make room for new connections. */
     boolean isEvictable() {
         return !isBusy() || isLingering();
     }
@@ -376,8 +382,9 @@
     }
 
     /**
-     * Compares two connections by the order in which they are closed where there are too many. Not
-     * built of {@code Comparator}'s factories: their lambdas would be generated at each start.
+     * Compares two connections by the order in which they are closed if there are too many. Not
+     * built from {@code Comparator}'s factory methods: the classes of their lambdas would be
+     * generated at each start-up.
      */
     static int compareForEviction(ClientConnection one, ClientConnection other) {
         int byUsage = one.usage().compareTo(other.usage());
--- a/src/main/java/damsonslip/platform/client/ClientConnectionState.java
+++ b/src/main/java/damsonslip/platform/client/ClientConnectionState.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The states of a client's connection, by the request at hand. */
+/** The states of a client's connection, by its current request. */
 enum ClientConnectionState {
     /** Awaits a request; a part of one may have arrived. */
     RECEIVING,
-    /** A request for a job is complete, and is handed on once all bytes behind it are read. */
+    /** A request for a job is complete, and is submitted once all bytes after it are read. */
     RECEIVED,
     /** The engine decides whether to admit the request; it may respond within the call. */
     ADMITTING,
-    /** The engine has the request. */
+    /** The engine processes the request. */
     PROCESSING,
     /** A response is being written. */
     RESPONDING;
--- a/src/main/java/damsonslip/platform/client/ClientServer.java
+++ b/src/main/java/damsonslip/platform/client/ClientServer.java
@@ -32,13 +32,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts clients' connections, and hands their requests to the engine. Used on the event loop
- * only, but for {@link #admit()}, {@link #turnedBack} and {@link #open}, which the selector calls.
+ * Accepts clients' connections, and submits their requests to the engine. Used on the event loop
+ * only, except for {@link #admit()}, {@link #admissionFailed} and {@link #open}, which the selector
+ * calls.
  */
 public final class ClientServer implements ConnectionManager.ConnectionAcceptor {
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
 
-    /** Unread responses may hold one part in this many of the heap, all together. */
+    /** Unread responses may together hold one part in this many of the heap. */
     private static final int RESPONSE_HEAP_DIVISOR = 8;
 
     /** How often connections are checked while they are drained. */
@@ -60,10 +61,10 @@
     private boolean hasSuccessor;
 
     /**
-     * Accepts nothing yet.
+     * Accepts no connections yet.
      *
      * @param maxConnections how many connections are kept
-     * @param overflow how many more may be open until others have been closed for them
+     * @param overflow how many more may be open temporarily, until others have been closed for them
      */
     public ClientServer(
             ConnectionManager connections,
@@ -97,12 +98,14 @@
         return connections.listenOnPort(address, this, shared);
     }
 
-    /** Changes how many connections are kept, and how many more may be open for the moment. */
+    /** Changes how many connections are kept, and how many more may be open temporarily. */
     public void resize(int maxConnections, int overflow) {
         limiter.resize(maxConnections, overflow);
     }
 
-    /** Drains connections by this rule until {@link #stopDraining}; an earlier rule stays. */
+    /**
+     * Drains connections by this rule until {@link #stopDraining}; an earlier rule stays in effect.
+     */
     public void startDraining(ConnectionDraining rule) {
         if (draining == null) {
             draining = rule;
@@ -110,12 +113,12 @@
         }
     }
 
-    /** Keeps connections again. */
+    /** Stops draining; connections are kept open again. */
     public void stopDraining() {
         draining = null;
     }
 
-    @SuppressWarnings("ReferenceEquality") // an equal rule of a later drain runs by itself
+    @SuppressWarnings("ReferenceEquality") // a later drain may have an equal rule
     private void drainConnections(ConnectionDraining rule) {
         if (draining == rule) {
             List.copyOf(limiter.connections()).forEach(connection -> connection.drain(rule));
@@ -124,16 +127,16 @@
     }
 
     /**
-     * Whether no connection is left, and none is being accepted. One that lingers counts: an exit
-     * over unread bytes would reset it, and its client might lose the last response.
+     * Whether no connection is left, and none is being accepted. A lingering connection counts: an
+     * exit with bytes left unread would reset it, and its client might lose the last response.
      */
     public boolean isEmpty() {
         return limiter.isEmpty();
     }
 
     /**
-     * Whether another process of this scheduler serves at the same address. If so, health checks
-     * succeed during the graceful shutdown as well.
+     * Sets whether another process of this scheduler is serving at the same address. If so, health
+     * checks succeed during the graceful shutdown as well.
      */
     public void setSuccessor(boolean serving) {
         hasSuccessor = serving;
@@ -178,8 +181,8 @@
     }
 
     /**
-     * Hands a request to the engine. Each request has an id of its own, also a client's retry, so a
-     * repeated id belongs to a duplicate, which must neither run nor disturb the first.
+     * Submits a request to the engine. Each request has a unique id, even a client's retry, so a
+     * repeated id belongs to a duplicate, which must neither run nor affect the first request.
      *
      * @throws BadRequestException if the id was used before
      */
@@ -197,8 +200,8 @@
     }
 
     /**
-     * Bounds the memory that unread responses hold, all together; checked when a further response
-     * was not taken at once.
+     * Bounds the total memory that unread responses hold; checked when another response could not
+     * be written at once.
      */
     void checkResponseBuffers(OutboundRateMonitor newest) {
         if (!newest.isWatching()) {
@@ -215,8 +218,8 @@
                 reader -> {
                     LOG.warn(
                             "event=response_budget_exceeded"
-                                    + " answers that are not read hold more than their part of"
-                                    + " the heap");
+                                    + " answers that are not read hold more than their share of"
+                                    + " the heap; closing a slow client's connection");
                     reader.closeSlowReader();
                 });
     }
@@ -226,7 +229,7 @@
                 .filter(connection -> connection.responseMonitor().isWatching());
     }
 
-    /** The clients that have yet to read their responses. */
+    /** The clients to which a response is being written. */
     public Stream<SlowPeer> slowPeers() {
         return slowReaders().map(ClientConnection::slowPeer);
     }
@@ -234,7 +237,8 @@
     void slowReaderClosed() {
         counters.add(Count.SLOW_READERS_LET_GO);
         LOG.warn(
-                "event=slow_reader_closed" + " a client reads nothing of its answer and is let go");
+                "event=slow_reader_closed"
+                        + " a client reads nothing of its answer; closing its connection");
     }
 
     void rejected(BadRequestException failure) {
--- a/src/main/java/damsonslip/platform/client/RecentRequestIds.java
+++ b/src/main/java/damsonslip/platform/client/RecentRequestIds.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The ids of the latest requests, more than can arrive within the longest deadline. */
+/** Remembers the ids of the latest requests, more than can arrive within the longest deadline. */
 final class RecentRequestIds {
     private static final int MAX_IDS = 4_000;
 
--- a/src/main/java/damsonslip/platform/client/package-info.java
+++ b/src/main/java/damsonslip/platform/client/package-info.java
@@ -1,14 +1,15 @@
 /**
- * The clients' side: accepts connections, reads requests, hands them to the engine and writes their
+ * The client side: accepts connections, reads requests, submits them to the engine and writes their
  * responses.
  *
  * <ul>
  *   <li>{@link damsonslip.platform.client.ClientServer} owns the connections and their limit.
  *   <li>{@code ClientConnection} is one connection with its state machine.
- *   <li>{@code ArrivalTimes} and {@code RecentRequestIds} guard deadlines and ids.
+ *   <li>{@code ArrivalTimes} records when requests arrived, for their deadlines; {@code
+ *       RecentRequestIds} serves to detect duplicates.
  * </ul>
  *
- * <p>Everything runs on the event loop, except what {@code ClientServer} says of its acceptor.
+ * <p>Everything runs on the event loop, except the acceptor's methods of {@code ClientServer}.
  * Depends on {@code codec}, the engine and transport; never on {@code worker}.
  */
 package damsonslip.platform.client;
