--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -14,17 +14,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches discovery's endpoint list, one watch at a time, and hands each list to the engine. Where
- * the settings say that lists are pushed, a watch that ends is renewed at once; elsewhere the
+ * Watches discovery's endpoint list, one watch at a time, and passes each list to the engine. If
+ * the settings say that lists are pushed, a watch that ends is renewed at once; otherwise the
  * policy decides when to watch again. Used on the event loop only.
  */
 public final class DiscoveryClient {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-    /** Where lists are pushed, a new watch costs discovery nothing. */
+    /** Short, since a new watch costs discovery nothing if lists are pushed. */
     private static final long PUSHED_RECONNECT_DELAY_US = 50_000;
 
-    /** Asks for the complete list. */
+    /** Requests the complete list. */
     private static final long NO_GENERATION = 0;
 
     private final ConnectionManager connections;
@@ -34,18 +34,23 @@
     private final boolean pushed;
     private InetSocketAddress address;
 
-    /** The newest attempt to watch; the ends of older ones are not reported. */
+    /** The newest attempt to watch; the end of an older one is not reported to the engine. */
     private WatchAttempt newest;
 
-    /** Whether a list was received from the current address; its generations may differ. */
+    /**
+     * Whether a list was received from the current address; generations of another address do not
+     * apply there.
+     */
     private boolean listReceivedFromAddress = true;
 
+    /** The attempt whose watch is open, or null. */
     private WatchAttempt current;
+
     private Runnable firstListAction = () -> {};
 
     /**
      * @param address where discovery listens
-     * @param pushed whether discovery pushes its list, watched or not
+     * @param pushed whether discovery pushes its list, as opposed to its being polled
      */
     public DiscoveryClient(
             ConnectionManager connections,
@@ -73,11 +78,11 @@
     }
 
     /**
-     * Takes the address that a reloaded configuration names. If it is another one, discovery is
-     * watched there at once; the old watch counts until the new one is up, so that no change is
+     * Applies the address from a reloaded configuration. If it has changed, discovery is watched
+     * there at once; the old watch stays in effect until the new one is up, so that no change is
      * missed in between.
      *
-     * @param reloadUs when the operators asked for the reload
+     * @param reloadUs when the reload was requested
      */
     public void changeAddress(InetSocketAddress next, long reloadUs) {
         engine.discoveryAddressChanged(DiscoveryAddressState.READ, reloadUs);
@@ -89,7 +94,7 @@
         }
     }
 
-    /** Begins a watch unless there is one, or one is being connected. */
+    /** Begins a watch unless one is open or being connected. */
     public void watch() {
         boolean watching = newest != null && (newest.connecting || newest.isCurrent());
         if (!watching) {
@@ -105,8 +110,8 @@
     private static String describe(ConnectFailure failure) {
         return switch (failure) {
             case UNREACHABLE -> "it cannot be reached";
-            case LOCAL -> "no socket can be had here";
-            case UNDETECTED -> "its connection came up unheard";
+            case LOCAL -> "no socket is available on this machine";
+            case UNDETECTED -> "its connection was established but not noticed in time";
         };
     }
 
--- a/src/main/java/damsonslip/platform/discovery/WatchConnection.java
+++ b/src/main/java/damsonslip/platform/discovery/WatchConnection.java
@@ -16,18 +16,21 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * One watch on discovery: a connection with a single request, whose response never ends and holds
+ * One watch on discovery: a connection with a single request, whose response never ends and carries
  * the endpoint list and the changes to it.
  */
 final class WatchConnection extends EventLoopConnection implements ResponseReader.Listener {
-    /** Discovery sends an empty line every two seconds where nothing changes. */
+    /**
+     * After this time without data the watch has failed: discovery sends an empty line every two
+     * seconds if nothing changes.
+     */
     private static final long MAX_SILENCE_US = 3_500_000;
 
     private static final int MAX_OBJECT_BYTES = 4 * 1024 * 1024;
 
     /**
-     * The rate at which a response's head or an object has to arrive once it has begun: single
-     * bytes now and then keep a watch from being silent, but the list would arrive too late.
+     * The rate at which a response's head or an object has to arrive once it has begun: with single
+     * bytes now and then a watch is not silent, but the list would arrive too late.
      */
     private static final MinimumDataRate.Limits ARRIVAL_RATE =
             new MinimumDataRate.Limits(MAX_SILENCE_US, MAX_SILENCE_US, 4 * 1024);
@@ -41,20 +44,20 @@
          */
         boolean watchOpened(WatchConnection watch);
 
-        /** The generation from which on changes are requested. */
+        /** The generation after which changes are requested; 0 requests the complete list. */
         long lastGeneration();
 
         /** A list or changes to it were received. */
         void listReceived(EndpointList list, long receivedUs);
 
         /**
-         * The watch has ended, and not on this scheduler's own account.
+         * The watch has failed; not called if this scheduler closed it for another reason.
          *
          * @param lastReceivedUs when something was last received
          */
         void watchFailed(String reason, WorkerListChange loss, long lastReceivedUs);
 
-        /** The connection is closed, whoever did it. */
+        /** The connection is closed, by either side. */
         void watchClosed();
     }
 
@@ -90,7 +93,10 @@
         write(() -> {}, OutboundRequests.watch(listener.lastGeneration()));
     }
 
-    /** Bytes that waited unread were received when they arrived, not when they are read. */
+    /**
+     * Restarts the limit on silence. Bytes count as received when they arrived, not when they are
+     * read.
+     */
     private void restartSilenceTimer() {
         lastReceivedUs = arrivedAfterUs();
         if (silenceTimer != null) {
@@ -99,7 +105,7 @@
         silenceTimer = loop.scheduleAfter(MAX_SILENCE_US, this::checkSilence);
     }
 
-    /** Reads first what has arrived unread while the event loop was held up. */
+    /** Reads first what may have arrived while the event loop was blocked. */
     private void checkSilence() {
         EventLoop.Timer due = silenceTimer;
         readAvailable();
--- a/src/main/java/damsonslip/platform/discovery/WorkerRegistry.java
+++ b/src/main/java/damsonslip/platform/discovery/WorkerRegistry.java
@@ -13,17 +13,20 @@
 import java.util.Set;
 
 /**
- * The workers of discovery's list: where each of them listens, and since when it drains or is
- * removed. Used on the event loop only; times are in microseconds on its clock.
+ * The workers of the endpoint list: the address of each of them, and since when it has been
+ * draining or removed. Used on the event loop only; times are in microseconds on its clock.
  */
 public final class WorkerRegistry {
-    /** The draining time of a worker that runs, or is unknown. */
+    /** The draining time of a worker that is running, or unknown. */
     public static final long NOT_DRAINING = Long.MAX_VALUE;
 
-    /** Sends end this much before the drain grace does: the request's bytes need time to leave. */
+    /**
+     * Sends stop this long before the drain grace period ends: a request's bytes take time to be
+     * sent.
+     */
     private static final long SEND_MARGIN_US = 150_000;
 
-    /** The address of a removed worker is kept until all requests on it have ended. */
+    /** How long the address of a removed worker is kept: until all requests on it have ended. */
     private static final long RETENTION_US = 600_000_000;
 
     private record Registration(InetSocketAddress address, long drainingSinceUs) {
@@ -37,9 +40,10 @@
     private long generation;
 
     /**
-     * Knows no worker yet.
+     * Creates an empty registry.
      *
-     * @param drainGraceUs how long after the news of its draining a worker may still be sent to
+     * @param drainGraceUs how long a worker may still be sent requests after it was reported as
+     *     draining
      */
     public WorkerRegistry(long drainGraceUs) {
         this.drainGraceUs = drainGraceUs;
@@ -49,7 +53,7 @@
      * Applies a list or the changes to it.
      *
      * @param receivedUs when it was received
-     * @return the workers that it names, for the decisions
+     * @return the workers in it, for the scheduling policy
      */
     public List<WorkerEntry> apply(EndpointList list, long receivedUs) {
         List<WorkerEntry> workers = new ArrayList<>(list.endpoints().size());
@@ -62,7 +66,8 @@
         if (list.complete()) {
             drainUnlisted(listed, receivedUs);
         }
-        // Nothing is sent to an unknown worker, so one that drains for long may be dropped as well.
+        // Nothing is sent to an unknown worker, so one that drains for that long may be removed as
+        // well.
         registrations
                 .values()
                 .removeIf(worker -> worker.drainingSinceUs() < receivedUs - RETENTION_US);
@@ -89,18 +94,18 @@
                                 : new Registration(worker.address(), receivedUs));
     }
 
-    /** Discovery's version of the last list. */
+    /** The generation of the last list. */
     public long generation() {
         return generation;
     }
 
-    /** Where a worker listens; null if it is unknown. */
+    /** The address of a worker; null if it is unknown. */
     public InetSocketAddress address(String worker) {
         Registration registration = registrations.get(worker);
         return registration == null ? null : registration.address();
     }
 
-    /** When the news that a worker drains or is removed was received, or {@link #NOT_DRAINING}. */
+    /** When a worker was reported as draining or removed, or {@link #NOT_DRAINING}. */
     public long drainingSinceUs(String worker) {
         Registration registration = registrations.get(worker);
         return registration == null ? NOT_DRAINING : registration.drainingSinceUs();
--- a/src/main/java/damsonslip/platform/discovery/package-info.java
+++ b/src/main/java/damsonslip/platform/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Discovery's side: {@link damsonslip.platform.discovery.DiscoveryClient} watches the endpoint
+ * The discovery side: {@link damsonslip.platform.discovery.DiscoveryClient} watches the endpoint
  * list, and {@link damsonslip.platform.discovery.WorkerRegistry} holds the address and the draining
  * time of each worker. When to watch again after a failure is the policy's decision.
  *
