--- a/src/main/java/damsonslip/platform/codec/BadRequestException.java
+++ b/src/main/java/damsonslip/platform/codec/BadRequestException.java
@@ -1,14 +1,14 @@
 package damsonslip.platform.codec;
 
 /**
- * A client's message that cannot be served. Its message is the body of the response, its status the
- * response's status.
+ * A client's message that cannot be served. The exception's message is the body of the response,
+ * its status the response's status.
  */
 public final class BadRequestException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    /** With the status and the body of the response. */
+    /** Creates an exception with the status and the body of the response. */
     BadRequestException(int status, String message) {
         super(message);
         this.status = status;
@@ -19,17 +19,17 @@
         return new BadRequestException(408, "the query did not come whole");
     }
 
-    /** Bytes behind a request that cannot begin another one: its length was too small. */
+    /** Bytes after a request that cannot begin another one: the announced length was too small. */
     public static BadRequestException longerThanAnnounced() {
         return new BadRequestException(400, "longer than it says");
     }
 
-    /** More bytes were pipelined behind a request than are buffered. */
+    /** More bytes were pipelined after a request than are buffered. */
     public static BadRequestException pipelinedTooMuch() {
         return new BadRequestException(400, "too much sent ahead of its answer");
     }
 
-    /** An id that another request has or had. */
+    /** An id that another request has, or has had recently. */
     public static BadRequestException duplicateId(String id) {
         return new BadRequestException(409, "this id was used already: " + id);
     }
--- a/src/main/java/damsonslip/platform/codec/ClientResponse.java
+++ b/src/main/java/damsonslip/platform/codec/ClientResponse.java
@@ -9,7 +9,7 @@
 /**
  * A response to a client: its status and its body.
  *
- * @param retryAfterUs when a retry makes sense, in microseconds; 0 states nothing
+ * @param retryAfterUs the time for Retry-After, in microseconds; 0 if none is sent
  */
 public record ClientResponse(int status, String body, long retryAfterUs) {
     private static final byte[] CONTINUE =
@@ -47,7 +47,7 @@
         return healthy ? new ClientResponse(200, "ok") : new ClientResponse(503, "leaving");
     }
 
-    /** The response to a request whose time budget was spent before it could be taken. */
+    /** The response to a request whose time budget ran out before it could be admitted. */
     public static ClientResponse expiredBeforeAdmission() {
         return new ClientResponse(503, "out of time");
     }
@@ -57,7 +57,7 @@
         return new ClientResponse(503, "going away");
     }
 
-    /** The interim response that has a client send the body of its request. */
+    /** The interim response that tells a client to send the body of its request. */
     public static ByteBuffer encodeContinue() {
         return ByteBuffer.wrap(CONTINUE);
     }
@@ -65,7 +65,7 @@
     /**
      * Encodes the response.
      *
-     * @param closes whether the connection ends with it
+     * @param closes whether the connection is closed after it
      */
     public ByteBuffer[] encode(boolean closes) {
         HttpFields.Mutable fields = HttpFields.build();
--- a/src/main/java/damsonslip/platform/codec/Endpoint.java
+++ b/src/main/java/damsonslip/platform/codec/Endpoint.java
@@ -4,9 +4,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * One entry of discovery's list: a worker and where it listens.
+ * One entry of the endpoint list: a worker and where it listens.
  *
- * @param worker for the decisions
- * @param address where this scheduler connects to it
+ * @param worker the worker, for the scheduling policy
+ * @param address the address at which this scheduler connects to it
  */
 public record Endpoint(WorkerEntry worker, InetSocketAddress address) {}
--- a/src/main/java/damsonslip/platform/codec/EndpointList.java
+++ b/src/main/java/damsonslip/platform/codec/EndpointList.java
@@ -7,11 +7,11 @@
  * Discovery's list of workers, or the changes to it.
  *
  * @param generation discovery's version of the list
- * @param complete whether a worker that is not named has been removed
+ * @param complete whether a worker that is not in the list has been removed
  * @param endpoints the workers, or those that have changed
  */
 public record EndpointList(long generation, boolean complete, List<Endpoint> endpoints) {
-    /** The list of a scheduler that has never had one. */
+    /** The list of a scheduler that has not received any. */
     public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
     /** Copies the endpoints. */
@@ -19,12 +19,12 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** The same entries as the complete list. */
+    /** The same entries, as a complete list. */
     public EndpointList asComplete() {
         return new EndpointList(generation, true, endpoints);
     }
 
-    /** How the decisions have to take it. */
+    /** How the scheduling policy has to apply it. */
     public WorkerListChange change() {
         return complete ? WorkerListChange.COMPLETE : WorkerListChange.CHANGES;
     }
--- a/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/EndpointListDecoder.java
@@ -24,8 +24,8 @@
     private final Function<String, InetSocketAddress> addressLookup;
 
     /**
-     * @param addressLookup the address of a worker by its id, or null if unknown; stands in where
-     *     the entry of a worker that drains or was removed has none
+     * @param addressLookup the address of a worker by its id, or null if unknown; used if the entry
+     *     of a draining or removed worker has no address
      */
     public EndpointListDecoder(
             SiteSettings site, Function<String, InetSocketAddress> addressLookup) {
@@ -37,7 +37,7 @@
     /**
      * Decodes a list from its JSON text.
      *
-     * @throws MalformedListException if the text is no list
+     * @throws MalformedListException if the text is not a list
      */
     public EndpointList decode(String json) throws MalformedListException {
         try {
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Decodes a list. An entry that cannot be used is logged and left out; the others count.
+     * Decodes a list. An entry that cannot be used is logged and skipped; the others are used.
      *
      * @param list may be null
-     * @throws MalformedListException if this is no list
+     * @throws MalformedListException if this is not a list
      */
     public EndpointList decode(JsonNode list) throws MalformedListException {
         if (list == null || !list.path(WireNames.Endpoints.ENTRIES).isArray()) {
--- a/src/main/java/damsonslip/platform/codec/HttpMessageReader.java
+++ b/src/main/java/damsonslip/platform/codec/HttpMessageReader.java
@@ -44,7 +44,7 @@
         void content(ByteBuffer part);
 
         /**
-         * The bytes are not HTTP; nothing more is read.
+         * The bytes are not valid HTTP; nothing more is read.
          *
          * @param reason the parser's reason, or null
          */
@@ -77,7 +77,7 @@
     }
 
     /**
-     * Parses up to the end of the message at hand.
+     * Parses up to the end of the current message.
      *
      * @return whether the message is complete; the remaining bytes belong to the next one
      */
@@ -92,7 +92,7 @@
         return complete;
     }
 
-    /** Reads nothing more of this connection. */
+    /** Stops reading: nothing more of this connection is parsed. */
     void stop() {
         stopped = true;
     }
@@ -104,7 +104,7 @@
         complete = false;
     }
 
-    /** The header fields of the message at hand, by their names in lower case. */
+    /** The header fields of the current message, by their names in lower case. */
     Map<String, String> headers() {
         return headers;
     }
@@ -119,7 +119,7 @@
         return persistent;
     }
 
-    /** Whether the message at hand was read to its end. */
+    /** Whether the current message was read to its end. */
     boolean isComplete() {
         return complete;
     }
@@ -129,7 +129,10 @@
         return !complete && !parser.isState(HttpParser.State.START);
     }
 
-    /** A worker or discovery that sends no {@code close} keeps the connection, also in HTTP/1.0. */
+    /**
+     * A worker or discovery that sends no {@code close} keeps the connection open, even in
+     * HTTP/1.0.
+     */
     private boolean persistsAfter(String connectionOptions) {
         String options = connectionOptions.toLowerCase(Locale.ROOT);
         if (options.contains("close")) {
@@ -188,7 +191,7 @@
 
         @Override
         public void earlyEOF() {
-            // the connection reports its own end
+            // the connection reports its close itself
         }
 
         @Override
--- a/src/main/java/damsonslip/platform/codec/HttpRequest.java
+++ b/src/main/java/damsonslip/platform/codec/HttpRequest.java
@@ -2,11 +2,11 @@
 
 import java.util.Map;
 
-/** A complete HTTP request of a client, before it is known what it asks for. Immutable. */
+/** A complete HTTP request of a client, neither routed nor decoded yet. Immutable. */
 public final class HttpRequest {
     private static final String POST = "POST";
 
-    /** What a request asks for, by its path. */
+    /** The resource that a request addresses, by its path. */
     public enum Route {
         JOB,
         HEALTH
@@ -18,7 +18,7 @@
     private final byte[] body;
 
     /**
-     * @param target path and query, as they came
+     * @param target path and query, as received
      * @param headers the header fields, by their names in lower case
      */
     HttpRequest(String method, String target, Map<String, String> headers, byte[] body) {
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Finds out what the request asks for.
+     * Determines the route of the request.
      *
      * @throws BadRequestException if no such path or method is served
      */
--- a/src/main/java/damsonslip/platform/codec/JobProgress.java
+++ b/src/main/java/damsonslip/platform/codec/JobProgress.java
@@ -9,29 +9,30 @@
 /**
  * One line of a worker's response to a job, decoded.
  *
- * @param state what has become of the job
- * @param result what the job has produced; meaningful for {@link State#COMPLETED} only
+ * @param state the state of the job
+ * @param result the result of the job; meaningful for {@link State#COMPLETED} only
  * @param loadReport the worker's load report, or null
  */
 public record JobProgress(State state, String result, LoadReport loadReport) {
-    /** What a worker reports of a job; all but the first two are final. */
+    /** The states of a job that a worker reports; all but the first two are final. */
     public enum State {
         STARTED,
         RUNNING,
-        /** It has run and produced a result. */
+        /** The job has run and produced a result. */
         COMPLETED,
-        /** It may have run, and produced none. */
+        /** The job may have run, and produced no result. */
         FAILED,
-        /** The worker hands it back unstarted. */
+        /** The worker has returned the job without starting it. */
         HANDED_BACK,
-        /** The worker has killed it; it may have run. */
+        /** The worker has killed the job, which may have run. */
         KILLED
     }
 
     /**
      * Decodes a line.
      *
-     * @return empty if the line is no JSON, concerns another job or names no known state
+     * @return empty if the line is not JSON, concerns another job, names no known state or lacks
+     *     its result
      */
     public static Optional<JobProgress> decode(String line, String requestId) {
         try {
--- a/src/main/java/damsonslip/platform/codec/JsonObjectDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/JsonObjectDecoder.java
@@ -17,10 +17,10 @@
     private boolean inString;
     private boolean escaped;
 
-    /** Whether the line at hand is empty so far. */
+    /** Whether the current line is empty so far. */
     private boolean blankLine;
 
-    /** With the size above which an incomplete object is an error. */
+    /** Creates a decoder with the size above which an incomplete object is an error. */
     public JsonObjectDecoder(int maxObjectBytes) {
         this.maxObjectBytes = maxObjectBytes;
     }
@@ -29,7 +29,7 @@
      * Reads the next bytes of the stream.
      *
      * @return the objects that end in this part; null if there is something else between objects,
-     *     an object is too large, or an empty line within one shows that the sender took it to be
+     *     an object is too large, or an empty line within one shows that the sender considers it
      *     complete
      */
     public List<String> decode(byte[] part) {
--- a/src/main/java/damsonslip/platform/codec/LoadReportDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/LoadReportDecoder.java
@@ -7,7 +7,7 @@
 final class LoadReportDecoder {
     private LoadReportDecoder() {}
 
-    /** Reads the JSON form; null if it is no object. */
+    /** Decodes the JSON form; null if it is not an object. */
     static LoadReport fromJson(JsonNode report) {
         if (!report.isObject()) {
             return null;
@@ -24,7 +24,7 @@
         return report.path(name).asDouble(Double.NaN);
     }
 
-    /** Reads a header such as {@code TEXT util=0.61, x0=2}; null if it has not this form. */
+    /** Decodes a header such as {@code TEXT util=0.61, x0=2}; null if it has another form. */
     static LoadReport fromHeader(String header) {
         if (header == null || !header.startsWith(WireNames.Load.TEXT_FORMAT)) {
             return null;
@@ -49,7 +49,7 @@
                     default -> {}
                 }
             } catch (NumberFormatException e) {
-                // a value that is no number is left out; the others still count
+                // a value that is not a number is skipped; the others are used
             }
         }
         return new LoadReport(freeSlots, freeMemory, reservedMemory, Double.NaN, errorsPerSecond);
--- a/src/main/java/damsonslip/platform/codec/OutboundRequests.java
+++ b/src/main/java/damsonslip/platform/codec/OutboundRequests.java
@@ -19,22 +19,23 @@
      * @param timeBudgetUs how long the worker may take
      */
     public static ByteBuffer[] job(Request request, long timeBudgetUs) {
-        ForwardedRequest forward = (ForwardedRequest) request.payload();
+        ForwardedRequest forwarded = (ForwardedRequest) request.payload();
         HttpFields.Mutable fields =
                 HttpFields.build()
                         .add(WireNames.Header.HOST, WORKER_HOST)
                         .add(WireNames.Header.REQUEST_ID, request.id())
                         .add(WireNames.Header.TIME_BUDGET, WireFormat.formatMicros(timeBudgetUs));
-        if (forward.idempotencyKey() != null) {
-            fields.add(WireNames.Header.IDEMPOTENCY_KEY, forward.idempotencyKey());
+        if (forwarded.idempotencyKey() != null) {
+            fields.add(WireNames.Header.IDEMPOTENCY_KEY, forwarded.idempotencyKey());
         }
-        if (forward.contentType() != null) {
-            fields.add(WireNames.Header.CONTENT_TYPE, forward.contentType());
+        if (forwarded.contentType() != null) {
+            fields.add(WireNames.Header.CONTENT_TYPE, forwarded.contentType());
         }
-        return MessageEncoder.request(forward.method(), forward.target(), fields, forward.body());
+        return MessageEncoder.request(
+                forwarded.method(), forwarded.target(), fields, forwarded.body());
     }
 
-    /** A probe of a worker's health, which also asks for its load report. */
+    /** A probe of a worker's health, which also requests its load report. */
     public static ByteBuffer[] probe() {
         return get(WORKER_HOST, WireNames.Path.WORKER_LOAD);
     }
@@ -42,7 +43,7 @@
     /**
      * A watch on discovery's endpoint list.
      *
-     * @param generation of the last list that is known; 0 asks for the complete list
+     * @param generation the generation of the last known list; 0 requests the complete list
      */
     public static ByteBuffer[] watch(long generation) {
         return get(DISCOVERY_HOST, WireNames.Path.WATCH_AFTER + generation);
--- a/src/main/java/damsonslip/platform/codec/RequestDecoder.java
+++ b/src/main/java/damsonslip/platform/codec/RequestDecoder.java
@@ -10,7 +10,7 @@
 
     private final SiteSettings site;
 
-    /** Decodes by the names of classes and tenants in these settings. */
+    /** Creates a decoder for the names of classes and tenants in these settings. */
     public RequestDecoder(SiteSettings site) {
         this.site = site;
     }
@@ -18,7 +18,7 @@
     /**
      * Decodes a request for a job.
      *
-     * @param latestUs the deadline of the request is no later than this
+     * @param latestUs upper bound of the request's deadline
      * @throws BadRequestException if a header field is missing or cannot be read
      */
     public Request decode(HttpRequest request, ArrivalTime arrival, long latestUs)
@@ -49,7 +49,7 @@
                 null,
                 Integer.MAX_VALUE,
                 null,
-                forward(request));
+                forwardedRequest(request));
     }
 
     private int jobClass(HttpRequest request) throws BadRequestException {
@@ -79,7 +79,8 @@
         return budget == null ? site.deadlineUs(jobClass) : WireFormat.parseMicros(budget);
     }
 
-    private static ForwardedRequest forward(HttpRequest request) throws BadRequestException {
+    private static ForwardedRequest forwardedRequest(HttpRequest request)
+            throws BadRequestException {
         String key = request.header(WireNames.Header.IDEMPOTENCY_KEY);
         String contentType = request.header(WireNames.Header.CONTENT_TYPE);
         return new ForwardedRequest(
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Lets only printable ASCII pass. Anything else could reach the worker in another form than the
-     * client sent, since its encoding is not defined.
+     * Checks that a text is printable ASCII. Other characters could reach the worker in another
+     * form than the client sent, since their encoding is not defined.
      *
      * @param first the first character that is allowed
      */
@@ -104,7 +105,7 @@
         return text;
     }
 
-    /** The resources that a job takes at a worker. */
+    /** The resources that a job requires of a worker. */
     private record Demands(int slots, double memory) {
         static Demands parse(String header) {
             int slots = 1;
--- a/src/main/java/damsonslip/platform/codec/RequestReader.java
+++ b/src/main/java/damsonslip/platform/codec/RequestReader.java
@@ -39,10 +39,10 @@
     private BadRequestException failure;
 
     /**
-     * Reads bytes of the request at hand.
+     * Reads bytes of the current request.
      *
      * @return the request once it is complete, else null
-     * @throws BadRequestException if the bytes are no request that can be served; the connection
+     * @throws BadRequestException if the bytes are not a request that can be served; the connection
      *     has to be closed after the response
      */
     public HttpRequest read(ByteBuffer bytes) throws BadRequestException {
@@ -67,7 +67,7 @@
         return METHODS.stream().anyMatch(known -> text.startsWith(known) || known.startsWith(text));
     }
 
-    /** Whether the client keeps the connection open after the request at hand. */
+    /** Whether the client keeps the connection open after the current request. */
     public boolean isPersistent() {
         return reader.isPersistent();
     }
--- a/src/main/java/damsonslip/platform/codec/ResponseHead.java
+++ b/src/main/java/damsonslip/platform/codec/ResponseHead.java
@@ -8,7 +8,7 @@
  *
  * @param status the HTTP status
  * @param loadReport the worker's load report, or null
- * @param notExecuted whether the worker states that the job has not run
+ * @param notExecuted whether the response states that the job has not run
  */
 public record ResponseHead(int status, LoadReport loadReport, boolean notExecuted) {
     private static final int OK = 200;
--- a/src/main/java/damsonslip/platform/codec/ResponseReader.java
+++ b/src/main/java/damsonslip/platform/codec/ResponseReader.java
@@ -22,7 +22,7 @@
          */
         void responseCompleted(boolean reusable);
 
-        /** The bytes are no HTTP response; nothing more is read of the connection. */
+        /** The bytes are not a valid HTTP response; nothing more is read from the connection. */
         void responseMalformed(String reason);
     }
 
@@ -31,14 +31,14 @@
             new HttpMessageReader(HttpMessageReader.MessageKind.RESPONSE, new ResponseParts());
     private int status;
 
-    /** Reads for this listener. */
+    /** Creates a reader that reports to this listener. */
     public ResponseReader(Listener listener) {
         this.listener = listener;
     }
 
     /**
-     * Reads bytes of the response at hand. Bytes behind a response's end were not requested, and
-     * could be taken for the next response, so the connection is then reported as not reusable.
+     * Reads bytes of the current response. Bytes after the end of a response were not requested,
+     * and could be taken for the next response, so the connection is then reported as not reusable.
      */
     public void read(ByteBuffer bytes) {
         while (reader.read(bytes)) {
@@ -51,7 +51,9 @@
         }
     }
 
-    /** Whether this is no interim response, such as {@code 100 Continue}. */
+    /**
+     * Whether this is a final response, as opposed to an interim one such as {@code 100 Continue}.
+     */
     private boolean isFinal() {
         return status >= FIRST_FINAL_STATUS;
     }
--- a/src/main/java/damsonslip/platform/codec/WireFormat.java
+++ b/src/main/java/damsonslip/platform/codec/WireFormat.java
@@ -18,10 +18,10 @@
     private WireFormat() {}
 
     /**
-     * Reads a time such as {@code 480m} (milliseconds) or {@code 480000u} (microseconds).
+     * Parses a time such as {@code 480m} (milliseconds) or {@code 480000u} (microseconds).
      *
      * @return the time in microseconds
-     * @throws IllegalArgumentException if it is no number, has no known unit or exceeds one day
+     * @throws IllegalArgumentException if it is not a number, has no known unit or exceeds one day
      */
     static long parseMicros(String text) {
         int end = text.length() - 1;
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Reads a plain decimal number. {@link Double#parseDouble} alone would also accept {@code 5d},
+     * Parses a plain decimal number. {@link Double#parseDouble} alone would also accept {@code 5d},
      * {@code 0x1p4} and {@code NaN}.
      *
-     * @throws IllegalArgumentException if it is no such number or exceeds the maximum
+     * @throws IllegalArgumentException if it is not such a number or exceeds the maximum
      */
     static double parseDecimal(String text, long max) {
         double number = DECIMAL.matcher(text).matches() ? Double.parseDouble(text) : Double.NaN;
@@ -54,7 +54,7 @@
         return number;
     }
 
-    /** Writes a time with the unit of microseconds; a negative one as zero. */
+    /** Formats a time with the unit of microseconds; a negative one as zero. */
     static String formatMicros(long micros) {
         return Math.max(0, micros) + "u";
     }
--- a/src/main/java/damsonslip/platform/codec/WireNames.java
+++ b/src/main/java/damsonslip/platform/codec/WireNames.java
@@ -1,9 +1,9 @@
 package damsonslip.platform.codec;
 
 /**
- * The table of the protocol's names on the wire: each constant is named by the program's term and
- * holds the name that the protocol gives it. The names of the settings are mapped where they are
- * read, in {@link damsonslip.config.SettingsReader} and {@link damsonslip.config.SiteSettings}.
+ * The names of the protocol: each constant is named after the program's term and holds the name
+ * that is used on the wire. The names of the settings are mapped where they are read, in {@link
+ * damsonslip.config.SettingsReader} and {@link damsonslip.config.SiteSettings}.
  */
 final class WireNames {
     private WireNames() {}
@@ -45,14 +45,14 @@
         private Demand() {}
     }
 
-    /** Figures of a load report, in a header or in a JSON object. */
+    /** Values of a load report, in a header or in a JSON object. */
     static final class Load {
         static final String FREE_SLOTS = "x0";
         static final String FREE_MEMORY = "x1";
         static final String RESERVED_MEMORY = "inflight";
         static final String ERRORS_PER_SECOND = "eps";
 
-        /** How the value of {@link Header#LOAD_REPORT} begins. */
+        /** The prefix of the value of {@link Header#LOAD_REPORT}. */
         static final String TEXT_FORMAT = "TEXT";
 
         private Load() {}
@@ -104,10 +104,10 @@
         /** Where the front proxy checks the scheduler's health. */
         static final String HEALTH = "/healthz";
 
-        /** Where a worker tells its health and its load report. */
+        /** Where a worker reports its health and its load. */
         static final String WORKER_LOAD = "/load";
 
-        /** Discovery's watch; the generation after which changes are wanted is appended. */
+        /** Discovery's watch; the generation after which changes are requested is appended. */
         static final String WATCH_AFTER = "/v1/servers?watch=1&after=";
 
         private Path() {}
