--- a/src/test/java/damsonslip/platform/client/ArrivalTimesTest.java
+++ b/src/test/java/damsonslip/platform/client/ArrivalTimesTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void givesTheArrivalOfTheLastByteConsumed() {
+    void returnsArrivalOfTheLastByteConsumed() {
         times.buffered(10, at(100_000));
         times.buffered(30, at(200_000));
         assertEquals(at(100_000), times.consumed(10, NOW));
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void recordsBytesThatArriveTogetherOnce() {
+    void recordsBytesThatArriveCloseTogetherAsOneSegment() {
         times.buffered(10, at(100_000));
         times.buffered(20, at(109_999));
         times.buffered(30, at(110_000));
--- a/src/test/java/damsonslip/platform/client/RecentRequestIdsTest.java
+++ b/src/test/java/damsonslip/platform/client/RecentRequestIdsTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Which ids are still known to be used. */
+/** How many of the latest ids are remembered. */
 class RecentRequestIdsTest {
     @Test
     void forgetsTheOldestIds() {
--- a/src/test/java/damsonslip/platform/codec/EndpointListDecoderTest.java
+++ b/src/test/java/damsonslip/platform/codec/EndpointListDecoderTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Discovery's lists, from their JSON text. */
+/** Decoding of endpoint lists from their JSON text. */
 class EndpointListDecoderTest {
     private static final String ENTRY =
             "{\"instanceId\":\"a\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z2\","
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void takesCachedAddressOfRemovedWorkerOnly() throws Exception {
+    void usesCachedAddressForRemovedWorkerOnly() throws Exception {
         String withoutAddress = ENTRY.replace("127.0.0.1:1", "");
         assertEquals(List.of(), decode(withoutAddress).endpoints());
         assertEquals(
@@ -78,7 +78,7 @@
 
     @ParameterizedTest
     @CsvSource({"'{\"generation\":1}', no list of instances", "'{', not JSON"})
-    void rejectsWhatIsNoList(String text, String reason) {
+    void rejectsTextThatIsNotAList(String text, String reason) {
         String message =
                 assertThrows(MalformedListException.class, () -> decoder.decode(text)).getMessage();
         assertTrue(message.contains(reason), message);
--- a/src/test/java/damsonslip/platform/codec/JobProgressTest.java
+++ b/src/test/java/damsonslip/platform/codec/JobProgressTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The lines and headers by which workers report jobs and their load. */
+/** Decoding of the lines and headers by which workers report jobs and their load. */
 class JobProgressTest {
     private static Optional<JobProgress> decode(String members) {
         return JobProgress.decode("{\"id\":\"q1\"," + members + "}", "q1");
@@ -28,7 +28,7 @@
         "returned, HANDED_BACK",
         "lost, KILLED"
     })
-    void mapsStatesOfTheWire(String onTheWire, JobProgress.State state) {
+    void mapsStatesOnTheWire(String onTheWire, JobProgress.State state) {
         JobProgress progress =
                 decode("\"state\":\"" + onTheWire + "\",\"result\":\"r\"").orElseThrow();
         assertEquals(state, progress.state());
--- a/src/test/java/damsonslip/platform/codec/JsonObjectDecoderTest.java
+++ b/src/test/java/damsonslip/platform/codec/JsonObjectDecoderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A stream of JSON objects as its bytes arrive. */
+/** Splitting of a stream of JSON objects as its bytes arrive. */
 class JsonObjectDecoderTest {
     private final JsonObjectDecoder decoder = new JsonObjectDecoder(64);
 
--- a/src/test/java/damsonslip/platform/codec/RequestDecoderTest.java
+++ b/src/test/java/damsonslip/platform/codec/RequestDecoderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests for jobs, from their header fields. */
+/** Decoding of requests for jobs from their header fields. */
 class RequestDecoderTest {
     private static final String SETTINGS =
             """
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void takesTheClassDeadlineWhereTheClientStatesNoTime() throws Exception {
+    void usesTheClassDeadlineIfTheClientSendsNoTimeBudget() throws Exception {
         assertEquals(3_002_000, decode(Long.MAX_VALUE).deadlineUs());
     }
 
@@ -80,7 +80,7 @@
         "X-Facts, slots=NaN, not a figure: NaN",
         "Idempotency-Key, \u00e9, not plain ASCII: Idempotency-Key"
     })
-    void rejectsWhatCannotBeRead(String name, String value, String message) {
+    void rejectsInvalidHeaders(String name, String value, String message) {
         header(name, value);
         BadRequestException failure =
                 assertThrows(BadRequestException.class, () -> decode(Long.MAX_VALUE));
--- a/src/test/java/damsonslip/platform/codec/RequestReaderTest.java
+++ b/src/test/java/damsonslip/platform/codec/RequestReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests as their bytes arrive. */
+/** Reading of requests as their bytes arrive. */
 class RequestReaderTest {
     private static final String REQUEST =
             String.join(
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void leavesPipelinedRequestForAfterTheReset() throws Exception {
+    void leavesPipelinedRequestUnreadUntilReset() throws Exception {
         ByteBuffer both = bytes(REQUEST + REQUEST.replace("q1", "q2"));
         assertEquals("q1", reader.read(both).header("X-Correlation-Id"));
         assertEquals(REQUEST.length(), both.remaining());
@@ -61,7 +61,7 @@
         "HTTP/1.0, keep-alive, true",
         "HTTP/1.0, other, false"
     })
-    void keepsConnectionAsTheClientAsks(String version, String option, boolean persistent)
+    void keepsConnectionOpenAsTheClientRequests(String version, String option, boolean persistent)
             throws Exception {
         String request =
                 REQUEST.replace("HTTP/1.1", version)
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void tellsBytesThatCannotBeginARequest() {
+    void recognizesBytesThatCannotBeginARequest() {
         assertTrue(RequestReader.mayBeginRequest(bytes("")));
         assertTrue(RequestReader.mayBeginRequest(bytes("\r\nPO")));
         assertTrue(RequestReader.mayBeginRequest(bytes("GET /healthz")));
--- a/src/test/java/damsonslip/platform/codec/ResponseReaderTest.java
+++ b/src/test/java/damsonslip/platform/codec/ResponseReaderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Responses as their bytes arrive. */
+/** Reading of responses as their bytes arrive. */
 class ResponseReaderTest {
     private final List<String> events = new ArrayList<>();
     private final ResponseReader reader =
--- a/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
+++ b/src/test/java/damsonslip/platform/discovery/WorkerRegistryTest.java
@@ -54,7 +54,7 @@
                 now);
     }
 
-    /** A fleet whose workers are replaced every day must not fill the memory. */
+    /** Guards against a leak: workers that are replaced daily must not accumulate in memory. */
     @Test
     void forgetsAddressOfWorkerRemovedLongAgo() throws Exception {
         list(true, entry("a", "ready"), entry("b", "ready"));
@@ -69,7 +69,7 @@
         assertTrue(registry.maySend("b", now));
     }
 
-    /** However long a worker drains, nothing is sent to it; once it is ready, it is used. */
+    /** However long a worker drains, nothing is sent to it; once it is ready again, it is used. */
     @Test
     void sendsNothingToWorkerThatDrainsForLong() throws Exception {
         list(true, entry("a", "draining"));
--- a/src/test/java/damsonslip/platform/worker/CompletedResponseTest.java
+++ b/src/test/java/damsonslip/platform/worker/CompletedResponseTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a response without a final line proves. */
+/** The outcomes of responses without a final line. */
 class CompletedResponseTest {
     @ParameterizedTest
     @CsvSource({
@@ -21,7 +21,7 @@
         "503, true, false, RESET",
         "503, false, false, ERROR"
     })
-    void judgesByStatusMarkerAndTrust(
+    void classifiesByStatusMarkerAndTrust(
             int status, boolean notExecuted, boolean trusted, AttemptOutcome outcome) {
         ResponseHead head = new ResponseHead(status, null, notExecuted);
         assertEquals(outcome, CompletedResponse.outcome(head, trusted));
--- a/src/test/java/damsonslip/platform/worker/IdleConnectionRiskTest.java
+++ b/src/test/java/damsonslip/platform/worker/IdleConnectionRiskTest.java
@@ -14,7 +14,7 @@
             risk.record(40_000, false);
             risk.record(300_000, i % 2 == 0);
         }
-        assertTrue(risk.isAcceptable(40_000, false), "connections idle for less have held");
+        assertTrue(risk.isAcceptable(40_000, false), "connections idle for less have not broken");
         assertFalse(risk.isAcceptable(300_000, true));
         assertFalse(risk.isAcceptable(9_000_000, true), "those idle for longer are no better");
         for (int i = 0; i < 300; i++) {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void acceptsLessRiskForRequestsThatMustNotRepeat() {
+    void acceptsLessRiskForRequestsThatMustNotRunTwice() {
         IdleConnectionRisk risk = new IdleConnectionRisk();
         risk.record(300_000, true);
         assertTrue(risk.isAcceptable(300_000, true));
--- a/src/test/java/damsonslip/platform/worker/LargeUploadTest.java
+++ b/src/test/java/damsonslip/platform/worker/LargeUploadTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void estimatesTheWholeFromTheRateOfTheQueuedPart() {
+    void estimatesTotalTimeFromTheRateOfTheQueuedPart() {
         LargeUpload upload = LargeUpload.begin(new ByteBuffer[] {ByteBuffer.allocate(10)}, 10, 100);
         assertEquals(50, upload.estimatedUs(150));
         upload.queued(5);
