--- a/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
+++ b/src/main/java/damsonslip/admin/upgrade/OverridesFile.java
@@ -16,15 +16,15 @@
 /** The file with the operators' worker overrides, shared by all processes. Not thread-safe. */
 final class OverridesFile {
     private static final String NAME = "damsonslip-bans";
-    private static final String PART_NAME = NAME + ".part";
+    private static final String TEMPORARY_NAME = NAME + ".part";
 
     private final Path directory;
     private final Path file;
 
-    /** The version that this process has last read or written; empty before. */
+    /** The version that this process last read or wrote; empty if it has done neither. */
     private Optional<Version> lastVersion = Optional.empty();
 
-    /** Differs between versions of a file, since each is written to a new one. */
+    /** Identifies a version of the file; each one is written to a new file, with another key. */
     private record Version(FileTime modified, long size, String fileKey) {}
 
     OverridesFile(Path directory) {
@@ -42,7 +42,7 @@
             return Optional.empty();
         }
         String text = Files.readString(file);
-        lastVersion = version; // only now: what could not be read is read again
+        lastVersion = version; // set last, so that a failed read is repeated
         return Optional.of(text);
     }
 
@@ -51,9 +51,13 @@
      * and once this returns it leaves the new one.
      */
     void write(String overrides) throws IOException {
-        Path part = directory.resolve(PART_NAME);
-        writeDurably(part, overrides);
-        Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path temporary = directory.resolve(TEMPORARY_NAME);
+        writeDurably(temporary, overrides);
+        Files.move(
+                temporary,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         syncDirectory();
         lastVersion = currentVersion();
     }
@@ -73,7 +77,7 @@
         }
     }
 
-    /** Makes the new name durable as well. */
+    /** Makes the rename durable. */
     private void syncDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
@@ -88,7 +92,7 @@
                             attributes.lastModifiedTime(),
                             attributes.size(),
                             String.valueOf(attributes.fileKey())));
-        } catch (NoSuchFileException e) { // no operator has changed anything yet
+        } catch (NoSuchFileException e) { // no operator has changed an override yet
             return Optional.empty();
         }
     }
--- a/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
+++ b/src/main/java/damsonslip/admin/upgrade/SharedDirectory.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 
 /**
- * The directory through which processes of one scheduler see each other ({@link LockFiles}) and
- * share the operators' worker overrides ({@link OverridesFile}). Changes are made under one {@link
- * DirectoryLock}.
+ * The directory through which processes of one scheduler detect each other ({@link LockFiles}) and
+ * share the operators' worker overrides ({@link OverridesFile}). Changes are made while holding the
+ * {@link DirectoryLock}.
  *
  * <p>Not thread-safe.
  */
@@ -41,17 +41,17 @@
     }
 
     /**
-     * Announces to the other processes that this one serves from now on.
+     * Announces to the other processes that this one is serving.
      *
      * @throws IOException if the lock file cannot be written
      */
-    public void markServing() throws IOException {
+    public void announceServing() throws IOException {
         lockFiles.writeState(ProcessState.SERVING);
     }
 
     /**
-     * Probes the lock files of the other processes and returns the position of this one among those
-     * alive.
+     * Tests which of the other lock files are locked and returns the position of this process among
+     * the live ones.
      *
      * @throws IOException if the directory or a lock file cannot be read
      */
@@ -60,7 +60,8 @@
         List<Peer> others = new ArrayList<>();
         for (Path file : lockFiles.list()) {
             int number = LockFiles.numberOf(file);
-            if (number != ownNumber) { // opening the own file would release its lock
+            // closing a second channel on the own lock file would release its lock
+            if (number != ownNumber) {
                 LockFiles.readState(file)
                         .map(state -> new Peer(number, state == ProcessState.SERVING))
                         .ifPresent(others::add);
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Runs a task while no other process runs one on this directory.
+     * Runs a task while holding the lock of this directory, which excludes other processes.
      *
      * @throws IOException from the task, or if the lock is not free within 50 ms
      */
--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -15,26 +15,26 @@
  * Keeps this process consistent with the other processes of its scheduler: polls the shared
  * directory for peers and for worker overrides, and publishes changes of the overrides.
  *
- * <p>Methods are called on the event loop, and listeners run on it. The directory is accessed on
- * the {@link DirectoryThread}, except for the first poll and the first announcement, which happen
- * before any client is served.
+ * <p>Methods are called on the event loop, and callbacks run on it unless they say otherwise. The
+ * directory is accessed on the {@link DirectoryThread}, except for the first poll and the first
+ * announcement, which happen before any client is served.
  */
 public final class UpgradeCoordinator {
     private static final Logger LOG = LoggerFactory.getLogger(UpgradeCoordinator.class);
 
     /**
-     * Polling interval: a fifth of the 0.5 s within which a disabled worker may still get requests
-     * from any process.
+     * A fifth of the 0.5 s during which any process may still send requests to a worker that an
+     * operator has disabled.
      */
     private static final long POLL_INTERVAL_US = 100_000;
 
-    /** Whether the other processes know that this one serves. */
+    /** Whether this process has announced to the others that it serves. */
     private enum Announcement {
         /** This process does not serve yet. */
-        NOT_DUE,
-        /** It serves, and its lock file could not be written; the next poll writes it again. */
-        DUE,
-        /** Written to the lock file, or being written. */
+        NOT_NEEDED,
+        /** It serves, but writing the lock file failed; the next poll tries again. */
+        FAILED,
+        /** It serves, and the lock file has been written or is being written. */
         MADE
     }
 
@@ -44,7 +44,7 @@
     private final SchedulerEngine engine;
     private final Consumer<PeerProcesses> peersListener;
     private PeerProcesses peers = PeerProcesses.ALONE;
-    private Announcement announcement = Announcement.NOT_DUE;
+    private Announcement announcement = Announcement.NOT_NEEDED;
 
     /**
      * What a poll of the directory found.
@@ -70,12 +70,12 @@
         this.peersListener = peersListener;
     }
 
-    /** Polls now, waiting for the directory, and periodically from then on until {@link #close}. */
+    /** Polls at once, blocking on the directory, and then periodically until {@link #close}. */
     public void start() {
         try {
             apply(poll());
         } catch (IOException e) {
-            pollFailed(e);
+            logPollFailure(e);
         }
         scheduleNextPoll();
     }
@@ -85,24 +85,24 @@
     }
 
     private void pollPeriodically() {
-        repeatAnnouncement();
+        retryFailedAnnouncement();
         pollThen(this::scheduleNextPoll);
     }
 
     /**
-     * Polls once more and then runs this; without waiting for the poll if the disk takes longer
-     * than the polling interval.
+     * Polls once more and then runs this action, which does not wait for the poll any longer than
+     * one polling interval.
      */
     public void refresh(Runnable next) {
-        AtomicBoolean started = new AtomicBoolean();
-        Runnable once =
+        AtomicBoolean hasRun = new AtomicBoolean();
+        Runnable runOnce =
                 () -> {
-                    if (started.compareAndSet(false, true)) {
+                    if (hasRun.compareAndSet(false, true)) {
                         next.run();
                     }
                 };
-        loop.scheduleAfter(POLL_INTERVAL_US, once);
-        pollThen(once);
+        loop.scheduleAfter(POLL_INTERVAL_US, runOnce);
+        pollThen(runOnce);
     }
 
     private void pollThen(Runnable next) {
@@ -113,7 +113,7 @@
                     next.run();
                 },
                 error -> {
-                    pollFailed(error);
+                    logPollFailure(error);
                     next.run();
                 });
     }
@@ -122,8 +122,8 @@
         return new PollResult(directory.readChangedOverrides(), directory.peers());
     }
 
-    private static void pollFailed(IOException error) {
-        LOG.warn("the folder of marks and bans cannot be read: {}", error.getMessage());
+    private static void logPollFailure(IOException error) {
+        LOG.warn("shared directory cannot be read: {}", error.getMessage());
     }
 
     private void apply(PollResult result) {
@@ -139,35 +139,37 @@
         }
     }
 
-    /** Replaces the overrides of this process by those of another. */
+    /** Replaces the overrides of this process with those that another has written. */
     private void applyOverrides(String text) {
         try {
             engine.restoreOverrides(text);
             LOG.info("took over the operators' bans");
         } catch (WorkerOverrides.MalformedException e) {
-            LOG.warn("the kept bans cannot be used: {}", e.getMessage());
+            LOG.warn(
+                    "ignored malformed worker overrides in the shared directory: {}",
+                    e.getMessage());
         }
     }
 
     /**
-     * Announces that this process serves, waiting for the directory. If that fails, each poll
-     * announces it again until it succeeds.
+     * Announces that this process serves, blocking on the directory. If that fails, each poll
+     * retries it until it succeeds.
      */
     public void announceServing() {
         announcement = Announcement.MADE;
         try {
-            directory.markServing();
+            directory.announceServing();
         } catch (IOException e) {
             announcementFailed(e);
         }
     }
 
-    private void repeatAnnouncement() {
-        if (announcement == Announcement.DUE) {
+    private void retryFailedAnnouncement() {
+        if (announcement == Announcement.FAILED) {
             announcement = Announcement.MADE;
             directoryThread.run(
                     () -> {
-                        directory.markServing();
+                        directory.announceServing();
                         return null;
                     },
                     done -> {},
@@ -176,7 +178,7 @@
     }
 
     private void announcementFailed(IOException error) {
-        announcement = Announcement.DUE;
+        announcement = Announcement.FAILED;
         LOG.warn("event=mark_not_written error=\"{}\"", error.getMessage());
     }
 
@@ -191,8 +193,8 @@
      *
      * @param change applies it to the engine; runs on the loop
      * @param published runs once the change is durable
-     * @param failed runs if the directory cannot be read or written; the change may then hold in
-     *     this process only
+     * @param failed runs if the directory cannot be read or written; the change may then be in
+     *     effect in this process only
      */
     public void changeOverrides(Runnable change, Runnable published, Consumer<IOException> failed) {
         directoryThread.run(
@@ -204,17 +206,17 @@
                 failed);
     }
 
-    /** Reads the others' overrides, applies the change on top, and writes the result. */
+    /** Reads the overrides of other processes, applies the change on top, and writes the result. */
     private void publish(Runnable change) throws IOException {
-        Optional<String> others = directory.readChangedOverrides();
-        String changed =
+        Optional<String> changedElsewhere = directory.readChangedOverrides();
+        String merged =
                 directoryThread.onLoop(
                         () -> {
-                            others.ifPresent(this::applyOverrides);
+                            changedElsewhere.ifPresent(this::applyOverrides);
                             change.run();
                             return engine.overridesText();
                         });
-        directory.writeOverrides(changed);
+        directory.writeOverrides(merged);
     }
 
     /**
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -137,7 +137,7 @@
      * Reads the password again, for new connections; other settings take effect at the next start.
      */
     @Override
-    public void reload(long signalNs) {
+    public void reload(long requestedNanoTime) {
         try {
             FaktoryConfig reloaded = FaktoryConfig.read(file);
             password = new Password(reloaded.password());
@@ -165,7 +165,10 @@
 
     private void beginShutdown() {
         long longestDeadlineUs =
-                config.site().deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+                config.site().maxTimeBudgetsUs().stream()
+                        .mapToLong(Long::longValue)
+                        .max()
+                        .orElse(0);
         GracefulShutdown shutdown =
                 new GracefulShutdown(
                         loop,
