--- a/src/main/java/damsonslip/platform/DescriptorBudget.java
+++ b/src/main/java/damsonslip/platform/DescriptorBudget.java
@@ -11,8 +11,11 @@
     /** For files, the selector and discovery. */
     private static final int OTHER_DESCRIPTORS = 24;
 
-    /** One part in this many is for connections that are accepted before others are closed. */
-    private static final int OVERFLOW_PART = 8;
+    /**
+     * One in this many descriptors is for connections that are accepted before others are closed
+     * for them.
+     */
+    private static final int OVERFLOW_DIVISOR = 8;
 
     private final int descriptors;
     private final int reserved;
@@ -24,9 +27,9 @@
                         + (config.mgmt().isEmpty() ? 0 : ManagementServer.MAX_FILE_DESCRIPTORS);
     }
 
-    /** How many clients may exceed their number for the moment. */
+    /** How many client connections may temporarily exceed {@link #connectionsPerSide}. */
     int clientOverflow(int processes) {
-        return descriptors / processes / OVERFLOW_PART;
+        return descriptors / processes / OVERFLOW_DIVISOR;
     }
 
     /** How many connections clients and workers may each have. */
