--- a/src/main/java/damsonslip/policy/JobAttempt.java
+++ b/src/main/java/damsonslip/policy/JobAttempt.java
@@ -34,7 +34,7 @@
         return startTimeUs != NOT_STARTED;
     }
 
-    void start(long nowUs) {
+    void recordStart(long nowUs) {
         startTimeUs = nowUs;
     }
 
--- a/src/main/java/damsonslip/policy/LeaseProbing.java
+++ b/src/main/java/damsonslip/policy/LeaseProbing.java
@@ -36,7 +36,7 @@
             return;
         }
         Predicate<Worker> mayProbe =
-                worker -> eligibility.couldTake(worker, job) && availability.mayGrantLease(worker);
+                worker -> eligibility.couldTake(worker, job) && availability.isWorthProbing(worker);
         Worker worker =
                 idempotency.mustStayInScope(job)
                         ? selector.selectInScope(job, mayProbe)
--- a/src/main/java/damsonslip/policy/OutlierDetector.java
+++ b/src/main/java/damsonslip/policy/OutlierDetector.java
@@ -87,10 +87,10 @@
 
     /** A worker that fetches jobs says only that this one failed, and fetches the next. */
     private void jobFailed(Worker worker) {
-        boolean ofWorker =
+        boolean workerAtFault =
                 !worker.load().statesTotalSlots()
                         || worker.health().countFailedJob() > MAX_FAILED_JOBS;
-        if (ofWorker) {
+        if (workerAtFault) {
             recordFailure(worker);
         }
     }
--- a/src/main/java/damsonslip/policy/ProbeRounds.java
+++ b/src/main/java/damsonslip/policy/ProbeRounds.java
@@ -80,7 +80,7 @@
         Limits limits = context.settings().limits();
         double affordablePerJob = MAX_POINTS_PER_JOB / Math.max(MIN_PRICE, limits.probePrice());
         double perJob = Math.min(MAX_PROBES_PER_JOB, affordablePerJob);
-        double useful = workers.size() * MICROS_PER_SECOND / MIN_WORKER_INTERVAL_US;
-        return Math.min(useful, Math.max(jobsPerSecond, MIN_JOBS_PER_SECOND) * perJob);
+        double usefulPerSecond = workers.size() * MICROS_PER_SECOND / MIN_WORKER_INTERVAL_US;
+        return Math.min(usefulPerSecond, Math.max(jobsPerSecond, MIN_JOBS_PER_SECOND) * perJob);
     }
 }
--- a/src/main/java/damsonslip/policy/QueueDispatcher.java
+++ b/src/main/java/damsonslip/policy/QueueDispatcher.java
@@ -128,7 +128,7 @@
         if (idempotency.mustStayInScope(job)) {
             return selector.selectInScope(job);
         }
-        boolean waited = job.waitedUs(context.nowUs()) >= homePoolWaitUs(job);
+        boolean waited = job.waitedUs(context.nowUs()) >= preferredWorkersWaitUs(job);
         Worker candidate = selector.selectProbedCandidate(job);
         if (candidate != null) {
             return candidate;
@@ -138,7 +138,7 @@
     }
 
     /** How long a job waits for its own workers alone. */
-    private static double homePoolWaitUs(Job job) {
+    private static double preferredWorkersWaitUs(Job job) {
         WorkerPool pool = job.homePool();
         return job.hasAffinity()
                 ? Job.LATE_SLACK_FRACTION * pool.slackUs()
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -207,7 +207,7 @@
     private void attemptStarted(AttemptStarted event) {
         JobAttempt attempt = jobs.findAttempt(event.job(), event.attempt());
         if (attempt != null && !attempt.isStarted()) {
-            attempt.start(context.nowUs());
+            attempt.recordStart(context.nowUs());
             jobComponents.migration.attemptStarted(attempt);
         }
     }
--- a/src/main/java/damsonslip/policy/TenantQuotas.java
+++ b/src/main/java/damsonslip/policy/TenantQuotas.java
@@ -20,7 +20,7 @@
     private static final double MICROS_PER_SECOND = 1e6;
 
     /** Keeps a quota of 0 from being divided by. */
-    private static final double MIN_QUOTA = 1e-9;
+    private static final double QUOTA_EPSILON = 1e-9;
 
     private final double[] tokens;
     private final double[] arrivalRates;
@@ -60,7 +60,7 @@
                 tenant ->
                         usage[tenant]
                                 * settings.schedulers()
-                                / (settings.tenantQuotas().get(tenant) + MIN_QUOTA));
+                                / (settings.tenantQuotas().get(tenant) + QUOTA_EPSILON));
         Arrays.sort(usage);
         return usage.length < 2 ? 1 : Math.max(1, usage[(usage.length - 1) / 2]);
     }
--- a/src/main/java/damsonslip/policy/WorkerAvailability.java
+++ b/src/main/java/damsonslip/policy/WorkerAvailability.java
@@ -47,7 +47,7 @@
     }
 
     /** Whether a probe of this worker may lead to a lease. */
-    boolean mayGrantLease(Worker worker) {
+    boolean isWorthProbing(Worker worker) {
         return canQualifyForLease(worker)
                 && worker.lease().isWorthProbing(discovery.lastContactUs(), context.nowUs());
     }
--- a/src/main/java/damsonslip/policy/WorkerSelector.java
+++ b/src/main/java/damsonslip/policy/WorkerSelector.java
@@ -76,11 +76,10 @@
     /** The same among the workers that satisfy this condition. */
     Worker select(WorkerPool pool, Job job, boolean widened, Predicate<Worker> mayTake) {
         Worker[] ring = pool.ring();
-        boolean noAffinity = !job.hasAffinity();
+        boolean anyWorker = !job.hasAffinity();
         int start = startPosition(job, ring.length);
-        int candidatesLeft = noAffinity ? ring.length : job.affinityWorkers() + (widened ? 1 : 0);
-        double minSpareSlots =
-                SLOT_TOLERANCE - 1 - (noAffinity || widened ? 0 : MAX_AFFINITY_QUEUE);
+        int candidatesLeft = anyWorker ? ring.length : job.affinityWorkers() + (widened ? 1 : 0);
+        double minSpareSlots = SLOT_TOLERANCE - 1 - (anyWorker || widened ? 0 : MAX_AFFINITY_QUEUE);
         Worker selected = null;
         Worker previous = null;
         double bestSpareSlots = 0;
@@ -96,7 +95,7 @@
             if (spareSlots < minSpareSlots || worker.load().lacksMemory(job.memory())) {
                 continue;
             }
-            spareSlots += noAffinity ? zonePreference(worker) : 0;
+            spareSlots += anyWorker ? zonePreference(worker) : 0;
             if (selected == null || spareSlots > bestSpareSlots) {
                 selected = worker;
                 bestSpareSlots = spareSlots;
--- a/src/main/java/damsonslip/policy/api/Settings.java
+++ b/src/main/java/damsonslip/policy/api/Settings.java
@@ -42,8 +42,9 @@
         tenantQuotas = List.copyOf(tenantQuotas);
         Requirements.require(!classes.isEmpty(), "settings: classes: there are none");
         Requirements.require(schedulers >= 1, "settings: dispatchers: " + schedulers);
-        boolean numbered = schedulerIndex >= 0 && schedulerIndex < schedulers;
-        Requirements.require(numbered, "settings: number: " + schedulerIndex + " of " + schedulers);
+        boolean validIndex = schedulerIndex >= 0 && schedulerIndex < schedulers;
+        Requirements.require(
+                validIndex, "settings: number: " + schedulerIndex + " of " + schedulers);
         Requirements.require(zone >= 0 && zone < zones, "settings: zone: " + zone + " of " + zones);
         Requirements.require(kinds >= 1, "settings: kinds: " + kinds);
         Requirements.require(tickUs >= 0, "settings: tick: " + tickUs);
