--- a/src/main/java/damsonslip/policy/ActiveJobs.java
+++ b/src/main/java/damsonslip/policy/ActiveJobs.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The jobs by id, until they are answered and their last attempt has ended. */
+/** The jobs by id, from their arrival until they are answered and their last attempt has ended. */
 final class ActiveJobs {
     private final Map<String, Job> jobs = new HashMap<>();
     private long arrivals;
@@ -35,7 +35,7 @@
                 : job.attempts().get(number);
     }
 
-    /** Removes a job of which nothing is left to do. */
+    /** Removes a job if it is answered and its last attempt has ended. */
     void removeIfFinished(Job job) {
         if (job.isEnded() && job.outstanding() == 0) {
             jobs.remove(job.id());
--- a/src/main/java/damsonslip/policy/AdmissionControl.java
+++ b/src/main/java/damsonslip/policy/AdmissionControl.java
@@ -1,18 +1,21 @@
 package damsonslip.policy;
 
 /**
- * Admits or rejects jobs as they arrive, by their tenant's quota and their class's threshold, and
- * sends admitted ones at once if a worker has room.
+ * Admits or rejects jobs as they arrive, by their tenant's quota and the threshold of their class,
+ * and sends admitted ones at once if a worker has a free slot.
  */
 final class AdmissionControl {
     /**
-     * Jobs within quotas may exceed the threshold's share by so many of its square roots. Guards
-     * against shares of a few jobs, which by themselves would reject half of what there is room
-     * for.
+     * Jobs within their tenant's quota may exceed this scheduler's share of the threshold by this
+     * many times its square root, the standard deviation of a random number of jobs. Without the
+     * excess, a share of a few jobs would reject half of the jobs that there is capacity for.
      */
     private static final double THRESHOLD_DEVIATIONS = 2;
 
-    /** The excess is allowed in full while this share of the pool is free, and shrinks below. */
+    /**
+     * The allowed excess is multiplied by this times the free share of the pool, up to 1: it is
+     * allowed in full while at least half of the pool is free, and shrinks below that.
+     */
     private static final double EXCESS_PER_FREE_SHARE = 2;
 
     private final DecisionContext context;
@@ -50,7 +53,7 @@
         this.completion = completion;
     }
 
-    /** Sends, queues or answers a job that has just arrived. */
+    /** Sends, queues or rejects a job that has just arrived. */
     void admit(Job job) {
         WorkerPool pool = job.homePool();
         boolean withinQuota = quotas.tryAcquire(job.tenant(), context.settings(), context.nowUs());
@@ -76,7 +79,10 @@
         }
     }
 
-    /** All schedulers choose alike for an affinity key, so that only a report shows a free slot. */
+    /**
+     * All schedulers choose the same workers for an affinity key, so without a report from the
+     * worker the estimate of its free slots is not reliable for such a job.
+     */
     private boolean hasFreeSlots(Worker worker, Job job) {
         boolean reliable = !job.hasAffinity() || worker.load().hasReport();
         return reliable && capacity.freeSlots(worker) >= job.slots();
@@ -86,7 +92,10 @@
         return slotFree && capacity.freeShare(pool) >= SlotBorrowing.SPARE_SHARE;
     }
 
-    /** In overload all schedulers would use the allowed excess, so it shrinks as the pool fills. */
+    /**
+     * In overload all schedulers would use the allowed excess at once, so it shrinks as the pool
+     * fills.
+     */
     private boolean exceedsThreshold(WorkerPool pool) {
         double free = Math.min(1, EXCESS_PER_FREE_SHARE * capacity.freeShare(pool));
         double share = pool.admissionShare();
@@ -106,7 +115,7 @@
         AdmissionQueue queue = job.homePool().queue();
         queue.add(job);
         if (candidates.isNeeded(job)) {
-            // its candidates may be others than the workers that were full
+            // the workers that will be probed for it may be others than those that were full
             queue.setBlocked(false);
         }
         queues.dispatch(job.homePool());
--- a/src/main/java/damsonslip/policy/AdmissionQueue.java
+++ b/src/main/java/damsonslip/policy/AdmissionQueue.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** The admitted jobs of one class that wait for a worker, in the order of their arrival. */
+/** The admitted jobs of one class that wait for a worker, in order of arrival. */
 final class AdmissionQueue {
     private final PriorityQueue<Job> jobs = new PriorityQueue<>();
     private boolean blocked;
@@ -14,7 +14,7 @@
         jobs.add(job);
     }
 
-    /** Puts back jobs that go on waiting after they were polled. */
+    /** Puts back polled jobs that have to keep waiting. */
     void putBack(List<Job> waiting) {
         jobs.addAll(waiting);
     }
@@ -34,7 +34,9 @@
         return (int) jobs.stream().filter(Job::isQueued).count();
     }
 
-    /** Whether no job could be placed, and nothing has changed since. */
+    /**
+     * Whether the last dispatch left jobs that could not be sent, and nothing has changed since.
+     */
     boolean isBlocked() {
         return blocked;
     }
--- a/src/main/java/damsonslip/policy/AdmissionThreshold.java
+++ b/src/main/java/damsonslip/policy/AdmissionThreshold.java
@@ -1,24 +1,31 @@
 package damsonslip.policy;
 
 /**
- * Searches how many jobs of a class may be present at once, by revenue in an M/M/n/K queue.
+ * Searches for the number of jobs of a class that may be present at once, by the revenue of an
+ * M/M/n/K queue.
  *
- * <p>The threshold K rises while the revenue {@code V(K) = lambda * sum of p_j * c * P(W_j <= q)}
- * over {@code j < K} grows by more than epsilon, a part of {@code lambda * c}. There p_j is the
- * probability of j jobs present, W_j the response time of a job that finds j others, q the latency
- * objective and c the value of a job in time. Each step takes constant time.
+ * <p>The threshold K is raised while the revenue {@code V(K) = lambda * sum of p_j * c * P(W_j <=
+ * q)} over {@code j < K} grows by more than {@code epsilon * lambda * c}. Here lambda is the
+ * arrival rate, p_j the probability that j jobs are present, W_j the response time of a job that
+ * finds j others, q the latency objective, and c the value of a job that meets it. Each step takes
+ * constant time.
  *
- * <p>Rates and times share one unit of time, here the second. An instance is the state of one
- * search.
+ * <p>All rates and times use the same unit of time; the callers use seconds. An instance holds the
+ * state of one search.
  */
 final class AdmissionThreshold {
-    /** The search stops when a step adds less than this part of what all jobs are worth. */
+    /**
+     * The search stops when a step adds less than this fraction of the value of all arriving jobs.
+     */
     static final double EPSILON = 1e-4;
 
-    /** A queue longer than this many jobs for each slot is late whatever else holds. */
+    /**
+     * Upper limit of the search: jobs that find more than this many jobs per slot are late in any
+     * case.
+     */
     private static final int MAX_JOBS_PER_SLOT = 8;
 
-    /** The probabilities are rescaled above this sum, so that they stay finite. */
+    /** The probabilities are rescaled when their sum exceeds this, so that they stay finite. */
     private static final double RESCALE_ABOVE = 1e200;
 
     private final int slots;
@@ -26,19 +33,23 @@
     private final double serviceRate;
     private final double objective;
 
-    /** P(W_j <= q) while a slot is free, that is j < n. */
+    /** P(W_j <= q) while a slot is free, that is, for j < n. */
     private final double inTimeWithoutQueue;
 
-    /** Logarithm of the Poisson probability of i jobs done within q, i = j - n + 1. */
+    /**
+     * Logarithm of the Poisson probability that exactly i - 1 jobs end within q. Here and below j
+     * >= n is the number of jobs present to be handled next, and i = j - n + 1 the number of jobs
+     * that have to end before a slot comes free for the next arrival.
+     */
     private double logPoisson;
 
-    /** P(Erlang(i, n mu) > q): the slot comes free only after the objective. */
+    /** P(Erlang(i, n mu) > q): the slot comes free too late for the objective. */
     private double slotFreeTooLate;
 
-    /** P(Erlang(i, n mu) <= q, but the job itself ends after q). */
+    /** P(the slot comes free within q, but the job ends after q), for i - 1. */
     private double slotFreeButLate;
 
-    /** p_j, neither normalised nor on a fixed scale. */
+    /** p_j up to a common factor, which changes when the sums are rescaled. */
     private double probability = 1;
 
     private double probabilitySum = 1;
@@ -60,11 +71,11 @@
     /**
      * Returns the threshold K, at least 1.
      *
-     * @param slots number n of slots that serve the class
-     * @param arrivalRate lambda, jobs a second
-     * @param serviceRate mu, jobs a second and slot
+     * @param slots n, how many jobs of the class can run at once
+     * @param arrivalRate lambda, jobs per second
+     * @param serviceRate mu, jobs per second that one slot completes
      * @param objective q, seconds
-     * @param jobValue c, what a job in time is worth
+     * @param jobValue c, value of a job that meets the objective
      */
     static int search(
             int slots,
@@ -108,7 +119,7 @@
         }
     }
 
-    /** P(W_j <= q) for the next j; has to be called once for each, in rising order. */
+    /** P(W_j <= q) for the next j; has to be called once for each j, in ascending order. */
     private double inTimeProbability(int present) {
         if (present < slots) {
             return inTimeWithoutQueue;
--- a/src/main/java/damsonslip/policy/AffinityLoad.java
+++ b/src/main/java/damsonslip/policy/AffinityLoad.java
@@ -17,7 +17,7 @@
 
     private final Map<Long, RecentJobs> byKey = new HashMap<>();
 
-    /** Counts a job with this key and returns how many there were lately. */
+    /** Counts a job with this key and returns the key's number of recent jobs. */
     double countJob(Long affinityKey, long nowUs) {
         RecentJobs recent = byKey.computeIfAbsent(affinityKey, key -> new RecentJobs());
         recent.count = recent.count(nowUs) + 1;
@@ -25,7 +25,7 @@
         return recent.count;
     }
 
-    /** Drops the keys that have hardly any recent jobs. */
+    /** Drops the keys whose number of recent jobs is negligible. */
     void removeNegligible(long nowUs) {
         byKey.values().removeIf(recent -> recent.count(nowUs) < NEGLIGIBLE_JOBS);
     }
--- a/src/main/java/damsonslip/policy/ArrivalRate.java
+++ b/src/main/java/damsonslip/policy/ArrivalRate.java
@@ -19,7 +19,7 @@
         arrivals = 0;
     }
 
-    /** Jobs a second at all schedulers, if each has as many as this one. */
+    /** Jobs a second at all schedulers, assuming that each receives as many as this one. */
     double perSecond() {
         return perSecond;
     }
--- a/src/main/java/damsonslip/policy/AttemptMigration.java
+++ b/src/main/java/damsonslip/policy/AttemptMigration.java
@@ -5,23 +5,26 @@
 import damsonslip.policy.api.Limits;
 
 /**
- * Cancels attempts that wait in a worker's queue without starting, so that the job is sent to a
- * worker with a free slot.
+ * Migrates jobs: cancels attempts that wait in a worker's queue without starting, so that the job
+ * is sent to a worker with a free slot.
  *
- * <p>A budget keeps migrations from adding load where few jobs start at once, that is where all
- * workers have queues.
+ * <p>A budget, which grows with jobs that start promptly and shrinks with jobs that start late,
+ * keeps migrations from adding load when all workers have queues.
  */
 final class AttemptMigration {
-    /** Least time from sending a job to its first check, and between two checks. */
+    /** Minimum time from sending a job to its first check, and the time between two checks. */
     private static final long CHECK_INTERVAL_US = 100_000;
 
-    /** The first check comes after this part of the job's slack, if that is longer. */
+    /** The first check comes after this fraction of the job's slack, if that is longer. */
     private static final double FIRST_CHECK_SLACK_FRACTION = 0.12;
 
-    /** A job that starts before its first check adds this to the budget: enough for a lost zone. */
+    /**
+     * Added to the budget by a job that starts within {@link #CHECK_INTERVAL_US}: enough to migrate
+     * the jobs of a lost zone.
+     */
     private static final double BUDGET_FOR_PROMPT_START = 0.3;
 
-    /** A job that starts later takes this from the budget. */
+    /** Added to the budget by a job that starts later. */
     private static final double BUDGET_FOR_LATE_START = -0.4;
 
     private static final double MAX_BUDGET = 20;
@@ -65,14 +68,17 @@
         return Math.max(CHECK_INTERVAL_US, slackFractionUs);
     }
 
-    /** Updates the budget as a job has started. */
+    /** Updates the budget when a job has started. */
     void attemptStarted(JobAttempt attempt) {
         boolean prompt = context.nowUs() - attempt.sentUs() < CHECK_INTERVAL_US;
         double earned = prompt ? BUDGET_FOR_PROMPT_START : BUDGET_FOR_LATE_START;
         budget = Math.max(0, Math.min(MAX_BUDGET, budget + earned));
     }
 
-    /** Migrates the job if its attempt waits and another worker has room, or checks again later. */
+    /**
+     * Migrates the job if its attempt has not started and another worker has free slots, or else
+     * schedules another check.
+     */
     void check(Job job) {
         JobAttempt attempt = job.lastAttempt();
         if (!isCandidate(job, attempt)) {
--- a/src/main/java/damsonslip/policy/AttemptResults.java
+++ b/src/main/java/damsonslip/policy/AttemptResults.java
@@ -4,7 +4,10 @@
 import damsonslip.policy.api.AttemptOutcome;
 import damsonslip.policy.api.LoadReporting;
 
-/** Learns from the end of an attempt, and retries, answers or ends its job (rules 1 and 2). */
+/**
+ * Updates estimates and worker health at the end of an attempt, and retries, answers or ends its
+ * job.
+ */
 final class AttemptResults {
     private final DecisionContext context;
     private final ActiveJobs jobs;
@@ -31,7 +34,9 @@
         this.completion = completion;
     }
 
-    /** Takes in the end of an open attempt; its job may wait in its queue again afterwards. */
+    /**
+     * Handles the end of an open attempt. Its job may be in the admission queue again afterwards.
+     */
     void attemptEnded(JobAttempt attempt, AttemptEnded event) {
         close(attempt, event);
         learnCapacity(attempt, event.outcome());
@@ -58,7 +63,7 @@
         }
         loadReports.accept(worker, event.report(), false);
         if (context.settings().loadReporting() == LoadReporting.NONE) {
-            // else only a report shows that memory is free again
+            // with reports, memory counts as free again only when a report shows it
             worker.load().releaseMemory(job.memory());
         }
     }
--- a/src/main/java/damsonslip/policy/AttemptSender.java
+++ b/src/main/java/damsonslip/policy/AttemptSender.java
@@ -2,7 +2,7 @@
 
 import damsonslip.policy.api.Send;
 
-/** Sends jobs to workers and reserves what they need there. */
+/** Sends jobs to workers and reserves their slots, memory and slow-start budget there. */
 final class AttemptSender {
     private static final long NO_TIMEOUT = 0;
 
--- a/src/main/java/damsonslip/policy/CandidateProbing.java
+++ b/src/main/java/damsonslip/policy/CandidateProbing.java
@@ -9,17 +9,17 @@
 import java.util.function.Predicate;
 
 /**
- * Probes some workers for each job before it is sent, where only probes report load: by older
- * reports all schedulers would choose the same workers.
+ * Where only probes report load, probes some workers for each job before it is sent. By older
+ * reports, all schedulers would choose the same workers.
  */
 final class CandidateProbing {
-    /** Workers probed for one job. */
+    /** Maximum number of workers that are probed for one job. */
     private static final int MAX_CANDIDATES = 4;
 
-    /** So many of them are of the own zone, if there are such. */
+    /** Up to this many of these are taken first from this scheduler's zone. */
     private static final int OWN_ZONE_CANDIDATES = 2;
 
-    /** A worker with a report this recent is not probed. */
+    /** A candidate with a report this recent is not probed again. */
     private static final long FRESH_REPORT_US = 100_000;
 
     /** Time a job waits for answers: a new connection to another zone takes three round trips. */
@@ -53,7 +53,10 @@
                 && !job.hasProbedCandidates();
     }
 
-    /** Whether the job waits for answers of its candidates, which are probed if need be. */
+    /**
+     * Whether the job waits for answers of its candidates; probes them first if that has not been
+     * done.
+     */
     boolean awaitsCandidates(Job job) {
         if (isNeeded(job)) {
             probeCandidates(job);
--- a/src/main/java/damsonslip/policy/CapacityEstimator.java
+++ b/src/main/java/damsonslip/policy/CapacityEstimator.java
@@ -5,19 +5,23 @@
 /**
  * Estimates the free slots of workers.
  *
- * <p>Own jobs are known exactly. What the other schedulers use is what reports leave beside the
- * mean of own slots; as a report ages, that fades towards the mean of similar workers. Guards
- * against reports a second old, which still show own jobs that have ended and lack later ones:
- * believed as they are, they keep jobs waiting beside free slots.
+ * <p>The slots that own jobs use are known exactly. The slots that the other schedulers use are
+ * estimated: a load report shows the slots that all schedulers use, and the recent mean of own
+ * slots is subtracted. As a report ages, the estimate moves towards the mean of similar workers.
+ * Reports may be a second old; they still show own jobs that have ended and lack later ones. Taken
+ * literally, they would keep jobs waiting although slots are free.
  */
 final class CapacityEstimator {
-    /** Jobs sent this recently may be missing from a report. */
+    /** A report may lack jobs that were sent this recently. */
     private static final long REPORT_LAG_US = 250_000;
 
-    /** A job sent longer ago that is not known to have started waits in its worker's queue. */
+    /**
+     * A job that was sent longer ago and has not been reported as started is taken to wait in its
+     * worker's queue.
+     */
     private static final long START_DELAY_US = 80_000;
 
-    /** How much a report counts for a worker that belongs to no pool. */
+    /** Weight of the last report for a worker that belongs to no pool. */
     private static final double REPORT_WEIGHT_WITHOUT_POOL = 0.5;
 
     private final DecisionContext context;
@@ -32,7 +36,7 @@
         this.slowStart = slowStart;
     }
 
-    /** Takes in a worker's report of free slots, which may come from a probe. */
+    /** Learns from a worker's report of free slots. */
     void acceptReport(Worker worker, LoadReport report, boolean probed) {
         slots.observe(worker, report);
         double totalSlots = slots.slotsOf(worker);
@@ -62,8 +66,9 @@
     }
 
     /**
-     * The share of free slots at workers like this one. Where reports of the pool are few, as after
-     * a new deal, it is close to the mean of all workers that are warming up, or all that are not.
+     * The mean share of free slots at workers like this one: of its pool, kind and zone, and
+     * warming up or not. With few reports, as after a new deal, it is close to the mean of all
+     * workers that are warming up, or of all that are not.
      */
     private double similarWorkersFreeShare(Worker worker) {
         boolean warmingUp = slowStart.isWarmingUp(worker);
@@ -82,7 +87,7 @@
                 .orElse(1);
     }
 
-    /** Free slots of a worker; below 0 if own jobs wait there to start. */
+    /** Estimated free slots of a worker; below 0 if own jobs wait there to start. */
     double freeSlots(Worker worker) {
         WorkerLoad load = worker.load();
         double total = slots.slotsOf(worker);
@@ -115,7 +120,7 @@
         return runTimeUs / (runTimeUs + (context.nowUs() - worker.load().reportedUs()));
     }
 
-    /** Whether an attempt ought to have started, and is not known to have. */
+    /** Whether an attempt should have started by now and has not been reported as started. */
     boolean isWaitingToStart(JobAttempt attempt) {
         return attempt.isWaitingSince(context.nowUs() - START_DELAY_US);
     }
--- a/src/main/java/damsonslip/policy/DecisionContext.java
+++ b/src/main/java/damsonslip/policy/DecisionContext.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What all decisions on one event share: its time, the settings in force, the random numbers, and
- * the list that actions are appended to.
+ * What all decisions on one event share: its time, the current settings, the random numbers, and
+ * the list to which actions are appended.
  *
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
@@ -55,7 +55,7 @@
         actions.add(action);
     }
 
-    /** Appends a timer that is due after this time. */
+    /** Appends a timer that is due after this delay. */
     void setTimerIn(long delayUs, String label) {
         setTimerAt(nowUs + delayUs, label);
     }
--- a/src/main/java/damsonslip/policy/FleetComponents.java
+++ b/src/main/java/damsonslip/policy/FleetComponents.java
@@ -1,6 +1,6 @@
 package damsonslip.policy;
 
-/** Creates and connects the parts of the policy that know and judge the workers. */
+/** Creates and connects the parts of the policy that track workers and select among them. */
 final class FleetComponents {
     final WorkerListWatch listWatch;
     final WorkerRegistry registry;
--- a/src/main/java/damsonslip/policy/FreeShareEstimate.java
+++ b/src/main/java/damsonslip/policy/FreeShareEstimate.java
@@ -6,7 +6,10 @@
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class FreeShareEstimate {
-    /** Time constant of a report's weight: a rolling restart fills the others within seconds. */
+    /**
+     * Time constant of a report's weight. Short, because in a rolling restart the other workers
+     * fill up within seconds.
+     */
     private static final double DECAY_US = 10e6;
 
     /** The expected share counts as much as this many reports. */
@@ -16,7 +19,7 @@
     private double weight;
     private long observedAtUs;
 
-    /** Adds a share that a worker has reported. */
+    /** Adds a share of free slots that a worker has reported. */
     void observe(double freeShare, long nowUs) {
         double remaining = remainingWeight(nowUs);
         sum = sum * remaining + freeShare;
@@ -24,7 +27,7 @@
         observedAtUs = nowUs;
     }
 
-    /** Returns the mean share; with few reports it is close to the expected one. */
+    /** Returns the mean share; with few recent reports it is close to the expected share. */
     double share(double expected, long nowUs) {
         return (sum * remainingWeight(nowUs) + expected * PRIOR_WEIGHT)
                 / (weight * remainingWeight(nowUs) + PRIOR_WEIGHT);
--- a/src/main/java/damsonslip/policy/HashRing.java
+++ b/src/main/java/damsonslip/policy/HashRing.java
@@ -5,14 +5,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Consistent hashing: an affinity key finds the same workers again although others come and go. */
+/** Consistent hashing: an affinity key keeps its workers when others are added or removed. */
 final class HashRing {
     private static final long POINT_STEP = 0x9E3779B97F4A7C15L;
     private static final long AFFINITY_SALT = 0x632BE59BD9B4E019L;
 
     private HashRing() {}
 
-    /** Returns the members in the order of their points, each as often as it has points. */
+    /**
+     * Returns the members in the order of their points on the ring; each occurs once for each of
+     * its points.
+     */
     static Worker[] of(List<Worker> members, int pointsEach) {
         long[] points = new long[members.size() * pointsEach];
         Map<Long, Worker> owners = new HashMap<>();
--- a/src/main/java/damsonslip/policy/IdempotencyRules.java
+++ b/src/main/java/damsonslip/policy/IdempotencyRules.java
@@ -4,7 +4,10 @@
 import damsonslip.policy.api.IdempotencyScope;
 import damsonslip.policy.api.JobClass;
 
-/** Where and until when a job may be sent again after an attempt that may have run (rule 2). */
+/**
+ * Decides where and until when a job may be sent again after an attempt that may have run, so that
+ * no job takes effect twice.
+ */
 final class IdempotencyRules {
     private final DecisionContext context;
 
@@ -17,7 +20,7 @@
         return maySendAfter(job, job.firstPossibleRun());
     }
 
-    /** Whether the job may be sent again now if this attempt, which is open, is cancelled. */
+    /** Whether the job may be sent again now if this open attempt is cancelled. */
     boolean mayResendInsteadOf(JobAttempt attempt) {
         Job job = attempt.job();
         JobAttempt first = job.firstPossibleRun();
@@ -41,25 +44,34 @@
         };
     }
 
-    /** Whether only the workers that share an earlier attempt's idempotency key may repeat it. */
+    /**
+     * Whether a job of the class may be repeated only by workers that share idempotency keys with
+     * the worker that may have run it first.
+     */
     boolean isScoped(JobClass jobClass) {
         return jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                 && jobClass.idempotencyScope() != IdempotencyScope.ALL_WORKERS;
     }
 
-    /** Whether the job has to be repeated at workers that share its first attempt's key. */
+    /**
+     * Whether the job may have run and has to be repeated by workers that share idempotency keys
+     * with the worker that may have run it first.
+     */
     boolean mustStayInScope(Job job) {
         return job.firstPossibleRun() != null && isScoped(job.jobClass());
     }
 
-    /** Whether these workers drop each other's repeats of a class that {@link #isScoped}. */
+    /**
+     * Whether these workers share idempotency keys, so that each drops repeats of what the other
+     * ran; for classes that are {@link #isScoped}.
+     */
     boolean shareScope(JobClass jobClass, Worker one, Worker other) {
         return jobClass.idempotencyScope() == IdempotencyScope.ZONE
                 ? one.zone() == other.zone()
                 : one.cell() == other.cell();
     }
 
-    /** Whether the client may try the job again without risk, by whatever scheduler. */
+    /** Whether the client may safely retry the job, through any scheduler. */
     boolean isSafeToRetryByClient(Job job) {
         JobClass jobClass = job.jobClass();
         boolean neverRan = job.firstPossibleRun() == null && job.outstanding() == 0;
--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -12,7 +12,7 @@
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class Job implements Comparable<Job> {
-    /** A job that has waited for this part of its slack counts as late. */
+    /** A job counts as late when it has waited for this fraction of its slack. */
     static final double LATE_SLACK_FRACTION = 0.3;
 
     private final JobArrived request;
@@ -31,7 +31,7 @@
     private long candidatesAwaitedUntilUs = Long.MIN_VALUE;
 
     /**
-     * Creates a job that was not sent yet.
+     * Creates a job that has not been sent yet.
      *
      * @param homePool the pool of its class
      * @param arrivalOrder its position in the order of arrival
@@ -66,7 +66,7 @@
         return request.memory();
     }
 
-    /** Its affinity key; null where it may run anywhere. */
+    /** Its affinity key, or null if it has none. */
     Long affinityKey() {
         return request.affinityKey();
     }
@@ -83,7 +83,7 @@
         return request.deadlineUs();
     }
 
-    /** Largest number of attempts that may have run. */
+    /** Maximum number of attempts that may have run; at this number it is not retried. */
     int maxRuns() {
         return request.maxRuns();
     }
@@ -117,7 +117,7 @@
         return nowUs - arrivedUs;
     }
 
-    /** Whether it has waited too long to end in time, as most jobs go. */
+    /** Whether it has waited so long that it will probably miss its latency objective. */
     boolean isLate(long nowUs) {
         return waitedUs(nowUs) > LATE_SLACK_FRACTION * homePool.slackUs();
     }
@@ -145,7 +145,7 @@
         outstanding--;
     }
 
-    /** How many ended attempts may have run. */
+    /** How many of the ended attempts may have run. */
     int possibleRuns() {
         return possibleRuns;
     }
--- a/src/main/java/damsonslip/policy/JobAttempt.java
+++ b/src/main/java/damsonslip/policy/JobAttempt.java
@@ -29,7 +29,7 @@
         return sentUs;
     }
 
-    /** Whether the worker has said that the job started. */
+    /** Whether the worker has reported that the job started. */
     boolean isStarted() {
         return startTimeUs != NOT_STARTED;
     }
@@ -38,12 +38,12 @@
         startTimeUs = nowUs;
     }
 
-    /** When it started, as far as is known: else when it was sent. */
+    /** When it started or, if that is not known, when it was sent. */
     long runningSinceUs() {
         return isStarted() ? startTimeUs : sentUs;
     }
 
-    /** Whether it was sent before this time and is not known to have started. */
+    /** Whether it was sent before this time and has not been reported as started. */
     boolean isWaitingSince(long timeUs) {
         return !isStarted() && sentUs < timeUs;
     }
--- a/src/main/java/damsonslip/policy/JobCompletion.java
+++ b/src/main/java/damsonslip/policy/JobCompletion.java
@@ -5,9 +5,12 @@
 import damsonslip.policy.api.Reject;
 import java.util.List;
 
-/** Ends jobs: with a final answer if they were not served, and by cancelling open attempts. */
+/** Ends jobs: gives those that were not served a final answer, and cancels open attempts. */
 final class JobCompletion {
-    /** Longest time that a client is asked to wait: the load has changed by then. */
+    /**
+     * Upper limit of the time that a client is asked to wait before a retry; the load will have
+     * changed by then.
+     */
     private static final double MAX_RETRY_AFTER_US = 10e6;
 
     private final DecisionContext context;
@@ -21,7 +24,10 @@
         this.idempotency = idempotency;
     }
 
-    /** Answers a job that was not served: rejects it if a retry is safe, else fails it. */
+    /**
+     * Answers a job that was not served: rejects it if the client may safely retry it, else fails
+     * it.
+     */
     void answerUnserved(Job job) {
         unserved++;
         context.emit(
@@ -31,7 +37,10 @@
         end(job);
     }
 
-    /** Time until the pool has finished the jobs that exceed this scheduler's share. */
+    /**
+     * Estimated time until the pool has completed the jobs that exceed this scheduler's admission
+     * share.
+     */
     private long retryAfterUs(WorkerPool pool) {
         double jobsAtOnce = Math.max(1, pool.slots() / pool.slotsPerJob());
         double ownJobsAtOnce = jobsAtOnce / context.settings().schedulers();
@@ -40,7 +49,7 @@
                 Math.min(MAX_RETRY_AFTER_US, excess * pool.runTimes().meanUs() / ownJobsAtOnce);
     }
 
-    /** Ends a job that needs no more answer. */
+    /** Ends a job that needs no further answer. */
     void end(Job job) {
         job.end();
         job.homePool().jobEnded();
--- a/src/main/java/damsonslip/policy/JobComponents.java
+++ b/src/main/java/damsonslip/policy/JobComponents.java
@@ -1,6 +1,6 @@
 package damsonslip.policy;
 
-/** Creates and connects the parts of the policy that take jobs from arrival to answer. */
+/** Creates and connects the parts of the policy that handle jobs from arrival to answer. */
 final class JobComponents {
     final ActiveJobs jobs = new ActiveJobs();
     final TenantQuotas quotas;
--- a/src/main/java/damsonslip/policy/LeaseProbing.java
+++ b/src/main/java/damsonslip/policy/LeaseProbing.java
@@ -3,7 +3,7 @@
 import damsonslip.membership.DiscoveryWatch;
 import java.util.function.Predicate;
 
-/** Probes workers for leases on behalf of queued jobs, while no worker list is valid (rule 3). */
+/** Probes workers for leases on behalf of queued jobs while no worker list is valid. */
 final class LeaseProbing {
     private final DiscoveryWatch discovery;
     private final WorkerAvailability availability;
@@ -30,7 +30,10 @@
         this.sender = sender;
     }
 
-    /** Probes the worker that the job would be sent to, unless its last probe is out. */
+    /**
+     * Probes the worker that the job would be sent to, unless the last probe on its behalf is still
+     * outstanding or leases are not needed.
+     */
     void probeFor(Job job) {
         if (!availability.usesLeases() || availability.isListValid() || awaitsLease(job)) {
             return;
--- a/src/main/java/damsonslip/policy/LoadReportHandler.java
+++ b/src/main/java/damsonslip/policy/LoadReportHandler.java
@@ -13,9 +13,9 @@
     }
 
     /**
-     * Takes in a worker's report; one that is null or lacks the free slots is ignored.
+     * Handles a worker's report; one that is null or lacks the free slots is ignored.
      *
-     * @param probed whether it answers a probe, so that it is fresh
+     * @param probed whether it came with the answer to a probe, so that it is current
      */
     void accept(Worker worker, LoadReport report, boolean probed) {
         if (report == null || Double.isNaN(report.freeSlots())) {
--- a/src/main/java/damsonslip/policy/MeasurementInterval.java
+++ b/src/main/java/damsonslip/policy/MeasurementInterval.java
@@ -1,15 +1,18 @@
 package damsonslip.policy;
 
 /**
- * The time between two measurements of arrival rates, and how much its figures count.
+ * The time between two measurements of arrival rates, and the weight of its figures in the mean.
  *
- * <p>At first all intervals count alike; later the weights make an exponential moving average.
+ * <p>At first the weights give the mean of all intervals, later an exponential moving average.
  */
 final class MeasurementInterval {
     /** Weight of a second in the arrival rates: about the last ten seconds count. */
     private static final double WEIGHT_PER_SECOND = 0.1;
 
-    /** The same in rates that pools are sized by, which schedulers with few jobs must agree on. */
+    /**
+     * The same for the rates by which pools are sized: about the last 40 s count, since even
+     * schedulers that receive few jobs have to agree on the sizes.
+     */
     private static final double STEADY_WEIGHT_PER_SECOND = 0.025;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -25,7 +28,7 @@
         endUs = nowUs;
     }
 
-    /** Ends the interval at hand, whose figures count from now on, and starts the next. */
+    /** Ends the current interval, sets the length and weights from it, and starts the next. */
     void end(long nowUs) {
         seconds = (nowUs - endUs) / MICROS_PER_SECOND;
         endUs = nowUs;
@@ -39,12 +42,12 @@
         return seconds;
     }
 
-    /** Weight of that interval in a rate that follows the traffic. */
+    /** Weight of the last interval in a rate that has to follow the traffic. */
     double weight() {
         return weight;
     }
 
-    /** Weight of that interval in a rate that has to be steady. */
+    /** Weight of the last interval in a rate that has to be steady. */
     double steadyWeight() {
         return steadyWeight;
     }
--- a/src/main/java/damsonslip/policy/OutlierDetector.java
+++ b/src/main/java/damsonslip/policy/OutlierDetector.java
@@ -9,30 +9,41 @@
  * backoff and jitter.
  */
 final class OutlierDetector {
-    /** A worker that answered 'full' gets nothing for about this long, unless it reports room. */
+    /** Mean pause of a worker that rejected a job as full; ends early if it reports a free slot. */
     private static final long FULL_PAUSE_US = 60_000;
 
-    /** First pause after a failure; doubled with each one in a row. */
+    /** Mean pause after a first failure; doubles with each further failure in a row. */
     private static final long FAILURE_PAUSE_US = 250_000;
 
     private static final int MAX_PAUSE_DOUBLINGS = 5;
 
-    /** A worker that has answered this recently is alive, whatever happens to one connection. */
+    /**
+     * A worker that has answered this recently counts as alive even if a connection to it is reset.
+     */
     private static final long ALIVE_US = 500_000;
 
-    /** A job that is not idempotent is sent to an outlier only this long after its pause. */
+    /**
+     * A job that is not idempotent is sent to an outlier only this long after the worker's pause
+     * ended.
+     */
     private static final long NON_IDEMPOTENT_HOLD_OFF_US = 4_000_000;
 
     /** A worker with this many failures in a row is an outlier. */
     private static final int OUTLIER_FAILURES = 2;
 
-    /** A worker that reports more errors a second than one now and then is failing. */
+    /** A worker that reports more errors a second is failing; occasional errors are normal. */
     private static final double MAX_ERRORS_PER_SECOND = 1;
 
-    /** So many failed jobs in a row may be the jobs' own fault at a worker that fetches jobs. */
+    /**
+     * Up to this many failed jobs in a row are taken to be the jobs' own fault, at a worker that
+     * fetches jobs.
+     */
     private static final int MAX_FAILED_JOBS = 3;
 
-    /** A worker is silent if a job is out for this many mean run times and nothing came back. */
+    /**
+     * A worker is silent if it has not answered since its oldest outstanding job was sent, more
+     * than this many mean run times ago.
+     */
     private static final double SILENT_RUN_TIMES = 4;
 
     /** A worker is slow if its jobs take this many times as long as usual. */
@@ -46,17 +57,21 @@
         this.registry = registry;
     }
 
-    /** Takes in a load report, whose errors count whichever scheduler they came from. */
+    /**
+     * Learns from a load report. The errors that it shows count, whichever scheduler sent the jobs.
+     */
     void acceptReport(Worker worker, LoadReport report) {
         WorkerHealth health = worker.health();
         if (report.totalSlots() > 0) {
-            // a worker that fetches jobs is alive, however long it is at one
+            // the report of a worker that fetches jobs shows that it is alive, however long its
+            // jobs take
             health.recordAlive(context.nowUs());
         }
         boolean failing = report.errorsPerSecond() > MAX_ERRORS_PER_SECOND;
         health.setReportsErrors(failing);
         if (failing) {
-            // as an outlier: a job that is not idempotent is not the way to find out
+            // with the failure counted below, the worker becomes an outlier at once: jobs that are
+            // not idempotent must not be used to test whether it has recovered
             health.recordAtLeastOneFailure();
             recordFailure(worker);
         } else if (report.freeSlots() >= 1) {
@@ -64,12 +79,13 @@
         }
     }
 
-    /** Takes in the end of an attempt. */
+    /** Learns from the end of an attempt. */
     void attemptEnded(Worker worker, AttemptOutcome outcome) {
         switch (outcome) {
             case SERVED -> worker.health().recordServed();
             case FULL -> pauseFull(worker);
-            // an error counts: a worker that fails each job at once looks free and would draw all
+            // errors count as failures: a worker that fails every job at once has free slots and
+            // would attract most jobs
             case ERROR -> jobFailed(worker);
             case NOT_CONNECTED, TIMED_OUT -> {
                 recordFailure(worker);
@@ -85,7 +101,10 @@
         worker.health().pauseAtLeastUntil(context.nowUs() + pauseUs);
     }
 
-    /** A worker that fetches jobs says only that this one failed, and fetches the next. */
+    /**
+     * At a worker that fetches jobs, a few failed jobs say nothing about the worker, which goes on
+     * to fetch the next.
+     */
     private void jobFailed(Worker worker) {
         boolean workerAtFault =
                 !worker.load().statesTotalSlots()
@@ -95,7 +114,9 @@
         }
     }
 
-    /** A lost connection says little about a worker that has just answered on others. */
+    /**
+     * A reset connection says little about a worker that has just answered on other connections.
+     */
     private void connectionReset(Worker worker) {
         worker.lease().connectionFailed(context.nowUs());
         WorkerHealth health = worker.health();
@@ -105,7 +126,9 @@
         }
     }
 
-    /** Counts a failure and pauses the worker; what fails during a pause is the same failure. */
+    /**
+     * Counts a failure and pauses the worker. Failures during a pause are taken for the same one.
+     */
     void recordFailure(Worker worker) {
         WorkerHealth health = worker.health();
         if (!health.isPaused(context.nowUs())) {
@@ -115,7 +138,7 @@
         }
     }
 
-    /** Whether a worker takes jobs and answers none. */
+    /** Whether a worker accepts jobs and answers none. */
     boolean isSilent(Worker worker) {
         if (worker.outstanding().isEmpty()) {
             return false;
@@ -132,7 +155,9 @@
     }
 
     /**
-     * Whether a job may be risked at a worker: outliers get idempotent ones, if there are others.
+     * Whether the job may be sent to the worker in spite of the worker's recent failures. Outliers
+     * get only idempotent jobs until some time after their pause, unless all running workers are
+     * outliers.
      */
     boolean allowsJob(Worker worker, Job job) {
         return !isOutlier(worker)
--- a/src/main/java/damsonslip/policy/PolicySnapshot.java
+++ b/src/main/java/damsonslip/policy/PolicySnapshot.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Shows the state of the policy to people; nothing is decided by it. */
+/** Describes the state of the policy for operators; no decision depends on it. */
 final class PolicySnapshot {
     private static final int MICROS_PER_MILLI = 1000;
 
@@ -68,7 +68,7 @@
                 warmingUp ? slowStart.windowBudgetUs(worker) : 0);
     }
 
-    /** One line for the log, whose names the fleet report reads. */
+    /** One line for the log. The fleet report parses it, so its words must not change. */
     String logLine(Counts counts, SlotEstimates slots) {
         StringBuilder line = new StringBuilder("pools");
         for (WorkerPool pool : pools.all()) {
@@ -91,8 +91,8 @@
     /**
      * Counts of jobs since the start.
      *
-     * @param borrowed sent to another class's pool
-     * @param migrated sent anew because an attempt did not start
+     * @param borrowed sent to a worker of another class's pool
+     * @param migrated with an attempt that was cancelled because it had not started
      * @param overQuota rejected because of a tenant's quota
      * @param unserved rejected or failed
      */
--- a/src/main/java/damsonslip/policy/PoolDealer.java
+++ b/src/main/java/damsonslip/policy/PoolDealer.java
@@ -8,22 +8,26 @@
 import java.util.stream.Stream;
 
 /**
- * Deals the workers to the pools of the job classes by offered load, in the order of worker ids, so
- * that schedulers that share no state deal alike.
+ * Deals the workers to the pools of the job classes, that is, assigns the workers to them, in
+ * proportion to the offered load. Goes by the order of worker ids, so that schedulers, which share
+ * no state, come to the same assignment.
  *
  * <p>Not safe for use by several threads.
  */
 final class PoolDealer {
     /**
-     * Pools are sized in steps of the load, one in so many: schedulers with noisy estimates must
-     * deal alike.
+     * The load share of a class is rounded to a multiple of 1 divided by this number, so that
+     * schedulers come to the same assignment although their estimates are noisy.
      */
     private static final double LOAD_STEPS = 16;
 
-    /** Pools keep their size until a class's share of the load is off by so many steps. */
+    /** Pools keep their sizes until the load share of a class has changed by this many steps. */
     private static final double HYSTERESIS_STEPS = 0.8;
 
-    /** In overload, classes that any kind may run still count on this part of each worker. */
+    /**
+     * Slots per worker that are assumed to be left to classes that run on any kind of worker, even
+     * if the load of the classes bound to the kind exceeds all its slots.
+     */
     private static final double MIN_SLOTS_LEFT_PER_WORKER = 0.1;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -45,7 +49,8 @@
         double totalLoad = updateLoadShares(settings);
         List<List<Worker>> byKind = emptyLists(slots.kinds());
         running.forEach(worker -> byKind.get(worker.kind()).add(worker));
-        // in overload, load that is bound to a kind must not take all of its workers
+        // the load is limited to all slots: in overload, classes bound to a kind must not take all
+        // workers of that kind
         double totalSlots = running.stream().mapToDouble(slots::slotsOf).sum();
         double[][] loads = loadsByKind(Math.min(totalLoad, totalSlots), byKind);
         List<List<Worker>> members = emptyLists(pools.length);
@@ -62,7 +67,10 @@
         return Stream.generate(() -> (List<Worker>) new ArrayList<Worker>()).limit(count).toList();
     }
 
-    /** Slots that a class keeps busy at its jobs from this scheduler: lambda / mu. */
+    /**
+     * Offered load of this scheduler's jobs of a class, in slots: arrival rate times mean run time
+     * times slots per job.
+     */
     private static double load(WorkerPool pool) {
         return pool.arrivalRate().ownPerSecond()
                 * pool.runTimes().meanUs()
@@ -70,7 +78,10 @@
                 * pool.slotsPerJob();
     }
 
-    /** Updates the pools' shares of the load; returns the load from all schedulers, at least 1. */
+    /**
+     * Updates the pools' load shares; returns the offered load of all schedulers in slots, at least
+     * 1.
+     */
     private double updateLoadShares(Settings settings) {
         double sum = Arrays.stream(pools).mapToDouble(PoolDealer::load).sum();
         if (sum > 0 && hasLoadShifted(sum)) {
@@ -92,7 +103,10 @@
         return false;
     }
 
-    /** Returns the load of each kind by class. */
+    /**
+     * Returns the load by kind and class. Load that any kind can run is spread over the kinds in
+     * proportion to the slots that bound classes leave.
+     */
     private double[][] loadsByKind(double totalLoad, List<List<Worker>> byKind) {
         double[][] loads = new double[slots.kinds()][pools.length];
         double[] left = new double[slots.kinds()];
@@ -111,7 +125,10 @@
         return loads;
     }
 
-    /** Fills in the loads that only this kind can run; returns the slots that are left beside. */
+    /**
+     * Sets the loads of the classes that only this kind can run; returns the slots of the kind that
+     * are left to other classes.
+     */
     private double addBoundLoads(double[] loads, int kind, double totalLoad, int workers) {
         double left = workers * slots.slotsOfKind(kind);
         for (int i = 0; i < pools.length; i++) {
@@ -123,7 +140,10 @@
         return Math.max(left, MIN_SLOTS_LEFT_PER_WORKER * workers);
     }
 
-    /** Deals the workers of a kind in parts proportional to the loads; the last class the rest. */
+    /**
+     * Deals the workers of a kind in proportion to the loads of the classes; the last class gets
+     * the rest.
+     */
     private void dealKind(
             List<Worker> workers, double[] loads, List<List<Worker>> members, int zones) {
         double sum = Arrays.stream(loads).sum();
@@ -141,7 +161,7 @@
                             : Math.min(part, Math.max(0, left.size() - classesLeft));
             List<Worker> poolMembers = members.get(i);
             if (count == 0 && !workers.isEmpty() && poolMembers.isEmpty()) {
-                // fewer workers than classes: it shares the last one
+                // fewer workers than classes: this class shares the last worker
                 poolMembers.add(workers.get(workers.size() - 1));
             }
             dealMembers(pools[i], poolMembers, left, count, zones);
@@ -149,8 +169,8 @@
     }
 
     /**
-     * Moves so many workers to a pool, each the first of the zone that the pool has least of, so
-     * that some of it is near each scheduler.
+     * Moves this many workers to a pool, each time the first one from the zone that has the fewest
+     * members, so that the pool has workers in the zone of each scheduler.
      */
     private void dealMembers(
             WorkerPool pool, List<Worker> members, List<Worker> left, int count, int zones) {
--- a/src/main/java/damsonslip/policy/ProbeRounds.java
+++ b/src/main/java/damsonslip/policy/ProbeRounds.java
@@ -5,27 +5,27 @@
 import java.util.List;
 
 /**
- * Probes all workers in turn for their load, where only probes report it. The rate follows from
- * what a probe costs.
+ * Where only probes report load, probes all running workers in turn. The rate depends on the
+ * configured price of a probe.
  */
 final class ProbeRounds {
     /** Time between two batches of probes. */
     private static final long BATCH_INTERVAL_US = 20_000;
 
-    /** Probes may cost this many points of service for each job. */
+    /** Limit of the cost of probes per job, in the points of {@link Limits#probePrice}. */
     private static final double MAX_POINTS_PER_JOB = 0.003;
 
     private static final double MAX_PROBES_PER_JOB = 2;
 
-    /** Least time between two probes of a worker. */
+    /** Minimum mean time between two probes of a worker. */
     private static final long MIN_WORKER_INTERVAL_US = 400_000;
 
-    /** Probes are counted by at least this many own jobs a second. */
+    /** The rate of probes is computed for at least this many own jobs a second. */
     private static final double MIN_JOBS_PER_SECOND = 2;
 
     private static final double MAX_BATCH = 20;
 
-    /** Keeps a price of 0 from being divided by. */
+    /** Avoids division by 0 for a price of 0. */
     private static final double MIN_PRICE = 1e-6;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -60,7 +60,7 @@
     /**
      * Probes the next workers and schedules the next batch.
      *
-     * @param jobsPerSecond own jobs
+     * @param jobsPerSecond arrival rate of own jobs
      */
     void probeBatch(double jobsPerSecond) {
         double perSecond = probesPerSecond(jobsPerSecond);
--- a/src/main/java/damsonslip/policy/ProbeSender.java
+++ b/src/main/java/damsonslip/policy/ProbeSender.java
@@ -14,14 +14,14 @@
         this.context = context;
     }
 
-    /** Probes a worker over any connection. */
+    /** Probes a worker over any connection to it. */
     void send(Worker worker) {
         send(worker, ANY_CONNECTION);
     }
 
     /**
-     * Probes a worker for a lease. A worker of the own zone has to answer over a connection that
-     * has lasted since this time.
+     * Probes a worker for a lease. A worker of this scheduler's zone has to answer over a
+     * connection that has been open since this time.
      */
     void sendForLease(Worker worker, long connectedSinceUs) {
         boolean ownZone = worker.zone() == context.settings().zone();
@@ -34,10 +34,11 @@
     }
 
     /**
-     * Records the end of a probe. A worker of another zone was not lost together with this
-     * scheduler, so its answer over any connection counts as one over a lasting connection.
+     * Records the end of a probe. A worker of another zone was not cut off from discovery together
+     * with this scheduler, so its answer over any connection counts like one over a lasting
+     * connection.
      *
-     * @param graceUs for how long after the news of a drain a worker may still be sent to
+     * @param graceUs how long after a drain is known the worker may still be sent to
      */
     void ended(Worker worker, ProbeEnded probe, long graceUs) {
         boolean otherZone = worker.zone() != context.settings().zone();
--- a/src/main/java/damsonslip/policy/QueueDispatcher.java
+++ b/src/main/java/damsonslip/policy/QueueDispatcher.java
@@ -3,15 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Sends the jobs of the admission queues, in order, to workers with room. */
+/** Sends the jobs of the admission queues, in order, to workers with free slots. */
 final class QueueDispatcher {
-    /** Queues are tried again this often, for room that no event has reported. */
+    /**
+     * Queues with jobs are retried at this interval, for capacity that came free without an event.
+     */
     private static final long SWEEP_INTERVAL_US = 20_000;
 
-    /** Jobs that stay at the head of a queue while later ones are tried. */
+    /**
+     * Number of jobs at the head of a queue that may be skipped, since no worker can take them, to
+     * try later ones.
+     */
     private static final int MAX_SKIPPED_JOBS = 16;
 
-    /** A job waits this part of its spare time for its own pool before it borrows a worker. */
+    /**
+     * A job without an affinity key waits for its home pool for this fraction of its latency
+     * objective less the mean run time, before it borrows a worker.
+     */
     private static final double BORROW_AFTER_FRACTION = 0.15;
 
     private final DecisionContext context;
@@ -49,7 +57,7 @@
         this.completion = completion;
     }
 
-    /** The timer for another attempt at all queues is due. */
+    /** Retries all queues; called when the sweep timer is due. */
     void sweep() {
         sweepScheduled = false;
         for (WorkerPool pool : pools.all()) {
@@ -57,7 +65,10 @@
         }
     }
 
-    /** Something has changed by which jobs of this pool, if it is not null, may be placed. */
+    /**
+     * Retries the queue of this pool, after a change that may let its jobs be sent; does nothing
+     * for null.
+     */
     void unblockAndDispatch(WorkerPool pool) {
         if (pool != null) {
             pool.queue().setBlocked(false);
@@ -65,14 +76,14 @@
         }
     }
 
-    /** Sends what can be placed of every queue that is not blocked. */
+    /** Sends the jobs that can be sent now from every queue that is not blocked. */
     void dispatchAll() {
         for (WorkerPool pool : pools.all()) {
             dispatch(pool);
         }
     }
 
-    /** Sends what can be placed of this pool's queue unless it is blocked. */
+    /** Sends the jobs that can be sent now from this pool's queue, unless it is blocked. */
     void dispatch(WorkerPool pool) {
         AdmissionQueue queue = pool.queue();
         if (queue.isBlocked()) {
@@ -97,7 +108,7 @@
         }
     }
 
-    /** Sends or answers a job, or returns true if it has to wait. */
+    /** Sends or answers a job and returns false, or returns true if the job has to wait. */
     private boolean staysQueued(Job job) {
         if (candidates.awaitsCandidates(job)) {
             return true;
@@ -117,7 +128,10 @@
         return true;
     }
 
-    /** If late jobs kept their place in the queue, all behind them would be just too late, too. */
+    /**
+     * Whether the job is late and others wait behind it. If late jobs kept their places in the
+     * queue, all jobs behind them would become late as well.
+     */
     private boolean wouldDelayLaterJobs(Job job) {
         return job.attempts().isEmpty()
                 && !job.homePool().queue().isEmpty()
@@ -137,7 +151,10 @@
         return worker == null && waited ? borrowing.borrow(job) : worker;
     }
 
-    /** How long a job waits for its own workers alone. */
+    /**
+     * How long a job waits for the workers that it prefers, those of its affinity key or its home
+     * pool, before others are selected as well.
+     */
     private static double preferredWorkersWaitUs(Job job) {
         WorkerPool pool = job.homePool();
         return job.hasAffinity()
--- a/src/main/java/damsonslip/policy/RunTimeEstimator.java
+++ b/src/main/java/damsonslip/policy/RunTimeEstimator.java
@@ -9,19 +9,28 @@
  * <p>Times are microseconds. Not safe for use by several threads.
  */
 final class RunTimeEstimator {
-    /** Least weight of a job in the mean; long tails need many jobs. */
+    /**
+     * Minimum weight of a job in the mean: low, as the mean of a distribution with a long tail
+     * takes many jobs.
+     */
     private static final double MIN_MEAN_WEIGHT = 0.003;
 
-    /** Least step of the median, as a part of it. */
+    /** Minimum step of the median, as a fraction of it. */
     private static final double MIN_MEDIAN_STEP = 0.02;
 
-    /** Least weight of a job in a worker's mean. */
+    /** Minimum weight of a job in a worker's mean. */
     private static final double MIN_WORKER_WEIGHT = 0.1;
 
-    /** A mean counts once it has this many jobs, and a comparison once it has as many workers. */
+    /**
+     * A mean is used once it covers this many jobs; workers are compared once this many have such a
+     * mean.
+     */
     private static final int MIN_SAMPLES = 3;
 
-    /** Shorter run times are not compared: network and machine pauses take as long. */
+    /**
+     * Shorter run times count as this long in comparisons: network delays and pauses of the
+     * machines are of that size.
+     */
     private static final double NOISE_US = 5e3;
 
     private final Map<Worker, WorkerMean> byWorker = new HashMap<>();
@@ -29,7 +38,7 @@
     private double medianUs;
     private int jobs;
 
-    /** Creates an estimator that returns this figure until it has seen jobs. */
+    /** Creates an estimator that returns this value until jobs have been observed. */
     RunTimeEstimator(double initialUs) {
         this.meanUs = initialUs;
         this.medianUs = initialUs;
@@ -46,8 +55,8 @@
     }
 
     /**
-     * Adds a job's run time at a worker and returns how many times the usual it is. Usual is the
-     * lower quartile of the workers' means; with few workers seen, the mean of the class.
+     * Adds a job's run time at a worker and returns its ratio to the baseline: the lower quartile
+     * of the workers' means or, while too few workers have been observed, the mean of the class.
      */
     double observe(Worker worker, double runTimeUs) {
         byWorker.computeIfAbsent(worker, unseen -> new WorkerMean()).add(runTimeUs);
@@ -72,7 +81,7 @@
         return jobs >= MIN_SAMPLES ? meanUs : runTimeUs;
     }
 
-    /** Drops the mean of a worker that is gone. */
+    /** Drops the mean of a removed worker. */
     void forget(Worker worker) {
         byWorker.remove(worker);
     }
--- a/src/main/java/damsonslip/policy/SchedulingPolicy.java
+++ b/src/main/java/damsonslip/policy/SchedulingPolicy.java
@@ -22,17 +22,21 @@
 /**
  * All decisions of one scheduler: takes events, returns actions.
  *
- * <p>A pool of workers for each job class is sized by offered load. A threshold on the jobs
- * present, searched by revenue and divided among the schedulers, admits jobs; those that find no
- * worker with room wait in arrival order for their own pool. README.md names where this departs
- * from the design.
+ * <p>Each job class has a pool of workers, which is sized by the offered load of the class. Jobs
+ * are admitted up to a threshold on the number of unanswered jobs of their class. The threshold
+ * follows from the expected revenue ({@link AdmissionThreshold}) and is divided among the
+ * schedulers. Admitted jobs that find no free slot wait in order of arrival for workers of their
+ * class's pool. README.md lists the differences from the design.
  *
- * <p>This class only routes events to the classes of this package, each of which has one job. There
- * is no clock, thread, I/O or shared state: times are those of the events, in microseconds, and
- * must not decrease. Not safe for use by several threads.
+ * <p>This class only routes events to the other classes of this package. It has no clock, threads,
+ * I/O or shared state: times are those of the events, in microseconds, and must not decrease. Not
+ * safe for use by several threads.
  */
 public final class SchedulingPolicy {
-    /** Least time between two deals of the pools; up to twice that, so that schedulers differ. */
+    /**
+     * Minimum time between two deals of the workers to the pools. The actual time is random, up to
+     * twice as long, so that the schedulers do not all deal at the same time.
+     */
     private static final long DEAL_INTERVAL_US = 700_000;
 
     private static final long LOG_INTERVAL_US = 10_000_000;
@@ -68,14 +72,16 @@
     /**
      * Handles one event and appends the actions that follow from it, in order.
      *
-     * @throws IllegalArgumentException if the event breaks the contract; nothing has changed then
+     * @throws IllegalArgumentException if the event names a class, tenant, zone or kind that the
+     *     settings lack, reuses the id of an active job, or is earlier than the previous event; the
+     *     state is unchanged then
      */
     public void handle(long nowUs, Event event, List<Action> actions) {
         context.settings().validate(event);
         boolean duplicate = event instanceof JobArrived arrival && jobs.contains(arrival.job());
         if (nowUs < context.nowUs() || duplicate) {
             throw new IllegalArgumentException(
-                    "a job comes twice or time goes back: " + nowUs + " " + event);
+                    "duplicate job id, or time before the previous event: " + nowUs + " " + event);
         }
         context.begin(nowUs, actions);
         if (!started) {
@@ -249,12 +255,17 @@
         }
     }
 
-    /** Returns the label of the timer at which a job gets its final answer; it may come earlier. */
+    /**
+     * Returns the label of the timer at which a job gets its final answer if it has none by then.
+     */
     public static String deadlineTimerLabel(String job) {
         return TimerLabels.jobDeadline(job);
     }
 
-    /** Returns whether the worker may still be sent to, by the worker list or by its lease. */
+    /**
+     * Returns whether the worker is known, and either the worker list or the worker's lease is
+     * valid.
+     */
     public boolean mayUse(String worker, long nowUs) {
         context.advanceTo(nowUs);
         Worker found = registry.find(worker);
@@ -262,8 +273,8 @@
     }
 
     /**
-     * Returns what a worker that warms up was sent from here in the window at hand, and what it
-     * bears; null if it does not warm up.
+     * Returns the load that this scheduler has sent to a warming-up worker in the current window,
+     * and the worker's limit; null if the worker is unknown or not warming up.
      */
     public SlowStartLoad slowStartLoad(String worker, int jobClass) {
         Worker found = registry.find(worker);
--- a/src/main/java/damsonslip/policy/SlotBorrowing.java
+++ b/src/main/java/damsonslip/policy/SlotBorrowing.java
@@ -1,8 +1,11 @@
 package damsonslip.policy;
 
-/** Sends jobs to workers of other classes' pools. */
+/** Selects workers of other classes' pools for jobs that find none in their home pool. */
 final class SlotBorrowing {
-    /** A pool lends slots, and admits jobs over their quotas, while this share of it is free. */
+    /**
+     * A pool lends slots, and admits jobs beyond their tenant's quota, while at least this share of
+     * its slots is free.
+     */
     static final double SPARE_SHARE = 0.45;
 
     private final DecisionContext context;
@@ -26,8 +29,8 @@
     }
 
     /**
-     * Selects a worker of a pool that earns less or has spare slots, or of any if no worker of the
-     * job's own is eligible; or null.
+     * Selects a worker of another pool, or null. A pool lends if it has spare slots or its class
+     * earns less per slot; if no worker of the home pool is eligible for the job, any pool lends.
      */
     Worker borrow(Job job) {
         WorkerPool home = job.homePool();
@@ -46,7 +49,10 @@
         return null;
     }
 
-    /** Whether the job would be rejected or late at home: no job is while a slot is free. */
+    /**
+     * Whether the job would be rejected or late in its home pool. It may then borrow any free slot,
+     * as no job should be lost while a slot is free.
+     */
     private boolean isRejectedOrLateAtHome(Job job) {
         return job.isLate(context.nowUs())
                 || job.homePool().members().stream()
@@ -58,7 +64,7 @@
         return spare || borrower.valueOfSlot() > lender.valueOfSlot();
     }
 
-    /** How many jobs were sent to a borrowed worker. */
+    /** How many jobs were given a worker of another pool. */
     int borrowed() {
         return borrowed;
     }
--- a/src/main/java/damsonslip/policy/SlotEstimates.java
+++ b/src/main/java/damsonslip/policy/SlotEstimates.java
@@ -27,7 +27,10 @@
         return load.statesTotalSlots() ? load.statedTotalSlots() : byKind[worker.kind()].slots();
     }
 
-    /** Slots of a worker as far as reports show them; a budget must not rest on a default. */
+    /**
+     * Slots of a worker as far as reports show them, without the default: the slow-start budget
+     * must not rest on an assumption.
+     */
     double provenSlotsOf(Worker worker) {
         WorkerLoad load = worker.load();
         return load.statesTotalSlots()
@@ -35,7 +38,7 @@
                 : byKind[worker.kind()].provenSlots();
     }
 
-    /** Slots of a worker of this kind that does not state them. */
+    /** Estimated slots of a worker of this kind that does not state them. */
     int slotsOfKind(int kind) {
         return byKind[kind].slots();
     }
@@ -45,7 +48,7 @@
         return byKind.length;
     }
 
-    /** The estimates by kind, for people to read. */
+    /** The estimates by kind, for display. */
     int[] toArray() {
         int[] slots = new int[byKind.length];
         for (int kind = 0; kind < slots.length; kind++) {
--- a/src/main/java/damsonslip/policy/SlotEstimator.java
+++ b/src/main/java/damsonslip/policy/SlotEstimator.java
@@ -2,16 +2,18 @@
 
 /** Estimates how many slots the workers of one kind have, from the free slots they report. */
 final class SlotEstimator {
-    /** Slots of a worker of which nothing is known yet: the cores of a common machine. */
+    /** Assumed slots of a worker of which nothing is known yet: the cores of a common machine. */
     static final int DEFAULT_SLOTS = 4;
 
-    /** The default holds at least until this many reports have come. */
+    /** The estimate is not below the default until this many reports have been received. */
     private static final int MIN_REPORTS_TO_DROP_DEFAULT = 50;
 
-    /** A figure counts as the number of slots if this part of the reports reaches it. */
+    /**
+     * The estimate is the highest number of free slots that this fraction of the reports reaches.
+     */
     private static final double REPORTED_QUANTILE = 0.02;
 
-    /** A figure that fewer reports than this reach is noise. */
+    /** A number that fewer reports than this reach is taken for noise. */
     private static final int MIN_REPORTS = 2;
 
     private static final int MAX_SLOTS = 63;
@@ -39,12 +41,12 @@
         slots = Math.max(candidate, reports[0] < MIN_REPORTS_TO_DROP_DEFAULT ? DEFAULT_SLOTS : 1);
     }
 
-    /** Slots of a worker of this kind. */
+    /** Estimated slots of a worker of this kind. */
     int slots() {
         return slots;
     }
 
-    /** Slots as far as reports alone show them, at least 1. */
+    /** Estimate from reports alone, without the default; at least 1. */
     int provenSlots() {
         return provenSlots;
     }
--- a/src/main/java/damsonslip/policy/SlowStartBudget.java
+++ b/src/main/java/damsonslip/policy/SlowStartBudget.java
@@ -5,19 +5,25 @@
 import damsonslip.policy.api.SlowStartLoad;
 
 /**
- * Bounds the work that a worker is sent while it warms up (rule 4, slow start).
+ * Limits the work that is sent to a worker while it warms up (slow start), so that all schedulers
+ * together do not overload it.
  *
- * <p>The budget is cut into windows. Each scheduler spends an even share of it in each; where a
- * share does not hold one job, the schedulers take turns by number, each with the shares of all
- * windows until its next turn. What is not spent is lost, so that no burst builds up.
+ * <p>The time since the worker's start is divided into windows, each with a budget. Each scheduler
+ * may spend an equal share of a window's budget. Where a share is smaller than the cost of a job,
+ * the schedulers take turns by index: each sends only in every n-th window, and may then spend its
+ * shares of n windows. Budget that is not spent expires, so that no burst builds up.
  *
- * <p>Costs and budgets are microseconds of slots; times are microseconds of the events' clock.
+ * <p>Costs and budgets are in slot-microseconds: one slot in use for one microsecond. Times are
+ * microseconds of the events' clock.
  */
 final class SlowStartBudget {
-    /** Work that a new connection or a probe is taken to cost. */
+    /** Assumed cost of a new connection or a probe. */
     static final double CONNECTION_COST_US = 3_000;
 
-    /** Part of the budget that is spent: job times are guesses, and windows overlap by two. */
+    /**
+     * Fraction of the overload limit that is budgeted: run times are estimates, and any period as
+     * long as a window may overlap two windows.
+     */
     private static final double BUDGET_FRACTION = 0.4;
 
     private final DecisionContext context;
@@ -30,7 +36,7 @@
         this.slots = slots;
     }
 
-    /** Work that a job is taken to cost. */
+    /** Estimated cost of a job, including a new connection. */
     static double costUs(Job job) {
         return job.homePool().runTimes().meanUs() * job.slots() + CONNECTION_COST_US;
     }
@@ -42,12 +48,12 @@
                 && context.nowUs() - worker.startedUs() < guarantees.slowStartUs();
     }
 
-    /** The share of its full capacity that a worker that warms up has by now. */
+    /** The share of its full capacity that a warming-up worker has by now. */
     double capacityShare(Worker worker) {
         return guarantees.slowStartShareAt(context.nowUs() - worker.startedUs());
     }
 
-    /** Whether work of this cost may be sent there now. */
+    /** Whether work of this cost may be sent to the worker now. */
     boolean allows(Worker worker, double costUs) {
         if (!isWarmingUp(worker)) {
             return true;
@@ -61,13 +67,13 @@
                 && worker.slowStartWindow().spentUs(window) + costUs <= windowBudgetUs * turns;
     }
 
-    /** Records that work of this cost is sent there. */
+    /** Records that work of this cost is sent to the worker. */
     void spend(Worker worker, double costUs) {
         long window = isWarmingUp(worker) ? window(worker) : SlowStartWindow.NONE;
         worker.slowStartWindow().spend(window, costUs);
     }
 
-    /** Spends the cost of a probe if the worker may be sent it now; returns whether. */
+    /** Spends the cost of a probe if the worker may be sent one now; returns whether it may. */
     boolean trySpendProbe(Worker worker) {
         boolean allowed = allows(worker, CONNECTION_COST_US);
         if (allowed) {
@@ -76,7 +82,7 @@
         return allowed;
     }
 
-    /** This scheduler's share of the budget in the window at hand. */
+    /** This scheduler's share of the worker's budget in the current window. */
     double windowBudgetUs(Worker worker) {
         long windowUs = guarantees.overloadWindowUs();
         double capacityShare = guarantees.slowStartShareAt(window(worker) * windowUs);
@@ -93,7 +99,10 @@
         return Math.floorDiv(context.nowUs() - worker.startedUs(), guarantees.overloadWindowUs());
     }
 
-    /** What was sent there from here in the window at hand, and what it bears from all. */
+    /**
+     * The load that this scheduler has sent to the worker in the current window, and the overload
+     * limit for all schedulers together.
+     */
     SlowStartLoad load(Worker worker, WorkerPool pool) {
         double requestUs = pool.runTimes().meanUs() + CONNECTION_COST_US;
         double spentUs = worker.slowStartWindow().spentUs(window(worker));
--- a/src/main/java/damsonslip/policy/TenantQuotas.java
+++ b/src/main/java/damsonslip/policy/TenantQuotas.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 
 /**
- * Decides which jobs are within their tenant's quota, by one token bucket for each tenant. Every
+ * Decides which jobs are within their tenant's quota, with a token bucket for each tenant. Every
  * scheduler enforces its own part of a quota.
  *
- * <p>Guards against one tenant's excess crowding out jobs within the others' quotas. Times are
- * microseconds of the events' clock. Not safe for use by several threads.
+ * <p>Quotas keep the excess jobs of one tenant from displacing jobs that are within the quotas of
+ * others. Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class TenantQuotas {
     /** A bucket holds this many seconds of its quota. */
@@ -19,7 +19,7 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Keeps a quota of 0 from being divided by. */
+    /** Avoids division by 0 for a quota of 0. */
     private static final double QUOTA_EPSILON = 1e-9;
 
     private final double[] tokens;
@@ -50,8 +50,10 @@
     }
 
     /**
-     * Returns how many times an even part of the traffic this scheduler has, by its median tenant
-     * and at least 1: a busy scheduler alone does not put its tenants over their quotas.
+     * Returns the factor by which the buckets fill faster than with an even part of the quotas, at
+     * least 1: the median, over the tenants, of the traffic here relative to an even part of the
+     * quota. So tenants are not over their quotas merely because this scheduler receives more
+     * traffic than the others.
      */
     private double trafficFactor(Settings settings) {
         double[] usage = arrivalRates.clone();
@@ -65,7 +67,10 @@
         return usage.length < 2 ? 1 : Math.max(1, usage[(usage.length - 1) / 2]);
     }
 
-    /** Counts a job of this tenant and returns whether it is within the quota. */
+    /**
+     * Counts a job of this tenant, and takes a token for it; returns whether there was one, that
+     * is, whether the job is within the quota.
+     */
     boolean tryAcquire(int tenant, Settings settings, long nowUs) {
         if (tokens.length == 0) {
             return true;
--- a/src/main/java/damsonslip/policy/Worker.java
+++ b/src/main/java/damsonslip/policy/Worker.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * A worker as this scheduler knows it: what the worker list says, the attempts outstanding there,
- * and the state that the estimators and detectors of this package keep of it.
+ * A worker as this scheduler knows it: its entry on the worker list, the outstanding attempts that
+ * were sent to it, and the state that the estimators and detectors of this package keep for it.
  *
- * <p>The list's part is written by {@link WorkerRegistry} alone. Times are microseconds of the
- * events' clock. Not safe for use by several threads.
+ * <p>The fields from the worker list are set by {@link WorkerRegistry} alone. Times are
+ * microseconds of the events' clock. Not safe for use by several threads.
  */
 final class Worker {
     private final String id;
@@ -42,7 +42,10 @@
         return id;
     }
 
-    /** Spreads the schedulers' turns in slow start over workers that started together. */
+    /**
+     * Shifts the schedulers' turns in slow start, so that the turns of one scheduler at workers
+     * that started together fall into different windows.
+     */
     long slowStartTurnOffset() {
         return slowStartTurnOffset;
     }
@@ -59,7 +62,7 @@
         return kind;
     }
 
-    /** Whether the list says that it runs and does not drain. */
+    /** Whether the worker list says that it runs and is not draining. */
     boolean isRunning() {
         return running;
     }
@@ -69,17 +72,20 @@
         return lastRunningUs;
     }
 
-    /** Start time as the list states it, on the machines' wall clock. */
+    /** Start time from the worker list, by the wall clock of the worker's machine. */
     long listedStart() {
         return listedStart;
     }
 
-    /** Start time on the events' clock, or {@link StartTimes#LONG_AGO}. */
+    /** Start time by the events' clock, or {@link StartTimes#LONG_AGO}. */
     long startedUs() {
         return startedUs;
     }
 
-    /** Whether the start was observed, so that {@link #startedUs} rests on no wall clock. */
+    /**
+     * Whether the start was observed between two worker lists, so that {@link #startedUs} is known
+     * independently of the machine's wall clock.
+     */
     boolean isStartObserved() {
         return startObserved;
     }
@@ -89,7 +95,7 @@
         return pool;
     }
 
-    /** Own attempts that have not ended there, in the order in which they were sent. */
+    /** Own attempts at this worker that have not ended, in the order in which they were sent. */
     List<JobAttempt> outstanding() {
         return outstanding;
     }
@@ -110,7 +116,7 @@
         return slowStartWindow;
     }
 
-    /** What its own answers to probes allow while no worker list is valid. */
+    /** Its lease from its own answers to probes, which counts while no worker list is valid. */
     WorkerLease lease() {
         return lease;
     }
@@ -123,7 +129,7 @@
         kind = entry.kind();
     }
 
-    /** Records that it does not run any more. */
+    /** Records that it no longer runs. */
     void recordStopped() {
         running = false;
     }
@@ -133,7 +139,7 @@
         lastRunningUs = nowUs;
     }
 
-    /** Records a start: what was known of the earlier process does not hold any more. */
+    /** Records a start, and drops what was known about the previous process. */
     void restarted(long listedStart, long startedUs, boolean observed) {
         this.listedStart = listedStart;
         this.startObserved = observed;
@@ -144,7 +150,7 @@
         load.forgetReport();
     }
 
-    /** Corrects the start time on the events' clock. */
+    /** Corrects the start time by the events' clock. */
     void correctStart(long startedUs) {
         this.startedUs = startedUs;
     }
@@ -162,10 +168,10 @@
                 .sum();
     }
 
-    /** Slots of own jobs sent before this time that are not known to have started. */
+    /** Slots of own jobs that were sent before this time and have not been reported as started. */
     int slotsNotStartedSentBefore(long timeUs) {
         int slots = 0;
-        for (JobAttempt attempt : outstanding) { // a loop: this is on the path of each choice
+        for (JobAttempt attempt : outstanding) { // no stream: runs for each candidate of each job
             slots += attempt.isWaitingSince(timeUs) ? attempt.job().slots() : 0;
         }
         return slots;
--- a/src/main/java/damsonslip/policy/WorkerAvailability.java
+++ b/src/main/java/damsonslip/policy/WorkerAvailability.java
@@ -3,8 +3,8 @@
 import damsonslip.membership.DiscoveryWatch;
 
 /**
- * Whether the worker list, or a worker's own answers while no list is valid, allow to send jobs
- * (rule 3).
+ * Decides whether jobs may be sent at all: while the worker list is valid, or else to workers that
+ * hold a lease from their own answers to probes.
  */
 final class WorkerAvailability {
     private final DecisionContext context;
@@ -17,24 +17,30 @@
         this.registry = registry;
     }
 
-    /** Whether the list is valid. */
+    /** Whether the worker list is valid and may be used. */
     boolean isListValid() {
         return discovery.isUsable(context.nowUs());
     }
 
-    /** Whether the worker may be sent to, by the list or by its lease. */
+    /** Whether the worker list or the worker's lease is valid. */
     boolean mayUse(Worker worker) {
         return isListValid() || (usesLeases() && worker.lease().isValid(context.nowUs()));
     }
 
-    /** Whether a worker may be probed for a lease: it promises to take work for a while. */
+    /**
+     * Whether leases may be used now: the settings and the drain grace allow it, and discovery has
+     * been failing for a short time only.
+     */
     boolean usesLeases() {
         return context.settings().leasesWorkersByProbe()
                 && discovery.graceUs() > 0
                 && discovery.mayProbeWorkers(context.nowUs());
     }
 
-    /** Whether a job may wait: a list is valid or may come soon, or a lease may. */
+    /**
+     * Whether a job may wait for a worker: the worker list or some worker's lease is valid or may
+     * soon become so.
+     */
     boolean mayWait() {
         return discovery.mayBecomeUsable(context.nowUs())
                 || (usesLeases() && registry.all().stream().anyMatch(this::mayGetLease));
@@ -52,7 +58,11 @@
                 && worker.lease().isWorthProbing(discovery.lastContactUs(), context.nowUs());
     }
 
-    /** A worker of the own zone has to show a connection since discovery was last heard. */
+    /**
+     * Whether the worker can get a lease at all. One of this scheduler's zone has to answer over a
+     * connection that has lasted since the last contact with discovery, so there has to have been
+     * one.
+     */
     private boolean canQualifyForLease(Worker worker) {
         return worker.zone() != context.settings().zone() || discovery.hasHadContact();
     }
--- a/src/main/java/damsonslip/policy/WorkerEligibility.java
+++ b/src/main/java/damsonslip/policy/WorkerEligibility.java
@@ -1,6 +1,6 @@
 package damsonslip.policy;
 
-/** Whether a worker may be sent a job, whatever its load. */
+/** Decides whether a worker may be sent a job, regardless of its load. */
 final class WorkerEligibility {
     private final DecisionContext context;
     private final WorkerAvailability availability;
@@ -18,12 +18,15 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether the job may be sent there now. */
+    /** Whether the job may be sent to the worker now. */
     boolean mayTake(Worker worker, Job job) {
         return availability.mayUse(worker) && couldTake(worker, job);
     }
 
-    /** Whether the job could be sent there now if the worker list or a lease allowed it. */
+    /**
+     * Whether the job could be sent to the worker now if the worker list or the worker's lease were
+     * valid.
+     */
     boolean couldTake(Worker worker, Job job) {
         return worker.isRunning()
                 && !worker.health().isPaused(context.nowUs())
--- a/src/main/java/damsonslip/policy/WorkerHealth.java
+++ b/src/main/java/damsonslip/policy/WorkerHealth.java
@@ -1,13 +1,13 @@
 package damsonslip.policy;
 
 /**
- * The health of one worker: failures, the pause after them, and signs of life. Written by {@link
- * OutlierDetector}.
+ * The health of one worker: its recent failures, the pause after them, and when it was last known
+ * to be alive. Evaluated by {@link OutlierDetector}.
  *
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class WorkerHealth {
-    /** Long past, but so that the time since then does not overflow. */
+    /** Long ago, but not so long that the time since then overflows. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private int consecutiveFailures;
@@ -26,33 +26,41 @@
         return consecutiveFailures++;
     }
 
-    /** Records that the worker has failed at least once. */
+    /** Makes the number of failures in a row at least 1. */
     void recordAtLeastOneFailure() {
         consecutiveFailures = Math.max(consecutiveFailures, 1);
     }
 
-    /** Counts a job that failed by itself and returns how many did since one was served. */
+    /**
+     * Counts a failed job that may have been the job's own fault, and returns how many there were
+     * since a job was last served.
+     */
     int countFailedJob() {
         return ++failedJobs;
     }
 
-    /** Records a job that was served; failures stand while the worker reports errors. */
+    /**
+     * Records that a job was served. Resets the failures in a row unless the worker reports errors.
+     */
     void recordServed() {
         consecutiveFailures = reportsErrors ? consecutiveFailures : 0;
         failedJobs = 0;
     }
 
-    /** Records whether the last load report shows errors, of whichever scheduler. */
+    /**
+     * Records whether the last load report shows that the worker is failing jobs, whichever
+     * scheduler sent them.
+     */
     void setReportsErrors(boolean errors) {
         reportsErrors = errors;
     }
 
-    /** Until when nothing is sent there. */
+    /** Until when no job is sent to the worker. */
     long pausedUntilUs() {
         return pausedUntilUs;
     }
 
-    /** Whether nothing is sent there at this time. */
+    /** Whether the worker is paused at this time. */
     boolean isPaused(long nowUs) {
         return nowUs < pausedUntilUs;
     }
@@ -62,22 +70,22 @@
         pausedUntilUs = timeUs;
     }
 
-    /** Sets the end of the pause unless a longer one holds. */
+    /** Extends the pause until this time, if it ends earlier. */
     void pauseAtLeastUntil(long timeUs) {
         pausedUntilUs = Math.max(pausedUntilUs, timeUs);
     }
 
-    /** Ends the pause of a worker that has not failed, but was full. */
+    /** Ends the pause of a worker that has not failed but was full. */
     void resumeUnlessFailed() {
         pausedUntilUs = consecutiveFailures == 0 ? 0 : pausedUntilUs;
     }
 
-    /** When it last showed that it works. */
+    /** When the worker last showed that it is alive. */
     long lastAliveUs() {
         return lastAliveUs;
     }
 
-    /** Records that it has just shown that it works. */
+    /** Records that the worker has just shown that it is alive. */
     void recordAlive(long nowUs) {
         lastAliveUs = nowUs;
     }
--- a/src/main/java/damsonslip/policy/WorkerListWatch.java
+++ b/src/main/java/damsonslip/policy/WorkerListWatch.java
@@ -9,8 +9,8 @@
 import damsonslip.policy.api.WorkerListUpdate;
 
 /**
- * Calls discovery for the worker list: translates events into calls of the {@link DiscoveryWatch},
- * and its times into timers.
+ * Watches the worker list: passes the events that concern discovery to {@link DiscoveryWatch}, and
+ * sets timers for the calls that it schedules.
  */
 final class WorkerListWatch {
     private final DecisionContext context;
@@ -26,12 +26,12 @@
                         context.settings().guarantees().drainGraceUs());
     }
 
-    /** The state of discovery, for others to read. */
+    /** The state of the watch, for other classes to read. */
     DiscoveryWatch discovery() {
         return discovery;
     }
 
-    /** Schedules the first call. */
+    /** Schedules the first call, if the worker list is polled. */
     void start() {
         if (context.settings().pollsWorkerList()) {
             long callUs = discovery.start(context.nowUs(), context.random().nextDouble());
@@ -39,17 +39,19 @@
         }
     }
 
-    /** Calls discovery. */
+    /** Calls discovery for the worker list. */
     void call() {
         discovery.pollSent(context.nowUs());
         context.emit(new WatchWorkerList());
     }
 
-    /** A call or a watch has ended, which the update reports. */
+    /** Handles an update that reports the end of a call or a watch. */
     void ended(WorkerListUpdate update) {
         WorkerListChange end = update.change();
         long nowUs = context.nowUs();
         if (end == WorkerListChange.NOT_CALLED && !context.settings().pollsWorkerList()) {
+            // where lists are pushed, a change counts as known although this machine could not call
+            // to read it
             discovery.updateUnreadable(nowUs);
             return;
         }
@@ -59,7 +61,7 @@
         context.setTimerAt(nextCallUs, TimerLabels.LIST);
     }
 
-    /** A list, or a change of one, has been received. */
+    /** Handles a list or changes to it. */
     void received(WorkerListUpdate update) {
         if (update.change().isFromDiscovery()) {
             discovery.updateReceived();
@@ -69,7 +71,7 @@
         }
     }
 
-    /** The configured address of discovery has changed, or could not be read. */
+    /** Handles a change of discovery's configured address, or that it cannot be read. */
     void addressChanged(DiscoveryAddressChanged change) {
         switch (change.state()) {
             case UNREADABLE -> discovery.configurationUnreadable(change.reloadRequestedUs());
@@ -79,7 +81,7 @@
         }
     }
 
-    /** The number of schedulers that share the calls has changed. */
+    /** Handles a change of the number of schedulers that share discovery. */
     void schedulersChanged(SchedulersChanged change) {
         discovery.setFleet(change.schedulers(), change.schedulerIndex());
     }
--- a/src/main/java/damsonslip/policy/WorkerLoad.java
+++ b/src/main/java/damsonslip/policy/WorkerLoad.java
@@ -3,13 +3,16 @@
 import damsonslip.policy.api.LoadReport;
 
 /**
- * The load of one worker: own slots in use, which are known exactly, and the load of the other
- * schedulers as its reports show it.
+ * The load of one worker: own slots in use, which are known exactly, and the load from the other
+ * schedulers as the worker's reports show it.
  *
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class WorkerLoad {
-    /** Time constant of the mean of own slots in use: about the age of reports. */
+    /**
+     * Time constant of the mean of own slots in use: about the age of a report that did not come
+     * from a probe.
+     */
     private static final double OWN_MEAN_US = 1e6;
 
     /** Time constant of the mean of the others' slots in use. */
@@ -26,7 +29,7 @@
     private boolean probedReport;
     private double reservedMemory;
 
-    /** Takes in the number of slots that the worker states, if it does. */
+    /** Records the number of slots that the worker states, if it is above 0. */
     void stateTotalSlots(double totalSlots) {
         if (totalSlots > 0) {
             statedTotalSlots = totalSlots;
@@ -48,7 +51,7 @@
         return ownSlots;
     }
 
-    /** Slots that the other schedulers use, by the reports. */
+    /** Slots that the other schedulers use, as far as the reports show. */
     double othersSlots() {
         return othersSlots;
     }
@@ -63,7 +66,7 @@
         return reportedUs;
     }
 
-    /** Whether it has too little free memory, as far as is known. */
+    /** Whether the worker is known to have less free memory than this. */
     boolean lacksMemory(double memory) {
         return reportedFreeMemory - reservedMemory < memory;
     }
@@ -87,10 +90,10 @@
     }
 
     /**
-     * Takes in a report. One from a probe is fresh; another is about as old as the mean of own
-     * slots is long.
+     * Learns from a report. One from a probe is current, so it is compared with the present number
+     * of own slots. Any other is about {@link #OWN_MEAN_US} old, so it is compared with their mean.
      *
-     * @param unreportedMemory memory of own jobs that the report may not show yet
+     * @param unreportedMemory memory of own jobs that the report may lack
      */
     void acceptReport(
             LoadReport report,
@@ -111,7 +114,10 @@
         reservedMemory = unreportedMemory;
     }
 
-    /** Records that an own job has ended. After a probe its slots are free only once reported. */
+    /**
+     * Records that an own job has ended. If the last report came from a probe, the job's slots
+     * count as used by others until the next report.
+     */
     void ownSlotsEnded(int slots, long nowUs) {
         changeOwnSlots(-slots, nowUs);
         othersSlots += probedReport ? slots : 0;
--- a/src/main/java/damsonslip/policy/WorkerPool.java
+++ b/src/main/java/damsonslip/policy/WorkerPool.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * A job class and the workers dealt to it, with its estimates, its admission threshold and its
- * queue.
+ * A job class and the workers dealt to it, with the estimates, the admission threshold and the
+ * queue of the class.
  *
  * <p>Times are microseconds. Not safe for use by several threads.
  */
 final class WorkerPool {
-    /** Weight of a job in the mean slots of a job. */
+    /** Weight of a job in the mean number of slots per job. */
     private static final double SLOTS_PER_JOB_WEIGHT = 0.02;
 
-    /** Keeps the share of the load above 0 until it is measured. */
+    /** Load share until the load is measured; above 0. */
     private static final double INITIAL_LOAD_SHARE = 1e-6;
 
     private final JobClass jobClass;
@@ -67,39 +67,45 @@
         return affinityLoad;
     }
 
-    /** The free share at its workers of this one's kind and zone, and also warming up or not. */
+    /**
+     * The estimate of the free share at the pool's workers of the same kind and zone as this one,
+     * kept apart for workers that are warming up.
+     */
     FreeShareEstimate freeShareEstimate(Worker worker, boolean warmingUp) {
         FreeShareEstimate[][] estimates = warmingUp ? slowStartFreeShares : warmFreeShares;
         return estimates[worker.kind()][worker.zone()];
     }
 
-    /** Latency objective of a job of mean run time. */
+    /** Latency objective of a job with the mean run time. */
     double objectiveUs() {
         return jobClass.latencyObjectiveUs() + jobClass.runTimeFactor() * runTimes.meanUs();
     }
 
-    /** How long a median job may wait and still end in time; long tails raise only the mean. */
+    /**
+     * Slack: how long a job with the median run time may wait and still meet its objective. The
+     * mean would be too long where run times have a long tail.
+     */
     double slackUs() {
         return jobClass.latencyObjectiveUs()
                 + (jobClass.runTimeFactor() - 1) * Math.min(runTimes.medianUs(), runTimes.meanUs());
     }
 
-    /** What the class earns by a slot in a microsecond. */
+    /** Value that the class gains per slot and microsecond. */
     double valueOfSlot() {
         return jobClass.priorityWeight() / (runTimes.meanUs() * slotsPerJob);
     }
 
-    /** Mean slots of a job. */
+    /** Mean number of slots per job. */
     double slotsPerJob() {
         return slotsPerJob;
     }
 
-    /** Takes the slots of a job into their mean. */
+    /** Adds a job to the mean number of slots per job. */
     void observeSlots(int jobSlots) {
         slotsPerJob += SLOTS_PER_JOB_WEIGHT * (jobSlots - slotsPerJob);
     }
 
-    /** The part of the whole load by which it is sized. */
+    /** The share of the load of all classes by which the pool is sized. */
     double loadShare() {
         return loadShare;
     }
@@ -108,17 +114,17 @@
         loadShare = share;
     }
 
-    /** Slots of its workers. */
+    /** Total slots of its workers. */
     double slots() {
         return slots;
     }
 
-    /** Releases all workers before a new deal. */
+    /** Sets its slots to 0 before a new deal. */
     void clearSlots() {
         slots = 0;
     }
 
-    /** Deals a worker with this number of slots to it. */
+    /** Deals it a worker with this number of slots. */
     void deal(Worker worker, double workerSlots) {
         worker.assignTo(this);
         slots += workerSlots;
@@ -129,12 +135,14 @@
         return members;
     }
 
-    /** Its workers in the order of their points on the hash ring, with repetitions. */
+    /**
+     * Its workers in the order of their points on the hash ring; each occurs once for each point.
+     */
     Worker[] ring() {
         return ring;
     }
 
-    /** Sets its workers, each with so many points on the ring. */
+    /** Sets its workers and the number of points that each has on the hash ring. */
     void setMembers(List<Worker> workers, int pointsEach) {
         if (!workers.equals(members) || ring.length != workers.size() * pointsEach) {
             members = workers;
@@ -142,7 +150,7 @@
         }
     }
 
-    /** Jobs present that this scheduler admits, its share of the threshold. */
+    /** How many unanswered jobs of the class this scheduler admits: its share of the threshold. */
     int admissionShare() {
         return admissionShare;
     }
@@ -151,7 +159,7 @@
         admissionShare = jobs;
     }
 
-    /** Jobs of the class at this scheduler that are not answered. */
+    /** Unanswered jobs of the class at this scheduler. */
     int jobsPresent() {
         return jobsPresent;
     }
--- a/src/main/java/damsonslip/policy/WorkerPools.java
+++ b/src/main/java/damsonslip/policy/WorkerPools.java
@@ -4,9 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The pools of all job classes: measures their load, deals them workers, sets their thresholds. */
+/**
+ * The pools of all job classes. Measures their load, deals workers to them and sets their
+ * thresholds.
+ */
 final class WorkerPools {
-    /** Points of each worker on a pool's hash ring, which even out its arcs. */
+    /**
+     * Points of each worker on a pool's hash ring. Several points make the workers' parts of the
+     * ring about equal; a ring without affinity keys needs one.
+     */
     private static final int RING_POINTS = 32;
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -40,7 +46,7 @@
         return Arrays.asList(pools).indexOf(pool);
     }
 
-    /** Updates the arrival rates by the arrivals of an interval. */
+    /** Updates the arrival rates with the arrivals of an interval. */
     void measure(MeasurementInterval interval) {
         for (WorkerPool pool : pools) {
             pool.arrivalRate().measure(interval, context.settings().schedulers());
@@ -74,7 +80,7 @@
         pool.setAdmissionShare(Math.max(1, (int) Math.round(share)));
     }
 
-    /** Own jobs a second of all classes. */
+    /** Arrival rate of own jobs of all classes, per second. */
     double ownArrivalsPerSecond() {
         int schedulers = context.settings().schedulers();
         return Arrays.stream(pools)
@@ -92,7 +98,7 @@
         return true;
     }
 
-    /** Forgets a worker that is gone. */
+    /** Drops the estimates for a removed worker. */
     void forget(Worker worker) {
         for (WorkerPool pool : pools) {
             pool.runTimes().forget(worker);
--- a/src/main/java/damsonslip/policy/WorkerRegistry.java
+++ b/src/main/java/damsonslip/policy/WorkerRegistry.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** The workers by id, as the worker list names them (rule 3). */
+/** The known workers by id, kept up to date from worker lists. */
 final class WorkerRegistry {
-    /** A worker that has stopped is remembered for this long, as it may come back. */
+    /** A stopped worker is kept for this long, as it may come back. */
     private static final long RETENTION_US = 600_000_000;
 
     private final DecisionContext context;
@@ -38,7 +38,10 @@
         return workers.values().stream().filter(Worker::isRunning).toList();
     }
 
-    /** Takes in a list or a change of one; returns whether a worker started or stopped to run. */
+    /**
+     * Applies a worker list or changes to it; returns whether the set of running workers may have
+     * changed.
+     */
     boolean apply(WorkerListUpdate update) {
         WorkerListChange change = update.change();
         boolean changed = change.isComplete() && stopAll();
@@ -88,7 +91,7 @@
         }
     }
 
-    /** Removes workers that stopped long ago and have no attempts outstanding. */
+    /** Removes workers that stopped long ago and have no outstanding attempts. */
     void removeLongStopped(Consumer<Worker> onRemoval) {
         long nowUs = context.nowUs();
         for (Iterator<Worker> all = workers.values().iterator(); all.hasNext(); ) {
--- a/src/main/java/damsonslip/policy/WorkerSelector.java
+++ b/src/main/java/damsonslip/policy/WorkerSelector.java
@@ -4,27 +4,35 @@
 import java.util.function.Predicate;
 
 /**
- * Selects the worker for a job: of some candidates along the pool's hash ring the one with most
- * free slots, workers of the own zone first.
+ * Selects the worker for a job: among a limited number of candidates along the pool's hash ring,
+ * the one with the most free slots, with a preference for workers of this scheduler's zone.
  *
- * <p>A job without an affinity key starts at a random point of the ring. One with a key keeps to as
- * many of the next workers as the key's load needs, even to wait there a little: to load its data
- * elsewhere costs more than a short wait.
+ * <p>A job without an affinity key starts at a random position of the ring. A job with a key starts
+ * at the key's position and is limited to as many of the next workers as the key's load needs, even
+ * if it has to wait there for a short time: loading the key's data at another worker costs more.
  */
 final class WorkerSelector {
-    /** Positions of the ring that are looked at for one job. */
+    /** Maximum number of ring positions that are checked for one job. */
     private static final int MAX_POSITIONS = 32;
 
-    /** A job takes a worker with so much less free than it needs: free slots are estimates. */
+    /** Free slots are estimates: at least this fraction of a slot counts as a whole slot. */
     private static final double SLOT_TOLERANCE = 0.5;
 
-    /** A job with an affinity key may queue at its workers behind about this many others. */
+    /**
+     * A job with an affinity key may wait at one of the key's workers behind about this many
+     * others.
+     */
     private static final double MAX_AFFINITY_QUEUE = 2;
 
-    /** The load of an affinity key gets one more worker above this utilization. */
+    /**
+     * An affinity key gets another worker when its load exceeds this utilization of its workers.
+     */
     private static final double AFFINITY_UTILIZATION = 0.7;
 
-    /** Free slots by which the own zone is preferred, for each point that crossing zones costs. */
+    /**
+     * Number of free slots by which workers of this scheduler's zone are preferred, for each point
+     * of the configured price of crossing zones.
+     */
     private static final double SLOTS_PER_CROSS_ZONE_POINT = 80;
 
     private final DecisionContext context;
@@ -65,15 +73,16 @@
     }
 
     /**
-     * Selects a worker of the pool, or null if none of the candidates has room.
+     * Selects a worker of the pool that may take the job, or null if no candidate has capacity.
      *
-     * @param widened whether the job has waited and takes one more of its affinity key's workers
+     * @param widened whether the job has waited, so that one more worker of its affinity key is a
+     *     candidate
      */
     Worker select(WorkerPool pool, Job job, boolean widened) {
         return select(pool, job, widened, worker -> eligibility.mayTake(worker, job));
     }
 
-    /** The same among the workers that satisfy this condition. */
+    /** Selects a worker of the pool that satisfies the condition, or null if none has capacity. */
     Worker select(WorkerPool pool, Job job, boolean widened, Predicate<Worker> mayTake) {
         Worker[] ring = pool.ring();
         boolean anyWorker = !job.hasAffinity();
@@ -112,7 +121,7 @@
         return (int) Math.floorMod(hash, Math.max(1L, ringLength));
     }
 
-    /** A slow worker makes jobs late, so it is left to those that are late in any case. */
+    /** A slow worker makes jobs late, so it is used only for jobs that are late in any case. */
     private boolean isTooSlow(Worker worker, Job job) {
         return outliers.isSlow(worker) && !job.isLate(context.nowUs());
     }
@@ -125,7 +134,10 @@
         return Math.max(SLOT_TOLERANCE, SLOTS_PER_CROSS_ZONE_POINT * price);
     }
 
-    /** Selects among the workers probed for the job that have reported enough room, or null. */
+    /**
+     * Selects among the workers that were probed for the job and have reported enough capacity
+     * since it arrived, or null.
+     */
     Worker selectProbedCandidate(Job job) {
         return job.probedCandidates().stream()
                 .filter(worker -> worker.load().reportedUs() >= job.arrivedUs())
@@ -143,7 +155,7 @@
         return selectInScope(job, worker -> eligibility.mayTake(worker, job));
     }
 
-    /** The same among the workers that satisfy this condition, of whatever pool. */
+    /** Selects a worker of any pool in the scope that satisfies the condition, or null. */
     Worker selectInScope(Job job, Predicate<Worker> mayTake) {
         Worker first = job.firstPossibleRun().worker();
         return registry.all().stream()
--- a/src/main/java/damsonslip/policy/api/AttemptEnded.java
+++ b/src/main/java/damsonslip/policy/api/AttemptEnded.java
@@ -4,7 +4,7 @@
  * An attempt has ended.
  *
  * @param attempt number of the attempt
- * @param jobAnswered whether the job has its final answer by it
+ * @param jobAnswered whether this was also the final answer to the job
  * @param report the load report that came with the response, or null
  */
 public record AttemptEnded(
--- a/src/main/java/damsonslip/policy/api/AttemptStarted.java
+++ b/src/main/java/damsonslip/policy/api/AttemptStarted.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** The worker has said that it started to run an attempt's job. */
+/** The worker has reported that it started to run the job of an attempt. */
 public record AttemptStarted(String job, int attempt) implements Event {}
--- a/src/main/java/damsonslip/policy/api/Cancel.java
+++ b/src/main/java/damsonslip/policy/api/Cancel.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Cancel an attempt. */
+/** Cancel an open attempt. */
 public record Cancel(String job, int attempt) implements Action {}
--- a/src/main/java/damsonslip/policy/api/ClientDisconnected.java
+++ b/src/main/java/damsonslip/policy/api/ClientDisconnected.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** The client has disconnected, so that its job needs no answer. */
+/** The client has disconnected, so its job needs no answer. */
 public record ClientDisconnected(String job) implements Event {}
--- a/src/main/java/damsonslip/policy/api/Guarantees.java
+++ b/src/main/java/damsonslip/policy/api/Guarantees.java
@@ -1,16 +1,18 @@
 package damsonslip.policy.api;
 
 /**
- * The figures of the four rules.
+ * The figures of the guarantees that all schedulers have to keep: final answers in time, no sends
+ * to draining workers, and slow start of workers.
  *
  * @param responseGraceUs how long after the client's deadline a final answer still counts
- * @param drainGraceUs how soon sending to a draining worker has to end
+ * @param drainGraceUs how long after a drain is known the draining worker may still be sent to
  * @param maxPollIntervalUs longest time between two polls of a worker list that is not watched
- * @param slowStartShare share of its capacity that a worker starts with, above 0 and up to 1
- * @param slowStartUs time until a worker has its full capacity
- * @param overloadFactor a worker that warms up is overloaded by more than this multiple of its
- *     present capacity
- * @param overloadWindowUs for this long
+ * @param slowStartShare share of its full capacity that a worker has at its start, above 0 and at
+ *     most 1
+ * @param slowStartUs time from its start until a worker has its full capacity
+ * @param overloadFactor a worker that warms up is overloaded if it gets more work than this
+ *     multiple of its current capacity during {@code overloadWindowUs}
+ * @param overloadWindowUs length of the window for which work and capacity are compared
  */
 public record Guarantees(
         long responseGraceUs,
@@ -33,7 +35,9 @@
         Requirements.require(overloadWindowUs > 0, "settings: fall time: " + overloadWindowUs);
     }
 
-    /** Returns the least share of its capacity that a worker has this long after its start. */
+    /**
+     * Returns the minimum share of its full capacity that a worker has this long after its start.
+     */
     public double slowStartShareAt(long ageUs) {
         return Math.min(
                 1, slowStartShare + (1 - slowStartShare) * Math.max(0, ageUs) / slowStartUs);
--- a/src/main/java/damsonslip/policy/api/Idempotency.java
+++ b/src/main/java/damsonslip/policy/api/Idempotency.java
@@ -4,7 +4,10 @@
 public enum Idempotency {
     /** May run any number of times. */
     IDEMPOTENT,
-    /** Workers that share the idempotency key drop a repeat within a window of time. */
+    /**
+     * May be repeated within a window of time by workers that share the idempotency key, which drop
+     * repeats.
+     */
     IDEMPOTENT_WITH_KEY,
     /** Must not run twice. */
     NOT_IDEMPOTENT
--- a/src/main/java/damsonslip/policy/api/JobArrived.java
+++ b/src/main/java/damsonslip/policy/api/JobArrived.java
@@ -5,15 +5,15 @@
 /**
  * A client's job has arrived.
  *
- * @param job id, which no unfinished job has
+ * @param job id, which no job that is still active has
  * @param jobClass index of its class in the settings
  * @param tenant index of its tenant's quota in the settings; 0 if there are none
  * @param affinityKey the program or data set that it uses, or null
- * @param deadlineUs when the client gives up
- * @param slots slots that it needs at a worker, at least 1
+ * @param deadlineUs when the client stops waiting for an answer
+ * @param slots slots that it takes at a worker, at least 1
  * @param memory memory that it needs, in the unit of the load reports
- * @param maxRuns most attempts that may have run, if its class allows so many
- * @param eligibleWorkers tells by id which workers can run it; null if each can
+ * @param maxRuns maximum number of attempts that may have run, if its class allows that many
+ * @param eligibleWorkers accepts the ids of the workers that can run it; null if all can
  */
 public record JobArrived(
         String job,
@@ -29,8 +29,8 @@
     /** Checks the ranges. */
     public JobArrived {
         Requirements.require(job != null, "a job without an id");
-        Requirements.require(slots >= 1, "slots of a job: " + slots);
-        Requirements.require(maxRuns >= 1, "runs of a job: " + maxRuns);
+        Requirements.require(slots >= 1, "a job needs at least 1 slot: " + slots);
+        Requirements.require(maxRuns >= 1, "a job must be allowed at least 1 run: " + maxRuns);
     }
 
     /** Creates a job that any worker can run, as often as its class allows. */
--- a/src/main/java/damsonslip/policy/api/Limits.java
+++ b/src/main/java/damsonslip/policy/api/Limits.java
@@ -3,11 +3,11 @@
 /**
  * Limits and prices of what the policy may do.
  *
- * @param maxAttempts most attempts for one job, at least 1
+ * @param maxAttempts maximum number of attempts for one job, at least 1
  * @param mayCancel whether attempts may be cancelled
  * @param mayProbe whether workers may be probed
- * @param probePrice points of service that a probe for each job costs
- * @param crossZonePrice points of service that an attempt across zones for each job costs
+ * @param probePrice price of sending one probe for each job, in points of service
+ * @param crossZonePrice price of sending each job to a worker of another zone, in points of service
  */
 public record Limits(
         int maxAttempts,
--- a/src/main/java/damsonslip/policy/api/LoadReport.java
+++ b/src/main/java/damsonslip/policy/api/LoadReport.java
@@ -1,10 +1,10 @@
 package damsonslip.policy.api;
 
 /**
- * A worker's load report; a figure that it does not hold is NaN.
+ * A worker's load report; a missing figure is NaN.
  *
- * @param totalSlots all slots, as stated by a worker that fetches jobs
- * @param errorsPerSecond jobs that failed there
+ * @param totalSlots number of all slots, which only workers that fetch jobs state
+ * @param errorsPerSecond failed jobs a second at the worker, from all schedulers
  */
 public record LoadReport(
         double freeSlots,
--- a/src/main/java/damsonslip/policy/api/LoadReporting.java
+++ b/src/main/java/damsonslip/policy/api/LoadReporting.java
@@ -1,10 +1,10 @@
 package damsonslip.policy.api;
 
-/** Where load reports come from. */
+/** How load reports are obtained. */
 public enum LoadReporting {
-    /** Responses of workers carry them. */
+    /** Workers add them to their responses. */
     WITH_RESPONSES,
-    /** Only answers to probes carry them. */
+    /** Only answers to probes contain them. */
     BY_PROBE,
     /** There are none. */
     NONE
--- a/src/main/java/damsonslip/policy/api/PoolState.java
+++ b/src/main/java/damsonslip/policy/api/PoolState.java
@@ -1,15 +1,15 @@
 package damsonslip.policy.api;
 
 /**
- * State of a job class's pool, for people to read.
+ * State of a job class's pool, for display to operators.
  *
  * @param workers number of workers
- * @param slots their slots
- * @param arrivalRate jobs a second at all schedulers, estimated
+ * @param slots total slots of these workers
+ * @param arrivalRate estimated jobs a second at all schedulers
  * @param meanRunTimeUs mean run time of a job
- * @param freeShare share of free slots, estimated
- * @param present jobs without an answer at this scheduler
- * @param queued those of them that wait in the admission queue
+ * @param freeShare estimated share of free slots
+ * @param present unanswered jobs at this scheduler
+ * @param queued number of these that wait in the admission queue
  * @param admissionShare this scheduler's share of the admission threshold, in jobs
  */
 public record PoolState(
--- a/src/main/java/damsonslip/policy/api/Reject.java
+++ b/src/main/java/damsonslip/policy/api/Reject.java
@@ -1,7 +1,7 @@
 package damsonslip.policy.api;
 
 /**
- * Final answer: the job is rejected and may be retried without risk.
+ * Final answer: the job is rejected and may safely be retried.
  *
  * @param retryAfterUs time after which a retry makes sense
  */
--- a/src/main/java/damsonslip/policy/api/Settings.java
+++ b/src/main/java/damsonslip/policy/api/Settings.java
@@ -6,20 +6,22 @@
  * Settings of one scheduler.
  *
  * @param schedulers how many schedulers share the workers
- * @param schedulerIndex this one's number among them, from 0
- * @param zone this one's zone
+ * @param schedulerIndex this scheduler's index among them, from 0
+ * @param zone this scheduler's zone
  * @param zones number of zones
- * @param kinds number of kinds of worker
+ * @param kinds number of kinds of workers
  * @param classes the job classes
- * @param tenantQuotas jobs a second that each tenant may send over all schedulers; or empty
+ * @param tenantQuotas jobs a second that each tenant may send to all schedulers together; empty if
+ *     there are no quotas
  * @param limits limits and prices
- * @param guarantees the figures of the four rules
- * @param loadReporting where load reports come from
- * @param pollsWorkerList whether the worker list comes only when it is polled
- * @param reportsJobStart whether workers say when a job starts
- * @param tickUs least time between two events of a scheduler
+ * @param guarantees the figures of the guarantees that the schedulers have to keep
+ * @param loadReporting how load reports are obtained
+ * @param pollsWorkerList whether discovery sends the worker list only when it is polled, instead of
+ *     pushing it
+ * @param reportsJobStart whether workers report that a job starts
+ * @param tickUs minimum time between two events of a scheduler
  * @param probesReportDraining whether a draining worker's answer to a probe differs from that of
- *     one that takes work
+ *     one that accepts jobs
  */
 public record Settings(
         int schedulers,
@@ -64,7 +66,7 @@
         }
     }
 
-    /** Creates settings of a site where probes do not show draining. */
+    /** Creates settings for a deployment where probes do not show draining. */
     public Settings(
             int schedulers,
             int schedulerIndex,
@@ -115,7 +117,7 @@
                 probesReportDraining);
     }
 
-    /** Returns these settings for a site where probes show draining. */
+    /** Returns these settings for a deployment where probes show draining. */
     public Settings withProbesReportingDraining() {
         return new Settings(
                 schedulers,
--- a/src/main/java/damsonslip/policy/api/TimerDue.java
+++ b/src/main/java/damsonslip/policy/api/TimerDue.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** A timer that was set by {@link SetTimer} is due. */
+/** A timer set by {@link SetTimer} is due. */
 public record TimerDue(String label) implements Event {}
--- a/src/main/java/damsonslip/policy/api/WatchWorkerList.java
+++ b/src/main/java/damsonslip/policy/api/WatchWorkerList.java
@@ -1,4 +1,4 @@
 package damsonslip.policy.api;
 
-/** Call discovery for the worker list, and watch it from then on. */
+/** Call discovery for the worker list, and watch the list from then on. */
 public record WatchWorkerList() implements Action {}
--- a/src/main/java/damsonslip/policy/api/WorkerListChange.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListChange.java
@@ -1,25 +1,25 @@
 package damsonslip.policy.api;
 
-/** What a {@link WorkerListUpdate} reports: workers, or how a call or a watch ended. */
+/** What a {@link WorkerListUpdate} contains: workers, or how a call or a watch ended. */
 public enum WorkerListChange {
     /** Workers that have changed. */
     CHANGES,
     /** The complete list. */
     COMPLETE,
-    /** The list that was cached over a restart. */
+    /** The complete list that the previous process of this scheduler cached. */
     CACHED,
     /** Changes that an operator made at this scheduler. */
     OVERRIDES,
     /** A call failed or a watch broke. */
     FAILED,
-    /** No connection to discovery came up. */
+    /** No connection to discovery could be opened. */
     UNREACHABLE,
-    /** An open watch has been silent for too long. */
+    /** Nothing was received on the open watch for too long. */
     SILENT,
     /** This machine could not make the call. */
     NOT_CALLED;
 
-    /** Returns whether a worker that the update does not name has been removed. */
+    /** Returns whether workers that the update does not name have been removed. */
     public boolean isComplete() {
         return this == COMPLETE || this == CACHED;
     }
--- a/src/main/java/damsonslip/policy/api/WorkerListUpdate.java
+++ b/src/main/java/damsonslip/policy/api/WorkerListUpdate.java
@@ -5,9 +5,9 @@
 /**
  * The worker list, or changes to it, or the end of a call or a watch.
  *
- * @param lastReceivedUs for {@link WorkerListChange#SILENT}, when the watch was last heard; for
- *     {@link WorkerListChange#CACHED}, when the process that starts with the list was launched;
- *     else {@link Long#MAX_VALUE}
+ * @param lastReceivedUs for {@link WorkerListChange#SILENT}, when something was last received on
+ *     the watch; for {@link WorkerListChange#CACHED}, when the process that starts with this list
+ *     was launched; else {@link Long#MAX_VALUE}
  */
 public record WorkerListUpdate(
         WorkerListChange change, List<WorkerEntry> workers, long lastReceivedUs) implements Event {
--- a/src/main/java/damsonslip/policy/api/WorkerStatus.java
+++ b/src/main/java/damsonslip/policy/api/WorkerStatus.java
@@ -2,10 +2,10 @@
 
 /** Status of a worker on the worker list. */
 public enum WorkerStatus {
-    /** Takes work. */
+    /** Accepts jobs. */
     RUNNING,
-    /** Finishes its work and takes no more. */
+    /** Finishes its jobs and accepts no new ones. */
     DRAINING,
-    /** Is gone. */
+    /** No longer exists. */
     REMOVED
 }
