--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -69,12 +69,12 @@
 
     private void push(DueCallback callback) {
         if (!callback.job().isEmpty()) {
-            callbacks.push(callback, existing -> pushedBefore(callback, existing));
+            callbacks.push(callback, existing -> handleAlreadyPushed(callback, existing));
         }
     }
 
     /** Called when a callback was pushed before a restart; it may have run already. */
-    private void pushedBefore(DueCallback callback, JobRecord existing) {
+    private void handleAlreadyPushed(DueCallback callback, JobRecord existing) {
         if (existing.state() == JobRecord.State.SUCCESS) {
             callbackSucceeded(callback.batch().bid(), callback.success());
         }
@@ -134,7 +134,7 @@
      * Resumes callbacks that were due before the stop or became due by it; called once all jobs are
      * recovered.
      */
-    void recovered() {
+    void recoveryCompleted() {
         recovered = true;
         batches.correctTotals();
         batches.unfinishedCallbacks().forEach(this::push);
--- a/src/main/java/damsonslip/faktory/CommandRouter.java
+++ b/src/main/java/damsonslip/faktory/CommandRouter.java
@@ -33,8 +33,8 @@
     }
 
     /** Called once the recovery from the store has ended. */
-    void recovered() {
-        reports.recovered();
+    void recoveryCompleted() {
+        reports.recoveryCompleted();
     }
 
     @Override
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -56,7 +56,7 @@
     private final LifecyclePhase phase;
     private final Counters counters;
     private final FaktoryConfig config;
-    private final String file;
+    private final String configFile;
     private volatile Password password;
     private final SchedulerEngine engine;
     private final AsyncStore store;
@@ -68,7 +68,7 @@
     /**
      * Creates the front; {@link #start} opens it.
      *
-     * @param file the configuration file, which {@link #reload} reads again
+     * @param configFile the configuration file, which {@link #reload} reads again
      * @throws ConfigurationException if the store's address is not valid
      */
     public Faktory(
@@ -76,19 +76,19 @@
             LifecyclePhase phase,
             Counters counters,
             FaktoryConfig config,
-            String file)
+            String configFile)
             throws ConfigurationException {
         super(
                 new ConnectionLimiter<>(
                         config.maxConnections(),
                         config.maxConnections() / OVERFLOW_DIVISOR,
-                        connection -> !connection.isGreeted(),
+                        connection -> !connection.isHandshakeComplete(),
                         Comparator.comparingLong(FaktoryConnection::openedUs)));
         this.loop = loop;
         this.phase = phase;
         this.counters = counters;
         this.config = config;
-        this.file = file;
+        this.configFile = configFile;
         this.password = new Password(config.password());
         this.engine =
                 new SchedulerEngine(
@@ -129,7 +129,7 @@
 
     private void beginServing() {
         engine.start(services.consumers(), List.of());
-        services.recover(router::recovered);
+        services.recover(router::recoveryCompleted);
         phase.advanceTo(State.SERVING);
     }
 
@@ -139,7 +139,7 @@
     @Override
     public void reload(long requestedNanoTime) {
         try {
-            FaktoryConfig reloaded = FaktoryConfig.read(file);
+            FaktoryConfig reloaded = FaktoryConfig.read(configFile);
             password = new Password(reloaded.password());
             LOG.info("event=configuration_reloaded settings=password");
         } catch (ConfigurationException e) {
@@ -245,7 +245,7 @@
     }
 
     /** Adds to, or with a negative number takes from, the bytes buffered of incomplete commands. */
-    void addBuffered(int bytes) {
+    void addBufferedBytes(int bytes) {
         bufferedBytes += bytes;
     }
 
@@ -271,7 +271,7 @@
     }
 
     /** Counts and logs that a slow peer is being closed. */
-    void closing(FaktoryConnection connection, Count reason, String behaviour) {
+    void recordSlowPeer(FaktoryConnection connection, Count reason, String behaviour) {
         counters.add(reason);
         LOG.info(
                 "event=slow_peer_closed {} is let go: it {}",
@@ -283,7 +283,7 @@
         return config.maxLineBytes();
     }
 
-    void wrongPassword() {
+    void countWrongPassword() {
         counters.add(Count.PASSWORDS_WRONG);
     }
 
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -48,10 +48,10 @@
 
     private final ArrayDeque<String> pendingLines = new ArrayDeque<>();
     private long openedUs;
-    private boolean greeted;
+    private boolean handshakeComplete;
 
     /** Whether a command is being handled, or its reply being written. */
-    private boolean handling;
+    private boolean commandInProgress;
 
     /** The worker that this connection belongs to, or null for a producer's. */
     private Worker worker;
@@ -64,8 +64,8 @@
         this.readRate = new MinimumDataRate(faktory.peerLimits());
     }
 
-    boolean isGreeted() {
-        return greeted;
+    boolean isHandshakeComplete() {
+        return handshakeComplete;
     }
 
     long openedUs() {
@@ -80,40 +80,40 @@
     protected void opened() {
         openedUs = faktory.loop().nowUs();
         faktory.connectionOpened(this);
-        String proof =
+        String challenge =
                 faktory.password().isRequired()
-                        ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
+                        ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ITERATIONS
                         : "";
-        write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + proof + "}"));
-        faktory.loop().scheduleAfter(HELLO_TIMEOUT_US, this::endIfNotGreeted);
+        write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + challenge + "}"));
+        faktory.loop().scheduleAfter(HELLO_TIMEOUT_US, this::closeIfHandshakeIncomplete);
     }
 
-    private void endIfNotGreeted() {
-        if (!greeted) {
+    private void closeIfHandshakeIncomplete() {
+        if (!handshakeComplete) {
             closeNow();
         }
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (handling) {
+        if (commandInProgress) {
             return; // bytes sent ahead stay unread, which bounds a pipelining peer's memory
         }
-        byte[] part = new byte[bytes.remaining()];
-        bytes.get(part);
-        List<String> complete = decoder.decode(part);
-        if (complete == null || (!greeted && decoder.unfinishedBytes() > MAX_HELLO_BYTES)) {
+        byte[] data = new byte[bytes.remaining()];
+        bytes.get(data);
+        List<String> lines = decoder.decode(data);
+        if (lines == null || (!handshakeComplete && decoder.unfinishedBytes() > MAX_HELLO_BYTES)) {
             closeWithError("a line too long");
             return;
         }
-        faktory.addBuffered(decoder.unfinishedBytes() - incompleteBytes);
+        faktory.addBufferedBytes(decoder.unfinishedBytes() - incompleteBytes);
         incompleteBytes = decoder.unfinishedBytes();
-        measureSending(part.length, !complete.isEmpty());
+        measureSending(data.length, !lines.isEmpty());
         if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered()) {
             closeWithError("too much is being sent here at once; come back in a moment");
             return;
         }
-        pendingLines.addAll(complete);
+        pendingLines.addAll(lines);
         handleNext();
     }
 
@@ -122,9 +122,9 @@
     }
 
     /** Measures the rate of an incomplete command; each command is measured by itself. */
-    private void measureSending(int bytes, boolean ended) {
+    private void measureSending(int bytes, boolean commandComplete) {
         long now = faktory.loop().nowUs();
-        if (ended) {
+        if (commandComplete) {
             sendRate.end();
         }
         if (incompleteBytes > 0) {
@@ -158,10 +158,10 @@
             return;
         }
         if (readRate.isTooSlow(nowUs)) {
-            faktory.closing(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
+            faktory.recordSlowPeer(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
             closeNow();
-        } else if (sendRate.isTooSlow(nowUs) && !handling) {
-            faktory.closing(
+        } else if (sendRate.isTooSlow(nowUs) && !commandInProgress) {
+            faktory.recordSlowPeer(
                     this,
                     Count.SLOW_SENDERS_LET_GO,
                     "sends a command at " + (long) sendRate.bytesPerSecond(nowUs) + " bytes/s");
@@ -175,12 +175,12 @@
      * before any other connection.
      */
     private void handleNext() {
-        while (!handling && !isClosed() && !pendingLines.isEmpty()) {
+        while (!commandInProgress && !isClosed() && !pendingLines.isEmpty()) {
             String line = pendingLines.poll();
             if (line.isEmpty()) {
                 continue;
             }
-            handling = true;
+            commandInProgress = true;
             sendRate.end();
             handle(line);
             return; // the next one follows the reply
@@ -190,13 +190,13 @@
     private void handle(String line) {
         try {
             Command command = CommandDecoder.decode(line);
-            if (greeted) {
+            if (handshakeComplete) {
                 faktory.handle(this, command);
             } else {
                 handleHello(command);
             }
         } catch (MalformedCommandException e) {
-            if (greeted) {
+            if (handshakeComplete) {
                 reply(Reply.error(CommandError.error(e.getMessage())));
             } else {
                 closeWithError(e.getMessage());
@@ -205,12 +205,12 @@
     }
 
     private void replied() {
-        handling = false;
+        commandInProgress = false;
         if (incompleteBytes > 0) { // nothing was read while the last command was handled
             sendRate.begin(faktory.loop().nowUs());
         }
         handleNext();
-        if (!handling && pendingLines.isEmpty()) {
+        if (!commandInProgress && pendingLines.isEmpty()) {
             resumeReading();
         }
     }
@@ -224,10 +224,10 @@
         }
         if (faktory.password().isRequired()
                 && !faktory.password().verify(salt, hello.passwordHash())) {
-            faktory.wrongPassword();
+            faktory.countWrongPassword();
             throw new MalformedCommandException("invalid password");
         }
-        greeted = true;
+        handshakeComplete = true;
         worker = hello.wid().isEmpty() ? null : faktory.register(hello, this);
         reply(Reply.ok());
     }
@@ -254,7 +254,7 @@
 
     @Override
     protected void connectionClosed() {
-        faktory.addBuffered(-incompleteBytes);
+        faktory.addBufferedBytes(-incompleteBytes);
         incompleteBytes = 0;
         faktory.connectionClosed(this);
     }
--- a/src/main/java/damsonslip/faktory/FaktoryServices.java
+++ b/src/main/java/damsonslip/faktory/FaktoryServices.java
@@ -36,8 +36,8 @@
         this.counters = counters;
         this.config = config;
         this.store = store;
-        int classes = config.site().classNames().size();
-        JobTable jobTable = new JobTable(classes, config.jobLimits());
+        int classCount = config.site().classNames().size();
+        JobTable jobTable = new JobTable(classCount, config.jobLimits());
         JobLifecycle lifecycle = new JobLifecycle(loop, config.site(), store, counters, jobTable);
         this.reservations = new Reservations(loop, engine, store, counters, lifecycle);
         this.workers = new WorkerRegistry(loop, config.site(), engine, store, reservations);
@@ -70,8 +70,8 @@
     void recover(Runnable onCompletion) {
         Runnable completeRecovery =
                 () -> {
-                    producers.recovered();
-                    batches.recovered();
+                    producers.recoveryCompleted();
+                    batches.recoveryCompleted();
                     onCompletion.run();
                 };
         new Recovery(
@@ -83,7 +83,7 @@
                         coordinator,
                         batches,
                         completeRecovery)
-                .begin();
+                .start();
     }
 
     JobCoordinator coordinator() {
--- a/src/main/java/damsonslip/faktory/JobCompletion.java
+++ b/src/main/java/damsonslip/faktory/JobCompletion.java
@@ -84,7 +84,7 @@
     }
 
     /** Ends a run whose job is not dispatched any more. */
-    void endLostRun(JobEntry entry, RunFailure failure, CommandCallback callback) {
+    void endOrphanedRun(JobEntry entry, RunFailure failure, CommandCallback callback) {
         counters.add(Count.ANSWERS_FAILED);
         if (!entry.record().hasWaitingClient()) {
             retryOrEnd(entry, failure, callback);
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -24,7 +24,7 @@
      * Due jobs that are enqueued in one task of the loop, so that ten thousand at once do not hold
      * up other tasks.
      */
-    private static final int DUE_BATCH = 200;
+    private static final int DUE_BATCH_SIZE = 200;
 
     private static final long SWEEP_INTERVAL_US = 100_000;
 
@@ -137,7 +137,7 @@
      * the recovery after a start treats a scheduled job that is due like a queued one.
      */
     private void enqueueDue() {
-        List<JobEntry> due = jobTable.due(nowMs(), DUE_BATCH);
+        List<JobEntry> due = jobTable.due(nowMs(), DUE_BATCH_SIZE);
         for (JobEntry entry : due) {
             if (!lifecycle.discardIfExpired(entry)) {
                 enqueue(entry);
@@ -146,7 +146,7 @@
         if (!due.isEmpty()) {
             dispatcher.dispatchSoon();
         }
-        if (due.size() == DUE_BATCH) {
+        if (due.size() == DUE_BATCH_SIZE) {
             loop.execute(this::enqueueDue);
         }
     }
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -114,18 +114,18 @@
     }
 
     private void dispatchFor(FetchDirectory.WaitingFetch fetch) {
-        IntPredicate open = jobClass -> mayDispatch(jobClass, fetch.sinceUs());
-        JobEntry next = nextJob(fetch, open);
+        IntPredicate dispatchable = jobClass -> mayDispatch(jobClass, fetch.sinceUs());
+        JobEntry next = nextJob(fetch, dispatchable);
         while (next != null && fetchDirectory.isFetchWaiting(fetch.queues())) {
             if (!lifecycle.discardIfExpired(next)) {
                 dispatch(next);
             }
-            next = nextJob(fetch, open);
+            next = nextJob(fetch, dispatchable);
         }
     }
 
-    private JobEntry nextJob(FetchDirectory.WaitingFetch fetch, IntPredicate open) {
-        return jobTable.next(fetch.queues(), fairQueueOrder, lifecycle.nowMs(), open);
+    private JobEntry nextJob(FetchDirectory.WaitingFetch fetch, IntPredicate dispatchable) {
+        return jobTable.next(fetch.queues(), fairQueueOrder, lifecycle.nowMs(), dispatchable);
     }
 
     /**
@@ -209,11 +209,11 @@
      */
     private int maxAttempts(JobEntry entry) {
         Idempotency idempotency = lifecycle.classOf(entry).idempotency();
-        boolean once =
+        boolean singleAttempt =
                 idempotency == Idempotency.NOT_IDEMPOTENT
                         || (idempotency == Idempotency.IDEMPOTENT
                                 && !entry.record().hasWaitingClient());
-        return once ? 1 : Math.max(0, entry.record().options().retryLimit()) + 1;
+        return singleAttempt ? 1 : Math.max(0, entry.record().options().retryLimit()) + 1;
     }
 
     /** The deadline of an unawaited job counts from its dispatch. */
--- a/src/main/java/damsonslip/faktory/LateReports.java
+++ b/src/main/java/damsonslip/faktory/LateReports.java
@@ -58,7 +58,7 @@
             counters.add(Count.ANSWERS_SERVED);
             lifecycle.succeed(entry, callback);
         } else {
-            completion.endLostRun(entry, failure, callback);
+            completion.endOrphanedRun(entry, failure, callback);
         }
         return true;
     }
@@ -87,7 +87,8 @@
         if (lifecycle.nowMs() < deadlineMs && connected) {
             loop.scheduleAt(deadlineMs * 1000, () -> check(entry, deadlineMs));
         } else {
-            completion.endLostRun(entry, RunFailure.RESERVATION_EXPIRED, CommandCallback.IGNORE);
+            completion.endOrphanedRun(
+                    entry, RunFailure.RESERVATION_EXPIRED, CommandCallback.IGNORE);
         }
     }
 
--- a/src/main/java/damsonslip/faktory/MutateCommand.java
+++ b/src/main/java/damsonslip/faktory/MutateCommand.java
@@ -57,7 +57,7 @@
         int remaining;
 
         /** Jobs that were left unchanged since they must not run twice. */
-        int unsafe;
+        int skipped;
 
         /** Whether the store failed to record a change. */
         boolean unrecorded;
@@ -78,8 +78,8 @@
         }
 
         void reply() {
-            if (unsafe > 0) {
-                String counts = unsafe + " of " + jobs.size();
+            if (skipped > 0) {
+                String counts = skipped + " of " + jobs.size();
                 String message =
                         counts + " may have run and must not run twice; they stay where they are";
                 connection.reply(Reply.error(CommandError.error(message)));
@@ -100,7 +100,7 @@
         }
         Mutate.Filter filter = command.filter();
         Set<String> ids = Set.copyOf(filter.jids());
-        jobs.removeIf(entry -> !fitsType(filter, entry));
+        jobs.removeIf(entry -> !matchesType(filter, entry));
         jobs.removeIf(entry -> !ids.isEmpty() && !ids.contains(entry.id()));
         if (filter.glob().isEmpty()) {
             change(new Mutation(command.verb(), jobs, connection));
@@ -123,7 +123,7 @@
         };
     }
 
-    private static boolean fitsType(Mutate.Filter filter, JobEntry entry) {
+    private static boolean matchesType(Mutate.Filter filter, JobEntry entry) {
         String jobtype = entry.record().options().jobtype();
         return filter.jobtype().isEmpty() || filter.jobtype().equals(jobtype);
     }
@@ -200,7 +200,7 @@
         boolean mayRun =
                 RetryPolicy.mayRun(entry.record(), lifecycle.classOf(entry), lifecycle.nowMs());
         if (!mayRun) {
-            mutation.unsafe++;
+            mutation.skipped++;
             mutation.jobHandled(Optional.empty());
             return;
         }
--- a/src/main/java/damsonslip/faktory/Password.java
+++ b/src/main/java/damsonslip/faktory/Password.java
@@ -14,7 +14,7 @@
  */
 record Password(String text) {
     /** Iterations of the hash, which the greeting announces. */
-    static final int ROUNDS = 1735;
+    static final int ITERATIONS = 1735;
 
     private static final SecureRandom RANDOM = new SecureRandom();
 
@@ -32,7 +32,7 @@
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             byte[] hash = sha256.digest((text + salt).getBytes(StandardCharsets.UTF_8));
-            for (int i = 1; i < ROUNDS; i++) {
+            for (int i = 1; i < ITERATIONS; i++) {
                 hash = sha256.digest(hash);
             }
             return HexFormat.of().formatHex(hash);
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -59,7 +59,7 @@
     }
 
     /** Called once the recovery from the store has ended. */
-    void recovered() {
+    void recoveryCompleted() {
         recovered = true;
     }
 
@@ -130,9 +130,9 @@
         if (!recovered && (inBatch || !options.uniqueKey().isEmpty())) {
             return "what is in the store is being taken up; push it again in a moment";
         }
-        String closed = inBatch ? batches.rejectionReason(options.batchId()) : null;
-        if (closed != null) {
-            return closed;
+        String batchReason = inBatch ? batches.rejectionReason(options.batchId()) : null;
+        if (batchReason != null) {
+            return batchReason;
         }
         boolean repeated = jobTable.get(record.id()) != null;
         boolean dispatchedAtOnce = record.hasWaitingClient() && record.dueMs() == 0;
@@ -169,7 +169,7 @@
      * @return an immediate rejection, if there is one
      */
     private Optional<CommandError> added(NewJob job, JobRecord existing) {
-        Set<JobRecord> ours = unconfirmed.confirm(job.id());
+        Set<JobRecord> unconfirmedRecords = unconfirmed.confirm(job.id());
         if (existing == null) {
             return accept(job.record(), job.jobClass());
         }
@@ -178,7 +178,8 @@
             return accept(job.record(), job.jobClass());
         }
         boolean open = jobTable.get(job.id()) != null;
-        if (ours.contains(existing) && !open) { // recorded by an earlier push, without an answer
+        if (unconfirmedRecords.contains(existing)
+                && !open) { // recorded by an earlier push, without an answer
             return accept(existing, job.jobClass());
         }
         if (!open) {
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -62,7 +62,7 @@
      * Starts the recovery and repeats it until the store answers; before that no job can be
      * accepted either.
      */
-    void begin() {
+    void start() {
         loadPausedQueues();
     }
 
@@ -73,7 +73,7 @@
                     paused.keySet().forEach(coordinator.jobTable()::pause);
                     loadBatches();
                 },
-                this::beginAgain);
+                this::retryLater);
     }
 
     private void loadBatches() {
@@ -83,18 +83,18 @@
                     batches.load(texts);
                     listJobs();
                 },
-                this::beginAgain);
+                this::retryLater);
     }
 
     private void listJobs() {
         store.submit(
                 new StoreOperation.ListOpen(),
                 ids -> loadJobs(new ArrayList<>(ids), 0),
-                this::beginAgain);
+                this::retryLater);
     }
 
-    private void beginAgain() {
-        loop.scheduleAfter(RETRY_DELAY_US, this::begin);
+    private void retryLater() {
+        loop.scheduleAfter(RETRY_DELAY_US, this::start);
     }
 
     private void loadJobs(List<String> ids, int from) {
--- a/src/main/java/damsonslip/faktory/ReportHandler.java
+++ b/src/main/java/damsonslip/faktory/ReportHandler.java
@@ -89,7 +89,7 @@
     }
 
     /** Called once the recovery has ended; handles the reports that waited for it. */
-    void recovered() {
+    void recoveryCompleted() {
         recovered = true;
         earlyReports.forEach(Runnable::run);
         earlyReports.clear();
--- a/src/main/java/damsonslip/faktory/Reservations.java
+++ b/src/main/java/damsonslip/faktory/Reservations.java
@@ -199,9 +199,9 @@
 
     private Reservation handedOutTo(Worker worker, String jid) {
         Reservation reservation = reservations.get(jid);
-        boolean theirs =
+        boolean heldByWorker =
                 reservation != null && reservation.worker == worker && reservation.handedOut;
-        return theirs ? reservation : null;
+        return heldByWorker ? reservation : null;
     }
 
     /**
--- a/src/main/java/damsonslip/faktory/ServerInfo.java
+++ b/src/main/java/damsonslip/faktory/ServerInfo.java
@@ -20,7 +20,7 @@
     /** The version of Faktory whose protocol is spoken. */
     private static final String FAKTORY_VERSION = "1.9.0";
 
-    private static final DateTimeFormatter CLOCK =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("HH:mm:ss 'UTC'").withZone(ZoneOffset.UTC);
 
     private static final int BYTES_TO_MIB_SHIFT = 20;
@@ -47,7 +47,7 @@
      */
     String describe(int connections, long commands) {
         ObjectNode info = Json.MAPPER.createObjectNode();
-        info.put("server_utc_time", CLOCK.format(Instant.now()));
+        info.put("server_utc_time", TIME_FORMAT.format(Instant.now()));
         putJobs(info.putObject("faktory"));
         putServer(info.putObject("server"), connections, commands);
         counters.forEachNonZero(info.putObject("counters")::put);
--- a/src/main/java/damsonslip/faktory/Worker.java
+++ b/src/main/java/damsonslip/faktory/Worker.java
@@ -70,13 +70,13 @@
         return status == WorkerStatus.RUNNING;
     }
 
-    private int shownSlots() {
+    private int visibleSlots() {
         return pendingFetches.size() + slotsInUse;
     }
 
     /** Its number of slots, offered and used; a slot between two fetches still counts. */
     private int slots() {
-        slots = Math.max(slots, shownSlots());
+        slots = Math.max(slots, visibleSlots());
         return slots;
     }
 
@@ -85,7 +85,7 @@
      * periodically.
      */
     void decaySlots() {
-        slots = Math.max(shownSlots(), slots - 1);
+        slots = Math.max(visibleSlots(), slots - 1);
     }
 
     void recordFetch(List<String> queues, long nowUs) {
@@ -98,11 +98,11 @@
 
     /** Whether it has fetched from this queue since then, or a FETCH from it waits. */
     boolean fetches(String queue, long sinceUs) {
-        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || offers(queue);
+        return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || hasPendingFetch(queue);
     }
 
     /** Whether a FETCH from this queue waits. */
-    boolean offers(String queue) {
+    boolean hasPendingFetch(String queue) {
         return pendingFetches.stream().anyMatch(fetch -> fetch.accepts(queue));
     }
 
--- a/src/main/java/damsonslip/faktory/WorkerRegistry.java
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -39,7 +39,7 @@
     private static final long SWEEP_INTERVAL_US = 500_000;
 
     /** A worker counts as fetching from a queue for this time, since its runs may take a while. */
-    private static final long FETCH_MEMORY_US = 30_000_000;
+    private static final long RECENT_FETCH_US = 30_000_000;
 
     private final EventLoop loop;
     private final SiteSettings site;
@@ -199,9 +199,9 @@
     }
 
     private void sweep() {
-        long silentSinceUs = loop.nowUs() - HEARTBEAT_TIMEOUT_US;
+        long heartbeatCutoffUs = loop.nowUs() - HEARTBEAT_TIMEOUT_US;
         for (Worker worker : new ArrayList<>(workers.values())) {
-            if (worker.lastHeartbeatUs < silentSinceUs) {
+            if (worker.lastHeartbeatUs < heartbeatCutoffUs) {
                 LOG.info("event=worker_removed wid={} reason=heartbeat_timeout", worker.wid);
                 stop(worker, WorkerStatus.REMOVED);
             }
@@ -217,7 +217,7 @@
     @Override
     public boolean fetches(String wid, String queue) {
         Worker worker = workers.get(wid);
-        return worker != null && worker.fetches(queue, loop.nowUs() - FETCH_MEMORY_US);
+        return worker != null && worker.fetches(queue, loop.nowUs() - RECENT_FETCH_US);
     }
 
     @Override
@@ -239,7 +239,7 @@
 
     @Override
     public boolean isFetchWaiting(String queue) {
-        return running().anyMatch(worker -> worker.offers(queue));
+        return running().anyMatch(worker -> worker.hasPendingFetch(queue));
     }
 
     @Override
