--- a/src/main/java/damsonslip/faktory/BatchCallbacks.java
+++ b/src/main/java/damsonslip/faktory/BatchCallbacks.java
@@ -8,7 +8,7 @@
 import damsonslip.store.StoreOperation;
 import java.util.function.Consumer;
 
-/** Pushes the callbacks of batches as jobs. Confined to the event loop. */
+/** Pushes the callback jobs of batches. Confined to the event loop. */
 final class BatchCallbacks {
     private static final long RETRY_DELAY_US = 500_000;
 
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Pushes a callback, retrying until the store has recorded it.
+     * Pushes a callback job, retrying until the store has recorded it.
      *
-     * @param onExisting called with the job's record if it was pushed before
+     * @param onExisting called with the stored record if the callback was pushed before
      */
     void push(DueCallback callback, Consumer<JobRecord> onExisting) {
         String jid = callback.batch().callbackJobId(callback.success());
--- a/src/main/java/damsonslip/faktory/BatchCommands.java
+++ b/src/main/java/damsonslip/faktory/BatchCommands.java
@@ -15,10 +15,10 @@
 
 /** The BATCH commands: NEW, OPEN, COMMIT and STATUS. Confined to the event loop. */
 final class BatchCommands {
-    /** Most batches at once. */
+    /** The maximum number of batches that exist at once. */
     private static final int MAX_BATCHES = 100_000;
 
-    /** Hexadecimal digits in a new batch's id. */
+    /** The number of hexadecimal digits in the id of a new batch. */
     private static final int ID_DIGITS = 16;
 
     private final AsyncStore store;
@@ -118,7 +118,7 @@
                 () -> replyError(connection, "the store is down"));
     }
 
-    /** Handles BATCH COMMIT: its creator has finished pushing jobs. */
+    /** Handles BATCH COMMIT: the creator of the batch has pushed all of its jobs. */
     void commit(FaktoryConnection connection, String bid) {
         Batch batch = batches.commit(bid);
         if (batch == null) {
@@ -138,7 +138,7 @@
                 });
     }
 
-    /** Handles BATCH STATUS. */
+    /** Handles BATCH STATUS, whose reply is the batch's state as JSON. */
     void status(FaktoryConnection connection, String bid) {
         Batch batch = batches.get(bid);
         if (batch == null) {
@@ -160,7 +160,7 @@
         connection.reply(Reply.bulk(status.toString()));
     }
 
-    /** The state's name in Faktory's protocol. */
+    /** Returns the code of the state in Faktory's protocol. */
     private static String stateName(CallbackState state) {
         return switch (state) {
             case NOT_YET -> "";
--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -13,13 +13,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the batches in step with their jobs: pushes callbacks that become due, and records each
+ * Keeps the batches consistent with their jobs: pushes callbacks that become due, and records each
  * change in the store. Confined to the event loop.
  */
 final class BatchService {
     private static final Logger LOG = LoggerFactory.getLogger(BatchService.class);
 
-    /** The kind of the store's metadata that holds batches. */
+    /** The metadata kind under which the store holds batches. */
     static final String METADATA_KIND = "batch";
 
     private final AsyncStore store;
@@ -44,12 +44,12 @@
         return coordinator.nowMs();
     }
 
-    /** Whether the recovery from the store has ended. */
+    /** Whether the recovery from the store is complete. */
     boolean isRecovered() {
         return recovered;
     }
 
-    /** Why no job may be pushed into this batch; null if one may. */
+    /** Returns why no job may be pushed into this batch; null if one may. */
     String rejectionReason(String bid) {
         return batches.rejectionReason(bid);
     }
@@ -59,7 +59,7 @@
         write(batches.countPushedJob(bid));
     }
 
-    /** Pushes the callbacks that a change of this batch or of its jobs has made due. */
+    /** Pushes the callbacks that have become due by a change of this batch or of its jobs. */
     void pushDueCallbacks(String bid) {
         for (DueCallback callback : batches.collectDueCallbacks(bid)) {
             write(callback.batch());
@@ -73,7 +73,9 @@
         }
     }
 
-    /** Called when a callback was pushed before a restart; it may have run already. */
+    /**
+     * Called if the store already has a callback, pushed before a restart; it may have run since.
+     */
     private void handleAlreadyPushed(DueCallback callback, JobRecord existing) {
         if (existing.state() == JobRecord.State.SUCCESS) {
             callbackSucceeded(callback.batch().bid(), callback.success());
@@ -95,17 +97,17 @@
         }
     }
 
-    /** The operation that records a batch in the store. */
+    /** Returns the operation that records a batch in the store. */
     static StoreOperation.PutMetadata putOperation(Batch batch) {
         try {
             String text = Json.MAPPER.writeValueAsString(batch);
             return new StoreOperation.PutMetadata(METADATA_KIND, batch.bid(), text);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a batch of plain values", e);
+            throw new IllegalStateException("batch cannot be serialized: " + batch.bid(), e);
         }
     }
 
-    /** Records a batch, retrying with its newest state. */
+    /** Records a batch; a retry writes the state that is then the newest. */
     private void write(Batch batch) {
         store.submit(putOperation(batch), done -> {}, () -> rewrite(batch.bid()));
     }
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Recovers the batches of the store; called before any job is recovered. */
+    /** Recovers the batches from the store; called before any job is recovered. */
     void load(Map<String, String> textsById) {
         textsById.forEach(this::load);
     }
@@ -131,8 +133,8 @@
     }
 
     /**
-     * Resumes callbacks that were due before the stop or became due by it; called once all jobs are
-     * recovered.
+     * Pushes callbacks that were due before the stop or became due because of it; called once all
+     * jobs are recovered.
      */
     void recoveryCompleted() {
         recovered = true;
--- a/src/main/java/damsonslip/faktory/CommandCallback.java
+++ b/src/main/java/damsonslip/faktory/CommandCallback.java
@@ -4,10 +4,13 @@
 import damsonslip.faktory.codec.Reply;
 import java.util.Optional;
 
-/** Called once the store has recorded what a command changed, or with the error if it did not. */
+/**
+ * Called once the store has recorded the change that a command made, or with an error if the
+ * command was rejected or the store failed.
+ */
 @FunctionalInterface
 interface CommandCallback {
-    /** Does nothing, for changes that no peer waits for. */
+    /** Does nothing; for changes whose result no peer waits for. */
     CommandCallback IGNORE = error -> {};
 
     void completed(Optional<CommandError> error);
--- a/src/main/java/damsonslip/faktory/CommandRouter.java
+++ b/src/main/java/damsonslip/faktory/CommandRouter.java
@@ -26,13 +26,13 @@
                         services.reservations(), services.coordinator().lateReports(), counters);
     }
 
-    /** Handles a command of a connection that has said HELLO; each gets exactly one reply. */
+    /** Handles a command received after the handshake; each gets exactly one reply. */
     void handle(FaktoryConnection connection, Command command) {
         handledCommands++;
         command.accept(this, connection);
     }
 
-    /** Called once the recovery from the store has ended. */
+    /** Called once the recovery from the store is complete. */
     void recoveryCompleted() {
         reports.recoveryCompleted();
     }
@@ -72,7 +72,7 @@
         services.tracker().get(connection, track.jid());
     }
 
-    /** Records a job's progress and extends its reservation if the worker asks for that. */
+    /** Records a job's progress and extends its reservation if the command requests that. */
     @Override
     public void visit(Command.TrackSet track, FaktoryConnection connection) {
         services.tracker().set(track);
--- a/src/main/java/damsonslip/faktory/Consumers.java
+++ b/src/main/java/damsonslip/faktory/Consumers.java
@@ -11,15 +11,18 @@
 import java.util.List;
 
 /**
- * The worker side of the Faktory front: brings the attempts that the decision module places on a
- * worker together with the worker's fetches. A FETCH offers a slot; the decision module chooses the
- * job for it. Confined to the event loop.
+ * The worker side of the Faktory frontend: matches the attempts that the scheduling policy places
+ * on a worker with the worker's FETCH commands. A FETCH offers a slot, and the scheduling policy
+ * selects the job for it. Confined to the event loop.
  */
 final class Consumers implements WorkerGateway {
-    /** A FETCH that gets no job is answered after this time, as Faktory's protocol requires. */
+    /** A FETCH that gets no job is replied to after this time, as Faktory's protocol requires. */
     private static final long FETCH_TIMEOUT_US = 2_000_000;
 
-    /** How long an attempt waits for its worker's next FETCH, as when the worker is between two. */
+    /**
+     * How long an attempt waits for its worker's next FETCH, for a worker that is between two
+     * fetches.
+     */
     private static final long SLOT_TIMEOUT_US = 100_000;
 
     private final EventLoop loop;
@@ -41,7 +44,9 @@
         this.dispatcher = dispatcher;
     }
 
-    /** Handles a FETCH from these queues; it is replied to once it gets a job, or times out. */
+    /**
+     * Handles a FETCH from these queues. The reply is sent once the FETCH gets a job or times out.
+     */
     void fetch(FaktoryConnection connection, List<String> queues) {
         Worker worker = connection.worker();
         if (worker == null) {
@@ -69,7 +74,10 @@
         }
     }
 
-    /** Reserves the first attempt that a waiting FETCH accepts; returns whether there was one. */
+    /**
+     * Reserves the first placed attempt that a pending FETCH accepts; returns whether there was
+     * one.
+     */
     private boolean reservePlacedAttempt(Worker worker) {
         for (Attempt attempt : worker.placedAttempts) {
             PendingFetch fetch = worker.takePendingFetch(Reservations.jobOf(attempt).queue());
@@ -113,7 +121,7 @@
         engine.attemptEnded(attempt, Attempt.Completion.of(AttemptOutcome.FULL));
     }
 
-    /** Forgets an attempt; see {@link Reservations#cancel}. */
+    /** Removes a cancelled attempt; see {@link Reservations#cancel}. */
     @Override
     public void cancel(Attempt attempt) {
         Worker worker = registry.get(attempt.worker());
@@ -128,13 +136,16 @@
         registry.drain(wid);
     }
 
-    /** Faktory has no probes; a FETCH carries the same information. */
+    /**
+     * Reports the worker as unreachable: Faktory's protocol has no health checks. A FETCH is
+     * reported as a successful one instead.
+     */
     @Override
     public void probe(String wid, long connectedBeforeUs) {
         loop.execute(() -> engine.probeEnded(wid, ProbeResult.UNREACHABLE, null));
     }
 
-    /** Workers register themselves, so there is no list to watch. */
+    /** Does nothing: workers register themselves, so there is no endpoint list to watch. */
     @Override
     public void watchWorkerList() {}
 }
--- a/src/main/java/damsonslip/faktory/DispatchedJob.java
+++ b/src/main/java/damsonslip/faktory/DispatchedJob.java
@@ -8,16 +8,16 @@
 import damsonslip.store.JobRecord;
 
 /**
- * A job while the decision module or a worker has it, with what is known of its runs. Confined to
- * the event loop.
+ * A job that is dispatched to the scheduling policy or reserved by a worker, with the state of its
+ * runs. Confined to the event loop.
  */
 final class DispatchedJob implements Request.Payload {
     final JobEntry entry;
 
-    /** When it was given to the decision module, in the loop's microseconds. */
+    /** When it was dispatched to the scheduling policy, in microseconds of the event loop. */
     final long dispatchedUs;
 
-    /** Its request in the engine; null until the engine has accepted it. */
+    /** The context of its request in the engine; null until the request is submitted. */
     RequestContext context;
 
     /** Whether a worker may have run it before this dispatch. */
@@ -26,13 +26,13 @@
     /** Whether a worker has received it since this dispatch. */
     boolean ran;
 
-    /** How the last of these runs failed; null if that is not known. */
+    /** How its last run since this dispatch failed; null if it has not, or if that is not known. */
     RunFailure failure;
 
-    /** Why the decision module has rejected it; null if it has not. */
+    /** Why it was rejected; null if it was not. */
     CommandError rejection;
 
-    /** Acknowledges the worker's report once the store has recorded it; null without a report. */
+    /** Replies to the worker's report once the store has recorded it; null without a report. */
     private CommandCallback reportCallback;
 
     DispatchedJob(JobEntry entry, long dispatchedUs) {
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Records a worker's report.
+     * Sets a worker's report.
      *
      * @param runFailure how the run failed; null if it succeeded
      */
@@ -63,7 +63,10 @@
         reportCallback = callback;
     }
 
-    /** Removes and returns the callback of the last report; one that does nothing if none waits. */
+    /**
+     * Removes and returns the callback of the last report; {@link CommandCallback#IGNORE} if there
+     * is none.
+     */
     CommandCallback takeReportCallback() {
         CommandCallback callback = reportCallback;
         reportCallback = null;
--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -31,25 +31,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The Faktory front: listens for producers and workers, routes their commands, and owns the
- * services behind them. Connections are accepted on the selector's thread; commands are handled on
- * the event loop.
+ * The Faktory frontend: listens for producers and workers, routes their commands, and owns the
+ * services that handle them. Connections are accepted on the selector thread; commands are handled
+ * on the event loop.
  */
 public final class Faktory extends LimitedAcceptor<FaktoryConnection> implements Frontend {
     private static final Logger LOG = LoggerFactory.getLogger(Faktory.class);
 
-    /** How long a graceful shutdown still accepts connections. */
+    /** How long connections are still accepted during a graceful shutdown. */
     private static final long SHUTDOWN_ACCEPT_US = 300_000;
 
     private static final long CONNECT_TIMEOUT_MS = 250;
 
     /**
-     * For a burst, the limit on connections divided by this may be held beyond it until others are
-     * closed.
+     * The connection limit divided by this is the overflow: the number of connections that a burst
+     * may open beyond the limit until others are closed.
      */
     private static final int OVERFLOW_DIVISOR = 8;
 
-    /** Interval of the check for slow peers, and so the delay until one is noticed. */
+    /** The interval of the check for slow peers, and so the maximum delay until one is detected. */
     private static final long SLOW_PEER_CHECK_US = 500_000;
 
     private final EventLoop loop;
@@ -66,10 +66,10 @@
     private volatile Closeable listener;
 
     /**
-     * Creates the front; {@link #start} opens it.
+     * Creates the frontend; {@link #start} starts listening.
      *
      * @param configFile the configuration file, which {@link #reload} reads again
-     * @throws ConfigurationException if the store's address is not valid
+     * @throws ConfigurationException if the address of the store is not valid
      */
     public Faktory(
             EventLoop loop,
@@ -133,9 +133,7 @@
         phase.advanceTo(State.SERVING);
     }
 
-    /**
-     * Reads the password again, for new connections; other settings take effect at the next start.
-     */
+    /** Reloads the password, for new connections; other settings take effect at the next start. */
     @Override
     public void reload(long requestedNanoTime) {
         try {
@@ -144,19 +142,19 @@
             LOG.info("event=configuration_reloaded settings=password");
         } catch (ConfigurationException e) {
             LOG.warn(
-                    "event=configuration_not_reloaded reload: {}; what held before goes on",
+                    "event=configuration_not_reloaded reload: {}; keeping the previous settings",
                     e.getMessage());
         }
     }
 
     /**
-     * Starts a graceful shutdown. Jobs that were not handed out stay in the store for the next
-     * start, and so do unawaited jobs that workers have, whose reports may come after it. Only
-     * awaited jobs are waited for here.
+     * Starts a graceful shutdown, which waits only for awaited jobs (those whose client waits for
+     * the result). Other jobs stay in the store for the next start: those not handed out yet, and
+     * those that workers are running, whose reports may arrive after the restart.
      */
     @Override
     public void shutDown() {
-        if (listener == null) { // no connection was possible yet
+        if (listener == null) { // not listening yet, so there are no connections
             phase.advanceTo(State.ENDED);
             return;
         }
@@ -181,7 +179,10 @@
         shutdown.start();
     }
 
-    /** Whether no awaited job is open here; a persistent store keeps those not handed out. */
+    /**
+     * Whether no awaited job is open. With a persistent store, only those handed out count, since
+     * the store retains the others.
+     */
     private boolean isIdle() {
         return config.hasPersistentStore()
                 ? services.reservations().awaitedCount() == 0
@@ -230,12 +231,12 @@
         }
     }
 
-    /** Handles a command of a connection that has said HELLO; each gets exactly one reply. */
+    /** Handles a command received after the handshake; each gets exactly one reply. */
     void handle(FaktoryConnection connection, Command command) {
         router.handle(connection, command);
     }
 
-    /** Registers the worker whose HELLO came on this connection. */
+    /** Registers the worker that sent HELLO on this connection. */
     Worker register(Command.Hello hello, FaktoryConnection connection) {
         return services.workers().register(hello, connection);
     }
@@ -244,7 +245,7 @@
         return password;
     }
 
-    /** Adds to, or with a negative number takes from, the bytes buffered of incomplete commands. */
+    /** Adds to the total size of buffered incomplete commands; a negative number subtracts. */
     void addBufferedBytes(int bytes) {
         bufferedBytes += bytes;
     }
@@ -274,7 +275,7 @@
     void recordSlowPeer(FaktoryConnection connection, Count reason, String behaviour) {
         counters.add(reason);
         LOG.info(
-                "event=slow_peer_closed {} is let go: it {}",
+                "event=slow_peer_closed {} is disconnected for its low data rate: it {}",
                 connection.worker() == null ? "a producer" : connection.worker().wid,
                 behaviour);
     }
--- a/src/main/java/damsonslip/faktory/FaktoryConfig.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConfig.java
@@ -7,24 +7,25 @@
 import damsonslip.transport.datarate.MinimumDataRate;
 
 /**
- * The configuration of the Faktory front. Immutable.
+ * The configuration of the Faktory frontend. Immutable.
  *
  * @param name the scheduler's name, part of its keys in the store
  * @param listen the address for producers and workers
- * @param password the password that they have to prove; empty for none
- * @param store {@code redis://host:port}, or {@code memory}
+ * @param password the password that peers must prove to know; empty for none
+ * @param store the address of the store, {@code redis://host:port}, or {@code memory}
  * @param storePassword the store's password; empty for none
  * @param console the address of the console; empty for none
  * @param mgmt the address of the management interface; empty for none
- * @param maxConnections most connections at once
- * @param maxLineBytes the length of the longest line that a peer may send, in bytes
- * @param minReservationS a shorter {@code reserve_for} of a job is raised to this, in seconds
- * @param fairQueueOrder whether a FETCH is served from the queue served longest ago, rather than in
- *     its own order
- * @param jobLimits the limits on waiting and dead jobs
- * @param minimumDataRate how fast peers have to send and read at least
- * @param routes the classes of jobs by queue and jobtype
- * @param site the job classes and the settings of the decision module
+ * @param maxConnections the maximum number of open connections
+ * @param maxLineBytes the maximum length of a line that a peer sends, in bytes
+ * @param minReservationS the minimum reservation time in seconds; a job's shorter {@code
+ *     reserve_for} is raised to it
+ * @param fairQueueOrder whether a FETCH is served from its least recently served queue, instead of
+ *     in the order in which it names them
+ * @param jobLimits the limits on the numbers of waiting and dead jobs
+ * @param minimumDataRate the minimum rates at which peers must send and read
+ * @param routes the rules that assign job classes by queue and jobtype
+ * @param site the job classes and the settings of the scheduling policy
  */
 public record FaktoryConfig(
         String name,
@@ -44,7 +45,7 @@
         SiteSettings site) {
     static final String MEMORY_STORE = "memory";
 
-    /** Whether the store outlives the process. */
+    /** Whether the store's contents outlive the process. */
     public boolean hasPersistentStore() {
         return !store.equals(MEMORY_STORE);
     }
--- a/src/main/java/damsonslip/faktory/FaktoryConfigReader.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConfigReader.java
@@ -17,27 +17,29 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Reads a {@link FaktoryConfig} from the operator's TOML file. Used for one file. */
+/** Reads a {@link FaktoryConfig} from the operator's TOML file. An instance reads one file. */
 final class FaktoryConfigReader {
     private static final int DEFAULT_MAX_CONNECTIONS = 800;
 
-    /** Holds a bulk push of a thousand jobs of a kilobyte each. */
+    /** Allows a bulk push of a thousand jobs of one kilobyte each. */
     private static final int DEFAULT_MAX_LINE_BYTES = 1024 * 1024;
 
     private static final int MIN_MAX_LINE_BYTES = 1024;
 
-    /** From Faktory's protocol. */
+    /** The default of Faktory's protocol. */
     private static final int DEFAULT_MIN_RESERVATION_S = 60;
 
     private static final int DEFAULT_MAX_WAITING = 200_000;
 
-    /** The defaults for slow peers are those of common HTTP servers for request headers. */
+    /**
+     * The defaults of the minimum data rate are those of common HTTP servers for request headers.
+     */
     private static final int DEFAULT_GRACE_S = 10;
 
     private static final int DEFAULT_MAX_PAUSE_S = 20;
     private static final int DEFAULT_MIN_BYTES_PER_S = 500;
 
-    /** The defaults for dead jobs are those of Faktory. */
+    /** Faktory's defaults for the dead set. */
     private static final int DEFAULT_MAX_DEAD = 10_000;
 
     private static final int DEFAULT_DEAD_DAYS = 180;
--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -17,17 +17,21 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A producer's or worker's connection. Commands are handled one at a time: the next one is taken up
+ * A connection of a producer or worker. Commands are handled one at a time: the next one starts
  * once the reply to the previous one is written. Confined to the event loop.
  */
 final class FaktoryConnection extends EventLoopConnection {
-    /** Bytes of a HELLO with every label that a worker may have. */
+    /** The maximum size of a HELLO, which has room for every label that a worker may have. */
     private static final int MAX_HELLO_BYTES = 16 * 1024;
 
-    /** An incomplete command up to this length is accepted however much others have buffered. */
+    /**
+     * An incomplete command up to this size is accepted even if the total buffer limit is reached.
+     */
     private static final int ALWAYS_ACCEPTED_BYTES = 32 * 1024;
 
-    /** All incomplete commands together may use the heap divided by this. */
+    /**
+     * The maximum heap size divided by this limits the total size of buffered incomplete commands.
+     */
     private static final int HEAP_DIVISOR = 16;
 
     private static final long HELLO_TIMEOUT_US = 2_000_000;
@@ -37,23 +41,23 @@
     private final String salt = Password.salt();
     private final LineDecoder decoder;
 
-    /** Bytes received of an incomplete command. */
+    /** The number of bytes received of an incomplete command. */
     private int incompleteBytes;
 
-    /** The peer's rate at sending a command. */
+    /** The rate at which the peer sends a command. */
     private final MinimumDataRate sendRate;
 
-    /** The peer's rate at reading a reply. */
+    /** The rate at which the peer reads a reply. */
     private final MinimumDataRate readRate;
 
     private final ArrayDeque<String> pendingLines = new ArrayDeque<>();
     private long openedUs;
     private boolean handshakeComplete;
 
-    /** Whether a command is being handled, or its reply being written. */
+    /** Whether a command is being handled or its reply is being written. */
     private boolean commandInProgress;
 
-    /** The worker that this connection belongs to, or null for a producer's. */
+    /** The worker that this connection belongs to; null for a producer. */
     private Worker worker;
 
     FaktoryConnection(EndPoint endPoint, Faktory faktory) {
@@ -97,7 +101,7 @@
     @Override
     protected void received(ByteBuffer bytes) {
         if (commandInProgress) {
-            return; // bytes sent ahead stay unread, which bounds a pipelining peer's memory
+            return; // pipelined bytes stay unread, which bounds the memory for a peer
         }
         byte[] data = new byte[bytes.remaining()];
         bytes.get(data);
@@ -121,7 +125,10 @@
         return Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
     }
 
-    /** Measures the rate of an incomplete command; each command is measured by itself. */
+    /**
+     * Measures the rate at which an incomplete command arrives; each command is measured
+     * separately.
+     */
     private void measureSending(int bytes, boolean commandComplete) {
         long now = faktory.loop().nowUs();
         if (commandComplete) {
@@ -133,7 +140,7 @@
         }
     }
 
-    /** The transfers that are under way, for the console. */
+    /** Returns the connection's transfers in progress, for the console. */
     Stream<SlowPeer> slowPeers(long nowUs) {
         SlowPeer reading =
                 new SlowPeer(
@@ -170,9 +177,9 @@
     }
 
     /**
-     * Handles the next command, one in each task of the loop. Otherwise a peer that pipelines
-     * thousands of commands, whose replies are written at once, would have all of them handled
-     * before any other connection.
+     * Handles the next command, only one per task of the event loop. Otherwise all commands of a
+     * peer that pipelines thousands of them, and whose replies can be written immediately, would be
+     * handled before those of any other connection.
      */
     private void handleNext() {
         while (!commandInProgress && !isClosed() && !pendingLines.isEmpty()) {
@@ -183,7 +190,7 @@
             commandInProgress = true;
             sendRate.end();
             handle(line);
-            return; // the next one follows the reply
+            return; // the next command follows the reply
         }
     }
 
@@ -206,7 +213,7 @@
 
     private void replied() {
         commandInProgress = false;
-        if (incompleteBytes > 0) { // nothing was read while the last command was handled
+        if (incompleteBytes > 0) { // no bytes are read while a command is handled
             sendRate.begin(faktory.loop().nowUs());
         }
         handleNext();
@@ -232,7 +239,7 @@
         reply(Reply.ok());
     }
 
-    /** Replies to the current command; the next one follows once the reply is written. */
+    /** Replies to the current command; the next command is handled once the reply is written. */
     void reply(ByteBuffer reply) {
         readRate.begin(faktory.loop().nowUs(), reply.remaining());
         write(
@@ -243,7 +250,7 @@
                 reply);
     }
 
-    /** Sends an error and closes the connection. */
+    /** Sends an error, then closes the connection. */
     void closeWithError(String message) {
         write(() -> {}, Reply.error(CommandError.error(message)));
         closeAfterWrites();
--- a/src/main/java/damsonslip/faktory/FaktoryServices.java
+++ b/src/main/java/damsonslip/faktory/FaktoryServices.java
@@ -7,7 +7,7 @@
 import damsonslip.faktory.jobs.JobTable;
 import damsonslip.store.AsyncStore;
 
-/** Creates the services behind the Faktory front and connects them with each other. */
+/** Creates the services of the Faktory frontend and wires them together. */
 final class FaktoryServices {
     private final EventLoop loop;
     private final Counters counters;
--- a/src/main/java/damsonslip/faktory/FetchDirectory.java
+++ b/src/main/java/damsonslip/faktory/FetchDirectory.java
@@ -4,30 +4,30 @@
 import java.util.List;
 
 /**
- * Which workers are connected, and which queues they fetch from. The coordinator's view of the
- * worker side.
+ * Tells which workers are connected and which queues they fetch from. The view of the workers that
+ * the job side depends on.
  */
 interface FetchDirectory {
     /**
-     * A FETCH that waits for a job.
+     * A FETCH that is waiting for a job.
      *
-     * @param queues the queues that it fetches from, in its own order
-     * @param sinceUs when it began to wait, in the loop's microseconds
+     * @param queues the queues that it fetches from, in the order in which it names them
+     * @param sinceUs when it began to wait, in microseconds of the event loop
      */
     record WaitingFetch(List<String> queues, long sinceUs) {}
 
-    /** Whether this worker fetches from a queue, now or lately. */
+    /** Whether this worker fetches from a queue, or has recently. */
     boolean fetches(String worker, String queue);
 
-    /** The waiting fetches, one for each distinct list of queues. */
+    /** Returns the waiting fetches, one for each distinct list of queues. */
     Collection<WaitingFetch> waitingFetches();
 
-    /** Whether a FETCH from exactly these queues still waits. */
+    /** Whether a FETCH from exactly these queues is still waiting. */
     boolean isFetchWaiting(List<String> queues);
 
-    /** Whether a FETCH from this queue, among others, waits. */
+    /** Whether a FETCH whose queues include this one is waiting. */
     boolean isFetchWaiting(String queue);
 
-    /** Whether this worker is connected, or was a moment ago. */
+    /** Whether this worker is registered: connected, or disconnected for a short time only. */
     boolean isPresent(String worker);
 }
--- a/src/main/java/damsonslip/faktory/JobCompletion.java
+++ b/src/main/java/damsonslip/faktory/JobCompletion.java
@@ -15,8 +15,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides what follows when a job was not served: a rejection, a retry or its end. A job that may
- * have run and must not run twice is moved to the dead set. Confined to the event loop.
+ * Decides what happens to a job that was not served: rejection, retry or a final state. A
+ * non-idempotent job that may have run is moved to the dead set. Confined to the event loop.
  */
 final class JobCompletion {
     private final JobLifecycle lifecycle;
@@ -28,7 +28,7 @@
         this.counters = counters;
     }
 
-    /** Ends an awaited job that was not served; returns the rejection, if it was rejected. */
+    /** Ends an awaited job that was not served; returns the error if it was rejected. */
     Optional<CommandError> finishAwaited(
             DispatchedJob dispatched, Response answer, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
@@ -70,7 +70,7 @@
         return failure == null ? "" : "; " + failure.type() + ": " + failure.message();
     }
 
-    /** Applies the retry policy to an unawaited job whose run has failed. */
+    /** Applies the retry policy to a job that no client waits for and whose run has failed. */
     void retryOrEnd(JobEntry entry, RunFailure failure, CommandCallback callback) {
         counters.add(Count.RUNS_FAILED);
         JobRecord record = entry.record();
@@ -83,7 +83,10 @@
         lifecycle.transition(entry, failed, callback);
     }
 
-    /** Ends a run whose job is not dispatched any more. */
+    /**
+     * Ends a failed run of a job that is no longer dispatched, such as one that a worker received
+     * before a restart.
+     */
     void endOrphanedRun(JobEntry entry, RunFailure failure, CommandCallback callback) {
         counters.add(Count.ANSWERS_FAILED);
         if (!entry.record().hasWaitingClient()) {
--- a/src/main/java/damsonslip/faktory/JobCoordinator.java
+++ b/src/main/java/damsonslip/faktory/JobCoordinator.java
@@ -14,21 +14,21 @@
 import java.util.Optional;
 
 /**
- * Brings jobs into their queues, from producers, from the store and when they are due, and owns the
- * services that carry them further. {@link damsonslip.faktory.jobs.RetryPolicy} decides what
- * follows a failed run; the decision module alone decides which worker gets a job and whether it is
- * rejected. Confined to the event loop.
+ * Puts jobs into their queues when they are pushed, recovered from the store or due, and owns the
+ * services that handle them after that. {@link damsonslip.faktory.jobs.RetryPolicy} decides what
+ * follows a failed run; only the scheduling policy decides which worker gets a job and whether it
+ * is rejected. Confined to the event loop.
  */
 final class JobCoordinator {
     /**
-     * Due jobs that are enqueued in one task of the loop, so that ten thousand at once do not hold
-     * up other tasks.
+     * The maximum number of due jobs enqueued in one task of the event loop, so that ten thousand
+     * that fall due at once do not delay other tasks.
      */
     private static final int DUE_BATCH_SIZE = 200;
 
     private static final long SWEEP_INTERVAL_US = 100_000;
 
-    /** Slow housekeeping is done once in so many sweeps. */
+    /** Expired dead jobs and locks are removed once in this number of sweeps. */
     private static final int SWEEPS_PER_HOUSEKEEPING = 100;
 
     private final EventLoop loop;
@@ -85,12 +85,12 @@
         return lateReports;
     }
 
-    /** The time of the event loop, in milliseconds since the Unix epoch. */
+    /** Returns the time of the event loop, in milliseconds since the Unix epoch. */
     long nowMs() {
         return lifecycle.nowMs();
     }
 
-    /** Adds a job that the store has recorded; returns an immediate rejection, if there is one. */
+    /** Adds a job that the store has recorded; returns the error if it is rejected immediately. */
     Optional<CommandError> admit(JobRecord record, int jobClass) {
         JobEntry entry = jobTable.add(record, jobClass);
         boolean queued = record.state() == JobRecord.State.QUEUED;
@@ -102,7 +102,7 @@
         return Optional.empty();
     }
 
-    /** Appends a job to its queue; the caller records that in the store where it has to be. */
+    /** Appends a job to its queue; the caller records that in the store if necessary. */
     void enqueue(JobEntry entry) {
         lifecycle.moveToQueue(entry);
         if (entry.record().hasWaitingClient()) {
@@ -134,7 +134,7 @@
 
     /**
      * Enqueues due jobs in batches, so that other tasks run in between. The store is not updated:
-     * the recovery after a start treats a scheduled job that is due like a queued one.
+     * recovery treats a scheduled job that is due like a queued one.
      */
     private void enqueueDue() {
         List<JobEntry> due = jobTable.due(nowMs(), DUE_BATCH_SIZE);
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -21,26 +21,35 @@
 import java.util.function.IntPredicate;
 
 /**
- * Dispatches queued jobs to the decision module and handles its final answers. A job whose client
- * waits for it (an awaited job) is dispatched at once; any other once a FETCH for its queue waits
- * and the decision module has capacity. Confined to the event loop.
+ * Dispatches queued jobs to the scheduling policy and handles its final responses. A job whose
+ * client waits for the result (an awaited job) is dispatched at once; any other job once a FETCH
+ * for its queue is waiting and the scheduling policy has capacity. Confined to the event loop.
  */
 final class JobDispatcher {
-    /** Until a job whose previous attempt has not ended in the engine yet is tried again. */
+    /**
+     * Delay before the next dispatch of a job whose previous attempt has not ended in the engine
+     * yet.
+     */
     private static final long REDISPATCH_DELAY_MS = 100;
 
-    /** Pause after a rejection that names no Retry-After, or a shorter one. */
+    /** The minimum backoff after a rejection, if its Retry-After is shorter or missing. */
     private static final long MIN_BACKOFF_US = 10_000;
 
-    /** A FETCH unused for this long cannot be used by the jobs that the decision module holds. */
+    /**
+     * A FETCH that has waited for this long cannot be used by the jobs that the scheduling policy
+     * has queued.
+     */
     private static final long UNUSED_FETCH_US = 150_000;
 
-    /** No dispatch while the store has more pending operations: each job needs two more writes. */
+    /**
+     * Dispatching pauses while the store has more pending operations than this, since each
+     * dispatched job needs two more writes.
+     */
     private static final int MAX_STORE_BACKLOG = 5_000;
 
     /**
-     * Time beyond a reservation until the decision module gives a run up, so that the reservation
-     * expires first.
+     * How much the scheduling policy's deadline for a run exceeds the reservation, so that the
+     * reservation expires first.
      */
     private static final long RESERVATION_MARGIN_MS = 5_000;
 
@@ -55,10 +64,10 @@
     private final FetchDirectory fetchDirectory;
     private final boolean fairQueueOrder;
 
-    /** By class: no job of it is dispatched before this time. */
+    /** Indexed by job class: the time before which no job of the class is dispatched. */
     private final long[] blockedUntilUs;
 
-    /** Dispatched jobs that no client waits for. */
+    /** The dispatched jobs that no client waits for. */
     private final Set<DispatchedJob> unawaited = new LinkedHashSet<>();
 
     private boolean dispatchPending;
@@ -86,13 +95,14 @@
         this.blockedUntilUs = new long[site.classNames().size()];
     }
 
-    /** The number of dispatched jobs that a client waits for. */
+    /** Returns the number of dispatched jobs that a client waits for. */
     int awaitedCount() {
         return engine.openRequestCount() - unawaited.size();
     }
 
     /**
-     * Dispatches waiting jobs in a later task of the loop; called whenever there may be capacity.
+     * Dispatches waiting jobs in a later task of the event loop; called whenever capacity may have
+     * become available.
      */
     void dispatchSoon() {
         if (!dispatchPending) {
@@ -129,9 +139,9 @@
     }
 
     /**
-     * Whether jobs of this class may be dispatched. Not while the decision module holds others of
-     * the class, which may be awaited, unless the FETCH has waited long enough to show that those
-     * cannot use it.
+     * Whether jobs of this class may be dispatched. They are not while the scheduling policy has
+     * other jobs of the class queued, which may be awaited, unless the FETCH has waited long enough
+     * to show that those jobs cannot use it.
      */
     private boolean mayDispatch(int jobClass, long fetchSinceUs) {
         boolean blocked = loop.nowUs() < blockedUntilUs[jobClass];
@@ -140,8 +150,8 @@
     }
 
     /**
-     * Withdraws unawaited jobs from the decision module once no FETCH for their queue waits any
-     * more. Otherwise a queue that nobody fetches from would block its whole class.
+     * Withdraws jobs that no client waits for from the scheduling policy once no FETCH for their
+     * queue is waiting. Otherwise a queue that no worker fetches from would block its whole class.
      */
     void withdrawUnfetched() {
         long before = loop.nowUs() - UNUSED_FETCH_US;
@@ -159,13 +169,14 @@
     }
 
     /**
-     * Dispatches a job to the decision module, if its class still allows a run.
+     * Dispatches a job to the scheduling policy if its class still allows a run; moves it to the
+     * dead set otherwise.
      *
-     * @return an immediate rejection, if the job is awaited and rejected
+     * @return the error if the job is awaited and rejected immediately
      */
     Optional<CommandError> dispatch(JobEntry entry) {
         JobRecord record = entry.record();
-        if (engine.isIdInUse(record.id())) { // its previous attempt has not ended there yet
+        if (engine.isIdInUse(record.id())) { // its previous attempt has not ended in the engine yet
             jobTable.undispatch(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
             return Optional.empty();
         }
@@ -203,9 +214,10 @@
     }
 
     /**
-     * An unawaited job is attempted once: {@link RetryPolicy} schedules its retries by the
-     * protocol's back-off. A job with a deduplication key is retried by the decision module, which
-     * alone knows the zone and the window in which that is allowed.
+     * Returns the maximum number of attempts. A non-idempotent job is attempted once. An idempotent
+     * job that no client waits for is attempted once per dispatch: {@link RetryPolicy} schedules
+     * its retries with the protocol's backoff. A job with an idempotency key is retried by the
+     * scheduling policy, which alone knows the zone and the time window in which that is allowed.
      */
     private int maxAttempts(JobEntry entry) {
         Idempotency idempotency = lifecycle.classOf(entry).idempotency();
@@ -216,7 +228,7 @@
         return singleAttempt ? 1 : Math.max(0, entry.record().options().retryLimit()) + 1;
     }
 
-    /** The deadline of an unawaited job counts from its dispatch. */
+    /** Returns the deadline; that of a job that no client waits for counts from its dispatch. */
     private long deadlineMs(JobEntry entry) {
         JobRecord.Options options = entry.record().options();
         if (entry.record().hasWaitingClient()) {
@@ -227,12 +239,12 @@
         return lifecycle.nowMs() + Math.max(classDeadlineMs, reservationMs);
     }
 
-    /** Handles the decision module's final answer. */
+    /** Handles the final response of the scheduling policy. */
     private void finish(DispatchedJob dispatched, Response answer) {
         JobEntry entry = dispatched.entry;
         unawaited.remove(dispatched);
         if (!jobTable.contains(entry)) {
-            return; // discarded by an operator meanwhile
+            return; // discarded by an operator in the meantime
         }
         CommandCallback callback = dispatched.takeReportCallback();
         if (answer.kind() == Response.Kind.SERVED) {
--- a/src/main/java/damsonslip/faktory/JobFactory.java
+++ b/src/main/java/damsonslip/faktory/JobFactory.java
@@ -9,11 +9,11 @@
 import damsonslip.store.JobRecord;
 
 /**
- * Makes records of pushed jobs: decodes them, finds their class and settles their options. Confined
- * to the event loop.
+ * Creates the records of pushed jobs: decodes the jobs, determines their class and resolves their
+ * options. Confined to the event loop.
  */
 final class JobFactory {
-    /** The id of a callback while it is validated, when its batch has no id yet. */
+    /** The job id with which a callback is validated before its batch has an id. */
     private static final String PLACEHOLDER_JOB_ID = "b-callback-of-a-batch";
 
     private static final String NO_CALLBACK = "";
@@ -23,10 +23,10 @@
     private final JobLifecycle lifecycle;
 
     /**
-     * A pushed job that the store does not have yet.
+     * A pushed job that is not in the store yet.
      *
-     * @param record its record, with its place in the order of arrival
-     * @param body the job as workers get it
+     * @param record its record, with its sequence number in the order of arrival
+     * @param body the JSON text that workers receive
      * @param jobClass the index of its class
      */
     record NewJob(JobRecord record, String body, int jobClass) {
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Makes a job that a producer has pushed.
+     * Creates a job that a producer has pushed.
      *
      * @throws MalformedCommandException if the job is not valid or has no class
      */
@@ -60,7 +60,7 @@
         return create(pushed, jobClass, NO_CALLBACK);
     }
 
-    /** Makes the callback of a batch, which was checked when its batch was created. */
+    /** Creates the callback job of a batch, which was validated when the batch was created. */
     NewJob createCallback(String job, String jid, String batchId) {
         try {
             ObjectNode node = (ObjectNode) Json.read(job);
@@ -69,11 +69,11 @@
             return create(pushed, Math.max(0, classOf(pushed)), batchId);
         } catch (MalformedCommandException e) {
             throw new IllegalStateException(
-                    "a callback that was checked when its batch was made", e);
+                    "stored callback of batch " + batchId + " is not valid", e);
         }
     }
 
-    /** Why a job cannot be a callback; null if it can. */
+    /** Returns why a job cannot be a callback; null if it can. */
     String callbackError(JsonNode job) {
         if (job == null) {
             return null;
--- a/src/main/java/damsonslip/faktory/JobLifecycle.java
+++ b/src/main/java/damsonslip/faktory/JobLifecycle.java
@@ -48,8 +48,10 @@
     }
 
     /**
-     * Sets the listeners for batches whose jobs have changed, by id, and for jobs that have
-     * succeeded.
+     * Sets the listeners.
+     *
+     * @param batches called with the id of a batch when one of its jobs changes state
+     * @param successes called with the record of a job that has succeeded
      */
     void setListeners(Consumer<String> batches, Consumer<JobRecord> successes) {
         batchListener = batches;
@@ -60,7 +62,7 @@
         return jobTable;
     }
 
-    /** The time of the event loop, in milliseconds since the Unix epoch. */
+    /** Returns the time of the event loop, in milliseconds since the Unix epoch. */
     long nowMs() {
         return loop.nowUs() / 1000;
     }
@@ -72,7 +74,8 @@
     /**
      * Moves a job to another state, possibly a final one, and records that in the store.
      *
-     * @param callback called after the first attempt to record it; later ones follow by themselves
+     * @param callback called after the first attempt to record it; a failed write is retried in the
+     *     background
      */
     void transition(JobEntry entry, JobRecord next, CommandCallback callback) {
         checkTransition(entry, next);
@@ -119,13 +122,15 @@
         transition(entry, next, callback);
     }
 
-    /** Discards a job. Its record is retained, so that a repeated push does not run it again. */
+    /**
+     * Discards a job. Its record stays in the store, so that a repeated push does not run it again.
+     */
     void discard(JobEntry entry, String detail, CommandCallback callback) {
         JobRecord next = entry.record().withState(JobRecord.State.DISCARDED, 0, detail, nowMs());
         transition(entry, next, callback);
     }
 
-    /** Discards a job whose expiry has passed; returns whether it has. */
+    /** Discards a job if it has expired; returns whether it has. */
     boolean discardIfExpired(JobEntry entry) {
         long expiresMs = entry.record().options().expiresMs();
         if (expiresMs == 0 || expiresMs > nowMs()) {
@@ -142,7 +147,7 @@
         jobTable.setEnqueuedMs(entry, nowMs());
     }
 
-    /** Returns a reserved job to its queue if it provably never left for the worker. */
+    /** Returns a reserved job to its queue if it was provably not handed out to the worker. */
     void returnUnrun(DispatchedJob dispatched) {
         JobEntry entry = dispatched.entry;
         boolean reserved = entry.record().state() == JobRecord.State.RESERVED;
--- a/src/main/java/damsonslip/faktory/JobTracker.java
+++ b/src/main/java/damsonslip/faktory/JobTracker.java
@@ -14,7 +14,9 @@
 
 /** The TRACK command: the state of jobs and their reported progress. Confined to the event loop. */
 final class JobTracker {
-    /** Jobs whose reported progress is kept in memory. */
+    /**
+     * The maximum number of jobs whose progress is held in memory; the oldest entries are evicted.
+     */
     private static final int MAX_PROGRESS_ENTRIES = 10_000;
 
     private static final Progress NO_PROGRESS = new Progress(0, "", 0);
@@ -39,7 +41,7 @@
         this.lifecycle = lifecycle;
     }
 
-    /** Handles TRACK GET. */
+    /** Handles TRACK GET, whose reply is the job's state and progress as JSON. */
     void get(FaktoryConnection connection, String jid) {
         JobEntry open = lifecycle.jobTable().get(jid);
         if (open != null) {
@@ -52,7 +54,7 @@
                 () -> connection.reply(Reply.error(CommandError.error("the store is down"))));
     }
 
-    /** Records the progress that TRACK SET reports. */
+    /** Stores the progress that TRACK SET reports. */
     void set(Command.TrackSet set) {
         progress.put(set.jid(), new Progress(set.percent(), set.description(), lifecycle.nowMs()));
     }
@@ -73,7 +75,7 @@
         return Json.formatTime(Math.max(reported.atMs(), record.updatedMs()));
     }
 
-    /** The state's name in Faktory's protocol. */
+    /** Returns the name of the state in Faktory's protocol. */
     private static String stateName(JobRecord.State state) {
         return switch (state) {
             case QUEUED, SCHEDULED -> "enqueued";
--- a/src/main/java/damsonslip/faktory/LateReports.java
+++ b/src/main/java/damsonslip/faktory/LateReports.java
@@ -10,8 +10,8 @@
 import damsonslip.store.JobRecord;
 
 /**
- * Handles workers' reports on jobs that are not dispatched: those that workers received before a
- * restart, and those whose reservation has expired since. Confined to the event loop.
+ * Handles workers' reports on jobs that are no longer dispatched: those that workers received
+ * before a restart, and those whose reservation has expired. Confined to the event loop.
  */
 final class LateReports {
     private final EventLoop loop;
@@ -37,8 +37,8 @@
 
     /**
      * Handles a worker's report on a job that it received before a restart, or whose reservation
-     * has expired since. The former ends the job; the latter counts only if it shows that a job
-     * which waits for a retry, or is dead, has succeeded.
+     * has expired. The former ends the run; the latter is accepted only if it reports the success
+     * of a job that is waiting for a retry or dead.
      *
      * @param failure how the run failed; null if it succeeded
      * @param callback called once the store has recorded the report
@@ -70,8 +70,9 @@
     }
 
     /**
-     * Awaits the report of a worker that had the job before a restart, for a limited time if the
-     * worker does not reconnect.
+     * Waits for the report of the worker that received the job before a restart: until the
+     * reservation or deadline ends, or for {@link RetryPolicy#ORPHAN_TIMEOUT_MS} if the worker does
+     * not reconnect.
      */
     void await(JobEntry entry) {
         long deadlineMs = RetryPolicy.reportDeadlineMs(entry.record());
--- a/src/main/java/damsonslip/faktory/MutateCommand.java
+++ b/src/main/java/damsonslip/faktory/MutateCommand.java
@@ -23,7 +23,7 @@
  * Confined to the event loop.
  */
 final class MutateCommand {
-    /** Jobs changed, or bodies read, in one task of the loop. */
+    /** The number of jobs changed, or of bodies read, in one task of the event loop. */
     private static final int BATCH_SIZE = 250;
 
     private static final CommandError STORE_DOWN =
@@ -53,10 +53,10 @@
         final List<JobEntry> jobs;
         final FaktoryConnection connection;
 
-        /** Jobs not handled yet. */
+        /** The number of jobs not handled yet. */
         int remaining;
 
-        /** Jobs that were left unchanged since they must not run twice. */
+        /** The number of jobs left unchanged because they may have run and must not run twice. */
         int skipped;
 
         /** Whether the store failed to record a change. */
@@ -69,7 +69,7 @@
             this.remaining = jobs.size();
         }
 
-        /** Called once for each job; replies after the last one. */
+        /** Called once for each job; sends the reply after the last one. */
         void jobHandled(Optional<CommandError> error) {
             unrecorded |= error.isPresent();
             if (--remaining == 0) {
@@ -91,10 +91,10 @@
         }
     }
 
-    /** Handles the command; the reply follows once all changes are recorded. */
+    /** Handles the command; the reply is sent once all changes are recorded. */
     void execute(FaktoryConnection connection, Mutate command) {
         List<JobEntry> jobs = new ArrayList<>(jobTable.jobsIn(state(command.target())));
-        if (command.verb() == Mutate.Verb.CLEAR) { // empties the set, whatever the filter says
+        if (command.verb() == Mutate.Verb.CLEAR) { // empties the set and ignores the filter
             change(new Mutation(command.verb(), jobs, connection));
             return;
         }
@@ -128,7 +128,7 @@
         return filter.jobtype().isEmpty() || filter.jobtype().equals(jobtype);
     }
 
-    /** Filters jobs by their text, for which their bodies are read from the store in batches. */
+    /** Filters jobs by their JSON text; the bodies are read from the store in batches. */
     private void filterByText(
             Glob glob,
             List<JobEntry> jobs,
--- a/src/main/java/damsonslip/faktory/Password.java
+++ b/src/main/java/damsonslip/faktory/Password.java
@@ -7,13 +7,13 @@
 import java.util.HexFormat;
 
 /**
- * The password of the Faktory front. A peer proves that it knows it by an iterated hash of password
- * and salt, so that the password itself never crosses the wire. Immutable.
+ * The password of the Faktory frontend. A peer proves its knowledge of the password with an
+ * iterated hash of password and salt, so that the password itself is never sent. Immutable.
  *
  * @param text the password; empty if none is required
  */
 record Password(String text) {
-    /** Iterations of the hash, which the greeting announces. */
+    /** The number of iterations of the hash, which is announced in HI. */
     static final int ITERATIONS = 1735;
 
     private static final SecureRandom RANDOM = new SecureRandom();
@@ -22,12 +22,12 @@
         return !text.isEmpty();
     }
 
-    /** A new random salt, for one connection. */
+    /** Returns a new random salt for one connection. */
     static String salt() {
         return Long.toHexString(RANDOM.nextLong());
     }
 
-    /** The iterated SHA-256 hash of password and salt, in hexadecimal. */
+    /** Returns the iterated SHA-256 hash of password and salt, in hexadecimal. */
     String hash(String salt) {
         try {
             MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
@@ -37,11 +37,11 @@
             }
             return HexFormat.of().formatHex(hash);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 
-    /** Whether the hash is the one of this salt; compares in constant time. */
+    /** Whether a hash matches the password with this salt; compares in constant time. */
     boolean verify(String salt, String passwordHash) {
         return MessageDigest.isEqual(
                 hash(salt).getBytes(StandardCharsets.US_ASCII),
--- a/src/main/java/damsonslip/faktory/PendingFetch.java
+++ b/src/main/java/damsonslip/faktory/PendingFetch.java
@@ -3,7 +3,7 @@
 import damsonslip.engine.EventLoop;
 import java.util.List;
 
-/** A FETCH that waits for a job. Confined to the event loop. */
+/** A FETCH that is waiting for a job. Confined to the event loop. */
 final class PendingFetch {
     private final FaktoryConnection connection;
     private final List<String> queues;
@@ -11,10 +11,10 @@
     private EventLoop.Timer timeout = () -> {};
 
     /**
-     * Creates a waiting FETCH without a timeout.
+     * Creates a pending FETCH without a timeout.
      *
-     * @param queues the queues that it fetches from, in its own order
-     * @param sinceUs when it began to wait, in the loop's microseconds
+     * @param queues the queues that it fetches from, in the order in which it names them
+     * @param sinceUs when it began to wait, in microseconds of the event loop
      */
     PendingFetch(FaktoryConnection connection, List<String> queues, long sinceUs) {
         this.connection = connection;
@@ -34,7 +34,7 @@
         return sinceUs;
     }
 
-    /** Sets the timer that ends it. */
+    /** Sets the timer that ends the wait. */
     void setTimeout(EventLoop.Timer timer) {
         timeout = timer;
     }
@@ -43,7 +43,7 @@
         timeout.cancel();
     }
 
-    /** Whether a job of this queue can be handed out to it. */
+    /** Whether a job of this queue can be sent in reply to it. */
     boolean accepts(String queue) {
         return queues.contains(queue) && !connection.isClosed();
     }
--- a/src/main/java/damsonslip/faktory/Producers.java
+++ b/src/main/java/damsonslip/faktory/Producers.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 
 /**
- * The producer side of the Faktory front: PUSH and PUSHB. A push is acknowledged once the store has
- * recorded the job; a repeated push of a job is acknowledged without a second run. Confined to the
- * event loop.
+ * The producer side of the Faktory frontend: PUSH and PUSHB. A push is acknowledged once the store
+ * has recorded the job; a repeated push of a job is acknowledged without a second run. Confined to
+ * the event loop.
  */
 final class Producers {
     private static final CommandError NOT_ADDED =
@@ -37,7 +37,7 @@
     private final BatchService batches;
     private final UnconfirmedPushes unconfirmed;
 
-    /** Whether the recovery from the store has ended. */
+    /** Whether the recovery from the store is complete. */
     private boolean recovered;
 
     Producers(
@@ -58,12 +58,15 @@
         this.unconfirmed = new UnconfirmedPushes(loop, store, jobTable);
     }
 
-    /** Called once the recovery from the store has ended. */
+    /** Called once the recovery from the store is complete. */
     void recoveryCompleted() {
         recovered = true;
     }
 
-    /** Handles PUSH, whose reply is OK or an error, or PUSHB, whose reply has an error by job. */
+    /**
+     * Handles PUSH, whose reply is OK or an error, or PUSHB, whose reply maps the ids of jobs that
+     * were not accepted to errors.
+     */
     void push(FaktoryConnection connection, Command.Push push) {
         if (push.bulk()) {
             pushBulk(connection, push);
@@ -113,7 +116,10 @@
         }
     }
 
-    /** Why a well-formed job cannot be accepted now, if so; takes the lock of a unique job. */
+    /**
+     * Returns why a well-formed job cannot be accepted now, if so; otherwise acquires the lock of a
+     * unique job.
+     */
     private Optional<CommandError> rejection(JobRecord record) {
         String reason = rejectionReason(record);
         if (reason != null) {
@@ -163,23 +169,22 @@
     }
 
     /**
-     * Called when the store has the job, from this push or an earlier one.
+     * Called once the store has the job, from this push or an earlier one.
      *
-     * @param existing the record that the store had already; null if there was none
-     * @return an immediate rejection, if there is one
+     * @param existing the record that the store had before this push; null if there was none
+     * @return the error if the job is rejected immediately
      */
     private Optional<CommandError> added(NewJob job, JobRecord existing) {
         Set<JobRecord> unconfirmedRecords = unconfirmed.confirm(job.id());
         if (existing == null) {
             return accept(job.record(), job.jobClass());
         }
-        if (existing.state() == JobRecord.State.REJECTED) { // the rejection invited another push
+        if (existing.state() == JobRecord.State.REJECTED) { // a rejected job may be pushed again
             replace(job);
             return accept(job.record(), job.jobClass());
         }
         boolean open = jobTable.get(job.id()) != null;
-        if (unconfirmedRecords.contains(existing)
-                && !open) { // recorded by an earlier push, without an answer
+        if (unconfirmedRecords.contains(existing) && !open) { // an earlier push had lost its result
             return accept(existing, job.jobClass());
         }
         if (!open) {
--- a/src/main/java/damsonslip/faktory/QueueCommands.java
+++ b/src/main/java/damsonslip/faktory/QueueCommands.java
@@ -14,17 +14,20 @@
 import java.util.List;
 
 /**
- * The operators' commands on queues: QUEUE, which pauses, resumes or empties some, and FLUSH, which
+ * Operators' commands on queues: QUEUE, which pauses, resumes or empties queues, and FLUSH, which
  * removes everything. Confined to the event loop.
  */
 final class QueueCommands {
-    /** The kind of the store's metadata that holds paused queues. */
+    /** The metadata kind under which the store holds paused queues. */
     static final String PAUSED_KIND = "paused";
 
     private static final String PAUSED_VALUE = "1";
     private static final String ALL_QUEUES = "*";
 
-    /** Jobs removed in one task of the loop, or deleted with one request to the store. */
+    /**
+     * The number of jobs removed in one task of the event loop, or deleted with one request to the
+     * store.
+     */
     private static final int BATCH_SIZE = 250;
 
     private static final CommandError NOT_DELETED =
@@ -94,8 +97,9 @@
     }
 
     /**
-     * Handles FLUSH: removes everything except dispatched jobs, which end by themselves. The record
-     * of a job that may have run and must not run twice is retained as discarded.
+     * Handles FLUSH: removes everything except jobs that are dispatched or reserved, which end in
+     * the usual way. The record of a job that may have run and must not run twice stays in the
+     * store as discarded.
      */
     void flush(FaktoryConnection connection) {
         batches.clear();
--- a/src/main/java/damsonslip/faktory/Recovery.java
+++ b/src/main/java/damsonslip/faktory/Recovery.java
@@ -17,15 +17,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Recovers paused queues, batches and open jobs from the store after a start, in batches, so that
- * other tasks of the event loop run in between. Confined to the event loop.
+ * Recovers paused queues, batches and open jobs from the store at start-up. Jobs are read in
+ * batches, so that other tasks of the event loop run in between. Confined to the event loop.
  */
 final class Recovery {
     private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
     private static final long RETRY_DELAY_US = 500_000;
 
     /**
-     * Records that are read with one request to the store and recovered in one task of the loop.
+     * The number of records read with one request to the store and recovered in one task of the
+     * event loop.
      */
     private static final int BATCH_SIZE = 400;
 
@@ -59,7 +60,7 @@
     }
 
     /**
-     * Starts the recovery and repeats it until the store answers; before that no job can be
+     * Starts the recovery, retrying until the store answers; without the store no job can be
      * accepted either.
      */
     void start() {
@@ -115,7 +116,7 @@
 
     private void recover(JobRecord record) {
         if (coordinator.jobTable().get(record.id()) != null) {
-            return; // pushed, or reported on, since the start
+            return; // pushed or reported on since the start
         }
         recoveredJobs++;
         int jobClass = classOf(record.options());
@@ -126,7 +127,10 @@
         }
     }
 
-    /** The job's class, or the one that its route leads to if its own is configured no more. */
+    /**
+     * Returns the job's class, or the one that its route selects if its own is no longer
+     * configured.
+     */
     private int classOf(JobRecord.Options options) {
         int named = routes.classOf(options.className(), options.queue(), options.jobtype());
         return named >= 0 ? named : routes.classOf("", options.queue(), options.jobtype());
--- a/src/main/java/damsonslip/faktory/ReportHandler.java
+++ b/src/main/java/damsonslip/faktory/ReportHandler.java
@@ -10,15 +10,20 @@
 import java.util.List;
 
 /**
- * Handles ACK and FAIL: workers' reports on their jobs. A report that comes after the job's end, or
- * from a worker that no longer has the job, is counted and changes nothing, since the final answer
- * has been given. Confined to the event loop.
+ * Handles ACK and FAIL, workers' reports on their jobs. A report that arrives after the job has
+ * ended, or from a worker that no longer holds the job, is acknowledged and counted but changes
+ * nothing, since the job's final answer has been given. Confined to the event loop.
  */
 final class ReportHandler {
-    /** Reports that are kept until the recovery from the store has ended. */
+    /**
+     * The maximum number of reports that are queued until the recovery from the store is complete.
+     */
     private static final int MAX_EARLY_REPORTS = 10_000;
 
-    /** Characters kept of a failure, since it stays in memory while the job waits for its retry. */
+    /**
+     * The maximum length of a failure's type, and below of its message, since failures stay in
+     * memory while their jobs wait for a retry.
+     */
     private static final int MAX_ERROR_TYPE_CHARACTERS = 256;
 
     private static final int MAX_ERROR_MESSAGE_CHARACTERS = 2_048;
@@ -33,7 +38,7 @@
     private final LateReports lateReports;
     private final Counters counters;
 
-    /** Reports that came before the recovery has ended. */
+    /** The reports received before the recovery was complete. */
     private final List<Runnable> earlyReports = new ArrayList<>();
 
     private boolean recovered;
@@ -88,7 +93,7 @@
         }
     }
 
-    /** Called once the recovery has ended; handles the reports that waited for it. */
+    /** Called once the recovery is complete; handles the reports that were queued until then. */
     void recoveryCompleted() {
         recovered = true;
         earlyReports.forEach(Runnable::run);
--- a/src/main/java/damsonslip/faktory/Reservations.java
+++ b/src/main/java/damsonslip/faktory/Reservations.java
@@ -18,9 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * The reservations of jobs by workers. No job is handed out before the store has recorded its
- * reservation: after a restart a job that the store has as queued was never handed out, and one
- * that it has as reserved may have run. Confined to the event loop.
+ * Workers' reservations of jobs. No job is handed out before the store has recorded its
+ * reservation. After a restart, therefore, a job stored as queued has not been handed out since it
+ * was queued, and one stored as reserved may have run. Confined to the event loop.
  */
 final class Reservations {
     private final EventLoop loop;
@@ -29,10 +29,10 @@
     private final Counters counters;
     private final JobLifecycle lifecycle;
 
-    /** By job id. */
+    /** The open reservations, by job id. */
     private final Map<String, Reservation> reservations = new HashMap<>();
 
-    /** An attempt that is about to be handed to a worker, or has been. */
+    /** An attempt whose job is being handed out to a worker, or has been. */
     private static final class Reservation {
         final Attempt attempt;
         final Worker worker;
@@ -66,7 +66,7 @@
         return (DispatchedJob) attempt.request().payload();
     }
 
-    /** The number of jobs with workers that a client waits for. */
+    /** Returns the number of reserved jobs that a client waits for. */
     long awaitedCount() {
         return reservations.values().stream()
                 .filter(reservation -> reservation.job().record().hasWaitingClient())
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Records a reservation in the store, then hands the job out.
+     * Records a reservation in the store, then hands out the job.
      *
-     * @param onUnused called with the FETCH if it gets no job after all
+     * @param onUnused called with the FETCH if the job is not handed out after all
      */
     void reserve(
             Attempt attempt, Worker worker, PendingFetch fetch, Consumer<PendingFetch> onUnused) {
@@ -107,7 +107,7 @@
         }
         counters.add(Count.FETCHES_ANSWERED);
         counters.add(Count.EXECUTIONS_WRITTEN);
-        reservation.handedOut = true; // from here on the job may have run
+        reservation.handedOut = true; // from now on the job may have run
         job.ran = true;
         job.failure = null;
         reservation.expiry =
@@ -118,7 +118,7 @@
         engine.attemptStarted(reservation.attempt);
     }
 
-    /** Ends a reservation and frees its slots; returns false if it had ended before. */
+    /** Removes a reservation and frees its slots; returns false if it was removed before. */
     private boolean release(Reservation reservation) {
         boolean removed = reservations.remove(reservation.job().jid(), reservation);
         reservation.worker.slotsInUse -= removed ? reservation.attempt.request().slots() : 0;
@@ -126,8 +126,8 @@
     }
 
     /**
-     * Returns a job that was not handed out, so that the decision module may place it elsewhere;
-     * its FETCH waits again.
+     * Returns a job that was not handed out, so that the scheduling policy can place it on another
+     * worker; the FETCH waits again.
      */
     private void returnUnrun(
             Reservation reservation, PendingFetch fetch, Consumer<PendingFetch> onUnused) {
@@ -145,7 +145,7 @@
         end(reservation, AttemptOutcome.RESET);
     }
 
-    /** Ends the reservations of jobs that a removed worker had received. */
+    /** Ends the reservations of the jobs that were handed out to a removed worker. */
     void endAllOf(Worker worker) {
         for (Reservation reservation : List.copyOf(reservations.values())) {
             if (reservation.worker == worker && reservation.handedOut) {
@@ -155,7 +155,10 @@
         }
     }
 
-    /** Ends a reservation; without a load report, as the slot is free once its worker fetches. */
+    /**
+     * Ends a reservation and its attempt. There is no load report, since the slot is free only once
+     * the worker fetches again.
+     */
     private void end(Reservation reservation, AttemptOutcome outcome) {
         reservation.expiry.cancel();
         if (release(reservation)) {
@@ -164,7 +167,7 @@
     }
 
     /**
-     * Extends a reservation at its worker's request; returns false if the worker does not have the
+     * Extends a reservation at its worker's request; returns false if the worker does not hold the
      * job.
      */
     boolean extend(Worker worker, String jid, long untilMs) {
@@ -178,12 +181,12 @@
     }
 
     /**
-     * Handles a worker's report on a job; returns false if the worker does not have the job, or no
-     * longer.
+     * Handles a worker's report on a job; returns false if the worker does not hold the job, or no
+     * longer does.
      *
      * @param failure how the run failed; null if it succeeded
-     * @param callback called once the store has recorded the report, or at once if the decision
-     *     module retries the job, so that there is nothing to record yet
+     * @param callback called once the store has recorded the report, or immediately if the
+     *     scheduling policy retries the job and there is nothing to record yet
      */
     boolean report(Worker worker, String jid, RunFailure failure, CommandCallback callback) {
         Reservation reservation = handedOutTo(worker, jid);
@@ -205,8 +208,8 @@
     }
 
     /**
-     * Drops the reservation of a cancelled attempt. Faktory has no way to cancel a job at its
-     * worker; the worker's report will be a late one.
+     * Drops the reservation of a cancelled attempt. Faktory's protocol has no means to cancel a job
+     * at its worker, so the worker's report is handled as a late one.
      */
     void cancel(Attempt attempt) {
         Reservation reservation = reservations.get(attempt.request().id());
--- a/src/main/java/damsonslip/faktory/ServerInfo.java
+++ b/src/main/java/damsonslip/faktory/ServerInfo.java
@@ -17,7 +17,7 @@
  * The reply to INFO: the sizes of sets and queues, and the counters. Confined to the event loop.
  */
 final class ServerInfo {
-    /** The version of Faktory whose protocol is spoken. */
+    /** The Faktory version whose protocol is implemented. */
     private static final String FAKTORY_VERSION = "1.9.0";
 
     private static final DateTimeFormatter TIME_FORMAT =
@@ -40,7 +40,7 @@
     }
 
     /**
-     * The information as JSON.
+     * Returns the reply as JSON.
      *
      * @param connections the number of open connections
      * @param commands the number of commands handled since the start
--- a/src/main/java/damsonslip/faktory/UnconfirmedPushes.java
+++ b/src/main/java/damsonslip/faktory/UnconfirmedPushes.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Pushes that the store may have recorded although its answer was lost, so that the producer got an
- * error. Such a job is deleted again, unless the producer repeats the push. Confined to the event
- * loop.
+ * Pushes whose write to the store failed, so that the producer got an error, although the store may
+ * have recorded the job. Such a job is deleted unless the producer repeats the push. Confined to
+ * the event loop.
  */
 final class UnconfirmedPushes {
     private static final long RETRY_DELAY_US = 500_000;
@@ -23,10 +23,10 @@
     private final AsyncStore store;
     private final JobTable jobTable;
 
-    /** The number of pushes of each id that the store has not answered. */
+    /** The number of pushes that the store has not answered yet, by job id. */
     private final Map<String, Integer> pendingAdds = new HashMap<>();
 
-    /** The records that the store may have, by job id. */
+    /** The records that the store may have recorded, by job id. */
     private final Map<String, Set<JobRecord>> unconfirmed = new HashMap<>();
 
     UnconfirmedPushes(EventLoop loop, AsyncStore store, JobTable jobTable) {
@@ -40,12 +40,14 @@
         pendingAdds.merge(jid, 1, Integer::sum);
     }
 
-    /** Called when the store has answered a push, or has failed to. */
+    /** Called when the write of a push has succeeded or failed. */
     void addEnded(String jid) {
         pendingAdds.computeIfPresent(jid, (id, count) -> count == 1 ? null : count - 1);
     }
 
-    /** Called when the store has failed to answer a push. */
+    /**
+     * Called when the write of a push has failed; the store may have recorded the job nevertheless.
+     */
     void addFailed(JobRecord record) {
         Set<JobRecord> records = unconfirmed.computeIfAbsent(record.id(), id -> new HashSet<>());
         if (records.isEmpty()) {
@@ -54,13 +56,19 @@
         records.add(record);
     }
 
-    /** Ends the uncertainty about a job that the store has; returns the records in question. */
+    /**
+     * Marks a job that the store is known to have as confirmed; returns the records that were
+     * unconfirmed.
+     */
     Set<JobRecord> confirm(String jid) {
         Set<JobRecord> records = unconfirmed.remove(jid);
         return records == null ? Set.of() : records;
     }
 
-    /** Deletes a job that the store may have recorded, so that it does not run unasked. */
+    /**
+     * Deletes a job that the store may have recorded, so that a push answered with an error does
+     * not run.
+     */
     private void delete(String jid) {
         Set<JobRecord> records = unconfirmed.get(jid);
         if (records != null) {
@@ -73,9 +81,9 @@
 
     private void deleteIfUnconfirmed(String jid, Set<JobRecord> records, JobRecord found) {
         if (!isCurrent(jid, records)) {
-            return; // pushed again meanwhile, and accepted
+            return; // pushed again and accepted in the meantime
         }
-        if (pendingAdds.containsKey(jid)) { // being pushed again: that push decides
+        if (pendingAdds.containsKey(jid)) { // being pushed again; the result of that push decides
             loop.scheduleAfter(RETRY_DELAY_US, () -> delete(jid));
             return;
         }
@@ -85,7 +93,7 @@
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // a later push of the job may have failed alike
+    @SuppressWarnings("ReferenceEquality") // a later failed push of the job may have an equal set
     private boolean isCurrent(String jid, Set<JobRecord> records) {
         return unconfirmed.get(jid) == records;
     }
--- a/src/main/java/damsonslip/faktory/UniqueKey.java
+++ b/src/main/java/damsonslip/faktory/UniqueKey.java
@@ -10,8 +10,8 @@
 import java.util.HexFormat;
 
 /**
- * The key of a unique job: a hash of its type, queue and arguments, which make it unique by
- * Faktory's protocol.
+ * The key of a unique job: a hash of its type, queue and arguments, by which Faktory's protocol
+ * defines uniqueness.
  */
 final class UniqueKey {
     private UniqueKey() {}
@@ -24,9 +24,9 @@
             byte[] hash = sha256.digest(identity.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(hash);
         } catch (MalformedCommandException e) {
-            throw new IllegalStateException("a body that was read before", e);
+            throw new IllegalStateException("job body is not valid JSON", e);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not available", e);
         }
     }
 }
--- a/src/main/java/damsonslip/faktory/Worker.java
+++ b/src/main/java/damsonslip/faktory/Worker.java
@@ -13,36 +13,38 @@
 import java.util.Set;
 
 /**
- * A worker process: its connections, its waiting fetches, and the slots that its jobs use. Confined
- * to the event loop.
+ * A worker process: its connections, pending fetches and used slots. Confined to the event loop.
  */
 final class Worker {
-    /** Queue names remembered for one worker, which bounds the memory that a faulty one can use. */
+    /**
+     * The maximum number of queue names stored for one worker, which bounds the memory that a
+     * faulty one can use.
+     */
     private static final int MAX_QUEUES = 1_000;
 
     final String wid;
 
-    /** Its host and process id, which tell a restart apart. */
+    /** Its host and process id, by which a restarted worker is recognized. */
     final String process;
 
     final Set<FaktoryConnection> connections = new HashSet<>();
     final ArrayDeque<PendingFetch> pendingFetches = new ArrayDeque<>();
 
-    /** Attempts that the decision module has placed here and that wait for a FETCH. */
+    /** Attempts that the scheduling policy has placed on this worker and that wait for a FETCH. */
     final List<Attempt> placedAttempts = new ArrayList<>();
 
     WorkerStatus status = WorkerStatus.RUNNING;
 
-    /** When it started, as far as known, in the loop's microseconds. */
+    /** When it was first seen, in microseconds of the event loop. */
     long startedUs;
 
-    /** When it sent its last heartbeat or FETCH, in the loop's microseconds. */
+    /** When it sent its last heartbeat or FETCH, in microseconds of the event loop. */
     long lastHeartbeatUs;
 
-    /** Slots of the jobs that it has, or that are about to be handed to it. */
+    /** The slots of the jobs that are handed out to it or about to be. */
     int slotsInUse;
 
-    /** Its memory by its last heartbeat, in KiB; 0 if it reports none. */
+    /** Its memory use according to its last heartbeat, in KiB; 0 if not reported. */
     long rssKb;
 
     /**
@@ -54,7 +56,7 @@
     private final int kind;
     private int slots;
 
-    /** The time of its last FETCH from each queue, in the loop's microseconds. */
+    /** The time of its last FETCH from each queue, in microseconds of the event loop. */
     private final Map<String, Long> lastFetchUs = new HashMap<>();
 
     Worker(String wid, String process, int zone, int kind, long startedUs) {
@@ -74,14 +76,14 @@
         return pendingFetches.size() + slotsInUse;
     }
 
-    /** Its number of slots, offered and used; a slot between two fetches still counts. */
+    /** Returns its number of slots, free and used; a slot between two fetches still counts. */
     private int slots() {
         slots = Math.max(slots, visibleSlots());
         return slots;
     }
 
     /**
-     * Lowers the number of slots by one if it is more than the worker shows now; called
+     * Lowers the number of slots by one if it exceeds the slots that are visible now; called
      * periodically.
      */
     void decaySlots() {
@@ -89,24 +91,24 @@
     }
 
     void recordFetch(List<String> queues, long nowUs) {
-        lastHeartbeatUs = nowUs; // a FETCH shows that it is alive
+        lastHeartbeatUs = nowUs; // a FETCH proves that the worker is alive
         queues.forEach(queue -> lastFetchUs.put(queue, nowUs));
         if (lastFetchUs.size() > MAX_QUEUES) {
             lastFetchUs.values().removeIf(at -> at < nowUs);
         }
     }
 
-    /** Whether it has fetched from this queue since then, or a FETCH from it waits. */
+    /** Whether it has fetched from this queue since then, or a FETCH from the queue is pending. */
     boolean fetches(String queue, long sinceUs) {
         return lastFetchUs.getOrDefault(queue, Long.MIN_VALUE) >= sinceUs || hasPendingFetch(queue);
     }
 
-    /** Whether a FETCH from this queue waits. */
+    /** Whether a FETCH from this queue is pending. */
     boolean hasPendingFetch(String queue) {
         return pendingFetches.stream().anyMatch(fetch -> fetch.accepts(queue));
     }
 
-    /** Removes and returns the first waiting FETCH from this queue; null if there is none. */
+    /** Removes and returns the first pending FETCH from this queue; null if there is none. */
     PendingFetch takePendingFetch(String queue) {
         for (PendingFetch fetch : pendingFetches) {
             if (fetch.accepts(queue)) {
@@ -118,18 +120,21 @@
         return null;
     }
 
-    /** Its entry for the decision module's worker list. */
+    /** Returns its entry in the worker list of the scheduling policy. */
     WorkerEntry entry() {
         return new WorkerEntry(wid, zone, 0, kind, status, startedUs);
     }
 
-    /** Its free slots and the slots in use. */
+    /** Returns the numbers of free and used slots. */
     LoadReport loadReport() {
         int freeSlots = Math.max(0, pendingFetches.size() - placedAttempts.size());
         return new LoadReport(freeSlots, Double.NaN, slotsInUse);
     }
 
-    /** As {@link #loadReport}, with its number of slots in all, which only a FETCH shows. */
+    /**
+     * Returns {@link #loadReport} with the total number of slots, which is known only after a
+     * FETCH.
+     */
     LoadReport loadReportWithCapacity() {
         LoadReport free = loadReport();
         return LoadReport.fromOfferedSlots(
--- a/src/main/java/damsonslip/faktory/WorkerRegistry.java
+++ b/src/main/java/damsonslip/faktory/WorkerRegistry.java
@@ -24,8 +24,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The registered worker processes, from HELLO until they disconnect, drain or stop their
- * heartbeats. Keeps the decision module's worker list up to date. Confined to the event loop.
+ * The registered worker processes, from HELLO until they disconnect or stop sending heartbeats.
+ * Keeps the worker list of the scheduling policy up to date. Confined to the event loop.
  */
 final class WorkerRegistry implements FetchDirectory {
     private static final Logger LOG = LoggerFactory.getLogger(WorkerRegistry.class);
@@ -38,7 +38,10 @@
 
     private static final long SWEEP_INTERVAL_US = 500_000;
 
-    /** A worker counts as fetching from a queue for this time, since its runs may take a while. */
+    /**
+     * A worker counts as fetching from a queue for this time after its last FETCH, since a run may
+     * take a while.
+     */
     private static final long RECENT_FETCH_US = 30_000_000;
 
     private final EventLoop loop;
@@ -66,14 +69,15 @@
         return workers.values();
     }
 
-    /** The registered worker of this id, or null. */
+    /** Returns the registered worker with this id, or null. */
     Worker get(String wid) {
         return workers.get(wid);
     }
 
     /**
-     * Registers a worker's connection after its HELLO. A worker counts as cold until the store
-     * knows an earlier start. A new process with the id of another replaces it.
+     * Registers a connection of a worker after its HELLO. A worker counts as just started, and so
+     * as warming up, unless the store has an earlier start of its process. A new process with the
+     * id of a registered worker replaces that worker.
      */
     Worker register(Command.Hello hello, FaktoryConnection connection) {
         Worker registered = workers.get(hello.wid());
@@ -102,7 +106,10 @@
         return labels.stream().mapToInt(names::indexOf).filter(i -> i >= 0).findFirst().orElse(0);
     }
 
-    /** Asks the store for an earlier start of this process, before a restart of the scheduler. */
+    /**
+     * Looks up in the store whether this process was seen earlier, before a restart of the
+     * scheduler.
+     */
     private void lookUpStart(Worker worker) {
         String id = worker.wid + "@" + worker.process;
         store.submit(
@@ -154,7 +161,7 @@
                         : Reply.bulk("{\"state\":\"" + worker.requestedState + "\"}"));
     }
 
-    /** Drains a worker; the reply to its next heartbeat requests that from it. */
+    /** Drains a worker; the reply to its next heartbeat tells the worker to stop fetching. */
     void drain(String wid) {
         Worker worker = workers.get(wid);
         if (worker != null) {
@@ -164,9 +171,9 @@
     }
 
     /**
-     * Stops a worker: its waiting fetches get no job, and attempts that were not handed out return
-     * unrun, also those whose reservation is just being recorded. A worker that is removed loses
-     * the jobs that it has.
+     * Stops a worker: its pending fetches get no job, and attempts that were not handed out are
+     * returned without having run, including those whose reservation is being recorded. For a
+     * worker that is removed, the reservations of the jobs handed out to it end as well.
      */
     private void stop(Worker worker, WorkerStatus status) {
         if (worker.status == status || worker.status == WorkerStatus.REMOVED) {
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -86,7 +86,7 @@
         assertEquals("+OK", pauses.peer().line());
         assertEquals(1, peer().info().path("counters").path("slow_senders_let_go").asInt());
         assertTrue(
-                server.program().said().contains("is let go: it sends a command at"),
+                server.program().said().contains("is disconnected for its low data rate: it sends a command at"),
                 server.program().said());
     }
 
