--- a/src/test/java/damsonslip/faktory/AwaitedJobRetryTest.java
+++ b/src/test/java/damsonslip/faktory/AwaitedJobRetryTest.java
@@ -7,17 +7,18 @@
 import damsonslip.testkit.FaktoryServer;
 import org.junit.jupiter.api.Test;
 
-/** Retries of jobs that a client waits for. */
+/** Tests the retries of jobs that a client waits for. */
 class AwaitedJobRetryTest extends FaktoryProgramFixture {
     AwaitedJobRetryTest() {
         super(PASSWORD);
     }
 
     /**
-     * The worker may still be running it: whatever the retry limit, no other worker gets the job.
+     * A silent worker may still be running a non-idempotent job: no other worker gets the job,
+     * whatever its retry limit.
      */
     @Test
-    void neverRepeatsJobOfSilentWorkerThatMustNotRunTwice() throws Exception {
+    void doesNotRetryNonIdempotentJobOfSilentWorker() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer silent = peer("w1");
         assertEquals(
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void retriesFailedRunWithinClassAndRetryLimit() throws Exception {
+    void retriesFailedRunAsClassAndRetryLimitAllow() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
         producer.push("job-safe1", "status-read", 5, ",\"retry\":1");
@@ -42,7 +43,7 @@
         worker.fail("job-safe1");
         assertEquals("job-safe1", worker.fetch());
         worker.fail("job-safe1");
-        assertNull(worker.fetch(), "one retry was granted");
+        assertNull(worker.fetch(), "only one retry is allowed");
         FaktoryServer.awaitState(producer, "job-safe1", "failed");
         producer.push("job-once1", "apply-submit", 5, ",\"retry\":25");
         assertEquals("job-once1", worker.fetch());
@@ -52,16 +53,16 @@
     }
 
     /**
-     * A worker without any connection is removed: an idempotent job is retried on another worker,
-     * long before its deadline.
+     * A worker whose connections are all closed is removed; its idempotent job is retried on
+     * another worker long before the deadline.
      */
     @Test
-    void retriesJobOfDisconnectedWorkerWhereItsClassAllows() throws Exception {
+    void retriesIdempotentJobOfDisconnectedWorker() throws Exception {
         FaktoryPeer producer = producer();
-        FaktoryPeer vanishing = peer("w1");
+        FaktoryPeer disconnecting = peer("w1");
         producer.push("job-safe1", "status-read", 8, "");
-        assertEquals("job-safe1", vanishing.fetch());
-        vanishing.close();
+        assertEquals("job-safe1", disconnecting.fetch());
+        disconnecting.close();
         FaktoryPeer other = peer("w2");
         String jid = other.fetch();
         assertEquals("job-safe1", jid == null ? other.fetch() : jid);
--- a/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
+++ b/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Batches over a restart of the scheduler. */
+/** Tests batches across a restart of the scheduler. */
 class BatchRecoveryTest extends FaktoryProgramFixture {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -21,27 +21,27 @@
         super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
     }
 
-    private static String batch(FaktoryPeer producer) throws IOException {
+    private static String createBatch(FaktoryPeer producer) throws IOException {
         return producer.call(
                 "BATCH NEW"
                     + " {\"success\":{\"jobtype\":\"S\",\"args\":[],\"queue\":\"cb\"},\"complete\":"
                     + "{\"jobtype\":\"C\",\"args\":[],\"queue\":\"cb\"}}");
     }
 
-    private static String inside(String bid, int retry) {
+    private static String jobOptions(String bid, int retry) {
         return ",\"queue\":\"q\",\"retry\":" + retry + ",\"custom\":{\"bid\":\"" + bid + "\"}";
     }
 
     /**
-     * The batch's only job is dead, and the scheduler is killed before the callback is recorded:
-     * the callback is pushed after the restart, once.
+     * The only job of a batch is dead, and the scheduler is killed before the callback is recorded:
+     * the callback is pushed exactly once, after the restart.
      */
     @Test
-    void pushesCallbackOnceThatIsDueAtKill() throws Exception {
+    void pushesCallbackOnceIfKilledWhenItWasDue() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
-        String bid = batch(producer);
-        assertEquals("+OK", producer.plain("job-00001", inside(bid, -1)));
+        String bid = createBatch(producer);
+        assertEquals("+OK", producer.plain("job-00001", jobOptions(bid, -1)));
         assertEquals("+OK", producer.call("BATCH COMMIT " + bid));
         assertEquals("job-00001", worker.fetch("q", 2_000));
         CountDownLatch held =
@@ -57,7 +57,7 @@
         FaktoryPeer other = peer("w2");
         assertEquals(bid + "-complete", other.fetch("cb", 4_000));
         assertEquals("+OK", other.ack(bid + "-complete"));
-        assertNull(other.fetch("cb", 0), "no success with a dead job");
+        assertNull(other.fetch("cb", 0), "no success callback while a job is dead");
         assertEquals("dead", after.state("job-00001"));
         assertEquals("+OK", after.mutate("requeue", "dead", "job-00001"));
         assertEquals("job-00001", other.fetch("q", 2_000));
@@ -71,12 +71,12 @@
     @Test
     void acceptsFurtherJobsOfOpenBatchAfterRestart() throws Exception {
         FaktoryPeer producer = producer();
-        String bid = batch(producer);
-        assertEquals("+OK", producer.plain("job-00001", inside(bid, 25)));
+        String bid = createBatch(producer);
+        assertEquals("+OK", producer.plain("job-00001", jobOptions(bid, 25)));
         server.killAndStart();
         FaktoryPeer after = producer();
         FaktoryPeer worker = peer("w1");
-        assertEquals("+OK", after.plain("job-00002", inside(bid, 25)));
+        assertEquals("+OK", after.plain("job-00002", jobOptions(bid, 25)));
         for (int i = 0; i < 2; i++) {
             String jid = worker.fetch("q", 3_000);
             assertTrue(jid.startsWith("job-0000"), jid);
--- a/src/test/java/damsonslip/faktory/CrossingCommandsTest.java
+++ b/src/test/java/damsonslip/faktory/CrossingCommandsTest.java
@@ -5,14 +5,14 @@
 import damsonslip.testkit.FaktoryPeer;
 import org.junit.jupiter.api.Test;
 
-/** Pushes and reports that cross each other or come late. */
+/** Tests concurrent, duplicate and late pushes and reports. */
 class CrossingCommandsTest extends FaktoryProgramFixture {
     CrossingCommandsTest() {
         super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
     }
 
     @Test
-    void acceptsJobOnceThatIsPushedOnTwoConnections() throws Exception {
+    void acceptsJobOnceIfPushedOnTwoConnections() throws Exception {
         FaktoryPeer one = producer();
         FaktoryPeer two = producer();
         for (int i = 10; i < 30; i++) {
@@ -30,13 +30,13 @@
     }
 
     @Test
-    void ignoresReportsThatCrossOrComeFromOtherWorkers() throws Exception {
+    void ignoresDuplicateReportsAndThoseOfOtherWorkers() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
         FaktoryPeer other = peer("w2");
         producer.plain("job-00001", ",\"queue\":\"q\"");
         assertEquals("job-00001", worker.fetch("q", 2_000));
-        assertEquals("+OK", other.ack("job-00001"), "not its own");
+        assertEquals("+OK", other.ack("job-00001"), "another worker's report is acknowledged");
         assertEquals("working", producer.state("job-00001"));
         worker.peer()
                 .send(
@@ -52,8 +52,8 @@
     }
 
     /**
-     * After the reservation has expired a FAIL changes nothing, but an ACK shows that the job need
-     * not be retried.
+     * After the reservation has expired, a FAIL changes nothing, but an ACK completes the job
+     * instead of its retry.
      */
     @Test
     void acceptsLateAcknowledgementOfExpiredReservation() throws Exception {
@@ -61,7 +61,7 @@
         FaktoryPeer worker = peer("w1");
         producer.plain("job-00001", ",\"queue\":\"q\",\"reserve_for\":1");
         assertEquals("job-00001", worker.fetch("q", 2_000));
-        await("it waits for a retry", () -> producer.size("Retries") == 1);
+        await("the job is waiting for a retry", () -> producer.size("Retries") == 1);
         assertEquals("+OK", worker.fail("job-00001"));
         assertEquals(1, producer.size("Retries"));
         assertEquals("+OK", worker.ack("job-00001"));
--- a/src/test/java/damsonslip/faktory/DrainingWorkerTest.java
+++ b/src/test/java/damsonslip/faktory/DrainingWorkerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Workers that drain: they finish their jobs and get no new ones. */
+/** Tests that draining workers get no new jobs. */
 class DrainingWorkerTest extends FaktoryProgramFixture {
     DrainingWorkerTest() {
         super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
--- a/src/test/java/damsonslip/faktory/DueJobsTest.java
+++ b/src/test/java/damsonslip/faktory/DueJobsTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Very many scheduled jobs that fall due at once. */
+/** Tests a burst of scheduled jobs that fall due at once. */
 class DueJobsTest extends FaktoryProgramFixture {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -26,11 +26,11 @@
     private static final int AWAITED_JOBS = 60;
     private static final int SLOTS = 6;
 
-    private final AtomicLong bulkJobsDone = new AtomicLong();
+    private final AtomicLong completedBulkJobs = new AtomicLong();
 
-    /** Ten thousand jobs fall due in one second; awaited jobs beside them keep their latency. */
+    /** Ten thousand jobs fall due at once; awaited jobs submitted meanwhile keep their latency. */
     @Test
-    void keepsLatencyOfAwaitedJobsBesideBurstOfDueJobs() throws Exception {
+    void keepsLatencyOfAwaitedJobsDuringBurstOfDueJobs() throws Exception {
         FaktoryPeer producer = producer();
         Instant due = Instant.now().plusSeconds(4);
         for (int from = 0; from < BULK_JOBS; from += JOBS_PER_PUSH) {
@@ -42,15 +42,15 @@
         }
         Thread.sleep(Math.max(0, due.toEpochMilli() - System.currentTimeMillis() - 500));
         List<Long> latenciesMs = runAwaitedJobs(producer);
-        long bulk = bulkJobsDone.get();
+        long completed = completedBulkJobs.get();
         System.out.printf(
-                "10,000 due at once: status-read p50 %d ms, worst %d ms; %d of them done"
+                "10,000 jobs due at once: status-read p50 %d ms, max %d ms; %d of them completed"
                         + " meanwhile%n",
-                latenciesMs.get(30), latenciesMs.get(59), bulk);
+                latenciesMs.get(30), latenciesMs.get(59), completed);
         assertTrue(
                 latenciesMs.get(30) <= 60 && latenciesMs.get(56) <= 250,
                 "status-read took " + latenciesMs);
-        assertTrue(bulk > 200, "and the others went on: " + bulk);
+        assertTrue(completed > 200, "jobs of the burst completed: " + completed);
         assertEquals(0, producer.size("Scheduled"));
     }
 
@@ -67,7 +67,7 @@
         return jobs + "]";
     }
 
-    /** Fetches and acknowledges jobs on a thread of its own until the test is over. */
+    /** Starts a thread that fetches and acknowledges jobs until the test ends. */
     private void startWorker(FaktoryPeer worker) {
         Thread thread =
                 new Thread(
@@ -75,7 +75,7 @@
                             try {
                                 work(worker);
                             } catch (IOException e) {
-                                return; // the test is over
+                                return; // the test has ended
                             }
                         });
         thread.setDaemon(true);
@@ -87,12 +87,12 @@
             String job = worker.call("FETCH bulk status");
             if (job != null) {
                 worker.ack(JSON.readTree(job).path("jid").asText());
-                bulkJobsDone.incrementAndGet();
+                completedBulkJobs.incrementAndGet();
             }
         }
     }
 
-    /** Runs awaited jobs one after the other; returns their latencies in ascending order. */
+    /** Runs awaited jobs one after another; returns their latencies in ascending order. */
     private static List<Long> runAwaitedJobs(FaktoryPeer producer) throws Exception {
         List<Long> latenciesMs = new ArrayList<>();
         for (int i = 0; i < AWAITED_JOBS; i++) {
--- a/src/test/java/damsonslip/faktory/FaktoryConfigTest.java
+++ b/src/test/java/damsonslip/faktory/FaktoryConfigTest.java
@@ -12,24 +12,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The operator's file: its routes, and what is wrong with it told in one line. */
+/**
+ * Tests the reading of the operator's file: its routes, and the one-line errors for invalid
+ * settings.
+ */
 class FaktoryConfigTest {
     @TempDir Path dir;
 
-    private FaktoryConfig read(String find, String put) throws Exception {
+    private FaktoryConfig read(String target, String replacement) throws Exception {
         String text = Files.readString(Path.of("deploy/faktory.toml"));
-        assertTrue(text.contains(find), find);
+        assertTrue(text.contains(target), target);
         return FaktoryConfig.read(
-                Files.writeString(dir.resolve("f.toml"), text.replace(find, put)).toString());
+                Files.writeString(dir.resolve("f.toml"), text.replace(target, replacement))
+                        .toString());
     }
 
     @Test
-    void routesByFirstMatchAfterTheJobsOwnClass() throws Exception {
+    void selectsClassByJobThenFirstMatchingRouteThenDefault() throws Exception {
         FaktoryConfig config = read("a", "a");
         assertEquals(0, config.routes().classOf("", "status", "any"));
-        assertEquals(0, config.routes().classOf("", "status", "ApplyNow"), "the first");
+        assertEquals(
+                0, config.routes().classOf("", "status", "ApplyNow"), "the first matching route");
         assertEquals(2, config.routes().classOf("", "default", "ApplyNow"));
-        assertEquals(4, config.routes().classOf("", "default", "Other"), "the default");
+        assertEquals(4, config.routes().classOf("", "default", "Other"), "the default class");
         assertEquals(3, config.routes().classOf("offer-reply", "status", "any"));
         assertEquals(-1, config.routes().classOf("no-such", "status", "any"));
         assertEquals(
@@ -49,11 +54,12 @@
         "queue_order = \"strict\",queue_order = \"any\",queue_order: neither strict nor fair: any",
         "links = 800,links = 0,links: not a whole number"
     })
-    void reportsInvalidSettingInOneLine(String find, String put, String told) {
-        ConfigurationException refused =
-                assertThrows(ConfigurationException.class, () -> read(find, put));
+    void reportsInvalidSettingInOneLine(String target, String replacement, String message) {
+        ConfigurationException exception =
+                assertThrows(ConfigurationException.class, () -> read(target, replacement));
         assertTrue(
-                refused.getMessage().contains(told) && refused.getMessage().lines().count() == 1,
-                refused.getMessage());
+                exception.getMessage().contains(message)
+                        && exception.getMessage().lines().count() == 1,
+                exception.getMessage());
     }
 }
--- a/src/test/java/damsonslip/faktory/FaktoryProgramFixture.java
+++ b/src/test/java/damsonslip/faktory/FaktoryProgramFixture.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the real program as a Faktory server before each test, with a Redis stand-in as its store,
- * and ends both after it together with the peers that the test has connected.
+ * Starts the real program as a Faktory server before each test, with a Redis stand-in as its store.
+ * After the test it stops both and closes the peers that the test has connected.
  */
 abstract class FaktoryProgramFixture {
     static final String PASSWORD = "s3cret";
@@ -26,17 +26,17 @@
     private final String[] replacements;
 
     /**
-     * Settles the server's configuration.
+     * Defines the server's configuration.
      *
-     * @param password what peers have to know; empty for none
-     * @param replacements texts of the operators' file, each followed by what stands there instead
+     * @param password the password that peers need; empty for none
+     * @param replacements texts of the operator's file, each followed by its replacement
      */
     FaktoryProgramFixture(String password, String... replacements) {
         this.password = password;
         this.replacements = replacements;
     }
 
-    /** A condition that is read from the server. */
+    /** A condition on the state of the server. */
     interface Condition {
         boolean holds() throws IOException;
     }
@@ -64,7 +64,7 @@
         return server.peer(wid);
     }
 
-    /** Waits until a condition holds; fails if the server cannot be asked. */
+    /** Waits until a condition holds; fails if the server cannot be queried. */
     static void await(String what, Condition condition) {
         Program.await(
                 what,
--- a/src/test/java/damsonslip/faktory/FaultScenarioTest.java
+++ b/src/test/java/damsonslip/faktory/FaultScenarioTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A scenario of faults against the Faktory front: workers slow down, hang, drain and start cold,
- * and the scheduler is killed. Each job gets a final answer in time, none that must not run twice
- * does, and most of the priority weight is served.
+ * Injects faults while jobs are pushed to the Faktory frontend: workers become slow, hang, drain
+ * and start up, and the scheduler is killed. Each job reaches a final state in time, no
+ * non-idempotent job runs twice, and most of the priority weight is served.
  */
 class FaultScenarioTest {
     private static final String[] CLASSES = {
@@ -36,7 +36,10 @@
     private static final int PUSH_INTERVAL_MS = 25;
     private static final long DEADLINE_MS = 3_000;
 
-    /** What the store and two processes on a busy machine may add to the time limit of 66 ms. */
+    /**
+     * The extra delay that the store and two processes on a busy machine may add to the limit of 66
+     * ms after the deadline.
+     */
     private static final long TOLERANCE_MS = 500;
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -48,24 +51,24 @@
     @TempDir Path dir;
     private final int port = Program.freePort();
     private final List<Run> runs = new CopyOnWriteArrayList<>();
-    private final Map<String, String> state = new ConcurrentHashMap<>();
-    private volatile boolean over;
+    private final Map<String, String> workerState = new ConcurrentHashMap<>();
+    private volatile boolean stopped;
 
     private static long nowMs() {
         return System.currentTimeMillis();
     }
 
     /**
-     * Starts one slot of a worker: it fetches, runs and acknowledges jobs, and reconnects after the
-     * scheduler was killed.
+     * Starts one slot of a worker, which fetches, runs and acknowledges jobs, and reconnects after
+     * the scheduler was killed.
      */
     private void startSlot(String wid) {
         Thread thread =
                 new Thread(
                         () -> {
-                            while (!over) {
+                            while (!stopped) {
                                 try (FaktoryPeer peer = new FaktoryPeer(port, wid, "")) {
-                                    while (!over) {
+                                    while (!stopped) {
                                         work(wid, peer);
                                     }
                                 } catch (IOException | InterruptedException e) {
@@ -83,10 +86,10 @@
             return;
         }
         runs.add(new Run(jid, wid, nowMs()));
-        switch (state.getOrDefault(wid, "healthy")) {
+        switch (workerState.getOrDefault(wid, "healthy")) {
             case "slow" -> Thread.sleep(200);
             case "hung" -> {
-                while ("hung".equals(state.get(wid))) {
+                while ("hung".equals(workerState.get(wid))) {
                     Thread.sleep(20);
                 }
                 return;
@@ -120,37 +123,41 @@
     }
 
     @Test
-    void keepsTheRulesThroughFaults() throws Exception {
+    void servesJobsWithinLimitsDuringFaults() throws Exception {
         List<Pushed> pushed = new ArrayList<>();
-        long[] quietAt = {Long.MAX_VALUE};
-        long[] diedAt = new long[1];
+        long[] drainedAtMs = {Long.MAX_VALUE};
+        long[] killedAtMs = new long[1];
         try (RedisStandIn redis = new RedisStandIn();
-                Program first = program(redis)) {
+                Program initial = program(redis)) {
             for (int i = 0; i < 12; i++) {
                 startSlot("w" + i / 2);
             }
-            Program second = push(pushed, first, redis, quietAt, diedAt);
-            try (second;
+            Program restarted = push(pushed, initial, redis, drainedAtMs, killedAtMs);
+            try (restarted;
                     FaktoryPeer tracker = new FaktoryPeer(port, "", "")) {
                 pause(DEADLINE_MS + TOLERANCE_MS);
-                checkAnswers(pushed, tracker, quietAt[0], diedAt[0]);
+                checkFinalStates(pushed, tracker, drainedAtMs[0], killedAtMs[0]);
             } finally {
-                over = true;
+                stopped = true;
             }
         }
     }
 
     private Program push(
-            List<Pushed> pushed, Program first, RedisStandIn redis, long[] quietAt, long[] diedAt)
+            List<Pushed> pushed,
+            Program initial,
+            RedisStandIn redis,
+            long[] drainedAtMs,
+            long[] killedAtMs)
             throws Exception {
         SplittableRandom random = new SplittableRandom(11);
-        Program program = first;
+        Program program = initial;
         FaktoryPeer producer = new FaktoryPeer(port, "", "");
         long start = nowMs();
         for (int i = 0; (long) i * PUSH_INTERVAL_MS < DURATION_MS; i++) {
-            injectFault(i, quietAt);
+            injectFault(i, drainedAtMs);
             if (i == 200) {
-                diedAt[0] = nowMs();
+                killedAtMs[0] = nowMs();
                 program.kill();
                 program.exit();
                 program = program(redis);
@@ -171,12 +178,12 @@
         return program;
     }
 
-    private void injectFault(int step, long[] quietAt) throws IOException {
+    private void injectFault(int step, long[] drainedAtMs) throws IOException {
         switch (step) {
-            case 60 -> state.put("w1", "slow");
-            case 100 -> state.put("w2", "hung");
-            case 140 -> state.put("w1", "healthy");
-            case 160 -> state.put("w2", "healthy");
+            case 60 -> workerState.put("w1", "slow");
+            case 100 -> workerState.put("w2", "hung");
+            case 140 -> workerState.put("w1", "healthy");
+            case 160 -> workerState.put("w2", "healthy");
             case 180 -> {
                 startSlot("fresh");
                 startSlot("fresh");
@@ -186,44 +193,48 @@
                     assertEquals(
                             "+OK", peer.call("BEAT {\"wid\":\"w0\",\"current_state\":\"quiet\"}"));
                 }
-                quietAt[0] = nowMs();
+                drainedAtMs[0] = nowMs();
             }
             default -> {}
         }
     }
 
-    private void checkAnswers(List<Pushed> pushed, FaktoryPeer tracker, long quietAt, long diedAt)
+    private void checkFinalStates(
+            List<Pushed> pushed, FaktoryPeer tracker, long drainedAtMs, long killedAtMs)
             throws IOException {
         double offeredWeight = 0;
         double servedWeight = 0;
         for (Pushed job : pushed) {
             JsonNode tracked = JSON.readTree(tracker.call("TRACK GET " + job.jid()));
-            String end = tracked.path("state").asText();
+            String state = tracked.path("state").asText();
             assertTrue(
-                    List.of("success", "failed", "dead").contains(end),
-                    job + " has no final answer: " + tracked);
+                    List.of("success", "failed", "dead").contains(state),
+                    job + " has no final state: " + tracked);
             long endMs = Instant.parse(tracked.path("updated_at").asText()).toEpochMilli();
-            boolean crossed = job.atMs() < diedAt && job.atMs() + DEADLINE_MS > diedAt;
+            boolean openAtKill = job.atMs() < killedAtMs && job.atMs() + DEADLINE_MS > killedAtMs;
             assertTrue(
-                    crossed || endMs <= job.atMs() + DEADLINE_MS + TOLERANCE_MS,
-                    job + " was answered late: " + tracked);
-            long ran = runs.stream().filter(run -> run.jid().equals(job.jid())).count();
-            assertTrue(job.jobClass() != 2 || ran <= 1, job + " ran " + ran + " times");
-            assertTrue(!end.equals("success") || ran >= 1, job + " was served by nobody");
+                    openAtKill || endMs <= job.atMs() + DEADLINE_MS + TOLERANCE_MS,
+                    job + " ended late: " + tracked);
+            long runCount = runs.stream().filter(run -> run.jid().equals(job.jid())).count();
+            assertTrue(job.jobClass() != 2 || runCount <= 1, job + " ran " + runCount + " times");
+            assertTrue(!state.equals("success") || runCount >= 1, job + " succeeded without a run");
             offeredWeight += WEIGHTS[job.jobClass()];
             servedWeight +=
-                    end.equals("success") && endMs - job.atMs() < 500 ? WEIGHTS[job.jobClass()] : 0;
+                    state.equals("success") && endMs - job.atMs() < 500
+                            ? WEIGHTS[job.jobClass()]
+                            : 0;
         }
         assertEquals(
                 0,
                 runs.stream()
-                        .filter(run -> run.worker().equals("w0") && run.atMs() > quietAt + 500)
+                        .filter(run -> run.worker().equals("w0") && run.atMs() > drainedAtMs + 500)
                         .count());
         assertTrue(
                 runs.stream().anyMatch(run -> run.worker().equals("fresh")),
-                "the fresh worker is used");
+                "the new worker is used");
         System.out.printf(
-                "faktory troubles: %d jobs taken, %d runs, %.3f of the worth in time%n",
+                "faktory faults: %d jobs accepted, %d runs, %.3f of the priority weight served in"
+                        + " time%n",
                 pushed.size(), runs.size(), servedWeight / offeredWeight);
         assertTrue(
                 pushed.size() > 250 && servedWeight / offeredWeight > 0.6,
--- a/src/test/java/damsonslip/faktory/InvalidInputTest.java
+++ b/src/test/java/damsonslip/faktory/InvalidInputTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Invalid commands and wrong passwords: each gets an error, and other clients do not notice. */
+/** Tests that invalid commands and wrong passwords get an error and do not affect other clients. */
 class InvalidInputTest extends FaktoryProgramFixture {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void rejectsInvalidCommandsAndKeepsTheConnection() throws Exception {
+    void rejectsInvalidCommandsAndKeepsConnectionOpen() throws Exception {
         assertThrows(IOException.class, () -> new FaktoryPeer(server.port, "", "wrong"));
         FaktoryPeer producer = producer();
         assertTrue(
@@ -34,9 +34,12 @@
                 "the connection stays open");
     }
 
-    /** Each is rejected and its connection closed; another client does not notice. */
+    /**
+     * Each wrong password is rejected and its connection closed; another client is served without
+     * delay.
+     */
     @Test
-    void servesOthersBesideWrongPasswords() throws Exception {
+    void servesOthersDuringWrongPasswords() throws Exception {
         FaktoryPeer producer = producer();
         for (int i = 0; i < 300; i++) {
             int attempt = i;
@@ -46,12 +49,12 @@
                             () -> new FaktoryPeer(server.port, "", "wrong" + attempt).close());
             assertEquals("-ERR invalid password", rejected.getMessage());
         }
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         assertEquals("+OK", producer.push("job-00001", "status-read", 4, ""));
-        assertTrue(System.nanoTime() - from < 500_000_000L);
+        assertTrue(System.nanoTime() - startNs < 500_000_000L);
         assertEquals(300, producer.info().path("counters").path("passwords_wrong").asInt());
         await(
-                "their connections are gone",
+                "the rejected connections are closed",
                 () -> producer.info().path("server").path("connections").asInt() <= 2);
     }
 }
--- a/src/test/java/damsonslip/faktory/JobFlowTest.java
+++ b/src/test/java/damsonslip/faktory/JobFlowTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A job from its push over its FETCH to its final state. */
+/** Tests the path of a job from its push to its final state. */
 class JobFlowTest extends FaktoryProgramFixture {
     JobFlowTest() {
         super(PASSWORD);
@@ -32,14 +32,14 @@
     }
 
     /**
-     * A worker is selected among those that fetch from a job's queue, although the decision
-     * module's pools have no queues.
+     * A worker is selected only among those that fetch from the job's queue, although the pools of
+     * the scheduling policy are not divided by queue.
      */
     @Test
     void placesJobOnlyOnWorkerThatFetchesItsQueue() throws Exception {
         FaktoryPeer producer = producer();
         List<FaktoryPeer> others = new ArrayList<>();
-        for (int i = 0; i < 6; i++) { // so many that each class's pool holds some of these
+        for (int i = 0; i < 6; i++) { // enough for each class's pool to contain some of them
             others.add(peer("other" + i));
             others.get(i).peer().send("FETCH elsewhere\r\n");
         }
@@ -47,13 +47,13 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(
                     "+OK", producer.push("job-0000" + i, "status-read", 4, ",\"queue\":\"here\""));
-            assertEquals("job-0000" + i, matching.fetch("here", 0), "at the first FETCH");
+            assertEquals("job-0000" + i, matching.fetch("here", 0), "the first FETCH gets the job");
             matching.ack("job-0000" + i);
         }
         assertEquals(
                 5,
                 producer.info().path("counters").path("executions_sent").asInt(),
-                "no other worker was attempted");
+                "no attempt was sent to another worker");
     }
 
     @Test
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void namesRetryAfterWhenItRejects() throws Exception {
+    void repliesWithRetryAfterWhenThrottling() throws Exception {
         FaktoryPeer producer = producer();
         String reply = "+OK";
         for (int i = 0; i < 60 && reply.equals("+OK"); i++) {
@@ -79,15 +79,12 @@
         assertTrue(reply.matches("-ERR throttled, retry after [0-9.]+ s"), reply);
     }
 
-    /**
-     * A quiet worker finishes the jobs that it has; a FETCH that already waits must not get it a
-     * new one.
-     */
+    /** A quiet worker gets no new job, not even for a FETCH that was already pending. */
     @Test
     void handsNothingToQuietWorker() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer waiting = peer("w1");
-        FaktoryPeer beating = peer("w1");
+        FaktoryPeer heartbeatPeer = peer("w1");
         List<String> fetched = new ArrayList<>();
         Thread fetch =
                 new Thread(
@@ -100,7 +97,8 @@
                         });
         fetch.start();
         Thread.sleep(300);
-        assertEquals("+OK", beating.call("BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}"));
+        assertEquals(
+                "+OK", heartbeatPeer.call("BEAT {\"wid\":\"w1\",\"current_state\":\"quiet\"}"));
         assertEquals("+OK", producer.push("job-00001", "status-read", 3, ""));
         fetch.join();
         assertNull(fetched.get(0));
--- a/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
+++ b/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
@@ -13,9 +13,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The scheduler is killed at each step of a reservation, and recovers from the store. */
+/**
+ * Tests the recovery from the store after the scheduler is killed at each step of a reservation.
+ */
 class KilledSchedulerTest extends FaktoryProgramFixture {
-    /** The rest of a push of a job that must not run twice. */
+    /** Options in the push of a job that must not run twice. */
     private static final String NOT_IDEMPOTENT =
             ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
 
@@ -28,11 +30,11 @@
     }
 
     /**
-     * Killed before the store has recorded the reservation: the job was provably never handed out,
-     * and runs after the restart.
+     * The scheduler is killed before the store has recorded the reservation: the job was provably
+     * not handed out, so it runs after the restart.
      */
     @Test
-    void runsJobKilledBeforeItsReservationWasRecorded() throws Exception {
+    void runsJobIfKilledBeforeReservationIsRecorded() throws Exception {
         FaktoryPeer producer = producer();
         CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.HOLD_UNDONE);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
@@ -46,11 +48,11 @@
     }
 
     /**
-     * Killed after the reservation was recorded: the job may have been handed out, so that no other
-     * worker gets it; its own worker's report is still accepted.
+     * The scheduler is killed after the store has recorded the reservation: the job may have been
+     * handed out, so no other worker gets it, and its own worker's report is still accepted.
      */
     @Test
-    void doesNotRepeatJobKilledAfterItsReservationWasRecorded() throws Exception {
+    void doesNotRepeatJobIfKilledAfterReservationIsRecorded() throws Exception {
         FaktoryPeer producer = producer();
         CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.DO_AND_HOLD);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
@@ -65,11 +67,11 @@
     }
 
     /**
-     * Killed in the middle of the reply to FETCH, of which the worker had read enough to run the
-     * job.
+     * The scheduler is killed during the reply to FETCH, of which the worker has read enough to run
+     * the job.
      */
     @Test
-    void acceptsAcknowledgementOfJobKilledDuringItsReply() throws Exception {
+    void acceptsAcknowledgementIfKilledDuringReplyToFetch() throws Exception {
         FaktoryPeer producer = producer();
         String big = NOT_IDEMPOTENT.replace("}", ",\"filler\":\"" + "x".repeat(900_000) + "\"}");
         assertEquals("+OK", producer.plain("job-once1", big));
@@ -86,16 +88,16 @@
         assertEquals(
                 "job-safe1",
                 reconnected.fetch("q", 3_000),
-                "what had not been handed out is not lost");
+                "the job that was not handed out is not lost");
         assertNull(reconnected.fetch("q", 0));
     }
 
     /**
-     * A job that is pushed to two schedulers on one store belongs to the first; the other does not
-     * recover it at a restart.
+     * A job that is pushed to two schedulers with a shared store belongs to the first; the other
+     * does not recover it after a restart.
      */
     @Test
-    void recoversJobOfSharedStoreOnlyAtItsOwner() throws Exception {
+    void recoversJobOfSharedStoreOnlyOnItsOwner() throws Exception {
         int otherPort = Program.freePort();
         Program second = server.start(otherPort, "other-desk");
         assertEquals("+OK", producer().plain("job-once1", NOT_IDEMPOTENT));
--- a/src/test/java/damsonslip/faktory/NonIdempotentJobTest.java
+++ b/src/test/java/damsonslip/faktory/NonIdempotentJobTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that must not run twice. */
+/** Tests that jobs which must not run twice do not. */
 class NonIdempotentJobTest extends FaktoryProgramFixture {
-    /** The rest of a push of a job that must not run twice. */
+    /** Options in the push of a job that must not run twice. */
     private static final String NOT_IDEMPOTENT =
             ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
 
@@ -19,9 +19,9 @@
         super(NO_PASSWORD, "least_reserve_s = 60", "least_reserve_s = 1");
     }
 
-    /** However its run ends, and whoever requests another one, an apply-submit runs once. */
+    /** A non-idempotent job runs once, however its run ends and whoever requests another run. */
     @ParameterizedTest
-    @ValueSource(strings = {"fails", "lapses", "goes"})
+    @ValueSource(strings = {"fails", "expires", "disconnects"})
     void neverRepeatsJobThatMayHaveRun(String how) throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
@@ -31,7 +31,7 @@
         assertEquals("job-once1", worker.fetch("q", 2_000));
         switch (how) {
             case "fails" -> assertEquals("+OK", worker.fail("job-once1"));
-            case "goes" -> worker.close();
+            case "disconnects" -> worker.close();
             default -> Thread.sleep(1_100); // its reservation expires
         }
         FaktoryServer.awaitState(producer, "job-once1", "dead");
@@ -51,7 +51,7 @@
         assertEquals(
                 "+OK",
                 after.plain("job-once1", NOT_IDEMPOTENT),
-                "not even once it was thrown away");
+                "a push after the job was discarded changes nothing either");
         assertNull(other.fetch("q", 0));
         assertEquals("discarded", after.state("job-once1"));
     }
--- a/src/test/java/damsonslip/faktory/OversizedInputTest.java
+++ b/src/test/java/damsonslip/faktory/OversizedInputTest.java
@@ -8,7 +8,10 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Input beyond the limits: bounded in memory, and other clients do not notice. */
+/**
+ * Tests that input beyond the limits is rejected within bounded memory and does not affect other
+ * clients.
+ */
 class OversizedInputTest extends FaktoryProgramFixture {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -30,7 +33,7 @@
         many.append(",{}".repeat(99_999)).append(']');
         assertTrue(
                 producer.call(many.toString()).startsWith("-ERR more than 5000 jobs"),
-                "one error for all of them");
+                "a single error for the whole push");
         FaktoryPeer endless = producer();
         String reply = null;
         try {
@@ -48,8 +51,8 @@
     }
 
     /**
-     * Lines that never end, on many connections: the memory for all of them together is bounded,
-     * and another client does not notice.
+     * Many connections send lines that never end: their total memory is bounded, and another client
+     * is served.
      */
     @Test
     void boundsMemoryOfIncompleteLines() throws Exception {
@@ -66,11 +69,11 @@
         assertEquals("+OK", plain.plain("job-00001", ""));
         int mb = plain.info().path("server").path("used_memory_mb").asInt();
         System.out.println(
-                "60 unfinished lines of 950 KB: "
+                "60 incomplete lines of 950 KB: "
                         + mb
                         + " MB used, "
                         + closed
-                        + " refused while sending");
+                        + " rejected while sending");
         assertTrue(mb < 700, mb + " MB");
     }
 }
--- a/src/test/java/damsonslip/faktory/PersistenceTest.java
+++ b/src/test/java/damsonslip/faktory/PersistenceTest.java
@@ -8,15 +8,15 @@
 import damsonslip.testkit.FaktoryServer;
 import org.junit.jupiter.api.Test;
 
-/** What the store has recorded decides what runs after a restart, and what is accepted. */
+/** Tests what runs after a restart, by the store, and what is accepted while the store is down. */
 class PersistenceTest extends FaktoryProgramFixture {
     PersistenceTest() {
         super(PASSWORD);
     }
 
     /**
-     * A restart between a FETCH and its report: a job that the store has as reserved may have run,
-     * one that it has as queued has not.
+     * The scheduler restarts between a FETCH and its report: a job stored as reserved may have run,
+     * one stored as queued has not.
      */
     @Test
     void runsNothingTwiceAfterRestartDuringFetch() throws Exception {
@@ -26,7 +26,8 @@
         assertEquals("job-done1", worker.fetch());
         producer.push("job-lost1", "apply-submit", 5, "");
         assertEquals(
-                "job-lost1", peer("w3").fetch()); // the first worker is cold, and full with one job
+                "job-lost1",
+                peer("w3").fetch()); // the first worker is warming up and full with one job
         producer.push("job-held1", "apply-submit", 8, "");
         server.killAndStart();
         FaktoryPeer after = producer();
@@ -34,14 +35,17 @@
         assertEquals("job-held1", other.fetch());
         other.ack("job-held1");
         FaktoryServer.awaitState(after, "job-held1", "success");
-        assertEquals("+OK", peer("w1").ack("job-done1"), "its own worker may still report");
+        assertEquals(
+                "+OK",
+                peer("w1").ack("job-done1"),
+                "the report of its own worker is still accepted");
         FaktoryServer.awaitState(after, "job-done1", "success");
         assertNull(other.fetch());
         FaktoryServer.awaitState(after, "job-lost1", "dead");
         assertNull(other.fetch());
     }
 
-    /** No job is accepted or handed out that the store has not recorded. */
+    /** No job is accepted or handed out unless the store has recorded that. */
     @Test
     void acceptsAndHandsOutNothingWhileStoreIsDown() throws Exception {
         FaktoryPeer producer = producer();
@@ -54,15 +58,15 @@
         assertNull(worker.fetch());
         redis.up();
         await(
-                "pushes are taken again",
+                "pushes are accepted again",
                 () -> "+OK".equals(producer.push("job-00003", "apply-submit", 5, "")));
         FaktoryServer.awaitState(
-                producer, "job-00001", "failed"); // read from the store, which is up by now
+                producer, "job-00001", "failed"); // read from the store, which is available by now
         assertEquals("job-00003", worker.fetch());
     }
 
     @Test
-    void awaitsReportsInGracefulShutdownAndLeavesTheRestInTheStore() throws Exception {
+    void awaitsReportsInGracefulShutdown() throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
         producer.push("job-00001", "apply-submit", 5, "");
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Peers below the minimum data rate are closed, peers that pipeline commands have to wait, and
- * other clients do not notice.
+ * Tests that peers below the minimum data rate are disconnected, that peers which pipeline commands
+ * have to wait, and that other clients are not affected.
  */
 class SlowPeersTest {
-    /** Longer than the grace and the longest pause that a measured connection is allowed. */
+    /** Longer than the configured grace period and longest pause. */
     private static final long LONG_MS = 6_000;
 
-    /** Interval of bursts of 1.5 kB, which make the required kilobyte a second on average. */
+    /** The interval of bursts of 1.5 kB, which is on average the required rate of 1 kB/s. */
     private static final long BURST_MS = 1_500;
 
-    /** Within the longest pause that is allowed. */
+    /** Shorter than the longest pause that is allowed. */
     private static final long PAUSE_MS = 3_500;
 
     @TempDir Path dir;
@@ -55,38 +55,41 @@
     }
 
     @Test
-    void closesTricklingPeerAndServesSteadyAndPausingOnes() throws Exception {
-        FaktoryPeer trickles = peer();
-        FaktoryPeer bursts = peer();
-        FaktoryPeer pauses = peer();
+    void disconnectsTricklingPeerButNotBurstyOrPausingOnes() throws Exception {
+        FaktoryPeer trickling = peer();
+        FaktoryPeer bursty = peer();
+        FaktoryPeer pausing = peer();
         String filler = "x".repeat(1_500);
-        bursts.peer().send("PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[\"");
-        pauses.peer()
+        bursty.peer().send("PUSH {\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[\"");
+        pausing.peer()
                 .send(
                         "PUSH {\"jid\":\"job-00002\",\"jobtype\":\"t\",\"args\":[\""
                                 + filler.repeat(10));
-        trickles.peer().send("PUSH {");
+        trickling.peer().send("PUSH {");
         long from = System.nanoTime();
         int sent = 0;
         boolean paused = true;
         for (long ms = 0; ms < LONG_MS; ms = (System.nanoTime() - from) / 1_000_000) {
             Thread.sleep(100);
-            trickle(trickles);
-            while (sent < ms / BURST_MS) { // by the clock: a turn may take longer than its sleep
-                bursts.peer().send(filler);
+            trickle(trickling);
+            // by elapsed time, since an iteration may take longer than its sleep
+            while (sent < ms / BURST_MS) {
+                bursty.peer().send(filler);
                 sent++;
             }
             if (paused && ms > PAUSE_MS) {
                 paused = false;
-                pauses.peer().send("\"]}\r\n");
+                pausing.peer().send("\"]}\r\n");
             }
         }
-        bursts.peer().send("\"]}\r\n");
-        assertEquals("+OK", bursts.peer().line());
-        assertEquals("+OK", pauses.peer().line());
+        bursty.peer().send("\"]}\r\n");
+        assertEquals("+OK", bursty.peer().line());
+        assertEquals("+OK", pausing.peer().line());
         assertEquals(1, peer().info().path("counters").path("slow_senders_let_go").asInt());
         assertTrue(
-                server.program().said().contains("is disconnected for its low data rate: it sends a command at"),
+                server.program()
+                        .said()
+                        .contains("is disconnected for its low data rate: it sends a command at"),
                 server.program().said());
     }
 
@@ -94,53 +97,53 @@
         try {
             peer.peer().send("x");
         } catch (IOException e) {
-            return; // it has been let go
+            return; // it has been disconnected
         }
     }
 
     /**
-     * A peer that sends commands and never reads the replies is closed once nothing has moved for
-     * its grace.
+     * A peer that sends commands and never reads the replies is disconnected after a grace period
+     * without progress.
      */
     @Test
-    void closesPeerThatNeverReads() throws Exception {
-        FaktoryPeer mute = peer();
+    void disconnectsPeerThatNeverReads() throws Exception {
+        FaktoryPeer nonReading = peer();
         String many = "INFO\r\n".repeat(1_000);
         startThread(
                 () -> {
                     for (int i = 0; i < 200; i++) {
-                        mute.peer().send(many);
+                        nonReading.peer().send(many);
                     }
                 });
         FaktoryPeer plain = peer();
         long end = System.nanoTime() + 40_000_000_000L;
         while (plain.info().path("counters").path("slow_readers_let_go").asInt() == 0) {
-            assertTrue(System.nanoTime() < end, "it was not let go");
+            assertTrue(System.nanoTime() < end, "the peer was not disconnected");
             Thread.sleep(100);
         }
     }
 
     /**
-     * Far more pipelined commands than a buffer holds, from a peer that reads: each is answered, in
-     * order.
+     * A peer that reads its replies pipelines far more commands than a buffer holds: each is
+     * answered, in order.
      */
     @Test
     void answersPipelinedCommandsInOrder() throws Exception {
-        FaktoryPeer ahead = peer();
+        FaktoryPeer pipelining = peer();
         for (int part = 0; part < 10; part++) {
-            ahead.peer().send("JUMP\r\n".repeat(2_000));
+            pipelining.peer().send("JUMP\r\n".repeat(2_000));
             for (int i = 0; i < 2_000; i++) {
-                assertEquals("-ERR unknown command JUMP", ahead.peer().line());
+                assertEquals("-ERR unknown command JUMP", pipelining.peer().line());
             }
         }
     }
 
     /**
-     * A hundred connections pipeline thousands of commands, half of them reading the replies; a
-     * plain client is served beside them.
+     * A hundred connections pipeline thousands of commands, and only half of them read the replies;
+     * an ordinary client is still served.
      */
     @Test
-    void servesPlainClientBesideFloodOfPipelinedCommands() throws Exception {
+    void servesOrdinaryClientDuringFloodOfPipelinedCommands() throws Exception {
         for (int i = 0; i < 100; i++) {
             FaktoryPeer flooding = peer();
             startThread(() -> flood(flooding));
@@ -160,9 +163,9 @@
             worst = Math.max(worst, (System.nanoTime() - from) / 1_000_000);
         }
         System.out.println(
-                "beside 100 links that flood: HELLO, PUSH, FETCH and ACK in "
+                "with 100 flooding connections: HELLO, PUSH, FETCH and ACK in "
                         + worst
-                        + " ms at the worst");
+                        + " ms at most");
         assertTrue(worst < 2_000, worst + " ms");
     }
 
@@ -178,7 +181,7 @@
                             try {
                                 task.run();
                             } catch (IOException e) {
-                                return; // closed by the server, or the test is over
+                                return; // closed by the server, or the test has ended
                             }
                         });
         thread.setDaemon(true);
--- a/src/test/java/damsonslip/faktory/StoreFailureTest.java
+++ b/src/test/java/damsonslip/faktory/StoreFailureTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The store stalls, answers with errors, or loses an answer. */
+/** Tests a store that stalls, replies with errors, or whose reply is lost. */
 class StoreFailureTest extends FaktoryProgramFixture {
-    /** The rest of a push of a job that must not run twice. */
+    /** Options in the push of a job that must not run twice. */
     private static final String NOT_IDEMPOTENT =
             ",\"queue\":\"q\",\"custom\":{\"class\":\"apply-submit\"}";
 
@@ -27,16 +27,13 @@
 
     private static final long OUTAGE_MS = 5_000;
 
-    /** Until pushes whose answer was lost are deleted from the store again. */
+    /** The time until pushes whose reply was lost are deleted from the store. */
     private static final long CLEANUP_MS = 1_200;
 
-    /**
-     * During an outage of five seconds pushes are rejected with an error, and nothing that was
-     * acknowledged is lost.
-     */
+    /** During an outage of five seconds, pushes get an error, and no acknowledged job is lost. */
     @ParameterizedTest
-    @ValueSource(strings = {"stalls", "errs"})
-    void losesNothingAcknowledgedWhileStoreFails(String how) throws Exception {
+    @ValueSource(strings = {"stalls", "fails"})
+    void losesNoAcknowledgedJobDuringStoreOutage(String how) throws Exception {
         FaktoryPeer producer = producer();
         FaktoryPeer worker = peer("w1");
         assertEquals("+OK", producer.plain("job-held1", ",\"queue\":\"q\""));
@@ -45,7 +42,7 @@
         String reply = worker.ack("job-held1");
         redis.errors(false);
         await(
-                "pushes are taken again",
+                "pushes are accepted again",
                 () -> "+OK".equals(producer.plain("job-after1", ",\"queue\":\"q\"")));
         acknowledged.add("job-after1");
         FaktoryServer.awaitState(producer, "job-held1", "success");
@@ -54,11 +51,11 @@
         server.killAndStart();
         FaktoryPeer after = producer();
         acknowledged.sort(null);
-        assertEquals(acknowledged, runAllJobs(), "just what was acknowledged runs");
+        assertEquals(acknowledged, runAllJobs(), "exactly the acknowledged jobs run");
         assertEquals("success", after.state("job-held1"));
     }
 
-    /** Starts an outage and pushes jobs while it lasts; returns those that were acknowledged. */
+    /** Starts an outage and pushes jobs until it ends; returns those that were acknowledged. */
     private List<String> pushDuringOutage(FaktoryPeer producer, String how) throws Exception {
         List<String> acknowledged = new ArrayList<>();
         long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(OUTAGE_MS);
@@ -85,7 +82,7 @@
         return acknowledged;
     }
 
-    /** Runs all jobs that wait; returns their ids in ascending order. */
+    /** Runs all waiting jobs; returns their ids in ascending order. */
     private List<String> runAllJobs() throws IOException {
         FaktoryPeer worker = peer("w2");
         List<String> ran = new ArrayList<>();
@@ -98,14 +95,14 @@
     }
 
     /**
-     * The store records a job and its answer is lost: the job runs once if it is pushed again, and
+     * The store records a job and its reply is lost: the job runs once if it is pushed again, and
      * otherwise not at all.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void runsJobOnlyIfPushedAgainAfterLostAnswer(boolean again) throws Exception {
+    void runsJobOnlyIfPushedAgainAfterLostReply(boolean again) throws Exception {
         FaktoryPeer producer = producer();
-        CountDownLatch cut =
+        CountDownLatch replyDropped =
                 redis.trap(
                         words ->
                                 words.get(0).equalsIgnoreCase("GET")
@@ -113,9 +110,11 @@
                         Then.DO_AND_HANG_UP);
         assertTrue(
                 producer.plain("job-00001", NOT_IDEMPOTENT).startsWith("-ERR the store is down"));
-        assertTrue(cut.await(1, TimeUnit.SECONDS));
+        assertTrue(replyDropped.await(1, TimeUnit.SECONDS));
         if (again) {
-            await("it is taken", () -> "+OK".equals(producer.plain("job-00001", NOT_IDEMPOTENT)));
+            await(
+                    "the repeated push is accepted",
+                    () -> "+OK".equals(producer.plain("job-00001", NOT_IDEMPOTENT)));
         } else {
             Thread.sleep(1_500);
         }
--- a/src/test/java/damsonslip/faktory/package-info.java
+++ b/src/test/java/damsonslip/faktory/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Tests of the Faktory front: the real program between producers, workers and a store that the
- * tests play, and the reading of its configuration.
+ * Tests of the Faktory frontend: the real program with producers, workers and a store that the
+ * tests simulate, and the reading of its configuration.
  */
 package damsonslip.faktory;
