--- a/src/main/java/damsonslip/faktory/JobCompletion.java
+++ b/src/main/java/damsonslip/faktory/JobCompletion.java
@@ -30,15 +30,15 @@
 
     /** Ends an awaited job that was not served; returns the error if it was rejected. */
     Optional<CommandError> finishAwaited(
-            DispatchedJob dispatched, Response answer, CommandCallback callback) {
+            DispatchedJob dispatched, Response response, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
-        String message = describe(answer) + describe(dispatched.failure);
+        String message = describe(response) + describe(dispatched.failure);
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
         if (mayHaveRun && !isIdempotent(entry)) {
             lifecycle.kill(entry, "it may have run; " + message, callback);
             return Optional.empty();
         }
-        if (answer.kind() != Response.Kind.THROTTLED) {
+        if (response.kind() != Response.Kind.THROTTLED) {
             lifecycle.fail(entry, message, callback);
             return Optional.empty();
         }
@@ -52,11 +52,11 @@
         return lifecycle.classOf(entry).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    private static String describe(Response answer) {
-        return switch (answer.kind()) {
+    private static String describe(Response response) {
+        return switch (response.kind()) {
             case SERVED -> "";
-            case THROTTLED -> describeThrottling(answer.retryAfterUs());
-            case FAILED -> answer.deadlineReached() ? "out of time" : "failed";
+            case THROTTLED -> describeThrottling(response.retryAfterUs());
+            case FAILED -> response.deadlineReached() ? "out of time" : "failed";
         };
     }
 
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -191,7 +191,7 @@
             unawaited.add(dispatched);
         }
         dispatched.context =
-                engine.submit(request(dispatched), answer -> finish(dispatched, answer));
+                engine.submit(request(dispatched), response -> finish(dispatched, response));
         return Optional.ofNullable(dispatched.rejection);
     }
 
@@ -240,27 +240,27 @@
     }
 
     /** Handles the final response of the scheduling policy. */
-    private void finish(DispatchedJob dispatched, Response answer) {
+    private void finish(DispatchedJob dispatched, Response response) {
         JobEntry entry = dispatched.entry;
         unawaited.remove(dispatched);
         if (!jobTable.contains(entry)) {
             return; // discarded by an operator in the meantime
         }
         CommandCallback callback = dispatched.takeReportCallback();
-        if (answer.kind() == Response.Kind.SERVED) {
+        if (response.kind() == Response.Kind.SERVED) {
             lifecycle.succeed(entry, callback);
             dispatchSoon();
         } else if (entry.record().hasWaitingClient()) {
             dispatched.rejection =
-                    completion.finishAwaited(dispatched, answer, callback).orElse(null);
+                    completion.finishAwaited(dispatched, response, callback).orElse(null);
         } else {
-            finishUnawaited(dispatched, answer, callback);
+            finishUnawaited(dispatched, response, callback);
             dispatchSoon();
         }
     }
 
     private void finishUnawaited(
-            DispatchedJob dispatched, Response answer, CommandCallback callback) {
+            DispatchedJob dispatched, Response response, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
         jobTable.undispatch(entry, 0);
         if (dispatched.ran) {
@@ -269,7 +269,7 @@
             completion.retryOrEnd(entry, failure, callback);
             return;
         }
-        long backoffUs = Math.max(MIN_BACKOFF_US, answer.retryAfterUs());
+        long backoffUs = Math.max(MIN_BACKOFF_US, response.retryAfterUs());
         blockedUntilUs[entry.jobClass()] = loop.nowUs() + backoffUs;
         lifecycle.returnUnrun(dispatched);
         loop.scheduleAfter(backoffUs, this::dispatchSoon);
--- a/src/main/java/damsonslip/faktory/ReportHandler.java
+++ b/src/main/java/damsonslip/faktory/ReportHandler.java
@@ -12,7 +12,7 @@
 /**
  * Handles ACK and FAIL, workers' reports on their jobs. A report that arrives after the job has
  * ended, or from a worker that no longer holds the job, is acknowledged and counted but changes
- * nothing, since the job's final answer has been given. Confined to the event loop.
+ * nothing, since the outcome of that run is settled. Confined to the event loop.
  */
 final class ReportHandler {
     /**
