--- a/src/main/java/damsonslip/policy/Job.java
+++ b/src/main/java/damsonslip/policy/Job.java
@@ -12,7 +12,10 @@
  * <p>Times are microseconds of the events' clock. Not safe for use by several threads.
  */
 final class Job implements Comparable<Job> {
-    /** A job counts as late when it has waited for this fraction of its slack. */
+    /**
+     * A job counts as late when it has waited for this fraction of its {@link WorkerPool#slackUs
+     * slack}.
+     */
     static final double LATE_SLACK_FRACTION = 0.3;
 
     private final JobArrived request;
