--- a/src/main/java/damsonslip/membership/PollSchedule.java
+++ b/src/main/java/damsonslip/membership/PollSchedule.java
@@ -94,9 +94,9 @@
         long earliestUs = nowUs + backoffUs(random);
         failures++;
         long nextCycleUs = sentUs + cycleUs();
-        boolean slotAhead = nextCycleUs > nowUs + PROMPT_POLL_US / 2;
+        boolean nextSlotReachable = nextCycleUs > nowUs + PROMPT_POLL_US / 2;
         // the backoff never skips the next slot, which would cost a whole cycle
-        return nextSlotUs(slotAhead ? Math.min(earliestUs, nextCycleUs) : earliestUs);
+        return nextSlotUs(nextSlotReachable ? Math.min(earliestUs, nextCycleUs) : earliestUs);
     }
 
     private long backoffUs(double random) {
--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -51,21 +51,21 @@
      * Returns the start of a worker whose stamp was not on the last list; its start must have been
      * observed ({@link #observesStarts}).
      */
-    public long observedStartUs(long stampUs, long nowUs) {
-        if (stampUs == LONG_AGO) {
+    public long observedStartUs(long timestampUs, long nowUs) {
+        if (timestampUs == LONG_AGO) {
             return LONG_AGO;
         }
-        long startUs = stampUs + correctionUs;
+        long startUs = timestampUs + correctionUs;
         boolean plausible = startUs >= lastListUs - TOLERANCE_US && startUs <= nowUs + TOLERANCE_US;
         if (plausible) {
             impliedCorrectionUs = correctionUs;
             return Math.min(nowUs, startUs);
         }
-        implyCorrection(Math.max(0, nowUs - stampUs));
+        recordImpliedCorrection(Math.max(0, nowUs - timestampUs));
         return nowUs;
     }
 
-    private void implyCorrection(long impliedUs) {
+    private void recordImpliedCorrection(long impliedUs) {
         if (Math.abs(impliedUs - impliedCorrectionUs) <= TOLERANCE_US) {
             correctionUs = impliedUs;
         }
@@ -73,8 +73,8 @@
     }
 
     /** Returns the start of a worker on a list, whether or not it was observed. */
-    public long listedStartUs(long stampUs, long nowUs) {
-        return stampUs == LONG_AGO ? LONG_AGO : Math.min(nowUs, stampUs + correctionUs);
+    public long listedStartUs(long timestampUs, long nowUs) {
+        return timestampUs == LONG_AGO ? LONG_AGO : Math.min(nowUs, timestampUs + correctionUs);
     }
 
     /** Returns what is added to stamps, because the caller's clock has proved to be ahead. */
--- a/src/main/java/damsonslip/membership/WorkerListLease.java
+++ b/src/main/java/damsonslip/membership/WorkerListLease.java
@@ -9,7 +9,7 @@
  */
 final class WorkerListLease {
     /** From SIGHUP until what a moved discovery tells counts as known (LATER, STANDING). */
-    private static final long MOVE_PROPAGATION_US = 4_000_000;
+    private static final long ADDRESS_CHANGE_PROPAGATION_US = 4_000_000;
 
     /**
      * The age of the cached list when the process begins: the platform starts a process again
@@ -28,10 +28,10 @@
     private long validUntilUs = UNBOUNDED;
 
     /** Bound since a move of discovery, until it sends its list from the new address. */
-    private long movedUntilUs = UNBOUNDED;
+    private long addressChangeExpiryUs = UNBOUNDED;
 
     /** Bound since a reload whose configuration, which may name another address, is unread. */
-    private long unreadUntilUs = UNBOUNDED;
+    private long unreadableConfigurationExpiryUs = UNBOUNDED;
 
     /** Until then a process that starts waits for the answer to its first poll. */
     private long deferredUntilUs = NOT_DEFERRED;
@@ -81,7 +81,7 @@
     /** Extends the lease: until a poll sent then, discovery can have told nobody anything. */
     void extendPastOutage(long pollSentUs) {
         validUntilUs = Math.max(validUntilUs, expiryUs(pollSentUs));
-        movedUntilUs = UNBOUNDED;
+        addressChangeExpiryUs = UNBOUNDED;
     }
 
     /** Bounds the lease to the grace: an update has arrived that cannot be read. */
@@ -91,32 +91,35 @@
 
     /** Bounds the lease after a reload requested then that moved discovery; the earliest counts. */
     void addressChanged(long reloadRequestedUs) {
-        movedUntilUs = Math.min(movedUntilUs, moveExpiryUs(reloadRequestedUs));
+        addressChangeExpiryUs = Math.min(addressChangeExpiryUs, reloadExpiryUs(reloadRequestedUs));
     }
 
     /** Lifts the bound of a move: discovery has sent its list from the new address. */
     void newAddressConfirmed() {
-        movedUntilUs = UNBOUNDED;
+        addressChangeExpiryUs = UNBOUNDED;
     }
 
     /** Bounds the lease after a reload requested then whose configuration cannot be read. */
     void configurationUnreadable(long reloadRequestedUs) {
-        unreadUntilUs = Math.min(unreadUntilUs, moveExpiryUs(reloadRequestedUs));
+        unreadableConfigurationExpiryUs =
+                Math.min(unreadableConfigurationExpiryUs, reloadExpiryUs(reloadRequestedUs));
     }
 
     /** Lifts the bound of an unread configuration. */
     void configurationRead() {
-        unreadUntilUs = UNBOUNDED;
+        unreadableConfigurationExpiryUs = UNBOUNDED;
     }
 
     /** Whether discovery may be at an address other than the one that sent the list. */
     boolean isAddressUncertain() {
-        return movedUntilUs != UNBOUNDED || unreadUntilUs != UNBOUNDED;
+        return addressChangeExpiryUs != UNBOUNDED || unreadableConfigurationExpiryUs != UNBOUNDED;
     }
 
     /** Whether the lease has not run out. */
     boolean isValid(long nowUs) {
-        return nowUs < validUntilUs && nowUs < movedUntilUs && nowUs < unreadUntilUs;
+        return nowUs < validUntilUs
+                && nowUs < addressChangeExpiryUs
+                && nowUs < unreadableConfigurationExpiryUs;
     }
 
     /** Whether use of the list is deferred until the first poll is answered. */
@@ -124,11 +127,11 @@
         return nowUs < deferredUntilUs;
     }
 
-    private long expiryUs(long knownUs) {
-        return knownUs + propagationUs + graceUs;
+    private long expiryUs(long currentAtUs) {
+        return currentAtUs + propagationUs + graceUs;
     }
 
-    private long moveExpiryUs(long reloadRequestedUs) {
-        return reloadRequestedUs + MOVE_PROPAGATION_US + graceUs;
+    private long reloadExpiryUs(long reloadRequestedUs) {
+        return reloadRequestedUs + ADDRESS_CHANGE_PROPAGATION_US + graceUs;
     }
 }
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -91,9 +91,9 @@
     }
 
     private WorkerEntry withOverrides(WorkerEntry worker) {
-        boolean disabledHere =
+        boolean overridden =
                 disabled.contains(worker.id()) && worker.status() == WorkerStatus.RUNNING;
-        WorkerStatus status = disabledHere ? WorkerStatus.DRAINING : worker.status();
+        WorkerStatus status = overridden ? WorkerStatus.DRAINING : worker.status();
         long enabledUs = enabledAtUs.getOrDefault(worker.id(), Long.MIN_VALUE);
         return withStatus(worker, status, Math.max(worker.startedUs(), enabledUs));
     }
--- a/src/main/java/damsonslip/membership/peers/PeerProcesses.java
+++ b/src/main/java/damsonslip/membership/peers/PeerProcesses.java
@@ -40,12 +40,12 @@
      * @param others the other live processes; older ones count even before they serve
      */
     public static PeerProcesses of(int number, List<Peer> others) {
-        int before = (int) others.stream().filter(other -> other.number() < number).count();
-        int after =
+        int older = (int) others.stream().filter(other -> other.number() < number).count();
+        int newerServing =
                 (int)
                         others.stream()
                                 .filter(other -> other.number() > number && other.serving())
                                 .count();
-        return new PeerProcesses(after > 0, before + 1 + after, before);
+        return new PeerProcesses(newerServing > 0, older + 1 + newerServing, older);
     }
 }
