--- a/src/main/java/damsonslip/membership/DiscoveryWatch.java
+++ b/src/main/java/damsonslip/membership/DiscoveryWatch.java
@@ -8,9 +8,9 @@
  *
  * <p>This class keeps the connection's state ({@link WatchState}) and coordinates three parts:
  * {@link PollSchedule} (backoff and slots), {@link WorkerListLease} (how long the list is valid)
- * and {@link OutageDetector}. A list that discovery no longer confirms may name workers that drain.
- * It is used for as long as a change that it lacks cannot count as known yet, and no longer; see
- * the operators' page on drains (STANDING, "one clock for silence").
+ * and {@link OutageDetector}. A list that discovery no longer confirms may contain workers that are
+ * draining by now. It is used only until the earliest time at which every scheduler is expected to
+ * know a change that the list lacks, plus the drain grace (STANDING, "one clock for silence").
  *
  * <p>All times are microseconds of the clock that the caller passes in; {@code random} is uniform
  * in [0, 1). Not thread-safe.
@@ -19,40 +19,44 @@
     /** How a poll or an open watch ended. */
     public enum Failure {
         /**
-         * The poll was refused or timed out, or the open watch was reset: discovery was down or
+         * The poll was rejected or timed out, or the open watch was reset: discovery is down or
          * overloaded.
          */
         FAILED,
-        /** No connection to discovery came up: it cannot have sent any change meanwhile. */
+        /** No connection to discovery could be opened: it cannot have sent any change meanwhile. */
         UNREACHABLE,
         /** The open watch received nothing for too long, though discovery may be healthy. */
         SILENT,
         /**
-         * The poll never left this machine, which had no socket for it: nothing is known of
+         * The poll was never sent, because this machine had no free socket: it says nothing about
          * discovery.
          */
         NOT_SENT
     }
 
     /**
-     * For this long a process that starts waits for the answer to its first poll before it uses the
-     * list of the previous process. A job may wait longer.
+     * How long a starting process waits for the response to its first poll before it uses the list
+     * cached by the previous process. The timeout of a job may be longer.
      */
     public static final long FIRST_LIST_TIMEOUT_US = 1_500_000;
 
     /**
-     * A change counts as known this long after discovery had it and could be reached (STANDING,
-     * FLEET).
+     * Every scheduler is expected to know a change this long after discovery had it and could be
+     * reached (STANDING, FLEET).
      */
     private static final long PROPAGATION_US = 6_000_000;
 
-    /** Sends end this much before the drain grace does, since bytes need time to leave. */
+    /**
+     * Sending stops this long before the end of the drain grace, to allow for the time until the
+     * bytes leave this machine.
+     */
     private static final long SEND_MARGIN_US = 150_000;
 
     /**
-     * Workers may be probed instead for this long after the last contact with discovery: an outage
-     * of 8 s (FLEET), and the time in which a fleet reaches discovery after it. The longer it
-     * lasts, the more has changed that no worker can report.
+     * How long after the last contact with discovery workers may be probed instead. It covers an
+     * outage of 8 s (FLEET) and the time in which the schedulers reconnect to discovery after it.
+     * It is bounded because, the longer an outage lasts, the more has changed that no worker can
+     * report.
      */
     private static final long PROBE_WORKERS_US = 20_000_000;
 
@@ -66,22 +70,22 @@
     private int schedulers;
     private long pollSentUs;
 
-    /** When something was last read from the open watch that was lost last. */
+    /** When the most recently lost watch last received data. */
     private long lastContactUs = NEVER;
 
     private long startedUs = NEVER;
 
-    /** Whether a poll found no route to discovery since it last sent anything. */
+    /** Whether a poll has failed to connect to discovery since the last update from it. */
     private boolean unreachable;
 
     /**
-     * Creates a watch that has not been started; until {@link #start} its list may be used without
-     * bound.
+     * Creates a watch that has not been started; until {@link #start} its list is valid without
+     * limit.
      *
      * @param schedulers how many schedulers share discovery, at least 1
      * @param index this scheduler's index among them, from 0
-     * @param maxPollIntervalUs how often a list without a watch has to be polled at the least
-     * @param drainGraceUs how long after a drain is known its worker may still be sent to
+     * @param maxPollIntervalUs the longest interval between polls where discovery offers no watch
+     * @param drainGraceUs how long jobs may still be sent to a worker after its drain became known
      */
     public DiscoveryWatch(int schedulers, int index, long maxPollIntervalUs, long drainGraceUs) {
         long propagationUs = Math.min(PROPAGATION_US, maxPollIntervalUs);
@@ -98,7 +102,7 @@
     }
 
     /**
-     * Begins with the list that the previous process cached; returns when the first poll is due.
+     * Starts with the list that the previous process cached; returns when the first poll is due.
      */
     public long start(long nowUs, double random) {
         startedUs = nowUs;
@@ -107,35 +111,37 @@
     }
 
     /**
-     * Records when the process was launched; a start may take long, and the cached list grows older
-     * meanwhile. Has no effect before {@link #start}.
+     * Records when the process was launched: the cached list ages during a slow start. Has no
+     * effect before {@link #start}.
      */
     public void processLaunched(long launchedUs) {
         lease.processLaunched(launchedUs);
     }
 
     /**
-     * Records that a reload, requested by the operators at that time, moved discovery to another
-     * address; the earliest of several counts.
+     * Records that a configuration reload, requested at the given time, changed the address of
+     * discovery. Of several, the earliest one applies.
      */
     public void addressChanged(long reloadRequestedUs) {
         lease.addressChanged(reloadRequestedUs);
     }
 
-    /** Records that discovery has sent its list from its new address. */
+    /** Records that a list was received from the new address of discovery. */
     public void newAddressConfirmed() {
         lease.newAddressConfirmed();
     }
 
     /**
-     * Records that a reload was requested at that time and the configuration cannot be read:
-     * discovery may have moved.
+     * Records that a reload was requested at the given time and the configuration cannot be read:
+     * the address of discovery may have changed.
      */
     public void configurationUnreadable(long reloadRequestedUs) {
         lease.configurationUnreadable(reloadRequestedUs);
     }
 
-    /** Records that the configuration was read, or rejected: discovery's address is known. */
+    /**
+     * Records that the configuration was read or rejected, so the address of discovery is known.
+     */
     public void configurationRead() {
         lease.configurationRead();
     }
@@ -148,7 +154,9 @@
         }
     }
 
-    /** Records a list, or changes, from discovery: the watch is open, and its list is current. */
+    /**
+     * Records a list or changes received from discovery: the watch is open and the list is current.
+     */
     public void updateReceived() {
         state = state.after(Event.UPDATE_RECEIVED);
         unreachable = false;
@@ -158,9 +166,9 @@
     }
 
     /**
-     * Records the end of a poll or of the open watch; returns when to poll again.
+     * Records that a poll or the open watch failed; returns when to poll again.
      *
-     * @param lastReadUs when something was last read from the open watch
+     * @param lastReadUs when the open watch last received data
      */
     public long failed(Failure failure, long lastReadUs, long nowUs, double random) {
         boolean wasOpen = state == WatchState.OPEN;
@@ -192,46 +200,49 @@
     }
 
     /**
-     * Records an update that has arrived and cannot be read. Where lists are pushed, it counts as
-     * known all the same, so the last list is valid for the drain grace and no longer.
+     * Records that an update was received but cannot be parsed. Where lists are pushed, the change
+     * in it counts as known from then on, so the last list stays valid for the drain grace at most.
      */
     public void updateUnreadable(long nowUs) {
         lease.updateUnreadable(nowUs);
     }
 
-    /** Whether the last list is valid; if not, nothing may be sent until discovery sends one. */
+    /**
+     * Whether the last list is valid; if not, no job may be sent by it until discovery sends a new
+     * one.
+     */
     public boolean isValid(long nowUs) {
         return lease.isValid(nowUs);
     }
 
     /**
-     * Whether a job may wait for a worker: the last list is valid, or the first poll of a process
-     * that starts may bring one at any moment.
+     * Whether a job may wait for a worker: the last list is valid, or this process has just started
+     * and its first poll may return a list at any moment.
      */
     public boolean mayBecomeUsable(long nowUs) {
         return lease.isValid(nowUs) || lease.isDeferred(nowUs);
     }
 
     /**
-     * Whether workers may be sent to by the last list now; a process that has just started waits
-     * for the answer to its first poll.
+     * Whether jobs may be sent by the last list now; a process that has just started first waits
+     * for the response to its first poll.
      */
     public boolean isUsable(long nowUs) {
         return !lease.isDeferred(nowUs) && lease.isValid(nowUs);
     }
 
     /**
-     * Returns when something was last read from the open watch that was lost last; the last list
-     * has all changes until then.
+     * Returns when the most recently lost watch last received data; the last list contains all
+     * changes up to that time.
      */
     public long lastContactUs() {
         return lastContactUs;
     }
 
     /**
-     * Whether workers on the last list may be probed for whether they drain, as discovery fails its
-     * polls. Not where discovery cannot be reached or may have moved: workers that it has removed
-     * may still answer.
+     * Whether workers on the last list may be probed for whether they are draining, because polls
+     * of discovery fail. Not if discovery is unreachable or its address may have changed: workers
+     * that it has removed may still respond.
      */
     public boolean mayProbeWorkers(long nowUs) {
         boolean failing = state != WatchState.OPEN && !unreachable;
@@ -240,14 +251,14 @@
                 && nowUs < Math.max(lastContactUs, startedUs) + PROBE_WORKERS_US;
     }
 
-    /** Whether an open watch of this process was lost, so that the list is not the cached one. */
+    /** Whether this process has lost an open watch, so that its last list is not the cached one. */
     public boolean hasHadContact() {
         return lastContactUs != NEVER;
     }
 
     /**
-     * Returns how long after a drain is known its worker may still be sent to, less the time that
-     * bytes need to leave.
+     * Returns how long jobs may still be sent to a worker after its drain became known, less the
+     * margin for the bytes to leave this machine.
      */
     public long graceUs() {
         return graceUs;
--- a/src/main/java/damsonslip/membership/StartTimes.java
+++ b/src/main/java/damsonslip/membership/StartTimes.java
@@ -1,25 +1,26 @@
 package damsonslip.membership;
 
 /**
- * Translates the start times that discovery lists for workers from the wall clock of their machines
- * to the caller's clock. The offset between the two is unknown and may exceed an hour: the caller's
- * clock was set once, at the start of the process.
+ * Converts the start times that discovery lists for workers from the wall clocks of their machines
+ * to the caller's clock. The offset between the two is unknown and may exceed an hour, because the
+ * caller's clock was set only once, at the start of the process.
  *
- * <p>A start that was observed needs no wall clock: it lies between the previous list and the one
- * that contains it. Where the time stamp contradicts that, the worker counts as started now, which
- * is safe: it gets less work. Two such starts in a row that imply the same correction are taken for
- * an error of the caller's clock, and correct the stamps of workers whose start was not observed as
- * well; a single one may be an error of that worker's clock. A stamp in the future counts as now.
+ * <p>A start is observed if a worker is on a list from discovery and was not on the previous one.
+ * Such a start lies between the two lists, whatever the clocks show. If the timestamp contradicts
+ * that, the worker counts as started now, which is safe, as it gets less work. Two such starts in a
+ * row that imply the same correction are attributed to an error of the caller's clock, and the
+ * correction is then also applied to workers whose start was not observed; a single one may be an
+ * error of that worker's clock. A timestamp in the future counts as now.
  *
  * <p>All times are microseconds of the clock that the caller passes in. Not thread-safe.
  */
 public final class StartTimes {
-    /** The stamp of a worker that started long ago. */
+    /** Timestamp of a worker that started long ago. */
     public static final long LONG_AGO = Long.MIN_VALUE;
 
     /**
-     * How much a stamp may differ from an observed start: a change is known within 6 s (STANDING),
-     * and a worker is listed once it is ready.
+     * How much a timestamp may differ from an observed start: a change is known within 6 s
+     * (STANDING), and a worker is listed only once it is ready.
      */
     private static final long TOLERANCE_US = 10_000_000;
 
@@ -33,7 +34,7 @@
     /**
      * Records that a list was received.
      *
-     * @param fromDiscovery whether it shows all that discovery knows now, unlike a cached list
+     * @param fromDiscovery whether the list is current, unlike a cached one
      */
     public void listReceived(boolean fromDiscovery, long nowUs) {
         if (fromDiscovery) {
@@ -42,14 +43,14 @@
         }
     }
 
-    /** Whether a start on the next list must have happened since the last one. */
+    /** Whether a worker that is new on the next list must have started since the last one. */
     public boolean observesStarts() {
         return receivedFromDiscovery;
     }
 
     /**
-     * Returns the start of a worker whose stamp was not on the last list; its start must have been
-     * observed ({@link #observesStarts}).
+     * Returns the start time of a worker whose timestamp was not on the last list; only where
+     * starts are observed ({@link #observesStarts}).
      */
     public long observedStartUs(long timestampUs, long nowUs) {
         if (timestampUs == LONG_AGO) {
@@ -72,12 +73,12 @@
         impliedCorrectionUs = impliedUs;
     }
 
-    /** Returns the start of a worker on a list, whether or not it was observed. */
+    /** Returns the start time of a listed worker, whether or not the start was observed. */
     public long listedStartUs(long timestampUs, long nowUs) {
         return timestampUs == LONG_AGO ? LONG_AGO : Math.min(nowUs, timestampUs + correctionUs);
     }
 
-    /** Returns what is added to stamps, because the caller's clock has proved to be ahead. */
+    /** Returns the correction that is added to timestamps because the caller's clock is ahead. */
     public long correctionUs() {
         return correctionUs;
     }
--- a/src/main/java/damsonslip/membership/WatchState.java
+++ b/src/main/java/damsonslip/membership/WatchState.java
@@ -1,7 +1,7 @@
 package damsonslip.membership;
 
 /**
- * The states of a scheduler's connection to discovery, with the one table of their transitions.
+ * The states of a scheduler's connection to discovery and their transitions.
  *
  * <pre>
  *            POLL_SENT   UPDATE_RECEIVED   ENDED
@@ -18,7 +18,7 @@
     /** Discovery has answered and pushes changes over the open connection. */
     OPEN;
 
-    /** What changes the state. */
+    /** Events that change the state. */
     enum Event {
         POLL_SENT,
         UPDATE_RECEIVED,
@@ -28,7 +28,7 @@
     /** Returns the state that follows this one after the event. */
     WatchState after(Event event) {
         return switch (event) {
-            // a timer that was set before the watch opened sends no second poll
+            // a poll timer that was set before the watch opened must not send another poll
             case POLL_SENT -> this == OPEN ? OPEN : POLLING;
             case UPDATE_RECEIVED -> OPEN;
             case ENDED -> WAITING;
--- a/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
+++ b/src/main/java/damsonslip/membership/overrides/WorkerOverrides.java
@@ -15,9 +15,9 @@
 
 /**
  * The operators' overrides of the worker list, by worker id. A disabled worker counts as draining,
- * whatever discovery says of it and however often it leaves and returns. An enabled one counts as
- * started at that moment, unless the list names a later start, since operators restart a worker
- * while it is disabled and it has to warm up.
+ * whatever status discovery lists for it and however often it is removed and listed again. An
+ * enabled worker counts as started when it was enabled, unless the list contains a later start,
+ * since operators restart a worker while it is disabled and it has to warm up.
  *
  * <p>Not thread-safe; times are in microseconds since the Unix epoch.
  */
@@ -29,10 +29,10 @@
     private static final String DISABLED = "out";
     private static final String ENABLED = "back";
 
-    /** By then an enabled worker has warmed up, and a removed one is unlikely to return. */
+    /** After this time an enabled worker has warmed up, and a removed one is unlikely to return. */
     private static final long RETENTION_US = 600_000_000;
 
-    /** Thrown for a text that is not a complete serialized form; its message is one line. */
+    /** Thrown for a text that is not a complete serialized form; the message is a single line. */
     public static final class MalformedException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -41,15 +41,15 @@
         }
     }
 
-    /** The last entry of each listed worker; one that a later list omitted has status REMOVED. */
+    /** The last entry of each worker; those that a later list omitted have status REMOVED. */
     private final Map<String, WorkerEntry> lastListed = new TreeMap<>();
 
-    /** When each worker that is not listed any more was removed. */
+    /** Removal time of each worker that is no longer listed. */
     private final Map<String, Long> removedAtUs = new HashMap<>();
 
     private final Set<String> disabled = new TreeSet<>();
 
-    /** When each enabled worker was enabled. */
+    /** Time at which each enabled worker was enabled. */
     private final Map<String, Long> enabledAtUs = new TreeMap<>();
 
     /**
@@ -109,8 +109,7 @@
     }
 
     /**
-     * Returns the entry of the last list with this worker, without the overrides; null if it was
-     * never listed.
+     * Returns the worker's last listed entry without the overrides; null if it was never listed.
      */
     public WorkerEntry listed(String id) {
         return lastListed.get(id);
@@ -121,14 +120,12 @@
         return disabled.contains(id);
     }
 
-    /** Disables a worker; returns the list changes that follow, none if it was disabled already. */
+    /** Disables a worker; returns the resulting list changes, none if it was already disabled. */
     public List<WorkerEntry> disable(String id) {
         return disabled.add(id) ? listChanges(List.of(id)) : List.of();
     }
 
-    /**
-     * Enables a worker again; returns the list changes that follow, none if it was not disabled.
-     */
+    /** Enables a worker again; returns the resulting list changes, none if it was not disabled. */
     public List<WorkerEntry> enable(String id, long nowUs) {
         if (!disabled.remove(id)) {
             return List.of();
@@ -144,7 +141,7 @@
                 .toList();
     }
 
-    /** Returns the ids of the workers that are listed now, running or draining. */
+    /** Returns the ids of the workers that are currently listed, running or draining. */
     public Set<String> listedWorkers() {
         return lastListed.values().stream()
                 .filter(worker -> worker.status() != WorkerStatus.REMOVED)
@@ -165,7 +162,7 @@
     }
 
     /**
-     * Replaces the overrides by those of another process and returns the list changes that follow.
+     * Replaces the overrides with those of another process and returns the resulting list changes.
      *
      * @throws MalformedException if the text is incomplete or of another version; nothing has
      *     changed then
--- a/src/main/java/damsonslip/membership/peers/PeerProcesses.java
+++ b/src/main/java/damsonslip/membership/peers/PeerProcesses.java
@@ -3,33 +3,34 @@
 import java.util.List;
 
 /**
- * The live processes of one scheduler instance as this process sees them. There is more than one
- * only during an upgrade, when the new process runs beside the old one.
+ * The position of this process among the live processes of one scheduler instance. There is more
+ * than one process only during an upgrade, when the new process runs alongside the old one.
  *
  * <p>Capacity is divided so that all processes together never use more than one scheduler would.
  * Every process that may send requests counts as a scheduler of its own, and every other scheduler
- * of the site is assumed to be split into as many. With n schedulers and two processes here, each
- * process acts as one of 2n: its arrival rate is taken for 1/2n of the total, its quota of an
- * admission threshold is K/2n, its part of a cold worker's budget is 1/2n in a turn of its own, and
- * its limit on connections is half. The new process divides from its start; the old one divides
- * once the new one has announced that it is about to serve. In between some capacity is unused.
+ * of the deployment is assumed to consist of as many processes. With n schedulers and two processes
+ * here, each process acts as one of 2n: its arrival rate is taken to be 1/2n of the total, its
+ * quota of an admission threshold is K/2n, its part of the slow-start budget of a worker is 1/2n in
+ * a turn of its own, and its connection limit is halved. The new process uses the divided capacity
+ * from its start; the old one does so once the new one has announced that it is about to serve. In
+ * between some capacity is unused.
  *
  * <p>Immutable and free of I/O.
  *
- * @param hasSuccessor whether a younger process serves
- * @param processes how many processes share this scheduler's capacity, this one included; at least
- *     1
- * @param index this process's position among them, from 0, the oldest first
+ * @param hasSuccessor whether a newer process is serving
+ * @param processes number of processes that share this scheduler's capacity, including this one; at
+ *     least 1
+ * @param index index of this process among them, from 0, oldest first
  */
 public record PeerProcesses(boolean hasSuccessor, int processes, int index) {
-    /** No other process is alive. */
+    /** The position of a process without other live processes. */
     public static final PeerProcesses ALONE = new PeerProcesses(false, 1, 0);
 
     /**
      * Another live process of this scheduler.
      *
-     * @param number the number of its lock file; a younger process has a higher one
-     * @param serving whether it has announced that it serves
+     * @param number the number of its lock file; a newer process has a higher one
+     * @param serving whether it has announced that it is serving
      */
     public record Peer(int number, boolean serving) {}
 
