--- a/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
@@ -23,38 +23,38 @@
 
     private static LongBinaryOperator retryInSlots(DiscoveryWatch[] watches) {
         Random random = new Random(3);
-        return (number, now) ->
-                watches[(int) number].failed(Failure.FAILED, now, now, random.nextDouble());
+        return (index, now) ->
+                watches[(int) index].failed(Failure.FAILED, now, now, random.nextDouble());
     }
 
     private static DiscoveryWatch[] watches(int schedulers) {
         DiscoveryWatch[] watches = new DiscoveryWatch[schedulers];
-        for (int number = 0; number < schedulers; number++) {
-            watches[number] = new DiscoveryWatch(schedulers, number, POLL_INTERVAL, GRACE);
+        for (int index = 0; index < schedulers; index++) {
+            watches[index] = new DiscoveryWatch(schedulers, index, POLL_INTERVAL, GRACE);
         }
         return watches;
     }
 
     /** Opens all watches, and resets them then. */
-    private static void loseAll(
+    private static void resetAllWatches(
             DiscoveryWatch[] watches, SerialDiscovery discovery, long at, Random random) {
-        for (int number = 0; number < watches.length; number++) {
-            DiscoveryWatch watch = watches[number];
+        for (int index = 0; index < watches.length; index++) {
+            DiscoveryWatch watch = watches[index];
             watch.pollSent(watch.start(0, 0.5));
             watch.updateReceived();
-            discovery.pollAt(number, watch.failed(Failure.FAILED, at, at, random.nextDouble()));
+            discovery.pollAt(index, watch.failed(Failure.FAILED, at, at, random.nextDouble()));
         }
     }
 
     /** All watches are reset at once and discovery is down for 8 s. */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 120})
-    void reconnectsWholeFleetBeforeChangeAtReturnCounts(int schedulers) {
+    void reconnectsFleetBeforeChangeAtRecoveryCountsAsKnown(int schedulers) {
         DiscoveryWatch[] watches = watches(schedulers);
         SerialDiscovery discovery =
                 new SerialDiscovery(watches, SerialDiscovery.COST_AFTER_OUTAGE, 18 * SECOND);
         Random random = new Random(5);
-        loseAll(watches, discovery, 10 * SECOND, random);
+        resetAllWatches(watches, discovery, 10 * SECOND, random);
         discovery.run(60 * SECOND, retryInSlots(watches));
         assertEquals(0, discovery.countNotConnectedBy(18 * SECOND + LEASE));
         assertTrue(
@@ -65,27 +65,27 @@
     /** Seven in ten restart at once, more than can be served in time. */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 120})
-    void expiresKeptListsOfRestartedFleetAndReconnectsAll(int schedulers) {
+    void expiresCachedListsOfRestartedFleetAndReconnectsAll(int schedulers) {
         DiscoveryWatch[] watches = watches(schedulers);
         SerialDiscovery discovery =
                 new SerialDiscovery(watches, SerialDiscovery.COST_DURING_RELEASE, 0);
         int restarted = schedulers * 7 / 10;
         discovery.connectFrom(restarted);
         long last = 0;
-        for (int number = 0; number < restarted; number++) {
-            last = 20 * SECOND + number * 1_000L;
-            discovery.pollAt(number, watches[number].start(last, 0.5));
+        for (int index = 0; index < restarted; index++) {
+            last = 20 * SECOND + index * 1_000L;
+            discovery.pollAt(index, watches[index].start(last, 0.5));
         }
-        long counts = last + LEASE;
+        long knownAt = last + LEASE;
         Random random = new Random(3);
         discovery.run(
                 60 * SECOND,
-                (number, now) -> {
-                    DiscoveryWatch watch = watches[(int) number];
+                (index, now) -> {
+                    DiscoveryWatch watch = watches[(int) index];
                     long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
                     assertFalse(
-                            watch.isValid(counts),
-                            number + " uses its list after a failure at " + now);
+                            watch.isValid(knownAt),
+                            index + " uses its list after a failure at " + now);
                     return next;
                 });
         assertEquals(0, discovery.countNotConnectedBy(20 * SECOND + 15 * SECOND));
@@ -105,33 +105,33 @@
         "100,6900000",
         "120,6900000"
     })
-    void doesNotMistakeRecoveryForLastingOutage(int schedulers, long costOfAll) {
+    void doesNotMistakeRecoveryForLastingOutage(int schedulers, long fleetCost) {
         for (long outage = 8 * SECOND; outage <= 60 * SECOND; outage += SECOND / 2) {
-            long returns = 10 * SECOND + outage;
+            long recoversAt = 10 * SECOND + outage;
             DiscoveryWatch[] watches = watches(schedulers);
-            SerialDiscovery discovery = new SerialDiscovery(watches, costOfAll, returns);
+            SerialDiscovery discovery = new SerialDiscovery(watches, fleetCost, recoversAt);
             Random random = new Random(5);
-            loseAll(watches, discovery, 10 * SECOND, random);
+            resetAllWatches(watches, discovery, 10 * SECOND, random);
             discovery.run(
-                    returns + 60 * SECOND,
-                    (number, now) -> {
-                        DiscoveryWatch watch = watches[(int) number];
+                    recoversAt + 60 * SECOND,
+                    (index, now) -> {
+                        DiscoveryWatch watch = watches[(int) index];
                         long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
-                        boolean valid = watch.isValid(Math.max(now, returns + LEASE));
+                        boolean valid = watch.isValid(Math.max(now, recoversAt + LEASE));
                         assertFalse(
                                 valid,
-                                number
+                                index
                                         + " uses its list after a failure at "
                                         + now
                                         + ", return at "
-                                        + returns);
+                                        + recoversAt);
                         return next;
                     });
         }
     }
 
-    private static boolean survives(long number) {
-        return number % 10 < 3;
+    private static boolean survives(long index) {
+        return index % 10 < 3;
     }
 
     /**
@@ -155,34 +155,37 @@
         "120,false"
     })
     void doesNotMistakeRestartedFleetForOutage(int schedulers, boolean duringFirstPolls) {
-        long down = 2_800_000;
-        long returns = down + 8 * SECOND;
+        long downFrom = 2_800_000;
+        long recoversAt = downFrom + 8 * SECOND;
         DiscoveryWatch[] watches = watches(schedulers);
         SerialDiscovery discovery =
                 new SerialDiscovery(
                         watches,
                         Math.min(SerialDiscovery.COST_DURING_RELEASE, 300_000L * schedulers),
-                        returns);
+                        recoversAt);
         Random random = new Random(5);
-        for (int number = 0; number < schedulers; number++) {
-            boolean survives = survives(number);
+        for (int index = 0; index < schedulers; index++) {
+            boolean survives = survives(index);
             long first =
-                    watches[number].start(survives ? 0 : returns + 3_400_000, random.nextDouble());
+                    watches[index].start(
+                            survives ? 0 : recoversAt + 3_400_000, random.nextDouble());
             if (survives && !duringFirstPolls) {
-                watches[number].pollSent(first);
-                watches[number].updateReceived();
-                first = watches[number].failed(Failure.FAILED, down, down, random.nextDouble());
+                watches[index].pollSent(first);
+                watches[index].updateReceived();
+                first =
+                        watches[index].failed(
+                                Failure.FAILED, downFrom, downFrom, random.nextDouble());
             }
-            discovery.pollAt(number, first);
+            discovery.pollAt(index, first);
         }
         discovery.run(
                 60 * SECOND,
-                (number, now) -> {
-                    DiscoveryWatch watch = watches[(int) number];
+                (index, now) -> {
+                    DiscoveryWatch watch = watches[(int) index];
                     long next = watch.failed(Failure.FAILED, now, now, random.nextDouble());
                     boolean valid =
-                            survives(number) && watch.isValid(Math.max(now, returns + LEASE));
-                    assertFalse(valid, number + " uses its list after a failure at " + now);
+                            survives(index) && watch.isValid(Math.max(now, recoversAt + LEASE));
+                    assertFalse(valid, index + " uses its list after a failure at " + now);
                     return next;
                 });
         assertEquals(0, discovery.countNotConnectedBy(60 * SECOND));
@@ -197,10 +200,10 @@
         Random random = new Random(5);
         int failedTogether = 70;
         discovery.connectFrom(failedTogether);
-        for (int number = 0; number < failedTogether; number++) {
-            discovery.pollAt(number, 20 * SECOND + random.nextInt(400_000));
+        for (int index = 0; index < failedTogether; index++) {
+            discovery.pollAt(index, 20 * SECOND + random.nextInt(400_000));
         }
-        discovery.run(32 * SECOND, (number, now) -> now + 200_000 + random.nextInt(400_000));
+        discovery.run(32 * SECOND, (index, now) -> now + 200_000 + random.nextInt(400_000));
         int starved = discovery.countNotConnectedBy(32 * SECOND);
         assertTrue(starved > 20, "of seventy are not connected after 12 s: " + starved);
     }
--- a/src/test/java/damsonslip/membership/DiscoveryModel.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModel.java
@@ -47,11 +47,11 @@
     }
 
     /** An action that is due; of equal times the one scheduled first runs first. */
-    private record Due(long at, long order, Runnable action) {}
+    private record ScheduledAction(long at, long order, Runnable action) {}
 
     /** One scheduler and how current its list is. */
     private final class Scheduler {
-        final int number;
+        final int index;
         DiscoveryWatch watch;
         Phase phase = Phase.KILLED;
 
@@ -67,8 +67,8 @@
         /** Counts the phases, to drop actions that were scheduled in an earlier one. */
         int phaseCount;
 
-        Scheduler(int number) {
-            this.number = number;
+        Scheduler(int index) {
+            this.index = index;
         }
 
         void enter(Phase next) {
@@ -92,7 +92,7 @@
         }
 
         void start(long launchedAt) {
-            watch = new DiscoveryWatch(schedulers.size(), number, POLL_INTERVAL, GRACE);
+            watch = new DiscoveryWatch(schedulers.size(), index, POLL_INTERVAL, GRACE);
             silentSince = Long.MAX_VALUE;
             enter(Phase.WAITING);
             scheduleInPhase(watch.start(now, random.nextDouble()), this::poll);
@@ -133,9 +133,10 @@
             }
         }
 
-        void watchLost(Failure loss, long heardUs) {
+        void watchLost(Failure failure, long lastReadUs) {
             enter(Phase.WAITING);
-            scheduleInPhase(watch.failed(loss, heardUs, now, random.nextDouble()), this::poll);
+            scheduleInPhase(
+                    watch.failed(failure, lastReadUs, now, random.nextDouble()), this::poll);
         }
 
         /** Ends the connection, as discovery goes down. */
@@ -150,17 +151,17 @@
                 return;
             }
             for (long change : changes) {
-                long available = Math.max(killedAt, isDown(change) ? downUntil : change);
-                long counts = countsAt(available);
-                if ((isDown(change) ? downUntil : change) > knownUntil && now > counts + GRACE) {
+                long pushableAt = Math.max(killedAt, isDown(change) ? downUntil : change);
+                long knownAt = countsAsKnownAt(pushableAt);
+                if ((isDown(change) ? downUntil : change) > knownUntil && now > knownAt + GRACE) {
                     violations.add(
-                            number
+                            index
                                     + " at "
                                     + now
                                     + " by a change of "
                                     + change
                                     + " that counts at "
-                                    + counts);
+                                    + knownAt);
                     return;
                 }
             }
@@ -170,14 +171,14 @@
          * When a change counts as known: 6 s after the watch fell silent if the silent watch missed
          * it, else 6 s after discovery could push it.
          */
-        private long countsAt(long available) {
-            boolean missed = available >= silentSince && available < silentSince + PROPAGATION;
-            return (missed ? silentSince : available) + PROPAGATION;
+        private long countsAsKnownAt(long pushableAt) {
+            boolean missed = pushableAt >= silentSince && pushableAt < silentSince + PROPAGATION;
+            return (missed ? silentSince : pushableAt) + PROPAGATION;
         }
     }
 
     private final List<Scheduler> schedulers = new ArrayList<>();
-    private final PriorityQueue<Due> due =
+    private final PriorityQueue<ScheduledAction> scheduledActions =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at() == b.at()
@@ -202,15 +203,15 @@
         this.pollCost = pollCost;
         this.pollTimeout = pollTimeout;
         this.random = random;
-        for (int number = 0; number < size; number++) {
-            Scheduler scheduler = new Scheduler(number);
+        for (int index = 0; index < size; index++) {
+            Scheduler scheduler = new Scheduler(index);
             schedulers.add(scheduler);
             schedule(0, () -> scheduler.start(0));
         }
     }
 
     private void schedule(long time, Runnable action) {
-        due.add(new Due(time, order++, action));
+        scheduledActions.add(new ScheduledAction(time, order++, action));
     }
 
     private boolean isDown(long time) {
@@ -218,7 +219,7 @@
     }
 
     /** Takes discovery down between these times; called at most once. */
-    void outage(long from, long until) {
+    void addOutage(long from, long until) {
         downFrom = from;
         downUntil = until;
         schedule(from, () -> schedulers.forEach(Scheduler::disconnect));
@@ -240,7 +241,7 @@
     }
 
     /** Silences this fraction of the open watches. */
-    void silence(long time, double fraction) {
+    void silenceWatches(long time, double fraction) {
         for (Scheduler scheduler : schedulers) {
             if (random.nextDouble() < fraction) {
                 schedule(time, scheduler::fallSilent);
@@ -249,7 +250,7 @@
     }
 
     /** Makes a worker begin to drain. */
-    void change(long time) {
+    void startDrain(long time) {
         changes.add(time);
     }
 
@@ -258,8 +259,8 @@
         for (long time = 0; time < end; time += CHECK_INTERVAL) {
             schedule(time, () -> schedulers.forEach(Scheduler::checkListUse));
         }
-        while (!due.isEmpty() && due.peek().at() <= end) {
-            Due next = due.poll();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().at() <= end) {
+            ScheduledAction next = scheduledActions.poll();
             now = next.at();
             next.action().run();
         }
--- a/src/test/java/damsonslip/membership/DiscoveryModelTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModelTest.java
@@ -35,18 +35,18 @@
                 Math.min(MAX_POLL_COST, between(random, MIN_FLEET_COST_S, MAX_FLEET_COST_S) / size);
         long pollTimeout = random.nextBoolean() ? 2 * SECOND : 3 * SECOND;
         DiscoveryModel model = new DiscoveryModel(size, cost, pollTimeout, random);
-        long down = between(random, 0, 15);
-        long until = down + between(random, 1, 40);
-        model.outage(down, until);
+        long outageStart = between(random, 0, 15);
+        long recovery = outageStart + between(random, 1, 40);
+        model.addOutage(outageStart, recovery);
         for (int kills = random.nextInt(3); kills > 0; kills--) {
-            model.kill(Math.max(0, until + between(random, -8, 8)), random.nextDouble());
+            model.kill(Math.max(0, recovery + between(random, -8, 8)), random.nextDouble());
         }
         if (random.nextBoolean()) {
-            model.silence(between(random, 0, 60), random.nextDouble());
+            model.silenceWatches(between(random, 0, 60), random.nextDouble());
         }
-        long release = Math.max(0, until + between(random, -10, 10));
+        long releaseStart = Math.max(0, recovery + between(random, -10, 10));
         for (int i = 0; i < DRAINS; i++) {
-            model.change(release + between(random, 0, 12));
+            model.startDrain(releaseStart + between(random, 0, 12));
         }
         return model.run(END);
     }
--- a/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
@@ -21,8 +21,8 @@
     /** From a change until no list without it may be used: 6 s, and the grace less its margin. */
     private static final long LEASE = 6 * SECOND + GRACE - 150_000;
 
-    private static DiscoveryWatch watch(int schedulers, int number) {
-        return new DiscoveryWatch(schedulers, number, POLL_INTERVAL, GRACE);
+    private static DiscoveryWatch watch(int schedulers, int index) {
+        return new DiscoveryWatch(schedulers, index, POLL_INTERVAL, GRACE);
     }
 
     private static DiscoveryWatch openWatch() {
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void shortensLeaseOfKeptListByRestartTime() {
+    void shortensLeaseOfCachedListByRestartTime() {
         DiscoveryWatch watch = watch(100, 7);
         watch.start(50 * SECOND, 0.5);
         assertTrue(watch.isValid(50 * SECOND + LEASE - 2 * SECOND - 1));
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void countsSilenceFromLastMessageNotFromItsDetection() {
+    void countsLeaseOfSilentWatchFromLastReceivedData() {
         DiscoveryWatch watch = openWatch();
         watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
         assertFalse(watch.isValid(20 * SECOND + LEASE));
@@ -74,11 +74,11 @@
         "SILENT,UNREACHABLE,true"
     })
     void extendsListAfterFailedPollOnlyWhenDiscoveryIsUnreachable(
-            Failure ofWatch, Failure ofPoll, boolean extended) {
+            Failure watchFailure, Failure pollFailure, boolean extended) {
         DiscoveryWatch watch = openWatch();
-        watch.failed(ofWatch, 20 * SECOND, 20 * SECOND, 0.5);
+        watch.failed(watchFailure, 20 * SECOND, 20 * SECOND, 0.5);
         watch.pollSent(21 * SECOND);
-        watch.failed(ofPoll, 21 * SECOND, 23 * SECOND, 0.5);
+        watch.failed(pollFailure, 21 * SECOND, 23 * SECOND, 0.5);
         assertEquals(extended, watch.isValid(20 * SECOND + LEASE));
         assertFalse(watch.isValid(21 * SECOND + LEASE));
     }
@@ -134,15 +134,15 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 6, 20, 100, 1_024})
     void givesEachSchedulerItsOwnSlot(int schedulers) {
-        List<Long> calls = new ArrayList<>();
-        for (int number = 0; number < schedulers; number++) {
-            DiscoveryWatch watch = watch(schedulers, number);
+        List<Long> pollTimes = new ArrayList<>();
+        for (int index = 0; index < schedulers; index++) {
+            DiscoveryWatch watch = watch(schedulers, index);
             watch.pollSent(watch.start(0, 0.5));
             watch.updateReceived();
-            long lost = 1_700_000_000L * SECOND + 123_456;
-            calls.add(watch.failed(Failure.FAILED, lost, lost, 0.5));
+            long resetAt = 1_700_000_000L * SECOND + 123_456;
+            pollTimes.add(watch.failed(Failure.FAILED, resetAt, resetAt, 0.5));
         }
-        assertEquals(schedulers, calls.stream().distinct().count());
+        assertEquals(schedulers, pollTimes.stream().distinct().count());
     }
 
     /** A backoff that skipped the own slot would cost a whole cycle. */
@@ -168,7 +168,7 @@
 
     /** What changed while no process ran comes with the answer to the first poll. */
     @Test
-    void holdsBackKeptListUntilFirstPollEnds() {
+    void defersCachedListUntilFirstPollEnds() {
         DiscoveryWatch answered = watch(1, 0);
         answered.pollSent(answered.start(0, 0.5));
         assertFalse(answered.isUsable(SECOND));
@@ -193,7 +193,7 @@
     /** A process starts while discovery is down for long. */
     @ParameterizedTest
     @CsvSource({"1,15", "6,20", "14,27", "20,120", "100,120"})
-    void reusesKeptListOnlyInSmallFleetDuringLastingOutage(int schedulers, int notBeforeS) {
+    void reusesCachedListOnlyInSmallFleetDuringLastingOutage(int schedulers, int notBeforeS) {
         DiscoveryWatch watch = watch(schedulers, schedulers / 2);
         long next = watch.start(0, 0.5);
         while (next < notBeforeS * SECOND) {
--- a/src/test/java/damsonslip/membership/OutageDetectorTest.java
+++ b/src/test/java/damsonslip/membership/OutageDetectorTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void startsAnewAfterAnswer() {
+    void startsOverAfterReset() {
         detector.failed(SECOND);
         detector.reset();
         detector.failed(30 * SECOND);
--- a/src/test/java/damsonslip/membership/PollScheduleTest.java
+++ b/src/test/java/damsonslip/membership/PollScheduleTest.java
@@ -12,7 +12,7 @@
     private final PollSchedule schedule = new PollSchedule(6 * SECOND, 10 * SECOND);
 
     @Test
-    void doublesBackoffUpToBoundAndResetsIt() {
+    void doublesBackoffUpToLimitAndResetsIt() {
         schedule.setFleet(1, 0);
         long[] minDelaysUs = {200_000, 400_000, 800_000, 800_000};
         for (long minDelayUs : minDelaysUs) {
--- a/src/test/java/damsonslip/membership/SerialDiscovery.java
+++ b/src/test/java/damsonslip/membership/SerialDiscovery.java
@@ -29,12 +29,13 @@
     private static final int PUSHES_PER_POLL = 60;
 
     /** A poll that is due, or the loss of one. */
-    private record Due(long at, int scheduler, Failure loss) {}
+    private record ScheduledPoll(long at, int scheduler, Failure failure) {}
 
     private final DiscoveryWatch[] watches;
     private final long[] connectedAt;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final List<Long> polls = new ArrayList<>();
+    private final PriorityQueue<ScheduledPoll> scheduledPolls =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledPoll::at));
+    private final List<Long> pollTimes = new ArrayList<>();
     private final long pollCost;
     private final long downUntil;
     private int maxPollsPerSecond;
@@ -61,7 +62,7 @@
 
     /** Schedules a poll. */
     void pollAt(int scheduler, long at) {
-        due.add(new Due(at, scheduler, null));
+        scheduledPolls.add(new ScheduledPoll(at, scheduler, null));
     }
 
     /**
@@ -70,9 +71,9 @@
      * @param retry returns from a scheduler's index and the time of its failure when it polls again
      */
     void run(long end, LongBinaryOperator retry) {
-        while (!due.isEmpty() && due.peek().at() < end) {
-            Due next = due.poll();
-            if (next.loss() != null) {
+        while (!scheduledPolls.isEmpty() && scheduledPolls.peek().at() < end) {
+            ScheduledPoll next = scheduledPolls.poll();
+            if (next.failure() != null) {
                 pollAt(next.scheduler(), retry.applyAsLong(next.scheduler(), next.at()));
             } else {
                 poll(next.scheduler(), next.at());
@@ -90,15 +91,15 @@
             busyUntil = Math.max(busyUntil, at) + pollCost;
         }
         if (down || wait > POLL_TIMEOUT) {
-            due.add(new Due(at + POLL_TIMEOUT, scheduler, Failure.FAILED));
+            scheduledPolls.add(new ScheduledPoll(at + POLL_TIMEOUT, scheduler, Failure.FAILED));
         } else {
             connectedAt[scheduler] = at + wait + pollCost;
         }
     }
 
     private void countPoll(long at) {
-        polls.add(at);
-        int lastSecond = (int) polls.stream().filter(other -> other > at - SECOND).count();
+        pollTimes.add(at);
+        int lastSecond = (int) pollTimes.stream().filter(other -> other > at - SECOND).count();
         maxPollsPerSecond = Math.max(maxPollsPerSecond, lastSecond);
     }
 
--- a/src/test/java/damsonslip/membership/StartTimesTest.java
+++ b/src/test/java/damsonslip/membership/StartTimesTest.java
@@ -15,20 +15,20 @@
     private final StartTimes times = new StartTimes();
 
     @Test
-    void keepsPlausibleStampOfObservedStart() {
+    void keepsPlausibleTimestampOfObservedStart() {
         times.listReceived(true, NOW);
         assertEquals(NOW + 3 * SECOND, times.observedStartUs(NOW + 3 * SECOND, NOW + 5 * SECOND));
         assertEquals(0, times.correctionUs());
     }
 
     @Test
-    void keepsStampOnLateList() {
+    void keepsTimestampOnDelayedList() {
         times.listReceived(true, NOW);
         assertEquals(NOW - 6 * SECOND, times.observedStartUs(NOW - 6 * SECOND, NOW + SECOND));
     }
 
     @Test
-    void countsObservedStartAsNowWhenStampContradicts() {
+    void countsObservedStartAsNowWhenTimestampContradicts() {
         times.listReceived(true, NOW);
         assertEquals(
                 NOW + SECOND,
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void keepsStartOfLongAgo() {
+    void keepsStartLongAgo() {
         times.listReceived(true, NOW);
         assertEquals(StartTimes.LONG_AGO, times.observedStartUs(StartTimes.LONG_AGO, NOW));
         assertEquals(StartTimes.LONG_AGO, times.listedStartUs(StartTimes.LONG_AGO, NOW));
--- a/src/test/java/damsonslip/membership/WorkerListLeaseTest.java
+++ b/src/test/java/damsonslip/membership/WorkerListLeaseTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void boundsLeaseUntilNewAddressIsConfirmed() {
+    void limitsLeaseUntilNewAddressIsConfirmed() {
         lease.addressChanged(20 * SECOND);
         lease.addressChanged(25 * SECOND);
         assertTrue(lease.isAddressUncertain());
--- a/src/test/java/damsonslip/membership/peers/PeerProcessesTest.java
+++ b/src/test/java/damsonslip/membership/peers/PeerProcessesTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void countsYoungerProcessOnceItServes() {
+    void countsNewerProcessOnceItServes() {
         assertEquals(
                 PeerProcesses.ALONE,
                 PeerProcesses.of(1, List.of(new Peer(2, false))),
