--- a/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryFleetTest.java
@@ -12,13 +12,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A fleet of schedulers before a discovery that serves polls one after another. */
+/** A fleet of schedulers that share a discovery service, which serves polls one after another. */
 class DiscoveryFleetTest {
     private static final long SECOND = 1_000_000;
     private static final long POLL_INTERVAL = 10 * SECOND;
     private static final long GRACE = SECOND / 2;
 
-    /** From a change until no list without it may be used: 6 s, and the grace less its margin. */
+    /**
+     * Time from a change until lists without it expire: 6 s, plus the grace less the send margin.
+     */
     private static final long LEASE = 6 * SECOND + GRACE - 150_000;
 
     private static LongBinaryOperator retryInSlots(DiscoveryWatch[] watches) {
@@ -35,7 +37,7 @@
         return watches;
     }
 
-    /** Opens all watches, and resets them then. */
+    /** Opens all watches and resets them at the given time. */
     private static void resetAllWatches(
             DiscoveryWatch[] watches, SerialDiscovery discovery, long at, Random random) {
         for (int index = 0; index < watches.length; index++) {
@@ -62,7 +64,7 @@
                 "polls in a second: " + discovery.maxPollsPerSecond());
     }
 
-    /** Seven in ten restart at once, more than can be served in time. */
+    /** Seven in ten schedulers restart at once, more than discovery can serve in time. */
     @ParameterizedTest
     @ValueSource(ints = {20, 100, 120})
     void expiresCachedListsOfRestartedFleetAndReconnectsAll(int schedulers) {
@@ -92,7 +94,8 @@
     }
 
     /**
-     * After the return from a long outage the whole fleet polls, and not all are served in time.
+     * When discovery recovers from a long outage, the whole fleet polls, and not all polls are
+     * served in time.
      */
     @ParameterizedTest
     @CsvSource({
@@ -123,7 +126,7 @@
                                 index
                                         + " uses its list after a failure at "
                                         + now
-                                        + ", return at "
+                                        + ", recovery at "
                                         + recoversAt);
                         return next;
                     });
@@ -135,9 +138,9 @@
     }
 
     /**
-     * An outage of 8 s begins during the fleet's first polls, or under its open watches, and seven
-     * in ten restart after it. The survivors' polls that time out then do not extend their lists,
-     * since changes made during the outage count by then.
+     * An outage of 8 s begins during the fleet's first polls or while all watches are open, and
+     * seven in ten schedulers restart after it. Polls of the others that time out then must not
+     * extend the lease of their lists, since changes made during the outage count as known by then.
      */
     @ParameterizedTest
     @CsvSource({
@@ -191,7 +194,10 @@
         assertEquals(0, discovery.countNotConnectedBy(60 * SECOND));
     }
 
-    /** Shows why slots are needed: schedulers that failed together retry together, and starve. */
+    /**
+     * Shows why time slots are needed: schedulers whose polls fail together retry together and are
+     * not served.
+     */
     @Test
     void starvesFleetThatBacksOffWithoutSlots() {
         int schedulers = 100;
@@ -205,6 +211,6 @@
         }
         discovery.run(32 * SECOND, (index, now) -> now + 200_000 + random.nextInt(400_000));
         int starved = discovery.countNotConnectedBy(32 * SECOND);
-        assertTrue(starved > 20, "of seventy are not connected after 12 s: " + starved);
+        assertTrue(starved > 20, "of 70 schedulers not connected after 12 s: " + starved);
     }
 }
--- a/src/test/java/damsonslip/membership/DiscoveryModel.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModel.java
@@ -7,13 +7,13 @@
 import java.util.Random;
 
 /**
- * A simulated fleet of schedulers, each with a real {@link DiscoveryWatch}, before one discovery
- * that serves polls one after another, may be down for a while, and pushes changes of the list. It
- * records violations of the rule on drains.
+ * A simulation of a fleet of schedulers, each with a real {@link DiscoveryWatch}, and of one
+ * discovery service that serves polls one after another, may be down for a while and pushes list
+ * changes. It records each use of a list after the drain grace of a change that the list lacks.
  *
- * <p>A poll that would wait too long fails after that wait, costs as much as one that is served,
- * and fails in the same way as one that is made while discovery is down. All times are microseconds
- * from the beginning.
+ * <p>A poll that would wait too long costs discovery as much as one that is served. After the poll
+ * timeout it fails in the same way as one that is sent during an outage. All times are microseconds
+ * from the start of the simulation.
  */
 final class DiscoveryModel {
     static final long SECOND = 1_000_000;
@@ -25,15 +25,18 @@
      */
     private static final long PROPAGATION = 6 * SECOND;
 
-    /** A watch that receives nothing for this long is closed. */
+    /** A watch that has received no data for this long is closed. */
     private static final long SILENCE_TIMEOUT = 3_500_000;
 
     private static final long CHECK_INTERVAL = SECOND / 20;
 
-    /** The platform launches a process that has ended again within this time. */
+    /** The platform relaunches a process within this time after its end. */
     private static final long LATEST_LAUNCH = 3 * SECOND / 2;
 
-    /** From the launch until the watch starts; a machine short of CPU or sockets takes longer. */
+    /**
+     * Shortest time from the launch until the watch starts; it takes longer on a machine that is
+     * short of CPU or sockets.
+     */
     private static final long SHORTEST_START = SECOND / 5;
 
     private static final long LONGEST_START = 4 * SECOND;
@@ -46,25 +49,30 @@
         SILENT
     }
 
-    /** An action that is due; of equal times the one scheduled first runs first. */
+    /**
+     * An action to run at a given time; actions of the same time run in the order of scheduling.
+     */
     private record ScheduledAction(long at, long order, Runnable action) {}
 
-    /** One scheduler and how current its list is. */
+    /** One scheduler and the state of its list. */
     private final class Scheduler {
         final int index;
         DiscoveryWatch watch;
         Phase phase = Phase.KILLED;
 
-        /** Changes that discovery could push by then are known. */
+        /** The list contains all changes that discovery could push up to this time. */
         long knownUntil;
 
-        /** When the watch fell silent; changes that it misses count from then. */
+        /**
+         * When the watch became silent; the propagation time of changes missed meanwhile starts
+         * then.
+         */
         long silentSince = Long.MAX_VALUE;
 
-        /** When the previous process ended; the kept list is of that moment. */
+        /** When the previous process ended; the cached list dates from that moment. */
         long killedAt;
 
-        /** Counts the phases, to drop actions that were scheduled in an earlier one. */
+        /** Number of phases so far, to drop actions that were scheduled in an earlier phase. */
         int phaseCount;
 
         Scheduler(int index) {
@@ -79,7 +87,7 @@
             phaseCount++;
         }
 
-        /** Runs this then, if the phase is still the same. */
+        /** Runs the action at the given time if the phase is still the same. */
         void scheduleInPhase(long at, Runnable action) {
             int scheduledIn = phaseCount;
             schedule(
@@ -139,7 +147,7 @@
                     watch.failed(failure, lastReadUs, now, random.nextDouble()), this::poll);
         }
 
-        /** Ends the connection, as discovery goes down. */
+        /** Closes the connection because discovery goes down. */
         void disconnect() {
             if (phase == Phase.OPEN || phase == Phase.POLLING) {
                 watchLost(Failure.FAILED, now);
@@ -156,11 +164,11 @@
                 if ((isDown(change) ? downUntil : change) > knownUntil && now > knownAt + GRACE) {
                     violations.add(
                             index
-                                    + " at "
+                                    + " uses its list at "
                                     + now
-                                    + " by a change of "
+                                    + " without the change of "
                                     + change
-                                    + " that counts at "
+                                    + ", known at "
                                     + knownAt);
                     return;
                 }
@@ -168,8 +176,8 @@
         }
 
         /**
-         * When a change counts as known: 6 s after the watch fell silent if the silent watch missed
-         * it, else 6 s after discovery could push it.
+         * Returns when a change counts as known: 6 s after the watch became silent if the silent
+         * watch missed it, otherwise 6 s after discovery could push it.
          */
         private long countsAsKnownAt(long pushableAt) {
             boolean missed = pushableAt >= silentSince && pushableAt < silentSince + PROPAGATION;
@@ -196,8 +204,10 @@
     private long downUntil = Long.MAX_VALUE;
 
     /**
-     * @param pollCost what a poll costs discovery
-     * @param pollTimeout a poll that would wait longer fails after that
+     * Creates a fleet whose schedulers all start at time 0.
+     *
+     * @param pollCost time that discovery needs for one poll
+     * @param pollTimeout time after which a waiting poll fails
      */
     DiscoveryModel(int size, long pollCost, long pollTimeout, Random random) {
         this.pollCost = pollCost;
@@ -218,7 +228,7 @@
         return time >= downFrom && time < downUntil;
     }
 
-    /** Takes discovery down between these times; called at most once. */
+    /** Takes discovery down from the first to the second time; may be called only once. */
     void addOutage(long from, long until) {
         downFrom = from;
         downUntil = until;
@@ -226,7 +236,10 @@
         schedule(until, () -> busyUntil = now);
     }
 
-    /** Kills this fraction of the fleet at once; each process is launched again and starts. */
+    /**
+     * Kills this fraction of the fleet at the given time; each process is launched and starts
+     * again.
+     */
     void kill(long time, double fraction) {
         for (Scheduler scheduler : schedulers) {
             if (random.nextDouble() < fraction) {
@@ -240,7 +253,7 @@
         }
     }
 
-    /** Silences this fraction of the open watches. */
+    /** Makes this fraction of the open watches silent: they stay open but receive no data. */
     void silenceWatches(long time, double fraction) {
         for (Scheduler scheduler : schedulers) {
             if (random.nextDouble() < fraction) {
@@ -249,12 +262,12 @@
         }
     }
 
-    /** Makes a worker begin to drain. */
+    /** Adds a list change at the given time: a worker starts to drain. */
     void startDrain(long time) {
         changes.add(time);
     }
 
-    /** Runs until then; returns the uses of a list without a change that counted, in words. */
+    /** Runs until the given time; returns a description of each violation. */
     List<String> run(long end) {
         for (long time = 0; time < end; time += CHECK_INTERVAL) {
             schedule(time, () -> schedulers.forEach(Scheduler::checkListUse));
--- a/src/test/java/damsonslip/membership/DiscoveryModelTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryModelTest.java
@@ -7,20 +7,26 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Random faults of a fleet and its discovery: a list is never used past the grace of a change. */
+/**
+ * Simulates random faults of schedulers and discovery: no list is used after the drain grace of a
+ * change that it lacks.
+ */
 class DiscoveryModelTest {
     private static final int SEEDS = 400;
     private static final long END = 90 * SECOND;
     private static final int MAX_SCHEDULERS = 120;
     private static final int DRAINS = 12;
 
-    /** The cost of a poll in a small fleet, and of one poll of each scheduler in a large one. */
+    /**
+     * Largest cost of a poll; in large fleets the total cost of one poll by each scheduler lies in
+     * the range below.
+     */
     private static final long MAX_POLL_COST = 300_000;
 
     private static final double MIN_FLEET_COST_S = 4.5;
     private static final double MAX_FLEET_COST_S = 7;
 
-    /** Outages of up to 40 s, kills and drains about their end, and watches that fall silent. */
+    /** Outages of up to 40 s, kills and drains around their end, and watches that become silent. */
     @Test
     void neverUsesListPastGraceOfMissedChange() {
         for (int seed = 0; seed < SEEDS; seed++) {
--- a/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
+++ b/src/test/java/damsonslip/membership/DiscoveryWatchTest.java
@@ -12,13 +12,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One scheduler's watch on discovery: how long its list may be used, and when it polls. */
+/** One scheduler's watch of discovery: how long its list may be used, and when it polls. */
 class DiscoveryWatchTest {
     private static final long SECOND = 1_000_000;
     private static final long POLL_INTERVAL = 10 * SECOND;
     private static final long GRACE = SECOND / 2;
 
-    /** From a change until no list without it may be used: 6 s, and the grace less its margin. */
+    /**
+     * Time from a change until lists without it expire: 6 s, plus the grace less the send margin.
+     */
     private static final long LEASE = 6 * SECOND + GRACE - 150_000;
 
     private static DiscoveryWatch watch(int schedulers, int index) {
@@ -44,7 +46,7 @@
         assertTrue(watch.isValid(50 * SECOND + LEASE - 2 * SECOND - 1));
         assertFalse(
                 watch.isValid(50 * SECOND + LEASE - 2 * SECOND),
-                "changes may have been missed since that process ended");
+                "changes since the end of the previous process may be missing");
     }
 
     @Test
@@ -63,8 +65,8 @@
     }
 
     /**
-     * Discovery that cannot be reached has sent no change to anybody; one that refuses may have
-     * sent changes to all others.
+     * If discovery is unreachable, it cannot have sent a change to any scheduler; if it rejects
+     * polls, it may have sent changes to all others.
      */
     @ParameterizedTest
     @CsvSource({
@@ -88,7 +90,7 @@
         DiscoveryWatch watch = openWatch();
         watch.failed(Failure.SILENT, 20 * SECOND, 23 * SECOND, 0.5);
         for (long at = 24 * SECOND; at < 44 * SECOND; at += 5 * SECOND) {
-            assertFalse(watch.isValid(23 * SECOND + LEASE), "not yet");
+            assertFalse(watch.isValid(23 * SECOND + LEASE), "a short outage may last as long");
             watch.pollSent(at);
             watch.failed(Failure.FAILED, at, at + 2 * SECOND, 0.5);
         }
@@ -104,7 +106,7 @@
         assertFalse(watch.isValid(20 * SECOND + 2 * SECOND + GRACE));
     }
 
-    /** What happens at the old address shows nothing of the new one in the configuration. */
+    /** What is observed at the old address says nothing about the new one in the configuration. */
     @Test
     void expiresListWhenConfigurationIsUnreadable() {
         DiscoveryWatch watch = openWatch();
@@ -116,7 +118,7 @@
         assertTrue(watch.isValid(20 * SECOND + LEASE - 2 * SECOND - 1));
         assertFalse(
                 watch.isValid(20 * SECOND + LEASE - 2 * SECOND),
-                "4 s and the grace after the first signal");
+                "4 s and the grace after the first reload request");
         watch.configurationRead();
         assertTrue(watch.isValid(20 * SECOND + LEASE));
     }
@@ -145,7 +147,7 @@
         assertEquals(schedulers, pollTimes.stream().distinct().count());
     }
 
-    /** A backoff that skipped the own slot would cost a whole cycle. */
+    /** A backoff that skipped the scheduler's own slot would cost a whole cycle. */
     @Test
     void retriesTimedOutPollOneCycleLater() {
         DiscoveryWatch watch = watch(100, 42);
@@ -160,13 +162,13 @@
         }
     }
 
-    /** The kept list of a process that starts may be old: only a prompt poll renews it in time. */
+    /** The cached list of a starting process may be old: only a prompt poll renews it in time. */
     @Test
     void pollsPromptlyAtStart() {
         assertTrue(watch(100, 42).start(7 * SECOND, 0.99) <= 7 * SECOND + SECOND * 2 / 5);
     }
 
-    /** What changed while no process ran comes with the answer to the first poll. */
+    /** The response to the first poll contains the changes made while no process was running. */
     @Test
     void defersCachedListUntilFirstPollEnds() {
         DiscoveryWatch answered = watch(1, 0);
@@ -177,20 +179,20 @@
         DiscoveryWatch failed = watch(1, 0);
         failed.pollSent(failed.start(0, 0.5));
         failed.failed(Failure.FAILED, SECOND, SECOND, 0.5);
-        assertTrue(failed.isUsable(SECOND), "there is no newer list to be had");
+        assertTrue(failed.isUsable(SECOND), "no newer list is available");
         DiscoveryWatch late = watch(1, 0);
         late.pollSent(late.start(9 * SECOND, 0.5));
         late.processLaunched(0);
         assertFalse(late.isValid(9 * SECOND));
-        assertTrue(late.mayBecomeUsable(9 * SECOND), "its first poll may bring a list");
+        assertTrue(late.mayBecomeUsable(9 * SECOND), "its first poll may return a list");
         late.failed(Failure.FAILED, 10 * SECOND, 10 * SECOND, 0.5);
         assertFalse(late.mayBecomeUsable(10 * SECOND));
         DiscoveryWatch unanswered = watch(1, 0);
         unanswered.pollSent(unanswered.start(0, 0.5));
-        assertTrue(unanswered.isUsable(2 * SECOND), "a job cannot wait for ever");
+        assertTrue(unanswered.isUsable(2 * SECOND), "a job cannot wait indefinitely");
     }
 
-    /** A process starts while discovery is down for long. */
+    /** A process starts during a long outage of discovery. */
     @ParameterizedTest
     @CsvSource({"1,15", "6,20", "14,27", "20,120", "100,120"})
     void reusesCachedListOnlyInSmallFleetDuringLastingOutage(int schedulers, int notBeforeS) {
@@ -201,7 +203,7 @@
             next = watch.failed(Failure.FAILED, next, next + 2 * SECOND, 0.5);
             assertFalse(
                     watch.isValid(Math.max(next, LEASE)),
-                    "the same may happen to a fleet that restarts after a short outage");
+                    "the polls of a fleet that restarts after a short outage fail for as long");
         }
         for (int i = 0; i < 3; i++) {
             watch.pollSent(next);
@@ -210,7 +212,7 @@
         assertEquals(schedulers <= 14, watch.isValid(next));
     }
 
-    /** A second timer that fires while the watch is open sends no poll. */
+    /** A poll timer that fires while the watch is open must not start another poll. */
     @Test
     void ignoresPollTimerWhileWatchIsOpen() {
         DiscoveryWatch watch = openWatch();
--- a/src/test/java/damsonslip/membership/OutageDetectorTest.java
+++ b/src/test/java/damsonslip/membership/OutageDetectorTest.java
@@ -7,13 +7,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Failed polls that show a lasting outage, or may be overload. */
+/** Failed polls that show a lasting outage or may be due to overload. */
 class OutageDetectorTest {
     private static final long SECOND = 1_000_000;
 
     private final OutageDetector detector = new OutageDetector();
 
-    /** 14 s for a short outage and the restart after it, and 0.9 s for each scheduler. */
+    /**
+     * The limit is 14 s for a short outage, the restart after it and a poll timeout, plus 0.9 s per
+     * scheduler.
+     */
     @ParameterizedTest
     @CsvSource({"1,14.8,false", "1,14.9,true", "14,26.5,false", "14,26.6,true", "15,60,false"})
     void detectsOutageThatOutlastsRecoveryOfSmallFleet(
--- a/src/test/java/damsonslip/membership/PollScheduleTest.java
+++ b/src/test/java/damsonslip/membership/PollScheduleTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The backoff between polls, and their alignment to slots. */
+/** The backoff between polls and their alignment to time slots. */
 class PollScheduleTest {
     private static final long SECOND = 1_000_000;
 
--- a/src/test/java/damsonslip/membership/SerialDiscovery.java
+++ b/src/test/java/damsonslip/membership/SerialDiscovery.java
@@ -9,26 +9,28 @@
 import java.util.function.LongBinaryOperator;
 
 /**
- * A simulated discovery that serves the polls of a fleet one after another, and spends as much on
- * those that waited too long as on those that it serves. Times are microseconds.
+ * A simulated discovery that serves the polls of a fleet one after another. A poll that waited too
+ * long costs it as much as one that it serves. Times are microseconds.
  */
 final class SerialDiscovery {
-    /** What all polls of a fleet of 98 cost together soon after an outage: 61 ms each. */
+    /** Cost of one poll by each of 98 schedulers soon after an outage: 61 ms each. */
     static final long COST_AFTER_OUTAGE = 6_000_000;
 
-    /** The same during a release, when 54 workers had changed: 71 ms each, and a tenth more. */
+    /**
+     * The same during a release, when 54 workers had changed: 71 ms each, plus a margin of a tenth.
+     */
     static final long COST_DURING_RELEASE = 7_600_000;
 
     private static final long SECOND = 1_000_000;
     private static final long POLL_TIMEOUT = 2 * SECOND;
 
-    /** The interval between changes of the list, each of which is pushed to all open watches. */
+    /** Interval between list changes, each of which is pushed to all open watches. */
     private static final long CHANGE_INTERVAL = 1_100_000;
 
-    /** A push costs this fraction of a poll. */
+    /** Number of pushes that cost as much as one poll. */
     private static final int PUSHES_PER_POLL = 60;
 
-    /** A poll that is due, or the loss of one. */
+    /** A poll to be sent at a given time, or the failure of one. */
     private record ScheduledPoll(long at, int scheduler, Failure failure) {}
 
     private final DiscoveryWatch[] watches;
@@ -43,10 +45,10 @@
     private long nextChange;
 
     /**
-     * Creates a discovery before these watches, whose polls are reported to them.
+     * Creates a discovery for these watches, which are notified of each poll.
      *
-     * @param fleetCost what one poll of each scheduler costs, all together
-     * @param downUntil until then every poll fails
+     * @param fleetCost total cost of one poll by each scheduler
+     * @param downUntil time before which every poll fails
      */
     SerialDiscovery(DiscoveryWatch[] watches, long fleetCost, long downUntil) {
         this.watches = watches;
@@ -55,7 +57,7 @@
         this.downUntil = downUntil;
     }
 
-    /** Marks schedulers from this index on as connected from the beginning. */
+    /** Marks the schedulers from this index on as connected from the start. */
     void connectFrom(int first) {
         Arrays.fill(connectedAt, first, connectedAt.length, 1);
     }
@@ -66,9 +68,10 @@
     }
 
     /**
-     * Runs until nothing is due any more, or the end.
+     * Runs until no poll is scheduled before the end.
      *
-     * @param retry returns from a scheduler's index and the time of its failure when it polls again
+     * @param retry returns when a scheduler polls again, given its index and the time of the
+     *     failure
      */
     void run(long end, LongBinaryOperator retry) {
         while (!scheduledPolls.isEmpty() && scheduledPolls.peek().at() < end) {
@@ -112,12 +115,12 @@
         }
     }
 
-    /** Returns how many schedulers were not connected by then. */
+    /** Returns how many schedulers were not connected by the given time. */
     int countNotConnectedBy(long time) {
         return (int) Arrays.stream(connectedAt).filter(at -> at == 0 || at > time).count();
     }
 
-    /** Returns the most polls within a second. */
+    /** Returns the largest number of polls within a second. */
     int maxPollsPerSecond() {
         return maxPollsPerSecond;
     }
--- a/src/test/java/damsonslip/membership/StartTimesTest.java
+++ b/src/test/java/damsonslip/membership/StartTimesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Start stamps translated to the caller's clock, whether that is right or wrong. */
+/** Start timestamps converted to the caller's clock, whether or not that clock is right. */
 class StartTimesTest {
     private static final long SECOND = 1_000_000;
     private static final long HOUR = 3_600 * SECOND;
@@ -33,11 +33,11 @@
         assertEquals(
                 NOW + SECOND,
                 times.observedStartUs(NOW - HOUR, NOW + SECOND),
-                "this clock is ahead");
+                "the caller's clock is ahead");
         assertEquals(
                 NOW + SECOND,
                 times.observedStartUs(NOW + HOUR, NOW + SECOND),
-                "this clock is behind");
+                "the caller's clock is behind");
     }
 
     @Test
@@ -47,12 +47,16 @@
         assertEquals(
                 NOW - 2 * HOUR,
                 times.listedStartUs(NOW - 2 * HOUR, NOW + SECOND),
-                "one may be that worker's own clock");
+                "a single one may be an error of that worker's clock");
         times.observedStartUs(NOW + SECOND - HOUR, NOW + 2 * SECOND);
         long listed = times.listedStartUs(NOW - 5 * SECOND - HOUR, NOW + 2 * SECOND);
-        assertTrue(Math.abs(listed - (NOW - 4 * SECOND)) <= SECOND, "a cold one on the list");
+        assertTrue(
+                Math.abs(listed - (NOW - 4 * SECOND)) <= SECOND,
+                "corrects starts that were not observed");
         long fits = times.observedStartUs(NOW + 2 * SECOND - HOUR, NOW + 4 * SECOND);
-        assertTrue(Math.abs(fits - (NOW + 2 * SECOND)) <= 2 * SECOND, "later ones fit");
+        assertTrue(
+                Math.abs(fits - (NOW + 2 * SECOND)) <= 2 * SECOND,
+                "corrects later observed starts");
     }
 
     @Test
--- a/src/test/java/damsonslip/membership/WatchStateTest.java
+++ b/src/test/java/damsonslip/membership/WatchStateTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table of transitions of a watch. */
+/** The state transitions of a watch. */
 class WatchStateTest {
     @ParameterizedTest
     @CsvSource({
--- a/src/test/java/damsonslip/membership/WorkerListLeaseTest.java
+++ b/src/test/java/damsonslip/membership/WorkerListLeaseTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The bounds on the use of a worker list. */
+/** How long a worker list may be used. */
 class WorkerListLeaseTest {
     private static final long SECOND = 1_000_000;
     private static final long PROPAGATION = 6 * SECOND;
--- a/src/test/java/damsonslip/membership/overrides/WorkerOverridesTest.java
+++ b/src/test/java/damsonslip/membership/overrides/WorkerOverridesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Disabled and enabled workers, applied to the lists of discovery. */
+/** Overrides that disable or enable workers, applied to the lists from discovery. */
 class WorkerOverridesTest {
     private static final long MINUTE = 60_000_000;
 
@@ -37,7 +37,7 @@
     void listsDisabledWorkerAsDrainingWhateverDiscoverySays() {
         listed(WorkerListChange.CACHED, running("a"), running("b"));
         assertEquals(List.of(worker("a", WorkerStatus.DRAINING, 5)), overrides.disable("a"));
-        assertEquals(List.of(), overrides.disable("a"), "a second time changes nothing");
+        assertEquals(List.of(), overrides.disable("a"), "it is already disabled");
         assertEquals(
                 List.of(worker("a", WorkerStatus.DRAINING, 9), running("b")),
                 listed(
@@ -65,11 +65,11 @@
         assertEquals(
                 List.of(),
                 overrides.enable("a", 200),
-                "it is enabled already, and its start is unchanged");
+                "it is already enabled, and its start is unchanged");
         assertEquals(
                 List.of(worker("a", WorkerStatus.RUNNING, 100)),
                 listed(WorkerListChange.CHANGES, running("a")),
-                "a late list does not change its start");
+                "a delayed list does not change its start");
         assertEquals(
                 List.of(worker("a", WorkerStatus.RUNNING, 300)),
                 listed(WorkerListChange.CHANGES, worker("a", WorkerStatus.RUNNING, 300)));
@@ -85,7 +85,7 @@
         assertEquals(List.of(worker("a", WorkerStatus.REMOVED, 5)), overrides.disable("a"));
     }
 
-    /** A fleet whose workers are replaced every day would otherwise fill the memory. */
+    /** Guards against unbounded memory use where workers are replaced regularly. */
     @Test
     void forgetsWorkerRemovedLongAgoUnlessDisabled() {
         listed(WorkerListChange.COMPLETE, running("a"), running("b"), running("c"));
@@ -93,7 +93,7 @@
         listed(WorkerListChange.COMPLETE, running("c"));
         now += 9 * MINUTE;
         listed(WorkerListChange.CHANGES);
-        assertTrue(overrides.isKnown("a"), "it may come back");
+        assertTrue(overrides.isKnown("a"), "it may be listed again");
         now += 2 * MINUTE;
         listed(WorkerListChange.CHANGES);
         assertFalse(overrides.isKnown("a"));
--- a/src/test/java/damsonslip/membership/peers/PeerProcessesTest.java
+++ b/src/test/java/damsonslip/membership/peers/PeerProcessesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The position of a process among those of its scheduler. */
+/** The position of a process among the live processes of its scheduler. */
 class PeerProcessesTest {
     @Test
     void countsOlderProcessesFromTheStart() {
@@ -16,7 +16,7 @@
         assertEquals(
                 new PeerProcesses(false, 2, 1),
                 PeerProcesses.of(2, List.of(new Peer(1, false))),
-                "even before the older one serves");
+                "even if the older one is not serving yet");
     }
 
     @Test
@@ -24,7 +24,7 @@
         assertEquals(
                 PeerProcesses.ALONE,
                 PeerProcesses.of(1, List.of(new Peer(2, false))),
-                "a start that may fail changes nothing");
+                "a process that may still fail to start is not counted");
         assertEquals(
                 new PeerProcesses(true, 2, 0), PeerProcesses.of(1, List.of(new Peer(2, true))));
     }
