--- a/src/test/java/damsonslip/policy/AdmissionTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionTest.java
@@ -22,14 +22,14 @@
     void rejectsJobsOverTheThresholdAndReleasesQueuedOnesInOrder() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
         List<String> sent = new ArrayList<>();
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 60; i++) {
             List<Action> at = scheduler.jobArrives("job" + i);
-            refused += actionsOfType(at, Reject.class).size();
+            rejected += actionsOfType(at, Reject.class).size();
             actionsOfType(at, Send.class).forEach(send -> sent.add(send.job()));
         }
         assertEquals(4, sent.size(), "one worker of four slots");
-        assertTrue(refused > 30, refused + " refused");
+        assertTrue(rejected > 30, rejected + " refused");
         scheduler.advance(SECOND / 20);
         List<Action> after = scheduler.attemptEnds(sent.get(0), 0, AttemptOutcome.SERVED);
         List<Send> released = actionsOfType(after, Send.class);
@@ -57,25 +57,25 @@
                 new ScriptedScheduler(settings(1, 0, List.of(5.0, 5.0), false, IDEMPOTENT))
                         .workers(2);
         int[] sent = new int[2];
-        int seen = 0;
-        List<String> out = new ArrayList<>();
+        int handledActions = 0;
+        List<String> inFlight = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             int tenant = i % 20 == 0 ? 1 : 0;
             scheduler.jobArrives(tenant + "-" + i, 0, tenant, null);
             scheduler.advance(SECOND / 100);
-            if (i % 2 == 0 && !out.isEmpty()) {
-                scheduler.reportedFreeSlots = Math.max(0, 4 - out.size() / 2.0);
-                scheduler.attemptEnds(out.remove(0), 0, AttemptOutcome.SERVED);
+            if (i % 2 == 0 && !inFlight.isEmpty()) {
+                scheduler.reportedFreeSlots = Math.max(0, 4 - inFlight.size() / 2.0);
+                scheduler.attemptEnds(inFlight.remove(0), 0, AttemptOutcome.SERVED);
             }
             for (Send send :
                     actionsOfType(
-                            scheduler.actions.subList(seen, scheduler.actions.size()),
+                            scheduler.actions.subList(handledActions, scheduler.actions.size()),
                             Send.class)) {
                 sent[send.job().charAt(0) - '0']++;
-                out.add(send.job());
+                inFlight.add(send.job());
                 scheduler.attemptStarts(send.job(), 0);
             }
-            seen = scheduler.actions.size();
+            handledActions = scheduler.actions.size();
         }
         assertTrue(sent[1] > 40, sent[1] + " of 50 within the quota");
         assertTrue(sent[0] < 600, sent[0] + " of 950 mostly beyond it");
--- a/src/test/java/damsonslip/policy/AdmissionThresholdTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionThresholdTest.java
@@ -45,16 +45,16 @@
         }
         double v = 0;
         for (int j = 0; j < k; j++) {
-            v += p[j] / norm * (1 - late(n, j, q));
+            v += p[j] / norm * (1 - lateProbability(n, j, q));
         }
         return load * v;
     }
 
     /** P(W_j > q) by numeric convolution of the waiting time's density with the service time. */
-    private static double late(int n, int j, double q) {
-        double own = Math.exp(-q);
+    private static double lateProbability(int n, int j, double q) {
+        double ownServiceLate = Math.exp(-q);
         if (j < n) {
-            return own;
+            return ownServiceLate;
         }
         int ahead = j - n + 1;
         double factorial = 1;
--- a/src/test/java/damsonslip/policy/ArrivalRateTest.java
+++ b/src/test/java/damsonslip/policy/ArrivalRateTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void takesTheFirstIntervalInFull() {
+    void usesTheFirstIntervalInFull() {
         interval.start(0);
         measure(20, 2 * SECOND);
         assertEquals(10, rate.ownPerSecond(), 1e-9);
--- a/src/test/java/damsonslip/policy/AttemptMigrationTest.java
+++ b/src/test/java/damsonslip/policy/AttemptMigrationTest.java
@@ -28,9 +28,9 @@
     /** Only idempotent jobs migrate, and those with an affinity key stay with their worker. */
     @Test
     void migratesIdempotentJobThatDoesNotStart() {
-        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
+        JobClass nonIdempotent = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         ScriptedScheduler scheduler =
-                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, once)).workers(4);
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, nonIdempotent)).workers(4);
         scheduler.jobArrives("a");
         scheduler.attemptStarts("a", 0);
         assertTrue(
@@ -41,14 +41,14 @@
         assertTrue(
                 actionsOfType(scheduler.advance(SECOND / 2), Cancel.class).isEmpty(),
                 "neither may move");
-        String first = sentTo(scheduler.jobArrives("d"), "d");
+        String firstWorker = sentTo(scheduler.jobArrives("d"), "d");
         assertEquals(
                 List.of(new Cancel("d", 0)),
                 actionsOfType(scheduler.advance(SECOND / 10), Cancel.class));
         List<Action> after =
                 new ArrayList<>(scheduler.attemptEnds("d", 0, AttemptOutcome.CANCELLED));
         after.addAll(scheduler.advance(SECOND / 20));
-        assertFalse(first.equals(sentTo(after, "d")), "not to the one that did not start it");
+        assertFalse(firstWorker.equals(sentTo(after, "d")), "not to the one that did not start it");
         assertEquals(1, actionsOfType(after, Send.class).size());
     }
 
@@ -59,23 +59,23 @@
      */
     @ParameterizedTest
     @CsvSource({"1, 0, 3", "2, 0, 10", "10, 35, 40"})
-    void migratesJobsWhileMostStartPromptly(int of, int least, int most) {
+    void migratesJobsWhileMostStartPromptly(int delayedEvery, int minMigrated, int maxMigrated) {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(14, 0, IDEMPOTENT)).workers(8);
-        int moved = 0;
+        int migrated = 0;
         for (int i = 0; i < 400; i++) {
             String job = "j" + i;
             scheduler.jobArrives(job);
             int attempt = 0;
-            if (i % of == of - 1) {
+            if (i % delayedEvery == delayedEvery - 1) {
                 while (!actionsOfType(scheduler.advance(150_000), Cancel.class).isEmpty()) {
                     scheduler.attemptEnds(job, attempt++, AttemptOutcome.CANCELLED);
                 }
-                moved += attempt > 0 ? 1 : 0;
+                migrated += attempt > 0 ? 1 : 0;
             }
             scheduler.attemptStarts(job, attempt);
             scheduler.advance(50_000);
             scheduler.attemptEnds(job, attempt, AttemptOutcome.SERVED);
         }
-        assertTrue(moved >= least && moved <= most, moved + " are moved");
+        assertTrue(migrated >= minMigrated && migrated <= maxMigrated, migrated + " are moved");
     }
 }
--- a/src/test/java/damsonslip/policy/BorrowingTest.java
+++ b/src/test/java/damsonslip/policy/BorrowingTest.java
@@ -52,10 +52,10 @@
     void borrowsWhenAllWorkersOfThePoolAreSlow() {
         ScriptedScheduler scheduler =
                 new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(4);
-        int[] late = new int[2];
+        int[] sentToSlow = new int[2];
         for (int round = 0; round < 120; round++) {
             String prefix = "job" + round + "-";
-            Set<String> slow = new TreeSet<>();
+            Set<String> jobsAtSlowWorkers = new TreeSet<>();
             for (int j = 0; j < 12; j++) {
                 String id = prefix + j;
                 scheduler.jobArrives(id, j % 2, 0, null);
@@ -65,22 +65,22 @@
                 if (send.job().startsWith(prefix)) {
                     scheduler.attemptStarts(send.job(), 0);
                     if (send.worker().compareTo("w2") < 0) {
-                        slow.add(send.job());
+                        jobsAtSlowWorkers.add(send.job());
                     }
                 }
             }
             scheduler.advance(SECOND / 10);
             actionsOfType(scheduler.actions, Send.class).stream()
                     .map(Send::job)
-                    .filter(job -> job.startsWith(prefix) && !slow.contains(job))
+                    .filter(job -> job.startsWith(prefix) && !jobsAtSlowWorkers.contains(job))
                     .forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
             scheduler.advance(SECOND);
-            slow.forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
-            late[round < 60 ? 0 : 1] += slow.size();
+            jobsAtSlowWorkers.forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
+            sentToSlow[round < 60 ? 0 : 1] += jobsAtSlowWorkers.size();
         }
         assertTrue(
-                late[0] > 0 && late[1] < late[0] / 2,
-                late[0] + ", then " + late[1] + " at slow workers");
+                sentToSlow[0] > 0 && sentToSlow[1] < sentToSlow[0] / 2,
+                sentToSlow[0] + ", then " + sentToSlow[1] + " at slow workers");
     }
 
     /**
@@ -88,7 +88,7 @@
      * pool fails.
      */
     @Test
-    void borrowsAnyFreeSlotWhenThePoolIsOut() {
+    void borrowsAnyFreeSlotWhenThePoolIsUnavailable() {
         ScriptedScheduler scheduler =
                 new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
         for (int i = 0; i < 100; i++) {
@@ -100,8 +100,10 @@
         }
         String own = sentTo(scheduler.jobArrives("x", 1, 0, null), "x");
         scheduler.attemptEnds("x", 0, AttemptOutcome.NOT_CONNECTED);
-        String lent = sentTo(scheduler.advance(110_000), "x");
-        assertTrue(lent != null && !lent.equals(own), "sent to " + own + ", then to " + lent);
+        String borrowed = sentTo(scheduler.advance(110_000), "x");
+        assertTrue(
+                borrowed != null && !borrowed.equals(own),
+                "sent to " + own + ", then to " + borrowed);
     }
 
     /**
--- a/src/test/java/damsonslip/policy/CandidateProbingTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -87,13 +87,13 @@
     }
 
     @Test
-    void waitsForAnswersOnlyForALimitedTime() {
+    void waitsForProbeResponsesForALimitedTimeOnly() {
         reportsFreeSlots(probedWorkers.get(2), 2);
         assertEquals(probedWorkers.get(2), sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
     @Test
-    void sendsJobThoughNoCandidateAnswers() {
+    void sendsJobThoughNoCandidateResponds() {
         assertNotNull(sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
--- a/src/test/java/damsonslip/policy/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -35,7 +35,7 @@
     }
 
     private static List<String> send(
-            ScriptedScheduler scheduler, String id, Predicate<String> fits) {
+            ScriptedScheduler scheduler, String id, Predicate<String> isEligible) {
         return sent(
                 scheduler.handle(
                         new JobArrived(
@@ -47,7 +47,7 @@
                                 1,
                                 0,
                                 1,
-                                fits)));
+                                isEligible)));
     }
 
     private static List<String> sent(List<Action> actions) {
@@ -76,23 +76,23 @@
     void sendsJobToItsOnlyEligibleWorkerInAnyPool() {
         ScriptedScheduler scheduler = newScheduler().workers(4);
         for (int i = 0; i < 4; i++) {
-            String only = "w" + i;
-            List<String> went = new ArrayList<>(send(scheduler, "j" + i, only::equals));
-            went.addAll(sent(scheduler.advance(3 * ScriptedScheduler.SECOND)));
-            assertEquals(List.of(only), went, "whichever pool that worker is in");
+            String eligibleWorker = "w" + i;
+            List<String> sends = new ArrayList<>(send(scheduler, "j" + i, eligibleWorker::equals));
+            sends.addAll(sent(scheduler.advance(3 * ScriptedScheduler.SECOND)));
+            assertEquals(List.of(eligibleWorker), sends, "whichever pool that worker is in");
             attemptEnds(scheduler, "j" + i, AttemptOutcome.SERVED);
         }
     }
 
     @Test
-    void usesTheSlotsThatAWorkerStates() {
+    void usesTheSlotsThatAWorkerOffers() {
         ScriptedScheduler scheduler = newScheduler().workers(1);
         offersSlots(scheduler, "w0", 20, 20);
-        int went = 0;
+        int sends = 0;
         for (int i = 0; i < 20; i++) {
-            went += send(scheduler, "j" + i, null).size();
+            sends += send(scheduler, "j" + i, null).size();
         }
-        assertEquals(20, went, "though nothing of its kind was ever seen before");
+        assertEquals(20, sends, "though nothing of its kind was ever seen before");
         WorkerState state = scheduler.policy.workers(scheduler.now).get(0);
         assertEquals(0, state.freeSlots(), 0.01);
         attemptEnds(scheduler, "j0", AttemptOutcome.SERVED);
--- a/src/test/java/damsonslip/policy/FinalAnswerTest.java
+++ b/src/test/java/damsonslip/policy/FinalAnswerTest.java
@@ -52,9 +52,9 @@
         assertNotNull(sentTo(scheduler.jobArrives("a"), "a"));
         scheduler.attemptStarts("a", 0);
         List<Action> at = scheduler.advance(10 * SECOND);
-        boolean harmless = idempotency == Idempotency.IDEMPOTENT;
-        assertEquals(harmless ? 1 : 0, actionsOfType(at, Reject.class).size());
-        assertEquals(harmless ? 0 : 1, actionsOfType(at, Fail.class).size());
+        boolean safeToRetry = idempotency == Idempotency.IDEMPOTENT;
+        assertEquals(safeToRetry ? 1 : 0, actionsOfType(at, Reject.class).size());
+        assertEquals(safeToRetry ? 0 : 1, actionsOfType(at, Fail.class).size());
         assertEquals(List.of(new Cancel("a", 0)), actionsOfType(at, Cancel.class));
         List<Action> late =
                 new ArrayList<>(scheduler.attemptEnds("a", 0, AttemptOutcome.CANCELLED));
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void rejectsEventsThatBreakTheContractWithoutChange() {
+    void rejectsInvalidEventsWithoutChange() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(2);
         IllegalArgumentException unknown =
                 assertThrows(
--- a/src/test/java/damsonslip/policy/HashRingTest.java
+++ b/src/test/java/damsonslip/policy/HashRingTest.java
@@ -20,13 +20,13 @@
     }
 
     @Test
-    void keepsTheOrderOfTheOthersWhenAWorkerLeaves() {
-        List<Worker> left = new ArrayList<>(workers);
-        left.remove(1);
+    void keepsTheOrderOfTheOthersWhenAWorkerIsRemoved() {
+        List<Worker> remaining = new ArrayList<>(workers);
+        remaining.remove(1);
         Worker[] expected =
                 Arrays.stream(HashRing.of(workers, 32))
-                        .filter(left::contains)
+                        .filter(remaining::contains)
                         .toArray(Worker[]::new);
-        assertArrayEquals(expected, HashRing.of(left, 32));
+        assertArrayEquals(expected, HashRing.of(remaining, 32));
     }
 }
--- a/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
+++ b/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
@@ -39,10 +39,11 @@
         "IDEMPOTENT_WITH_KEY, 6, false",
         "NOT_IDEMPOTENT, 2, false"
     })
-    void decidesWhetherAJobMayBeSentAgain(Idempotency idempotency, long second, boolean expected) {
+    void decidesWhetherAJobMayBeSentAgain(
+            Idempotency idempotency, long sentAgainAtS, boolean expected) {
         JobClass jobClass = jobClass(idempotency, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, 3);
-        IdempotencyRules rules = rulesAt(jobClass, second * SECOND);
+        IdempotencyRules rules = rulesAt(jobClass, sentAgainAtS * SECOND);
         assertTrue(rules.maySend(job), "it was not sent yet");
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.maySend(job));
@@ -50,7 +51,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, false", "2, true"})
-    void boundsTheRunsOfAJob(int maxRuns, boolean expected) {
+    void limitsTheRunsOfAJob(int maxRuns, boolean expected) {
         JobClass jobClass = jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, maxRuns);
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
--- a/src/test/java/damsonslip/policy/LeaseProbingTest.java
+++ b/src/test/java/damsonslip/policy/LeaseProbingTest.java
@@ -37,7 +37,7 @@
  */
 class LeaseProbingTest {
     /** The list of a lost watch is valid for 6.35 s; discovery fails all calls from then on. */
-    private static final long NO_LIST_US = 7 * SECOND;
+    private static final long LIST_EXPIRY_US = 7 * SECOND;
 
     /** Duration of a lease: the grace of a drain less the time to send. */
     private static final long LEASE_US = 350_000;
@@ -59,7 +59,7 @@
         scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
         scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
-        long end = scheduler.now + NO_LIST_US;
+        long end = scheduler.now + LIST_EXPIRY_US;
         while (scheduler.now < end) {
             if (!actionsOfType(scheduler.advance(SECOND / 10), WatchWorkerList.class).isEmpty()) {
                 scheduler.handle(
@@ -82,51 +82,51 @@
         loseWorkerList();
         List<Action> first = scheduler.jobArrives("j1");
         assertNull(sentTo(first, "j1"), "nobody vouches for its worker");
-        String asked = probedWorker(first);
-        assertNotNull(asked);
+        String probed = probedWorker(first);
+        assertNotNull(probed);
         scheduler.advance(LEASE_US / 2);
-        assertEquals(asked, sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+        assertEquals(probed, sentTo(probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
     /** The grace of a drain may have begun when the probe was sent. */
     @Test
     void startsLeaseWhenTheProbeWasSent() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
         scheduler.advance(LEASE_US - 10_000);
-        probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT);
-        assertTrue(scheduler.policy.mayUse(asked, scheduler.now));
-        assertFalse(scheduler.policy.mayUse(asked, scheduler.now + 10_000));
+        probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT);
+        assertTrue(scheduler.policy.mayUse(probed, scheduler.now));
+        assertFalse(scheduler.policy.mayUse(probed, scheduler.now + 10_000));
         scheduler.advance(20_000);
         assertNull(sentTo(scheduler.jobArrives("j2"), "j2"));
     }
 
     @Test
-    void grantsNoLeaseForLateAnswer() {
+    void grantsNoLeaseForLateResponse() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
         scheduler.advance(LEASE_US);
-        assertNull(sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+        assertNull(sentTo(probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
     @Test
     void probesNextWorkerAfterUnhealthyOne() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        List<Action> after = probeEnds(asked, ProbeResult.UNHEALTHY);
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        List<Action> after = probeEnds(probed, ProbeResult.UNHEALTHY);
         assertNull(sentTo(after, "j1"));
         String other = probedWorker(after);
         assertNotNull(other);
-        assertFalse(asked.equals(other));
+        assertFalse(probed.equals(other));
         assertEquals(other, sentTo(probeEnds(other, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
     /** A worker that was unreachable may have been restarted, and warms up then. */
     @Test
-    void waitsForWorkerListAfterUnreachableProbe() {
+    void waitsForWorkerListAfterWorkerWasUnreachable() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        String other = probedWorker(probeEnds(asked, ProbeResult.UNREACHABLE));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        String other = probedWorker(probeEnds(probed, ProbeResult.UNREACHABLE));
         probeEnds(other, ProbeResult.UNREACHABLE);
         List<Action> all = new ArrayList<>(scheduler.advance(3 * SECOND));
         all.addAll(scheduler.jobArrives("j2"));
@@ -134,7 +134,7 @@
         assertEquals(
                 1,
                 actionsOfType(all, Reject.class).stream()
-                        .filter(refused -> refused.job().equals("j2"))
+                        .filter(rejection -> rejection.job().equals("j2"))
                         .count(),
                 "nobody can be asked: it is answered at once");
         scheduler.updateWorkerList(WorkerListChange.CHANGES);
@@ -148,14 +148,14 @@
             names = {"HEALTHY", "NO_LASTING_CONNECTION"})
     void grantsLeaseOnlyOverLastingConnection(ProbeResult result) {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        assertNull(sentTo(probeEnds(asked, result), "j1"));
-        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        assertNull(sentTo(probeEnds(probed, result), "j1"));
+        assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
     /** The longer an outage lasts, the more has changed that a worker cannot know. */
     @Test
-    void stopsProbingLongAfterDiscoveryWasHeard() {
+    void stopsProbingLongAfterTheLastContactWithDiscovery() {
         loseWorkerList();
         scheduler.advance(20 * SECOND);
         List<Action> at = scheduler.jobArrives("j1");
@@ -166,21 +166,21 @@
     @Test
     void endsLeaseWhenAnAttemptIsReset() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT);
-        assertTrue(scheduler.policy.mayUse(asked, scheduler.now));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT);
+        assertTrue(scheduler.policy.mayUse(probed, scheduler.now));
         scheduler.attemptEnds("j1", 0, AttemptOutcome.RESET);
-        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+        assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
     /** The answer may be that of the process before the break. */
     @Test
     void grantsNoLeaseAfterLostConnection() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        scheduler.handle(new ConnectionLost(asked));
-        assertNull(sentTo(probeEnds(asked, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
-        assertFalse(scheduler.policy.mayUse(asked, scheduler.now));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        scheduler.handle(new ConnectionLost(probed));
+        assertNull(sentTo(probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
+        assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
     /** A restart breaks idle connections, and the worker warms up then, which only a list shows. */
@@ -218,8 +218,8 @@
     @Test
     void probesAgainWhenAProbeWasNotSent() {
         loseWorkerList();
-        String asked = probedWorker(scheduler.jobArrives("j1"));
-        String other = probedWorker(probeEnds(asked, ProbeResult.NOT_SENT));
+        String probed = probedWorker(scheduler.jobArrives("j1"));
+        String other = probedWorker(probeEnds(probed, ProbeResult.NOT_SENT));
         probeEnds(other, ProbeResult.NOT_SENT);
         String again = probedWorker(scheduler.advance(SECOND / 5));
         assertNotNull(again);
@@ -244,7 +244,7 @@
         List<Action> all = new ArrayList<>(scheduler.jobArrives("j1"));
         all.addAll(scheduler.advance(SECOND));
         scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
-        scheduler.advance(NO_LIST_US);
+        scheduler.advance(LIST_EXPIRY_US);
         all.addAll(scheduler.jobArrives("j2"));
         assertTrue(actionsOfType(all, ProbeWorker.class).isEmpty());
         assertNull(sentTo(all, "j2"));
@@ -271,7 +271,7 @@
         loseWorkerList();
         scheduler.handle(
                 new WorkerListUpdate(WorkerListChange.UNREACHABLE, List.of(), scheduler.now));
-        scheduler.advance(NO_LIST_US);
+        scheduler.advance(LIST_EXPIRY_US);
         scheduler.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), scheduler.now));
         assertTrue(actionsOfType(scheduler.jobArrives("j1"), ProbeWorker.class).isEmpty());
     }
@@ -291,7 +291,7 @@
         other.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         other.updateWorkerList(WorkerListChange.COMPLETE, worker("a"));
         other.handle(new WorkerListUpdate(WorkerListChange.FAILED, List.of(), other.now));
-        other.now += NO_LIST_US;
+        other.now += LIST_EXPIRY_US;
         other.handle(new ProbeEnded("a", result, null));
         List<Action> at = other.jobArrives("j1");
         assertNull(sentTo(at, "j1"));
--- a/src/test/java/damsonslip/policy/OutlierDetectorTest.java
+++ b/src/test/java/damsonslip/policy/OutlierDetectorTest.java
@@ -31,29 +31,29 @@
 class OutlierDetectorTest {
     /** The worker accepts jobs and answers none. */
     @Test
-    void sendsNothingToSilentWorker() {
+    void sendsNothingToUnresponsiveWorker() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(2);
-        String silent = sentTo(scheduler.jobArrives("first"), "first");
-        int late = 0;
+        String unresponsive = sentTo(scheduler.jobArrives("first"), "first");
+        int notServed = 0;
         for (int i = 0; i < 100; i++) {
             String id = "job" + i;
             String to = sentTo(scheduler.jobArrives(id), id);
             scheduler.advance(SECOND / 20);
-            if (to != null && !to.equals(silent)) {
+            if (to != null && !to.equals(unresponsive)) {
                 scheduler.attemptEnds(id, 0, AttemptOutcome.SERVED);
             } else if (i > 50) {
-                late++;
+                notServed++;
             }
         }
-        assertEquals(0, late);
+        assertEquals(0, notServed);
     }
 
     /** A worker that fails each job at once looks free, and without a pause would draw all jobs. */
     @Test
     void retriesFailingWorkerWithIdempotentJobsOnly() {
-        JobClass once = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
+        JobClass nonIdempotent = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         ScriptedScheduler scheduler =
-                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, once)).workers(4);
+                new ScriptedScheduler(settings(1, 0, IDEMPOTENT, nonIdempotent)).workers(4);
         int[] failed = new int[2];
         for (int i = 0; i < 400; i++) {
             String id = "job" + i;
@@ -81,7 +81,7 @@
 
     /** On a bad network connections break while the workers are healthy. */
     @Test
-    void keepsUsingWorkerThatAnsweredDespiteReset() {
+    void keepsUsingWorkerThatRespondedDespiteReset() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
         scheduler.jobArrives("a");
         scheduler.jobArrives("b");
--- a/src/test/java/damsonslip/policy/PoolDealingTest.java
+++ b/src/test/java/damsonslip/policy/PoolDealingTest.java
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void dealsAlikeAtAllSchedulersInAnyListOrder() {
+    void dealsIdenticallyAtAllSchedulersInAnyListOrder() {
         ScriptedScheduler one =
                 new ScriptedScheduler(settings(4, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
         ScriptedScheduler other = new ScriptedScheduler(settings(4, 3, IDEMPOTENT, IDEMPOTENT));
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void sendsBoundClassToItsKindOnly() {
-        JobClass bound =
+    void sendsClassWithRequiredKindToThatKindOnly() {
+        JobClass ofKindOne =
                 new JobClass(
                         200_000,
                         2,
@@ -83,7 +83,7 @@
                                 0,
                                 1,
                                 2,
-                                List.of(IDEMPOTENT, bound),
+                                List.of(IDEMPOTENT, ofKindOne),
                                 List.of(),
                                 new Limits(4, true, true, 0, 0),
                                 new Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
@@ -120,17 +120,17 @@
     }
 
     @Test
-    void repeatsTheSameActionsBesideAnotherScheduler() {
+    void takesTheSameActionsAlongsideAnotherScheduler() {
         ScriptedScheduler alone =
                 new ScriptedScheduler(settings(2, 0, IDEMPOTENT, IDEMPOTENT)).workers(6);
         workersUsedByClass(alone, 200);
         ScriptedScheduler again =
                 new ScriptedScheduler(settings(2, 0, IDEMPOTENT, IDEMPOTENT)).workers(6);
-        ScriptedScheduler beside =
+        ScriptedScheduler otherScheduler =
                 new ScriptedScheduler(settings(2, 1, IDEMPOTENT, IDEMPOTENT)).workers(6);
         for (int i = 0; i < 200; i++) {
             String id = "job" + i;
-            beside.jobArrives(id, i % 2, 0, null);
+            otherScheduler.jobArrives(id, i % 2, 0, null);
             String to = sentTo(again.jobArrives(id, i % 2, 0, null), id);
             if (to != null) {
                 again.attemptStarts(id, 0);
--- a/src/test/java/damsonslip/policy/RetryTest.java
+++ b/src/test/java/damsonslip/policy/RetryTest.java
@@ -70,7 +70,7 @@
     @EnumSource(
             value = IdempotencyScope.class,
             names = {"ZONE", "CELL"})
-    void retriesKeyedJobOnlyWithinItsScope(IdempotencyScope scope) {
+    void retriesJobWithIdempotencyKeyOnlyWithinItsScope(IdempotencyScope scope) {
         ScriptedScheduler scheduler = ofClass(Idempotency.IDEMPOTENT_WITH_KEY, scope);
         scheduler.updateWorkerList(
                 WorkerListChange.CACHED,
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void doesNotRetryKeyedJobAfterItsWindow() {
+    void doesNotRetryJobWithIdempotencyKeyAfterItsWindow() {
         ScriptedScheduler scheduler =
                 ofClass(Idempotency.IDEMPOTENT_WITH_KEY, IdempotencyScope.ALL_WORKERS).workers(2);
         scheduler.jobArrives("a");
--- a/src/test/java/damsonslip/policy/RunTimeEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/RunTimeEstimatorTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void returnsTheInitialFigureBeforeTheFirstJob() {
+    void returnsTheInitialEstimateBeforeTheFirstJob() {
         assertEquals(200_000, estimator.meanUs());
         assertEquals(200_000, estimator.medianUs());
     }
--- a/src/test/java/damsonslip/policy/RunTimeRatioTest.java
+++ b/src/test/java/damsonslip/policy/RunTimeRatioTest.java
@@ -11,12 +11,12 @@
     private final RunTimeRatio ratio = new RunTimeRatio();
 
     @Test
-    void startsAsUsual() {
+    void startsAtOne() {
         assertEquals(1, ratio.at(SECOND));
     }
 
     @Test
-    void averagesTheFirstJobWithTheUsual() {
+    void averagesTheFirstJobWithOne() {
         ratio.observe(4, SECOND);
         assertEquals(2.5, ratio.at(SECOND));
     }
@@ -28,13 +28,13 @@
     }
 
     @Test
-    void returnsToTheUsualWithoutJobs() {
+    void returnsToOneWithoutJobs() {
         ratio.observe(4, SECOND);
         assertTrue(ratio.at(60 * SECOND) < 1.01);
     }
 
     @Test
-    void returnsToTheUsualAfterARestart() {
+    void returnsToOneAfterAReset() {
         ratio.observe(4, SECOND);
         ratio.reset();
         assertEquals(1, ratio.at(SECOND));
--- a/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -28,8 +28,8 @@
     /** Discovery fails for all schedulers at once, several times. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void spreadsDiscoveryCallsAndDealsAfterFailures(int schedulers) {
-        List<Long> calls = new ArrayList<>();
+    void spreadsDiscoveryPollsAndDealsAfterFailures(int schedulers) {
+        List<Long> polls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
         for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
@@ -51,11 +51,11 @@
                                     }
                                 });
             }
-            calls.add(actionsOfType(actions, SetTimer.class).get(0).atUs());
+            polls.add(actionsOfType(actions, SetTimer.class).get(0).atUs());
         }
         assertTrue(
-                maxWithin(calls, 100_000) < schedulers / 5 + 3,
-                "calls in a tenth of a second: " + maxWithin(calls, 100_000));
+                maxWithin(polls, 100_000) < schedulers / 5 + 3,
+                "calls in a tenth of a second: " + maxWithin(polls, 100_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
                 "deals in a twentieth: " + maxWithin(deals, 50_000));
@@ -64,10 +64,10 @@
     /** All schedulers start at once with the same list and get a job each. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void spreadsFirstCallsDealsAndConnections(int schedulers) {
-        List<Long> calls = new ArrayList<>();
+    void spreadsFirstPollsDealsAndConnections(int schedulers) {
+        List<Long> polls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
-        Map<String, Integer> opened = new HashMap<>();
+        Map<String, Integer> firstSends = new HashMap<>();
         for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
                     new SchedulingPolicy(
@@ -76,21 +76,21 @@
             List<Action> actions = startWithJob(policy);
             for (SetTimer timer : actionsOfType(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
-                    calls.add(timer.atUs());
+                    polls.add(timer.atUs());
                 } else if (timer.label().equals("deal")) {
                     deals.add(timer.atUs());
                 }
             }
-            opened.merge(actionsOfType(actions, Send.class).get(0).worker(), 1, Integer::sum);
+            firstSends.merge(actionsOfType(actions, Send.class).get(0).worker(), 1, Integer::sum);
         }
-        assertEquals(schedulers, calls.size());
+        assertEquals(schedulers, polls.size());
         assertTrue(
-                maxWithin(calls, 50_000) < schedulers / 4 + 3,
-                "calls in a twentieth: " + maxWithin(calls, 50_000));
+                maxWithin(polls, 50_000) < schedulers / 4 + 3,
+                "calls in a twentieth: " + maxWithin(polls, 50_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
                 "deals in a twentieth: " + maxWithin(deals, 50_000));
-        int most = opened.values().stream().max(Integer::compare).orElseThrow();
+        int most = firstSends.values().stream().max(Integer::compare).orElseThrow();
         assertTrue(
                 most < schedulers / 10 + 3,
                 most + " of " + schedulers + " go to one of 40 workers first");
--- a/src/test/java/damsonslip/policy/FleetSite.java
+++ b/src/test/java/damsonslip/policy/SimulatedDeployment.java
@@ -13,7 +13,7 @@
  * @param schedulers number of schedulers
  * @param configuredSchedulers their number by the settings
  */
-record FleetSite(
+record SimulatedDeployment(
         int schedulers,
         int configuredSchedulers,
         Guarantees guarantees,
@@ -44,22 +44,23 @@
     }
 
     double meanWork() {
-        return traffic.stream().mapToDouble(t -> t.share() * t.work()).sum();
+        return traffic.stream().mapToDouble(part -> part.share() * part.work()).sum();
     }
 
     /**
      * Requests of mean work that overload a worker that warms up, if they come within the window up
      * to this age.
      */
-    double bound(long age) {
-        double warmth = guarantees.slowStartShareAt(age - guarantees.overloadWindowUs() / 2);
-        double n =
+    double overloadBound(long ageUs) {
+        double capacityShare =
+                guarantees.slowStartShareAt(ageUs - guarantees.overloadWindowUs() / 2);
+        double requests =
                 guarantees.overloadFactor()
-                        * warmth
+                        * capacityShare
                         * workerSlots
                         * guarantees.overloadWindowUs()
                         / meanWork();
-        return n + 2 * Math.sqrt(n) + 2;
+        return requests + 2 * Math.sqrt(requests) + 2;
     }
 
     /**
--- a/src/test/java/damsonslip/policy/SimulatedScheduler.java
+++ b/src/test/java/damsonslip/policy/SimulatedScheduler.java
@@ -33,7 +33,7 @@
     private static final double HANDSHAKE_US = 3_000;
 
     private static final long NETWORK_US = 1_000;
-    private static final long DELAYED_START_US = 1_000_000;
+    private static final long START_DELAY_US = 1_000_000;
 
     private final SlowStartFleet fleet;
     final int number;
@@ -52,110 +52,121 @@
     /** Starts a new process, which knows the cached list alone. */
     void start() {
         incarnation++;
-        policy = new SchedulingPolicy(fleet.site.settings(number), fleet.random.nextLong());
+        policy = new SchedulingPolicy(fleet.deployment.settings(number), fleet.random.nextLong());
         jobs.clear();
         connected.clear();
-        list(WorkerListChange.CACHED, workerList);
+        updateWorkerList(WorkerListChange.CACHED, workerList);
     }
 
-    void list(WorkerListChange change, List<WorkerEntry> list) {
-        workerList = list;
-        list.forEach(w -> knownStarts.put(w.id(), w.startedUs()));
-        handle(new WorkerListUpdate(change, list));
+    void updateWorkerList(WorkerListChange change, List<WorkerEntry> entries) {
+        workerList = entries;
+        entries.forEach(worker -> knownStarts.put(worker.id(), worker.startedUs()));
+        handle(new WorkerListUpdate(change, entries));
     }
 
     /** Counts from now on as one of so many processes of its scheduler. */
-    void divide(int processes, int index) {
+    void setProcesses(int processes, int index) {
         handle(
                 new SchedulersChanged(
-                        fleet.site.schedulers() * processes, number * processes + index));
+                        fleet.deployment.schedulers() * processes, number * processes + index));
     }
 
     void handle(Event event) {
         List<Action> actions = new ArrayList<>();
         policy.handle(fleet.now(), event, actions);
-        actions.forEach(this::act);
+        actions.forEach(this::execute);
     }
 
-    private void later(long inUs, Event event) {
-        int sender = incarnation;
-        fleet.at(
+    private void scheduleEvent(long inUs, Event event) {
+        int sendingIncarnation = incarnation;
+        fleet.schedule(
                 fleet.now() + inUs,
                 () -> {
-                    if (sender == incarnation) {
+                    if (sendingIncarnation == incarnation) {
                         handle(event);
                     }
                 });
     }
 
-    private void act(Action action) {
+    private void execute(Action action) {
         if (action instanceof Send send) {
             send(send);
         } else if (action instanceof SetTimer timer) {
-            later(Math.max(0, timer.atUs() - fleet.now()), new TimerDue(timer.label()));
+            scheduleEvent(Math.max(0, timer.atUs() - fleet.now()), new TimerDue(timer.label()));
         } else if (action instanceof Cancel cancel) {
-            end(0, cancel.job(), cancel.attempt(), AttemptOutcome.CANCELLED, () -> null);
+            endAttempt(0, cancel.job(), cancel.attempt(), AttemptOutcome.CANCELLED, () -> null);
         } else if (action instanceof ProbeWorker probe) {
-            SimulatedWorker w = fleet.worker(probe.worker());
-            if (w.up) {
-                reach(w, HANDSHAKE_US);
+            SimulatedWorker worker = fleet.worker(probe.worker());
+            if (worker.up) {
+                receiveWork(worker, HANDSHAKE_US);
             }
-            later(
+            scheduleEvent(
                     NETWORK_US,
-                    w.up
-                            ? new ProbeEnded(w.id, ProbeResult.HEALTHY, w.report())
-                            : new ProbeEnded(w.id, ProbeResult.UNREACHABLE, null));
+                    worker.up
+                            ? new ProbeEnded(worker.id, ProbeResult.HEALTHY, worker.report())
+                            : new ProbeEnded(worker.id, ProbeResult.UNREACHABLE, null));
         } else if (action instanceof WatchWorkerList) {
             throw new IllegalStateException("lists are pushed here");
         }
     }
 
-    private LoadReport reportWithResponse(SimulatedWorker w) {
-        boolean reports = fleet.site.reporting() == LoadReporting.WITH_RESPONSES;
-        return reports ? w.report() : null;
+    private LoadReport reportWithResponse(SimulatedWorker worker) {
+        boolean withResponses = fleet.deployment.reporting() == LoadReporting.WITH_RESPONSES;
+        return withResponses ? worker.report() : null;
     }
 
     /** Records work at a worker, and a handshake if this scheduler had no connection. */
-    private void reach(SimulatedWorker w, double work) {
-        boolean fresh = connected.add(w.id + w.started);
-        w.receive(
-                work + (fresh ? HANDSHAKE_US : 0),
-                knownStarts.getOrDefault(w.id, -1L) == w.started,
+    private void receiveWork(SimulatedWorker worker, double work) {
+        boolean newConnection = connected.add(worker.id + worker.started);
+        worker.receive(
+                work + (newConnection ? HANDSHAKE_US : 0),
+                knownStarts.getOrDefault(worker.id, -1L) == worker.started,
                 fleet.now());
     }
 
     private void send(Send send) {
-        SimulatedWorker w = fleet.worker(send.worker());
+        SimulatedWorker worker = fleet.worker(send.worker());
         SentJob job = jobs.get(send.job());
         int attempt = job.open().size();
         job.open().add(true);
-        if (!w.up) {
-            end(NETWORK_US, send.job(), attempt, AttemptOutcome.NOT_CONNECTED, () -> null);
+        if (!worker.up) {
+            endAttempt(NETWORK_US, send.job(), attempt, AttemptOutcome.NOT_CONNECTED, () -> null);
             return;
         }
-        reach(w, job.traffic().work());
-        if (fleet.random.nextDouble() < fleet.rejectedShare) {
-            end(NETWORK_US, send.job(), attempt, AttemptOutcome.FULL, () -> reportWithResponse(w));
+        receiveWork(worker, job.traffic().work());
+        if (fleet.random.nextDouble() < fleet.rejectedFraction) {
+            endAttempt(
+                    NETWORK_US,
+                    send.job(),
+                    attempt,
+                    AttemptOutcome.FULL,
+                    () -> reportWithResponse(worker));
             return;
         }
-        long wait = fleet.random.nextDouble() < fleet.delayedShare ? DELAYED_START_US : NETWORK_US;
-        long took = (long) (job.traffic().workUs() * (0.5 + fleet.random.nextDouble()));
-        later(wait, new AttemptStarted(send.job(), attempt));
-        end(wait + took, send.job(), attempt, AttemptOutcome.SERVED, () -> reportWithResponse(w));
+        long startDelayUs =
+                fleet.random.nextDouble() < fleet.delayedFraction ? START_DELAY_US : NETWORK_US;
+        long runTimeUs = (long) (job.traffic().workUs() * (0.5 + fleet.random.nextDouble()));
+        scheduleEvent(startDelayUs, new AttemptStarted(send.job(), attempt));
+        endAttempt(
+                startDelayUs + runTimeUs,
+                send.job(),
+                attempt,
+                AttemptOutcome.SERVED,
+                () -> reportWithResponse(worker));
     }
 
-    private void end(
+    private void endAttempt(
             long inUs,
             String id,
             int attempt,
             AttemptOutcome outcome,
             Supplier<LoadReport> report) {
-        int sender = incarnation;
+        int sendingIncarnation = incarnation;
         SentJob job = jobs.get(id);
-        fleet.at(
+        fleet.schedule(
                 fleet.now() + inUs,
                 () -> {
-                    if (sender == incarnation && job.open().set(attempt, false)) {
+                    if (sendingIncarnation == incarnation && job.open().set(attempt, false)) {
                         handle(
                                 new AttemptEnded(
                                         id,
@@ -168,5 +179,5 @@
     }
 
     /** A job and which of its attempts are open. */
-    record SentJob(FleetSite.Traffic traffic, List<Boolean> open) {}
+    record SentJob(SimulatedDeployment.Traffic traffic, List<Boolean> open) {}
 }
--- a/src/test/java/damsonslip/policy/SimulatedWorker.java
+++ b/src/test/java/damsonslip/policy/SimulatedWorker.java
@@ -26,7 +26,7 @@
 
     /** Records work that arrives now. */
     void receive(double work, boolean senderKnewStart, long now) {
-        loads.computeIfAbsent(started, fresh -> new ArrayList<>())
+        loads.computeIfAbsent(started, unused -> new ArrayList<>())
                 .add(new Load(now, work, senderKnewStart));
     }
 
--- a/src/test/java/damsonslip/policy/SlotEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/SlotEstimatorTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void takesTheLargestFigureThatTwoReportsReach() {
+    void usesTheLargestNumberThatTwoReportsReach() {
         observe(2, 8);
         assertEquals(8, estimator.slots());
         assertEquals(8, estimator.provenSlots());
--- a/src/test/java/damsonslip/policy/SlowStartFleet.java
+++ b/src/test/java/damsonslip/policy/SlowStartFleet.java
@@ -19,49 +19,50 @@
 final class SlowStartFleet {
     static final long SECOND = 1_000_000;
 
-    private static final long PATIENCE_US = 3 * SECOND;
+    private static final long JOB_TIMEOUT_US = 3 * SECOND;
 
-    private record Planned(long at, long order, Runnable what) {}
+    private record ScheduledAction(long at, long order, Runnable action) {}
 
-    final FleetSite site;
+    final SimulatedDeployment deployment;
     final SplittableRandom random;
 
     /** The parts of all sends that workers reject, and that start only after a second. */
-    double rejectedShare;
+    double rejectedFraction;
 
-    double delayedShare;
+    double delayedFraction;
 
     /** Least delay of a change from discovery to a scheduler, and the most that is added to it. */
-    long listEarliest;
+    long minListDelayUs;
 
-    long listDelay;
-    private final PriorityQueue<Planned> plan =
+    long listDelaySpreadUs;
+    private final PriorityQueue<ScheduledAction> scheduledActions =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+                    Comparator.comparingLong(ScheduledAction::at)
+                            .thenComparingLong(ScheduledAction::order));
     private final TreeMap<String, SimulatedWorker> workers = new TreeMap<>();
     private final List<SimulatedScheduler> schedulers = new ArrayList<>();
     private long now = SECOND;
     private long order;
-    private double pressure = 1;
+    private double trafficFactor = 1;
 
-    SlowStartFleet(FleetSite site, long seed) {
-        this.site = site;
+    SlowStartFleet(SimulatedDeployment deployment, long seed) {
+        this.deployment = deployment;
         this.random = new SplittableRandom(seed);
     }
 
     /** Starts all schedulers with so many warm workers. */
-    SlowStartFleet warm(int count) {
+    SlowStartFleet startWithWarmWorkers(int count) {
         for (int i = 0; i < count; i++) {
             workers.put(
                     "warm" + i,
-                    new SimulatedWorker("warm" + i, site.workerSlots(), Long.MIN_VALUE));
+                    new SimulatedWorker("warm" + i, deployment.workerSlots(), Long.MIN_VALUE));
         }
-        for (int number = 0; number < site.schedulers(); number++) {
+        for (int number = 0; number < deployment.schedulers(); number++) {
             SimulatedScheduler scheduler = new SimulatedScheduler(this, number);
             scheduler.workerList = entries();
             scheduler.start();
             schedulers.add(scheduler);
-            arrivals(scheduler, 0.3 + 1.4 * random.nextDouble());
+            scheduleArrivals(scheduler, 0.3 + 1.4 * random.nextDouble());
         }
         return this;
     }
@@ -70,45 +71,51 @@
         return workers.values().stream().map(SimulatedWorker::entry).toList();
     }
 
-    private void arrivals(SimulatedScheduler scheduler, double busy) {
-        double perUs = site.jobsPerSecond() * busy * pressure / site.schedulers() / SECOND;
-        long wait = (long) Math.min(10 * SECOND, -Math.log(1 - random.nextDouble()) / perUs);
-        at(
+    private void scheduleArrivals(SimulatedScheduler scheduler, double loadFactor) {
+        double jobsPerUs =
+                deployment.jobsPerSecond()
+                        * loadFactor
+                        * trafficFactor
+                        / deployment.schedulers()
+                        / SECOND;
+        long wait = (long) Math.min(10 * SECOND, -Math.log(1 - random.nextDouble()) / jobsPerUs);
+        schedule(
                 now + wait,
                 () -> {
                     if (schedulers.contains(scheduler)) {
-                        arrive(scheduler);
-                        arrivals(scheduler, busy);
+                        submitJob(scheduler);
+                        scheduleArrivals(scheduler, loadFactor);
                     }
                 });
     }
 
-    private void arrive(SimulatedScheduler scheduler) {
-        double draw = random.nextDouble();
-        int of = 0;
-        while (of < site.traffic().size() - 1 && draw >= site.traffic().get(of).share()) {
-            draw -= site.traffic().get(of++).share();
+    private void submitJob(SimulatedScheduler scheduler) {
+        double remaining = random.nextDouble();
+        int index = 0;
+        while (index < deployment.traffic().size() - 1
+                && remaining >= deployment.traffic().get(index).share()) {
+            remaining -= deployment.traffic().get(index++).share();
         }
-        FleetSite.Traffic traffic = site.traffic().get(of);
+        SimulatedDeployment.Traffic traffic = deployment.traffic().get(index);
         String id = "j" + order++;
         scheduler.jobs.put(id, new SimulatedScheduler.SentJob(traffic, new ArrayList<>(1)));
-        int jobClass = site.classes().indexOf(traffic.jobClass());
+        int jobClass = deployment.classes().indexOf(traffic.jobClass());
         scheduler.handle(
-                new JobArrived(id, jobClass, 0, null, now + PATIENCE_US, traffic.slots(), 0));
+                new JobArrived(id, jobClass, 0, null, now + JOB_TIMEOUT_US, traffic.slots(), 0));
     }
 
     /** Plans an action for a time. */
-    void at(long when, Runnable what) {
-        plan.add(new Planned(when, order++, what));
+    void schedule(long atUs, Runnable action) {
+        scheduledActions.add(new ScheduledAction(atUs, order++, action));
     }
 
     /** Multiplies the traffic from now on. */
-    void burst(double times) {
-        pressure = times;
+    void burst(double factor) {
+        trafficFactor = factor;
     }
 
     /** Makes all warm workers report no free slots from now on. */
-    void fillWarm() {
+    void reportWarmWorkersFull() {
         workers.values().forEach(w -> w.reportsFull = w.started == Long.MIN_VALUE);
     }
 
@@ -116,11 +123,11 @@
     void startWorker(String id) {
         SimulatedWorker w =
                 workers.computeIfAbsent(
-                        id, fresh -> new SimulatedWorker(id, site.workerSlots(), now));
+                        id, unused -> new SimulatedWorker(id, deployment.workerSlots(), now));
         w.started = now;
         w.up = true;
         w.reportsFull = false;
-        publish();
+        publishWorkerList();
     }
 
     /** Stops a worker without a change of the worker list. */
@@ -128,23 +135,24 @@
         workers.get(id).up = false;
     }
 
-    private void publish() {
+    private void publishWorkerList() {
         List<WorkerEntry> list = entries();
         for (SimulatedScheduler scheduler : schedulers) {
-            long delay = listEarliest + random.nextLong(listDelay + 1);
-            at(
+            long delay = minListDelayUs + random.nextLong(listDelaySpreadUs + 1);
+            schedule(
                     now + delay,
                     () -> {
-                        if (newer(list, scheduler.workerList)) {
-                            scheduler.list(WorkerListChange.CHANGES, list);
+                        if (isNewer(list, scheduler.workerList)) {
+                            scheduler.updateWorkerList(WorkerListChange.CHANGES, list);
                         }
                     });
         }
     }
 
     /** Lists come in order: an older one than the last is dropped. */
-    private static boolean newer(List<WorkerEntry> list, List<WorkerEntry> than) {
-        return list.size() > than.size() || (list.size() == than.size() && sum(list) > sum(than));
+    private static boolean isNewer(List<WorkerEntry> list, List<WorkerEntry> other) {
+        return list.size() > other.size()
+                || (list.size() == other.size() && sum(list) > sum(other));
     }
 
     private static double sum(List<WorkerEntry> list) {
@@ -152,16 +160,16 @@
     }
 
     /** Restarts a part of the schedulers, which keep their cached lists. */
-    void restart(double part) {
+    void restartSchedulers(double fraction) {
         schedulers.stream()
-                .filter(i -> i.number < part * schedulers.size())
+                .filter(i -> i.number < fraction * schedulers.size())
                 .forEach(SimulatedScheduler::start);
     }
 
     /** Removes a part of the schedulers; the others' settings do not change. */
-    void leave(double part) {
-        int count = (int) (part * schedulers.size());
-        schedulers.subList(0, count).forEach(gone -> gone.incarnation++);
+    void removeSchedulers(double fraction) {
+        int count = (int) (fraction * schedulers.size());
+        schedulers.subList(0, count).forEach(removed -> removed.incarnation++);
         schedulers.subList(0, count).clear();
     }
 
@@ -170,31 +178,31 @@
      * twice as many at once; the older one does so after the first time and ends after the second,
      * when the new one is alone again.
      */
-    void upgrade(double part, long dividedAfterUs, long endedAfterUs) {
+    void upgradeSchedulers(double fraction, long sharedAfterUs, long endedAfterUs) {
         for (SimulatedScheduler older :
-                List.copyOf(schedulers.subList(0, (int) (part * schedulers.size())))) {
-            SimulatedScheduler newcomer = new SimulatedScheduler(this, older.number);
-            newcomer.workerList = older.workerList;
-            newcomer.start();
-            newcomer.divide(2, 1);
-            schedulers.add(newcomer);
-            arrivals(newcomer, 1);
-            at(now + dividedAfterUs, () -> older.divide(2, 0));
-            at(
+                List.copyOf(schedulers.subList(0, (int) (fraction * schedulers.size())))) {
+            SimulatedScheduler newer = new SimulatedScheduler(this, older.number);
+            newer.workerList = older.workerList;
+            newer.start();
+            newer.setProcesses(2, 1);
+            schedulers.add(newer);
+            scheduleArrivals(newer, 1);
+            schedule(now + sharedAfterUs, () -> older.setProcesses(2, 0));
+            schedule(
                     now + endedAfterUs,
                     () -> {
                         older.incarnation++;
                         schedulers.remove(older);
-                        newcomer.divide(1, 0);
+                        newer.setProcesses(1, 0);
                     });
         }
     }
 
     SlowStartFleet run(long until) {
-        while (!plan.isEmpty() && plan.peek().at() <= until) {
-            Planned next = plan.poll();
+        while (!scheduledActions.isEmpty() && scheduledActions.peek().at() <= until) {
+            ScheduledAction next = scheduledActions.poll();
             now = next.at();
-            next.what().run();
+            next.action().run();
         }
         now = until;
         return this;
@@ -215,7 +223,7 @@
             w.loads.forEach(
                     (start, loads) -> {
                         if (start != Long.MIN_VALUE) {
-                            verdicts.add(SlowStartVerdict.of(site, w.id, start, loads));
+                            verdicts.add(SlowStartVerdict.of(deployment, w.id, start, loads));
                         }
                     });
         }
--- a/src/test/java/damsonslip/policy/SlowStartFleetTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartFleetTest.java
@@ -39,7 +39,7 @@
         LATE_LISTS {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.listDelay = 2 * SECOND;
+                fleet.listDelaySpreadUs = 2 * SECOND;
             }
         },
         /**
@@ -49,60 +49,62 @@
         LIST_AT_THE_END_OF_A_WINDOW {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.listEarliest = windowUs - 30_000;
+                fleet.minListDelayUs = windowUs - 30_000;
             }
         },
         MOST_RESTART_AT_ONCE {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.at(START + windowUs * 3 / 2, () -> fleet.restart(0.7));
+                fleet.schedule(START + windowUs * 3 / 2, () -> fleet.restartSchedulers(0.7));
             }
         },
         RESTART_BEFORE_THE_LIST {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.listDelay = 2 * SECOND;
-                fleet.at(START + SECOND / 2, () -> fleet.restart(0.7));
+                fleet.listDelaySpreadUs = 2 * SECOND;
+                fleet.schedule(START + SECOND / 2, () -> fleet.restartSchedulers(0.7));
             }
         },
-        HALF_OF_THE_SCHEDULERS_LEAVE {
+        HALF_OF_THE_SCHEDULERS_REMOVED {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.at(START + windowUs * 3 / 2, () -> fleet.leave(0.5));
+                fleet.schedule(START + windowUs * 3 / 2, () -> fleet.removeSchedulers(0.5));
             }
         },
         UPGRADES {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.at(START + windowUs / 2, () -> fleet.upgrade(0.3, SECOND / 4, 3 * SECOND));
+                fleet.schedule(
+                        START + windowUs / 2,
+                        () -> fleet.upgradeSchedulers(0.3, SECOND / 4, 3 * SECOND));
             }
         },
         REJECTIONS_AND_MIGRATIONS {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.rejectedShare = 0.3;
-                fleet.delayedShare = 0.3;
+                fleet.rejectedFraction = 0.3;
+                fleet.delayedFraction = 0.3;
             }
         },
         WARMING_UP_WORKER_RESTARTS {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.at(START + 3 * SECOND, () -> fleet.killWorker("cold0"));
-                fleet.at(START + 7 * SECOND / 2, () -> fleet.startWorker("cold0"));
+                fleet.schedule(START + 3 * SECOND, () -> fleet.killWorker("cold0"));
+                fleet.schedule(START + 7 * SECOND / 2, () -> fleet.startWorker("cold0"));
             }
         },
         BURST {
             @Override
             void inject(SlowStartFleet fleet, long windowUs) {
-                fleet.at(START + windowUs - 30_000, () -> fleet.burst(4));
+                fleet.schedule(START + windowUs - 30_000, () -> fleet.burst(4));
             }
         };
 
         abstract void inject(SlowStartFleet fleet, long windowUs);
     }
 
-    private static FleetSite.Traffic traffic(long workUs, int slots, double share) {
-        return new FleetSite.Traffic(
+    private static SimulatedDeployment.Traffic traffic(long workUs, int slots, double share) {
+        return new SimulatedDeployment.Traffic(
                 new JobClass(
                         workUs,
                         2,
@@ -117,22 +119,22 @@
     }
 
     private static Guarantees guarantees(
-            double share, double coldS, double multiple, double fallS) {
+            double share, double slowStartS, double overloadFactor, double overloadWindowS) {
         return new Guarantees(
                 16_000,
                 500_000,
                 10 * SECOND,
                 share,
-                (long) (coldS * SECOND),
-                multiple,
-                (long) (fallS * SECOND));
+                (long) (slowStartS * SECOND),
+                overloadFactor,
+                (long) (overloadWindowS * SECOND));
     }
 
     /**
      * A random deployment with up to so many classes, whose traffic exceeds what workers that warm
      * up may take.
      */
-    static FleetSite anySite(SplittableRandom random, int maxClasses) {
+    static SimulatedDeployment randomDeployment(SplittableRandom random, int maxClasses) {
         int schedulers = new int[] {20, 30, 100}[random.nextInt(3)];
         Guarantees guarantees =
                 guarantees(
@@ -146,7 +148,7 @@
         for (double weight : weights) {
             sum += weight;
         }
-        List<FleetSite.Traffic> traffic = new ArrayList<>();
+        List<SimulatedDeployment.Traffic> traffic = new ArrayList<>();
         for (double weight : weights) {
             long workUs = (long) (20_000 * Math.pow(50, random.nextDouble()));
             traffic.add(
@@ -154,35 +156,37 @@
         }
         LoadReporting reporting =
                 random.nextBoolean() ? LoadReporting.WITH_RESPONSES : LoadReporting.BY_PROBE;
-        FleetSite site =
-                new FleetSite(
+        SimulatedDeployment deployment =
+                new SimulatedDeployment(
                         schedulers, schedulers, guarantees, reporting, workerSlots, traffic, 1);
         double slots = workerSlots * guarantees.slowStartShareAt(4 * SECOND);
-        double allowed = guarantees.overloadFactor() * slots * SECOND / site.meanWork();
+        double allowed = guarantees.overloadFactor() * slots * SECOND / deployment.meanWork();
         double jobsPerSecond = Math.min(1_200, 6 * allowed);
-        return new FleetSite(
+        return new SimulatedDeployment(
                 schedulers, schedulers, guarantees, reporting, workerSlots, traffic, jobsPerSecond);
     }
 
     /** Two workers start half a second apart while all others are full. */
-    static List<SlowStartVerdict> play(
-            FleetSite site, long seed, BiConsumer<SlowStartFleet, Long> fault) {
-        SlowStartFleet fleet = new SlowStartFleet(site, seed).warm(4);
-        fleet.at(START, fleet::fillWarm);
-        fleet.at(START, () -> fleet.startWorker("cold0"));
-        fleet.at(START + SECOND / 2 + 1, () -> fleet.startWorker("cold1"));
-        fault.accept(fleet, site.guarantees().overloadWindowUs());
+    static List<SlowStartVerdict> simulate(
+            SimulatedDeployment deployment, long seed, BiConsumer<SlowStartFleet, Long> fault) {
+        SlowStartFleet fleet = new SlowStartFleet(deployment, seed).startWithWarmWorkers(4);
+        fleet.schedule(START, fleet::reportWarmWorkersFull);
+        fleet.schedule(START, () -> fleet.startWorker("cold0"));
+        fleet.schedule(START + SECOND / 2 + 1, () -> fleet.startWorker("cold1"));
+        fault.accept(fleet, deployment.guarantees().overloadWindowUs());
         return fleet.run(END).verdicts();
     }
 
     @ParameterizedTest
     @EnumSource(Fault.class)
-    void keepsWholeFleetWithinTheSlowStartBound(Fault fault) {
+    void keepsAllSchedulersTogetherWithinTheSlowStartBound(Fault fault) {
         int requests = 0;
         for (long seed = 0; seed < SEEDS; seed++) {
-            FleetSite site = anySite(new SplittableRandom(seed), 1);
-            for (SlowStartVerdict verdict : play(site, seed, fault::inject)) {
-                assertFalse(verdict.broken(), "seed " + seed + ": " + verdict + " at " + site);
+            SimulatedDeployment deployment = randomDeployment(new SplittableRandom(seed), 1);
+            for (SlowStartVerdict verdict : simulate(deployment, seed, fault::inject)) {
+                assertFalse(
+                        verdict.violatesRule(),
+                        "seed " + seed + ": " + verdict + " at " + deployment);
                 requests += verdict.requests();
             }
         }
@@ -193,8 +197,8 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void keepsNewSchedulersWithinTheBoundOfSmallWorkers(int workerSlots) {
-        FleetSite site =
-                new FleetSite(
+        SimulatedDeployment deployment =
+                new SimulatedDeployment(
                         100,
                         100,
                         guarantees(0.35, 10, 4.5, 2),
@@ -202,8 +206,9 @@
                         workerSlots,
                         List.of(traffic(50_000, 1, 1)),
                         1_000);
-        for (SlowStartVerdict verdict : play(site, 1, Fault.MOST_RESTART_AT_ONCE::inject)) {
-            assertFalse(verdict.broken(), verdict.toString());
+        for (SlowStartVerdict verdict :
+                simulate(deployment, 1, Fault.MOST_RESTART_AT_ONCE::inject)) {
+            assertFalse(verdict.violatesRule(), verdict.toString());
         }
     }
 
@@ -213,8 +218,8 @@
      */
     @Test
     void overloadsWorkerIfSchedulersAreMiscounted() {
-        FleetSite site =
-                new FleetSite(
+        SimulatedDeployment deployment =
+                new SimulatedDeployment(
                         30,
                         10,
                         guarantees(0.25, 8, 3, 2),
@@ -222,6 +227,8 @@
                         4,
                         List.of(traffic(50_000, 1, 1)),
                         1_000);
-        assertTrue(play(site, 1, Fault.NONE::inject).stream().anyMatch(SlowStartVerdict::broken));
+        assertTrue(
+                simulate(deployment, 1, Fault.NONE::inject).stream()
+                        .anyMatch(SlowStartVerdict::violatesRule));
     }
 }
--- a/src/test/java/damsonslip/policy/SlowStartTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartTest.java
@@ -80,15 +80,15 @@
             for (int i = 0; i < 400; i++) {
                 List<Action> actions = new ArrayList<>(scheduler.jobArrives("job" + i));
                 actions.addAll(scheduler.advance(20_000));
-                List<Send> open = new ArrayList<>(actionsOfType(actions, Send.class));
+                List<Send> unfinished = new ArrayList<>(actionsOfType(actions, Send.class));
                 for (int next = 0;
-                        next < open.size();
+                        next < unfinished.size();
                         next++) { // each end may lead to the next send
                     sends++;
-                    open.addAll(
+                    unfinished.addAll(
                             actionsOfType(
                                     scheduler.attemptEnds(
-                                            open.get(next).job(), 0, AttemptOutcome.SERVED),
+                                            unfinished.get(next).job(), 0, AttemptOutcome.SERVED),
                                     Send.class));
                 }
             }
@@ -122,19 +122,20 @@
     @Test
     void spreadsTurnsOverWarmingUpWorkers() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(40, 3, IDEMPOTENT));
-        List<WorkerEntry> fresh = new ArrayList<>();
+        List<WorkerEntry> warmingUpWorkers = new ArrayList<>();
         for (int i = 0; i < 24; i++) {
-            fresh.add(worker("w" + i, 0, 0, WorkerStatus.RUNNING, SECOND));
+            warmingUpWorkers.add(worker("w" + i, 0, 0, WorkerStatus.RUNNING, SECOND));
         }
-        scheduler.updateWorkerList(WorkerListChange.CACHED, fresh.toArray(WorkerEntry[]::new));
+        scheduler.updateWorkerList(
+                WorkerListChange.CACHED, warmingUpWorkers.toArray(WorkerEntry[]::new));
         for (int turn = 0; turn < 3; turn++) {
-            Set<String> reached = new HashSet<>();
+            Set<String> usedWorkers = new HashSet<>();
             sendsOfSteps(scheduler, 90, "turn" + turn)
-                    .forEach(sends -> sends.forEach(send -> reached.add(send.worker())));
+                    .forEach(sends -> sends.forEach(send -> usedWorkers.add(send.worker())));
             scheduler.advance(10 * 20_000); // to the next turn
             assertTrue(
-                    reached.size() > 2 && reached.size() < 20,
-                    "turn " + turn + ": " + reached.size() + " of 24");
+                    usedWorkers.size() > 2 && usedWorkers.size() < 20,
+                    "turn " + turn + ": " + usedWorkers.size() + " of 24");
         }
     }
 
@@ -161,8 +162,9 @@
             for (int i = from; i < from + 100; i++) {
                 inWindow += sent[i];
             }
-            double warmth = 0.25 + 0.75 * (from * 0.02 + 1) / 8; // in the middle of the window
-            assertTrue(inWindow <= 3 * warmth * 4 * 2, "from " + from + ": " + inWindow);
+            double capacityShare =
+                    0.25 + 0.75 * (from * 0.02 + 1) / 8; // in the middle of the window
+            assertTrue(inWindow <= 3 * capacityShare * 4 * 2, "from " + from + ": " + inWindow);
         }
     }
 
--- a/src/test/java/damsonslip/policy/SlowStartVerdict.java
+++ b/src/test/java/damsonslip/policy/SlowStartVerdict.java
@@ -16,33 +16,36 @@
         long ageUs,
         double ratio,
         double knownShare,
-        boolean broken,
+        boolean violatesRule,
         int requests) {
     /** An overload breaks the rule if more than this part came from schedulers that knew. */
-    private static final double KNOWN_SHARE = 2.0 / 3;
+    private static final double MAX_KNOWN_SHARE = 2.0 / 3;
 
     /** Judges the work that a worker received after a start. */
     static SlowStartVerdict of(
-            FleetSite site, String id, long start, List<SimulatedWorker.Load> loads) {
+            SimulatedDeployment deployment,
+            String id,
+            long start,
+            List<SimulatedWorker.Load> loads) {
         double[] inWindow = new double[2];
         int from = 0;
         SlowStartVerdict worst = new SlowStartVerdict(id, start, 0, 0, 0, false, loads.size());
         boolean overloaded = false;
-        boolean broken = false;
+        boolean violatesRule = false;
         for (SimulatedWorker.Load load : loads) {
             long age = load.at() - start;
-            if (age >= site.guarantees().slowStartUs()) {
+            if (age >= deployment.guarantees().slowStartUs()) {
                 break;
             }
             inWindow[load.senderKnewStart() ? 1 : 0] += load.work();
             for (;
-                    loads.get(from).at() <= load.at() - site.guarantees().overloadWindowUs();
+                    loads.get(from).at() <= load.at() - deployment.guarantees().overloadWindowUs();
                     from++) {
                 inWindow[loads.get(from).senderKnewStart() ? 1 : 0] -= loads.get(from).work();
             }
             double sum = Arrays.stream(inWindow).sum();
-            double ratio = sum / site.meanWork() / site.bound(age);
-            broken |= !overloaded && ratio > 1 && inWindow[1] > KNOWN_SHARE * sum;
+            double ratio = sum / deployment.meanWork() / deployment.overloadBound(age);
+            violatesRule |= !overloaded && ratio > 1 && inWindow[1] > MAX_KNOWN_SHARE * sum;
             overloaded |= ratio > 1;
             if (ratio > worst.ratio()) {
                 worst =
@@ -51,6 +54,12 @@
             }
         }
         return new SlowStartVerdict(
-                id, start, worst.ageUs(), worst.ratio(), worst.knownShare(), broken, loads.size());
+                id,
+                start,
+                worst.ageUs(),
+                worst.ratio(),
+                worst.knownShare(),
+                violatesRule,
+                loads.size());
     }
 }
--- a/src/test/java/damsonslip/policy/TenantQuotasTest.java
+++ b/src/test/java/damsonslip/policy/TenantQuotasTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void enforcesItsOwnPartOfAQuota() {
+    void enforcesThePartOfAQuotaOfOneScheduler() {
         TenantQuotas quotas = new TenantQuotas(2);
         quotas.start(0);
         assertEquals(10, acquired(quotas, 0, 100, SECOND));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void keepsTheQuotasOfTenantsApart() {
+    void enforcesTheQuotasOfTenantsSeparately() {
         TenantQuotas quotas = new TenantQuotas(2);
         quotas.start(0);
         acquired(quotas, 0, 100, SECOND);
--- a/src/test/java/damsonslip/policy/WorkerHealthTest.java
+++ b/src/test/java/damsonslip/policy/WorkerHealthTest.java
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void startsAnewAfterARestart() {
+    void forgetsFailuresAndPauseOnReset() {
         health.countFailure();
         health.pauseUntil(SECOND);
         health.reset();
--- a/src/test/java/damsonslip/policy/WorkerListTest.java
+++ b/src/test/java/damsonslip/policy/WorkerListTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void callsDiscoveryAgainAfterEachFailure() {
+    void pollsDiscoveryAgainAfterEachFailure() {
         ScriptedScheduler scheduler = pollingScheduler();
         scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         assertEquals(1, actionsOfType(scheduler.advance(SECOND), WatchWorkerList.class).size());
@@ -108,16 +108,16 @@
 
     /** They are not kept until their deadline. */
     @Test
-    void answersQueuedJobsWhenTheWorkerListExpires() {
+    void rejectsQueuedJobsWhenTheWorkerListExpires() {
         ScriptedScheduler scheduler = pollingScheduler();
         scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"));
         scheduler.advance(4 * SECOND);
         for (int i = 0; i < 12; i++) {
             scheduler.jobArrives("j" + i);
         }
-        int answered = actionsOfType(scheduler.actions, Reject.class).size();
+        int rejected = actionsOfType(scheduler.actions, Reject.class).size();
         int sent = actionsOfType(scheduler.actions, Send.class).size();
-        assertTrue(answered + sent < 12, "some are held");
+        assertTrue(rejected + sent < 12, "some are held");
         scheduler.advance(SECOND / 2);
         assertEquals(
                 12,
--- a/src/test/java/damsonslip/policy/WorkerLoadTest.java
+++ b/src/test/java/damsonslip/policy/WorkerLoadTest.java
@@ -18,14 +18,14 @@
     }
 
     @Test
-    void attributesTheRestOfAProbedReportToTheOthers() {
+    void attributesTheRestOfAProbedReportToOtherSchedulers() {
         load.changeOwnSlots(1, SECOND);
         report(1, Double.NaN, true, SECOND);
         assertEquals(2, load.othersSlots());
     }
 
     @Test
-    void doesNotTakeEndedOwnJobsInALateReportForOthers() {
+    void doesNotAttributeEndedOwnJobsInALateReportToOtherSchedulers() {
         load.changeOwnSlots(4, SECOND);
         load.changeOwnSlots(-4, 11 * SECOND);
         report(0, Double.NaN, false, 11 * SECOND);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void lacksMemoryThatIsReserved() {
+    void countsReservedMemoryAsUnavailable() {
         report(4, 10, true, SECOND);
         load.reserveMemory(7);
         assertFalse(load.lacksMemory(3));
@@ -43,12 +43,12 @@
     }
 
     @Test
-    void doesNotLackMemoryThatIsNotReported() {
+    void ignoresMemoryThatIsNotReported() {
         assertFalse(load.lacksMemory(1e9));
     }
 
     @Test
-    void usesAllSlotsWhenFull() {
+    void countsAllSlotsAsUsedWhenFull() {
         load.changeOwnSlots(1, SECOND);
         load.recordFull(4, SECOND);
         assertEquals(3, load.othersSlots());
--- a/src/test/java/damsonslip/policy/WorkerRetentionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerRetentionTest.java
@@ -31,7 +31,7 @@
                     ScriptedScheduler.settings(
                             1, 0, jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
 
-    private static WorkerEntry[] release(int round) {
+    private static WorkerEntry[] workersOfRelease(int round) {
         return IntStream.range(0, WORKERS)
                 .mapToObj(i -> worker("w" + round + "-" + i))
                 .toArray(WorkerEntry[]::new);
@@ -40,7 +40,7 @@
     @Test
     void forgetsWorkersThatStoppedLongAgo() {
         for (int round = 0; round < 100; round++) {
-            scheduler.updateWorkerList(WorkerListChange.COMPLETE, release(round));
+            scheduler.updateWorkerList(WorkerListChange.COMPLETE, workersOfRelease(round));
             String job = "j" + round;
             assertNotNull(sentTo(scheduler.jobArrives(job), job));
             scheduler.advance(SECOND / 10);
