--- a/src/test/java/damsonslip/policy/AdmissionTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Admits jobs by threshold and quota, and releases queued ones in order. */
+/** Admits jobs by threshold and quota, and sends queued ones in order. */
 class AdmissionTest {
     @Test
     void rejectsJobsOverTheThresholdAndReleasesQueuedOnesInOrder() {
@@ -29,15 +29,18 @@
             actionsOfType(at, Send.class).forEach(send -> sent.add(send.job()));
         }
         assertEquals(4, sent.size(), "one worker of four slots");
-        assertTrue(rejected > 30, rejected + " refused");
+        assertTrue(rejected > 30, rejected + " rejected");
         scheduler.advance(SECOND / 20);
         List<Action> after = scheduler.attemptEnds(sent.get(0), 0, AttemptOutcome.SERVED);
         List<Send> released = actionsOfType(after, Send.class);
         assertFalse(released.isEmpty());
-        assertEquals("job4", released.get(0).job(), "the oldest held");
+        assertEquals("job4", released.get(0).job(), "the oldest queued job");
     }
 
-    /** Incident ifa450e: in arrival order under overload, all jobs started just too late. */
+    /**
+     * Incident ifa450e: with jobs sent in arrival order under overload, all of them started just
+     * too late.
+     */
     @Test
     void rejectsLateQueuedJobWhileOthersWait() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
@@ -50,7 +53,7 @@
         assertEquals(4, actionsOfType(scheduler.actions, Send.class).size());
     }
 
-    /** Guards against one tenant's excess crowding out those within their quotas. */
+    /** Guards against a tenant over its quota displacing jobs of tenants within theirs. */
     @Test
     void protectsTenantsWithinQuotaFromOneBeyondIt() {
         ScriptedScheduler scheduler =
@@ -77,7 +80,7 @@
             }
             handledActions = scheduler.actions.size();
         }
-        assertTrue(sent[1] > 40, sent[1] + " of 50 within the quota");
-        assertTrue(sent[0] < 600, sent[0] + " of 950 mostly beyond it");
+        assertTrue(sent[1] > 40, sent[1] + " of 50 jobs within the quota sent");
+        assertTrue(sent[0] < 600, sent[0] + " of 950 jobs, mostly over the quota, sent");
     }
 }
--- a/src/test/java/damsonslip/policy/AdmissionThresholdTest.java
+++ b/src/test/java/damsonslip/policy/AdmissionThresholdTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The threshold search against the paper's figure 1 and against a direct summation. */
+/** Compares the threshold search with figure 1 of the paper and with a direct summation. */
 class AdmissionThresholdTest {
     private static final double FINE = 1e-12;
 
@@ -22,9 +22,8 @@
     void matchesDirectSummation(int n, double load, double q) {
         int found = AdmissionThreshold.search(n, load, 1, q, 1, FINE);
         double at = revenue(n, load, q, found);
-        assertTrue(at >= revenue(n, load, q, found - 1), "K is no worse than one less");
-        assertTrue(
-                at + 1e-9 * load >= revenue(n, load, q, found + 1), "and no worse than one more");
+        assertTrue(at >= revenue(n, load, q, found - 1), "K is no worse than K - 1");
+        assertTrue(at + 1e-9 * load >= revenue(n, load, q, found + 1), "K is no worse than K + 1");
     }
 
     @Test
--- a/src/test/java/damsonslip/policy/AttemptMigrationTest.java
+++ b/src/test/java/damsonslip/policy/AttemptMigrationTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Migrates jobs that do not start. */
+/** Migrates jobs whose attempts do not start. */
 class AttemptMigrationTest {
-    /** Only idempotent jobs migrate, and those with an affinity key stay with their worker. */
+    /** Only idempotent jobs are migrated; jobs with an affinity key stay with their worker. */
     @Test
     void migratesIdempotentJobThatDoesNotStart() {
         JobClass nonIdempotent = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
@@ -35,12 +35,12 @@
         scheduler.attemptStarts("a", 0);
         assertTrue(
                 actionsOfType(scheduler.advance(SECOND / 2), Cancel.class).isEmpty(),
-                "a started job stays");
+                "a job that has started is not migrated");
         scheduler.jobArrives("b", 1, 0, null);
         scheduler.jobArrives("c", 0, 0, 5L);
         assertTrue(
                 actionsOfType(scheduler.advance(SECOND / 2), Cancel.class).isEmpty(),
-                "neither may move");
+                "neither may be migrated");
         String firstWorker = sentTo(scheduler.jobArrives("d"), "d");
         assertEquals(
                 List.of(new Cancel("d", 0)),
@@ -48,14 +48,15 @@
         List<Action> after =
                 new ArrayList<>(scheduler.attemptEnds("d", 0, AttemptOutcome.CANCELLED));
         after.addAll(scheduler.advance(SECOND / 20));
-        assertFalse(firstWorker.equals(sentTo(after, "d")), "not to the one that did not start it");
+        assertFalse(
+                firstWorker.equals(sentTo(after, "d")), "not to the worker that did not start it");
         assertEquals(1, actionsOfType(after, Send.class).size());
     }
 
     /**
-     * One of so many jobs starts 150 ms after it was sent, at any worker, and the others at once.
-     * Guards against migrations where all workers have queues: they add load where workers go on to
-     * run cancelled jobs.
+     * One in {@code delayedEvery} jobs starts 150 ms after it was sent, whichever the worker, and
+     * the others start at once. Guards against migrations while all workers have queues: they add
+     * load, since workers may go on running cancelled jobs.
      */
     @ParameterizedTest
     @CsvSource({"1, 0, 3", "2, 0, 10", "10, 35, 40"})
@@ -76,6 +77,8 @@
             scheduler.advance(50_000);
             scheduler.attemptEnds(job, attempt, AttemptOutcome.SERVED);
         }
-        assertTrue(migrated >= minMigrated && migrated <= maxMigrated, migrated + " are moved");
+        assertTrue(
+                migrated >= minMigrated && migrated <= maxMigrated,
+                migrated + " of 400 jobs are migrated");
     }
 }
--- a/src/test/java/damsonslip/policy/BorrowingTest.java
+++ b/src/test/java/damsonslip/policy/BorrowingTest.java
@@ -24,10 +24,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sends jobs to the pools of other classes. */
+/** Sends jobs to workers of other classes' pools. */
 class BorrowingTest {
     /**
-     * The threshold bounds the queue of the own pool; beside a mostly free pool no job is rejected.
+     * The threshold limits the queue of the job's own pool; while another pool is mostly free, no
+     * job is rejected.
      */
     @Test
     void borrowsFromMostlyFreePoolInsteadOfRejecting() {
@@ -41,12 +42,12 @@
         assertEquals(0, actionsOfType(all, Reject.class).size());
         assertTrue(
                 actionsOfType(all, Send.class).stream().map(Send::worker).distinct().count() > 5,
-                "beyond the own five");
+                "more than the five workers of its own pool");
     }
 
     /**
-     * If the whole pool of a class is slow, its mean run time does not show that; the run times at
-     * borrowed workers do.
+     * If all workers of a pool are slow, the mean run time of the pool does not show it; the run
+     * times at borrowed workers do.
      */
     @Test
     void borrowsWhenAllWorkersOfThePoolAreSlow() {
@@ -80,12 +81,15 @@
         }
         assertTrue(
                 sentToSlow[0] > 0 && sentToSlow[1] < sentToSlow[0] / 2,
-                sentToSlow[0] + ", then " + sentToSlow[1] + " at slow workers");
+                sentToSlow[0]
+                        + " jobs in the first half, "
+                        + sentToSlow[1]
+                        + " in the second half at slow workers");
     }
 
     /**
-     * Guards against rejecting jobs beside reported free slots while the only worker of a small
-     * pool fails.
+     * Guards against rejecting jobs while other pools report free slots and the only worker of a
+     * small pool fails.
      */
     @Test
     void borrowsAnyFreeSlotWhenThePoolIsUnavailable() {
@@ -93,7 +97,7 @@
                 new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
         for (int i = 0; i < 100; i++) {
             scheduler.reportedFreeSlots =
-                    i % 20 == 0 ? 4 : 1.4; // of four: less than a pool lends in good times
+                    i % 20 == 0 ? 4 : 1.4; // of four slots: fewer than a pool lends normally
             scheduler.jobArrives("j" + i, i % 20 == 0 ? 1 : 0, 0, null);
             scheduler.advance(100_000);
             scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
@@ -107,8 +111,8 @@
     }
 
     /**
-     * Guards against rejecting jobs of a valuable class beside slots that a cheaper one leaves
-     * free.
+     * Guards against rejecting jobs of a class with a high priority weight while a class with a
+     * lower one leaves slots free.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 5})
@@ -126,7 +130,7 @@
                 new ScriptedScheduler(settings(1, 0, first, IDEMPOTENT)).workers(8);
         for (int i = 0; i < 200; i++) {
             scheduler.reportedFreeSlots =
-                    i % 20 < 2 ? 4 : 1.4; // of four: less than a pool lends in good times
+                    i % 20 < 2 ? 4 : 1.4; // of four slots: fewer than a pool lends normally
             scheduler.jobArrives("j" + i, i % 2, 0, null);
             scheduler.advance(100_000);
             scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
@@ -138,6 +142,8 @@
         long used =
                 actionsOfType(actions, Send.class).stream().map(Send::worker).distinct().count();
         assertEquals(
-                priorityWeight > 1, used > 4, "half of the workers are its own: it used " + used);
+                priorityWeight > 1,
+                used > 4,
+                "its own pool has four of the eight workers: it used " + used);
     }
 }
--- a/src/test/java/damsonslip/policy/CandidateProbingTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Probes some workers before a job is sent, where only probes report load: older reports are of
- * little use.
+ * Probes some candidates before a job is sent, where only probes report load: older reports say
+ * little about the current load.
  */
 class CandidateProbingTest {
     private static final int WORKERS = 8;
@@ -97,7 +97,7 @@
         assertNotNull(sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
-    /** A fresh report is as good as the answer to a probe. */
+    /** A recent load report replaces a probe. */
     @Test
     void doesNotProbeWorkersThatHaveJustReported() {
         probedWorkers.forEach(worker -> reportsFreeSlots(worker, 4));
--- a/src/test/java/damsonslip/policy/CapacityEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/CapacityEstimatorTest.java
@@ -13,9 +13,9 @@
 import damsonslip.policy.api.WorkerStatus;
 import org.junit.jupiter.api.Test;
 
-/** Estimates free slots where each of many schedulers sees few reports. */
+/** Estimates free slots where each of many schedulers receives few load reports. */
 class CapacityEstimatorTest {
-    /** Guards against taking workers that have not reported for idle. */
+    /** Guards against treating workers that have sent no report as idle. */
     @Test
     void assumesUnreportedWorkersAreAsFullAsTheRest() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(14, 0, IDEMPOTENT)).workers(8);
@@ -31,12 +31,12 @@
         WorkerState far = scheduler.policy.workers(scheduler.now).get(0);
         assertTrue(
                 far.id().equals("far") && far.freeSlots() < 2,
-                "no report says that anybody has room: " + far);
+                "no worker has reported free slots: " + far);
     }
 
     /**
-     * Guards against reports from before a rolling restart, soon after which the same workers are
-     * full.
+     * Guards against relying on reports from before a rolling restart, soon after which the same
+     * workers are full.
      */
     @Test
     void discountsOldLoadReports() {
@@ -52,12 +52,12 @@
                         .mapToDouble(WorkerState::freeSlots)
                         .average()
                         .orElseThrow();
-        assertTrue(free < 1.3, "ten reports in fifteen seconds say that all are full: " + free);
+        assertTrue(free < 1.3, "ten reports within 15 s show no free slots: " + free);
     }
 
     /**
-     * Guards against sending job after job to full workers while no report comes: a job that does
-     * not start shows as much.
+     * Guards against sending further jobs to full workers while no reports arrive: a job that does
+     * not start also shows that its worker is full.
      */
     @Test
     void lowersFreeSlotsOfSimilarWorkersWhenAJobDoesNotStart() {
@@ -70,7 +70,7 @@
         }
         double before = meanFreeSlots(scheduler);
         String to = sentTo(scheduler.jobArrives("x"), "x");
-        scheduler.advance(110_000); // and it is moved
+        scheduler.advance(110_000); // long enough for the job to be migrated
         scheduler.attemptEnds("x", 0, AttemptOutcome.CANCELLED);
         scheduler.advance(20_000);
         assertTrue(
--- a/src/test/java/damsonslip/policy/FetchingWorkersTest.java
+++ b/src/test/java/damsonslip/policy/FetchingWorkersTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Workers that fetch jobs and state their slots, and jobs for which not all of them are eligible.
+ * Workers that fetch jobs and offer their slots, and jobs for which not all workers are eligible.
  */
 class FetchingWorkersTest {
     private static ScriptedScheduler newScheduler() {
@@ -79,7 +79,7 @@
             String eligibleWorker = "w" + i;
             List<String> sends = new ArrayList<>(send(scheduler, "j" + i, eligibleWorker::equals));
             sends.addAll(sent(scheduler.advance(3 * ScriptedScheduler.SECOND)));
-            assertEquals(List.of(eligibleWorker), sends, "whichever pool that worker is in");
+            assertEquals(List.of(eligibleWorker), sends, "in whichever pool its worker is");
             attemptEnds(scheduler, "j" + i, AttemptOutcome.SERVED);
         }
     }
@@ -92,7 +92,7 @@
         for (int i = 0; i < 20; i++) {
             sends += send(scheduler, "j" + i, null).size();
         }
-        assertEquals(20, sends, "though nothing of its kind was ever seen before");
+        assertEquals(20, sends, "although no worker of its kind has reported slots before");
         WorkerState state = scheduler.policy.workers(scheduler.now).get(0);
         assertEquals(0, state.freeSlots(), 0.01);
         attemptEnds(scheduler, "j0", AttemptOutcome.SERVED);
@@ -100,7 +100,7 @@
                 0,
                 scheduler.policy.workers(scheduler.now).get(0).freeSlots(),
                 0.01,
-                "its slot is free once it is offered");
+                "its slot counts as free only once it is offered");
         offersSlots(scheduler, "w0", 1, 20);
         assertEquals(1, scheduler.policy.workers(scheduler.now).get(0).freeSlots(), 0.01);
     }
@@ -113,7 +113,8 @@
         scheduler.attemptStarts("long", 0);
         scheduler.advance(60 * ScriptedScheduler.SECOND / 10);
         offersSlots(scheduler, "w0", 1, 2);
-        assertEquals(List.of("w0"), send(scheduler, "next", null), "it asked for another");
+        assertEquals(
+                List.of("w0"), send(scheduler, "next", null), "the worker offered another slot");
     }
 
     @Test
@@ -132,14 +133,14 @@
         for (int i = 0; i < 4; i++) {
             assertTrue(
                     !scheduler.policy.workers(scheduler.now).get(0).paused(),
-                    "what was done between counts");
+                    "a served job in between resets the count");
             offersSlots(scheduler, "w0", 4, 4);
             send(scheduler, "g" + i, null);
             attemptEnds(scheduler, "g" + i, AttemptOutcome.ERROR);
         }
         assertTrue(
                 scheduler.policy.workers(scheduler.now).get(0).paused(),
-                "four with nothing done between");
+                "after four failures without a served job in between");
     }
 
     @Test
@@ -148,10 +149,11 @@
         offersSlots(scheduler, "w0", 4, 4);
         for (int i = 0; i < 40; i++) {
             send(scheduler, "q" + i, null);
-            scheduler.now += i % 4 == 0 ? 4_000 : 200; // now and then twenty times as long as usual
+            scheduler.now +=
+                    i % 4 == 0 ? 4_000 : 200; // every fourth job takes twenty times as long
             attemptEnds(scheduler, "q" + i, AttemptOutcome.SERVED);
             offersSlots(scheduler, "w0", 4, 4);
         }
-        assertEquals(List.of("w0"), send(scheduler, "last", null), "at once");
+        assertEquals(List.of("w0"), send(scheduler, "last", null), "the worker is not avoided");
     }
 }
--- a/src/test/java/damsonslip/policy/FinalAnswerTest.java
+++ b/src/test/java/damsonslip/policy/FinalAnswerTest.java
@@ -32,7 +32,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Rule 1: each job gets one final answer, in time. */
+/** Each job gets exactly one final answer, in time (rule 1). */
 class FinalAnswerTest {
     @Test
     void rejectsJobBeforeItsDeadlineWithoutWorkers() {
--- a/src/test/java/damsonslip/policy/FreeShareEstimateTest.java
+++ b/src/test/java/damsonslip/policy/FreeShareEstimateTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Estimates the free share of a group of workers. */
+/** Estimates the share of free slots of a group of workers. */
 class FreeShareEstimateTest {
     private final FreeShareEstimate estimate = new FreeShareEstimate();
 
--- a/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
+++ b/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
@@ -29,7 +29,7 @@
         return new Job(arrival, new WorkerPool(jobClass, 1, 1), SECOND, 0, 1);
     }
 
-    /** The window of a keyed job ends 5 s after it was first sent. */
+    /** The window of an idempotency key ends 5 s after the job was first sent. */
     @ParameterizedTest
     @CsvSource({
         "IDEMPOTENT, 2, true",
@@ -44,7 +44,7 @@
         JobClass jobClass = jobClass(idempotency, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, 3);
         IdempotencyRules rules = rulesAt(jobClass, sentAgainAtS * SECOND);
-        assertTrue(rules.maySend(job), "it was not sent yet");
+        assertTrue(rules.maySend(job), "it has not been sent yet");
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.maySend(job));
     }
@@ -71,7 +71,7 @@
         JobClass jobClass = jobClass(idempotency, scope);
         Job job = job(jobClass, 3);
         IdempotencyRules rules = rulesAt(jobClass, 2 * SECOND);
-        assertTrue(rules.isSafeToRetryByClient(job), "it never ran");
+        assertTrue(rules.isSafeToRetryByClient(job), "it has never run");
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.isSafeToRetryByClient(job));
     }
--- a/src/test/java/damsonslip/policy/LeaseProbingTest.java
+++ b/src/test/java/damsonslip/policy/LeaseProbingTest.java
@@ -32,14 +32,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * While no worker list is valid, jobs are sent only to workers whose probe has just granted a
+ * While no worker list is valid, jobs are sent only to workers to which a probe has granted a
  * lease.
  */
 class LeaseProbingTest {
-    /** The list of a lost watch is valid for 6.35 s; discovery fails all calls from then on. */
+    /** Time after which the list of a lost watch has expired: it is valid for 6.35 s. */
     private static final long LIST_EXPIRY_US = 7 * SECOND;
 
-    /** Duration of a lease: the grace of a drain less the time to send. */
+    /** Duration of a lease: the drain grace less the send margin. */
     private static final long LEASE_US = 350_000;
 
     private final ScriptedScheduler scheduler = new ScriptedScheduler(settings());
@@ -54,7 +54,7 @@
                 .withProbesReportingDraining();
     }
 
-    /** Lists two workers, loses the watch and lets the list expire. */
+    /** Lists two workers, loses the watch and fails all polls until the list has expired. */
     private void loseWorkerList() {
         scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
         scheduler.updateWorkerList(WorkerListChange.COMPLETE, worker("a"), worker("b"));
@@ -81,14 +81,14 @@
     void sendsToWorkerWhoseProbeIsHealthy() {
         loseWorkerList();
         List<Action> first = scheduler.jobArrives("j1");
-        assertNull(sentTo(first, "j1"), "nobody vouches for its worker");
+        assertNull(sentTo(first, "j1"), "no worker has a lease");
         String probed = probedWorker(first);
         assertNotNull(probed);
         scheduler.advance(LEASE_US / 2);
         assertEquals(probed, sentTo(probeEnds(probed, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
-    /** The grace of a drain may have begun when the probe was sent. */
+    /** The drain grace may have started when the probe was sent. */
     @Test
     void startsLeaseWhenTheProbeWasSent() {
         loseWorkerList();
@@ -121,7 +121,7 @@
         assertEquals(other, sentTo(probeEnds(other, ProbeResult.HEALTHY_THROUGHOUT), "j1"));
     }
 
-    /** A worker that was unreachable may have been restarted, and warms up then. */
+    /** An unreachable worker may have been restarted and be warming up. */
     @Test
     void waitsForWorkerListAfterWorkerWasUnreachable() {
         loseWorkerList();
@@ -136,12 +136,12 @@
                 actionsOfType(all, Reject.class).stream()
                         .filter(rejection -> rejection.job().equals("j2"))
                         .count(),
-                "nobody can be asked: it is answered at once");
+                "no worker may be probed, so the job is rejected at once");
         scheduler.updateWorkerList(WorkerListChange.CHANGES);
-        assertNotNull(sentTo(scheduler.jobArrives("j3"), "j3"), "a list tells of restarts");
+        assertNotNull(sentTo(scheduler.jobArrives("j3"), "j3"), "a list shows restarts");
     }
 
-    /** A new connection does not show whether its worker was restarted or removed meanwhile. */
+    /** A new connection does not show whether the worker was restarted or removed meanwhile. */
     @ParameterizedTest
     @EnumSource(
             value = ProbeResult.class,
@@ -153,7 +153,7 @@
         assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
-    /** The longer an outage lasts, the more has changed that a worker cannot know. */
+    /** The longer an outage lasts, the more has changed that workers cannot know. */
     @Test
     void stopsProbingLongAfterTheLastContactWithDiscovery() {
         loseWorkerList();
@@ -173,7 +173,7 @@
         assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
-    /** The answer may be that of the process before the break. */
+    /** The response may come from the process that ran before the connection was lost. */
     @Test
     void grantsNoLeaseAfterLostConnection() {
         loseWorkerList();
@@ -183,7 +183,7 @@
         assertFalse(scheduler.policy.mayUse(probed, scheduler.now));
     }
 
-    /** A restart breaks idle connections, and the worker warms up then, which only a list shows. */
+    /** A restart closes idle connections, and only a list shows that the worker is warming up. */
     @Test
     void doesNotProbeWorkerWhoseIdleConnectionBroke() {
         loseWorkerList();
@@ -194,7 +194,7 @@
         assertEquals(1, actionsOfType(at, Reject.class).size());
     }
 
-    /** Discovery was heard after it, so that the last list would show a restart. */
+    /** Data was received from discovery after the loss, so the last list would show a restart. */
     @Test
     void probesWorkerWhoseConnectionBrokeBeforeTheLastList() {
         scheduler.updateWorkerList(WorkerListChange.CACHED, worker("a"), worker("b"));
@@ -235,8 +235,8 @@
     }
 
     /**
-     * A new process may have an old list: a lost zone comes back with its schedulers and with
-     * healthy workers that discovery has removed meanwhile.
+     * A new process may have an old list: a zone that failed may recover with its schedulers and
+     * with healthy workers that discovery has removed meanwhile.
      */
     @Test
     void doesNotProbeOwnZoneBeforeTheFirstList() {
@@ -250,7 +250,7 @@
         assertNull(sentTo(all, "j2"));
     }
 
-    /** A worker of another zone was not lost together with this scheduler. */
+    /** A worker of another zone did not fail together with this scheduler. */
     @Test
     void probesOtherZonesBeforeTheFirstList() {
         scheduler.updateWorkerList(
@@ -263,8 +263,7 @@
     }
 
     /**
-     * A scheduler partitioned from discovery may be so together with workers that were removed
-     * meanwhile.
+     * A scheduler may be cut off from discovery together with workers that were removed meanwhile.
      */
     @Test
     void doesNotProbeWhenDiscoveryWasUnreachable() {
@@ -276,7 +275,7 @@
         assertTrue(actionsOfType(scheduler.jobArrives("j1"), ProbeWorker.class).isEmpty());
     }
 
-    /** Without probes that show draining there are no leases. */
+    /** Probes that do not report draining grant no lease. */
     @ParameterizedTest
     @EnumSource(ProbeResult.class)
     void sendsNothingWhereProbesDoNotShowDraining(ProbeResult result) {
--- a/src/test/java/damsonslip/policy/OutlierDetectorTest.java
+++ b/src/test/java/damsonslip/policy/OutlierDetectorTest.java
@@ -27,9 +27,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Detects workers that fail, are silent or are slow. */
+/** Detects workers that fail, do not respond or are slow. */
 class OutlierDetectorTest {
-    /** The worker accepts jobs and answers none. */
+    /** The worker accepts jobs and responds to none. */
     @Test
     void sendsNothingToUnresponsiveWorker() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(2);
@@ -48,7 +48,9 @@
         assertEquals(0, notServed);
     }
 
-    /** A worker that fails each job at once looks free, and without a pause would draw all jobs. */
+    /**
+     * A worker that fails each job at once looks free and would attract all jobs without a pause.
+     */
     @Test
     void retriesFailingWorkerWithIdempotentJobsOnly() {
         JobClass nonIdempotent = jobClass(Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
@@ -79,7 +81,7 @@
                 failed[0] + " and " + failed[1] + " failed");
     }
 
-    /** On a bad network connections break while the workers are healthy. */
+    /** On an unreliable network, connections to healthy workers are lost. */
     @Test
     void keepsUsingWorkerThatRespondedDespiteReset() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
@@ -91,10 +93,10 @@
         scheduler.advance(SECOND);
         assertNull(
                 sentTo(scheduler.attemptEnds("b", 1, AttemptOutcome.RESET), "b"),
-                "a quiet one is spared for a while");
+                "a worker that has not responded lately is paused");
     }
 
-    /** A worker that has slowed down looks as free as others, and each of its jobs is late. */
+    /** A worker that has slowed down looks as free as others, but all its jobs are late. */
     @Test
     void avoidsSlowWorkerWhileOthersAreFree() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(4);
@@ -111,8 +113,8 @@
     }
 
     /**
-     * Guards against each scheduler having to lose jobs of its own before it avoids a failing
-     * worker.
+     * Guards against a scheduler that avoids a failing worker only after some of its own jobs have
+     * failed there.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.8, 3})
@@ -145,10 +147,10 @@
         assertEquals(
                 errors < 1,
                 used.contains(failing),
-                "one error in a second is chance, more are not: " + used);
+                "one error per second may be chance, more are not: " + used);
     }
 
-    /** Each of many schedulers sees few jobs of a worker, so that two have to be enough. */
+    /** Each of many schedulers sends few jobs to a worker, so two have to be enough. */
     @Test
     void detectsSlowWorkerByFewJobs() {
         ScriptedScheduler scheduler =
@@ -163,6 +165,6 @@
         }
         assertTrue(
                 jobs.get("w3") <= 2,
-                "a worker four times slower had " + jobs.get("w3") + " of 60 jobs");
+                "a worker four times as slow got " + jobs.get("w3") + " of 60 jobs");
     }
 }
--- a/src/test/java/damsonslip/policy/PoolDealingTest.java
+++ b/src/test/java/damsonslip/policy/PoolDealingTest.java
@@ -28,7 +28,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Deals workers to the pools of the job classes. */
+/** Assigns workers to the pools of the job classes. */
 class PoolDealingTest {
     @Test
     void sendsEachClassToItsOwnPool() {
@@ -101,9 +101,7 @@
         }
     }
 
-    /**
-     * Each zone has some workers of every pool where possible, so that jobs need not cross zones.
-     */
+    /** Where possible, every pool gets workers of each zone, so that jobs need not cross zones. */
     @Test
     void dealsWorkersOfEachZoneToEveryPool() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT));
@@ -115,7 +113,7 @@
         for (Set<String> used : workersUsedByClass(scheduler, 400)) {
             assertTrue(
                     used.stream().allMatch(w -> w.compareTo("w4") >= 0),
-                    "all in the own zone: " + used);
+                    "all in the scheduler's own zone: " + used);
         }
     }
 
@@ -143,7 +141,10 @@
         assertEquals(alone.actions, again.actions);
     }
 
-    /** The first deal precedes the first request, on code that is not compiled yet. */
+    /**
+     * The first deal delays the first request and runs before the JIT compiler has compiled the
+     * code.
+     */
     @Test
     void dealsManyWorkersQuickly() {
         ScriptedScheduler scheduler =
@@ -162,7 +163,7 @@
                                                 Long.MIN_VALUE))
                         .toArray(WorkerEntry[]::new));
         long tookMs = (System.nanoTime() - before) / 1_000_000;
-        assertTrue(tookMs < 5_000, "3,000 workers took " + tookMs + " ms");
+        assertTrue(tookMs < 5_000, "dealing 3,000 workers took " + tookMs + " ms");
         assertEquals(3_000, scheduler.policy.pools().stream().mapToInt(PoolState::workers).sum());
     }
 }
--- a/src/test/java/damsonslip/policy/RetryTest.java
+++ b/src/test/java/damsonslip/policy/RetryTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Rule 2: no job takes effect twice. */
+/** No job takes effect twice (rule 2). */
 class RetryTest {
     @ParameterizedTest
     @EnumSource(
@@ -83,7 +83,7 @@
             String first = sentTo(scheduler.jobArrives(id), id);
             List<Action> after =
                     new ArrayList<>(scheduler.attemptEnds(id, 0, AttemptOutcome.ERROR));
-            after.addAll(scheduler.advance(2 * SECOND)); // workers pause after an error
+            after.addAll(scheduler.advance(2 * SECOND)); // workers are paused after an error
             String second = sentTo(after, id);
             assertNotNull(second);
             assertEquals("ab".contains(first), "ab".contains(second));
@@ -112,7 +112,7 @@
         scheduler.jobArrives("a");
         for (int i = 0; i < 4; i++) {
             scheduler.attemptEnds("a", i, AttemptOutcome.ERROR);
-            scheduler.advance(2 * SECOND); // its only worker pauses for longer after each
+            scheduler.advance(2 * SECOND); // the pause of the only worker grows with each error
         }
         assertEquals(4, actionsOfType(scheduler.actions, Send.class).size());
         assertEquals(1, actionsOfType(scheduler.actions, Reject.class).size());
--- a/src/test/java/damsonslip/policy/RunTimeEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/RunTimeEstimatorTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Estimates run times of a class and compares workers by them. */
+/** Estimates the run times of a job class and compares workers by them. */
 class RunTimeEstimatorTest {
     private final RunTimeEstimator estimator = new RunTimeEstimator(200_000);
 
--- a/src/test/java/damsonslip/policy/RunTimeRatioTest.java
+++ b/src/test/java/damsonslip/policy/RunTimeRatioTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Averages how slow a worker is. */
+/** Averages the ratio of the run times at one worker to the usual ones. */
 class RunTimeRatioTest {
     private final RunTimeRatio ratio = new RunTimeRatio();
 
--- a/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Schedulers that start or fail together do not act in step. */
+/** Schedulers that start or fail at the same time do not act at the same time afterwards. */
 class SchedulerDesynchronizationTest {
     /** Discovery fails for all schedulers at once, several times. */
     @ParameterizedTest
@@ -55,13 +55,13 @@
         }
         assertTrue(
                 maxWithin(polls, 100_000) < schedulers / 5 + 3,
-                "calls in a tenth of a second: " + maxWithin(polls, 100_000));
+                "polls within 100 ms: " + maxWithin(polls, 100_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
-                "deals in a twentieth: " + maxWithin(deals, 50_000));
+                "deals within 50 ms: " + maxWithin(deals, 50_000));
     }
 
-    /** All schedulers start at once with the same list and get a job each. */
+    /** All schedulers start at once with the same list and receive one job each. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
     void spreadsFirstPollsDealsAndConnections(int schedulers) {
@@ -86,27 +86,30 @@
         assertEquals(schedulers, polls.size());
         assertTrue(
                 maxWithin(polls, 50_000) < schedulers / 4 + 3,
-                "calls in a twentieth: " + maxWithin(polls, 50_000));
+                "polls within 50 ms: " + maxWithin(polls, 50_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
-                "deals in a twentieth: " + maxWithin(deals, 50_000));
+                "deals within 50 ms: " + maxWithin(deals, 50_000));
         int most = firstSends.values().stream().max(Integer::compare).orElseThrow();
         assertTrue(
                 most < schedulers / 10 + 3,
-                most + " of " + schedulers + " go to one of 40 workers first");
+                most
+                        + " of "
+                        + schedulers
+                        + " schedulers send their first job to the same one of 40 workers");
     }
 
     private static List<Action> startWithJob(SchedulingPolicy policy) {
         List<WorkerEntry> workers = IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList();
         List<Action> actions = new ArrayList<>();
         policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CACHED, workers), actions);
-        // nothing is sent before a list from discovery
+        // no job is sent before a list is received from discovery
         policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CHANGES, List.of()), actions);
         policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
         return actions;
     }
 
-    /** Largest number of these times within any interval of this length. */
+    /** Returns the largest number of these times within any interval of this length. */
     private static long maxWithin(List<Long> times, long length) {
         return times.stream()
                 .mapToLong(
--- a/src/test/java/damsonslip/policy/ScriptedScheduler.java
+++ b/src/test/java/damsonslip/policy/ScriptedScheduler.java
@@ -27,7 +27,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Drives one scheduler by scripted events and keeps its timers. */
+/** Drives one scheduling policy with scripted events and runs its timers. */
 final class ScriptedScheduler {
     static final long SECOND = 1_000_000;
 
@@ -41,14 +41,14 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.atUs(), b.atUs()));
     long now = SECOND;
 
-    /** What workers report to be free. */
+    /** Free slots that workers report. */
     double reportedFreeSlots = 4;
 
     ScriptedScheduler(Settings settings) {
         policy = new SchedulingPolicy(settings, 7);
     }
 
-    /** One scheduler of one class. */
+    /** Creates the only scheduler of a deployment with one job class. */
     static ScriptedScheduler ofClass(Idempotency idempotency, IdempotencyScope scope) {
         return new ScriptedScheduler(settings(1, 0, jobClass(idempotency, scope)));
     }
@@ -70,7 +70,10 @@
         return settings(schedulers, schedulerIndex, quotas, pollsWorkerList, 0.1, classes);
     }
 
-    /** The same where an attempt that crosses zones costs this part of a job. */
+    /**
+     * The same with the given price of an attempt across zones, as a fraction of the value of a
+     * job.
+     */
     static Settings settings(
             int schedulers,
             int schedulerIndex,
@@ -127,7 +130,7 @@
         return actions;
     }
 
-    /** A job of class 0 that waits for ten seconds. */
+    /** Submits a job of class 0 with a timeout of ten seconds. */
     List<Action> jobArrives(String id) {
         return jobArrives(id, 0, 0, null);
     }
@@ -150,7 +153,7 @@
         return handle(new AttemptStarted(id, attempt));
     }
 
-    /** Lets time pass and gives back what the timers led to. */
+    /** Advances the clock and returns the actions that the timers caused. */
     List<Action> advance(long micros) {
         long end = now + micros;
         List<Action> actions = new ArrayList<>();
@@ -163,7 +166,7 @@
         return actions;
     }
 
-    /** The worker that the actions send the job to, or null. */
+    /** Returns the worker that the actions send the job to, or null. */
     static String sentTo(List<Action> actions, String job) {
         for (Action action : actions) {
             if (action instanceof Send send && send.job().equals(job)) {
@@ -174,8 +177,8 @@
     }
 
     /**
-     * Sends jobs of both classes for a while, each served after a tenth of a second; where each
-     * class went.
+     * Submits jobs of both classes in turn, each served after 100 ms; returns the workers that each
+     * class used in the second half.
      */
     static List<Set<String>> workersUsedByClass(ScriptedScheduler scheduler, int jobs) {
         List<Set<String>> used = List.of(new TreeSet<>(), new TreeSet<>());
--- a/src/test/java/damsonslip/policy/SimulatedDeployment.java
+++ b/src/test/java/damsonslip/policy/SimulatedDeployment.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * A deployment and its traffic.
+ * The simulated deployment and its traffic.
  *
  * @param schedulers number of schedulers
- * @param configuredSchedulers their number by the settings
+ * @param configuredSchedulers number of schedulers according to the settings
  */
 record SimulatedDeployment(
         int schedulers,
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Requests of mean work that overload a worker that warms up, if they come within the window up
-     * to this age.
+     * Returns how many requests of mean work a worker that warms up may receive in the window that
+     * ends at this age; more overload it.
      */
     double overloadBound(long ageUs) {
         double capacityShare =
@@ -67,7 +67,7 @@
      * Traffic of one job class.
      *
      * @param workUs work of a job in each of its slots
-     * @param share part of all jobs
+     * @param share fraction of all jobs
      */
     record Traffic(JobClass jobClass, double workUs, int slots, double share) {
         double work() {
--- a/src/test/java/damsonslip/policy/SimulatedScheduler.java
+++ b/src/test/java/damsonslip/policy/SimulatedScheduler.java
@@ -27,9 +27,9 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** A scheduler of the fleet: its policy, and the execution of its actions. */
+/** A scheduler of the simulated fleet: runs its policy and executes the actions. */
 final class SimulatedScheduler {
-    /** Work that a new connection or a probe costs a worker. */
+    /** Work that a new connection or a probe causes at a worker. */
     private static final double HANDSHAKE_US = 3_000;
 
     private static final long NETWORK_US = 1_000;
@@ -49,7 +49,7 @@
         this.number = number;
     }
 
-    /** Starts a new process, which knows the cached list alone. */
+    /** Starts a new process, which has only the cached list. */
     void start() {
         incarnation++;
         policy = new SchedulingPolicy(fleet.deployment.settings(number), fleet.random.nextLong());
@@ -64,7 +64,7 @@
         handle(new WorkerListUpdate(change, entries));
     }
 
-    /** Counts from now on as one of so many processes of its scheduler. */
+    /** Sets how many processes share this scheduler's capacity, and the index of this one. */
     void setProcesses(int processes, int index) {
         handle(
                 new SchedulersChanged(
@@ -106,7 +106,8 @@
                             ? new ProbeEnded(worker.id, ProbeResult.HEALTHY, worker.report())
                             : new ProbeEnded(worker.id, ProbeResult.UNREACHABLE, null));
         } else if (action instanceof WatchWorkerList) {
-            throw new IllegalStateException("lists are pushed here");
+            throw new IllegalStateException(
+                    "the simulation pushes worker lists; the policy must not poll");
         }
     }
 
@@ -115,7 +116,10 @@
         return withResponses ? worker.report() : null;
     }
 
-    /** Records work at a worker, and a handshake if this scheduler had no connection. */
+    /**
+     * Records work received by a worker, plus a handshake if this scheduler had no connection to
+     * it.
+     */
     private void receiveWork(SimulatedWorker worker, double work) {
         boolean newConnection = connected.add(worker.id + worker.started);
         worker.receive(
@@ -178,6 +182,6 @@
                 });
     }
 
-    /** A job and which of its attempts are open. */
+    /** A job and, for each of its attempts, whether it is unfinished. */
     record SentJob(SimulatedDeployment.Traffic traffic, List<Boolean> open) {}
 }
--- a/src/test/java/damsonslip/policy/SimulatedWorker.java
+++ b/src/test/java/damsonslip/policy/SimulatedWorker.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A worker that runs whatever comes and never slows down, and records the work it was sent. */
+/** A worker that accepts all work, never slows down and records the work that it receives. */
 final class SimulatedWorker {
     final String id;
     private final int slots;
@@ -15,7 +15,7 @@
     boolean up = true;
     boolean reportsFull;
 
-    /** The work received, by start. */
+    /** The work received, by start time of the worker. */
     final TreeMap<Long, List<Load>> loads = new TreeMap<>();
 
     SimulatedWorker(String id, int slots, long started) {
@@ -24,13 +24,13 @@
         this.started = started;
     }
 
-    /** Records work that arrives now. */
+    /** Records work that arrives at the given time. */
     void receive(double work, boolean senderKnewStart, long now) {
         loads.computeIfAbsent(started, unused -> new ArrayList<>())
                 .add(new Load(now, work, senderKnewStart));
     }
 
-    /** Its load report. */
+    /** Returns its load report. */
     LoadReport report() {
         return new LoadReport(reportsFull ? 0 : slots, Double.NaN, Double.NaN);
     }
@@ -39,6 +39,6 @@
         return new WorkerEntry(id, 0, 0, 0, WorkerStatus.RUNNING, started);
     }
 
-    /** Work that reached the worker, and whether its sender knew of the worker's start. */
+    /** Work that the worker received, and whether the sender knew of the worker's last start. */
     record Load(long at, double work, boolean senderKnewStart) {}
 }
--- a/src/test/java/damsonslip/policy/SlotEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/SlotEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Estimates slots from reported free slots. */
+/** Estimates the slots of workers from reported free slots. */
 class SlotEstimatorTest {
     private final SlotEstimator estimator = new SlotEstimator();
 
--- a/src/test/java/damsonslip/policy/SlowStartFleet.java
+++ b/src/test/java/damsonslip/policy/SlowStartFleet.java
@@ -11,10 +11,12 @@
 import java.util.TreeMap;
 
 /**
- * Many schedulers on one simulated clock that send to the same workers, and the work that reaches
- * each worker while it warms up. Times are microseconds, work is microseconds of one slot.
+ * Simulates many schedulers that send to the same workers on one clock and records the work that
+ * each worker receives while it warms up. Times are in microseconds, work is in microseconds of one
+ * slot.
  *
- * <p>Nothing but the schedulers' own budget holds the work back. The same seed gives the same run.
+ * <p>Workers accept any amount of work, so only the schedulers' slow-start budgets limit it. The
+ * same seed gives the same run.
  */
 final class SlowStartFleet {
     static final long SECOND = 1_000_000;
@@ -26,12 +28,15 @@
     final SimulatedDeployment deployment;
     final SplittableRandom random;
 
-    /** The parts of all sends that workers reject, and that start only after a second. */
+    /** The fractions of all sends that workers reject or start only after a second. */
     double rejectedFraction;
 
     double delayedFraction;
 
-    /** Least delay of a change from discovery to a scheduler, and the most that is added to it. */
+    /**
+     * Minimum delay of a list change from discovery to a scheduler, and the maximum random delay on
+     * top of it.
+     */
     long minListDelayUs;
 
     long listDelaySpreadUs;
@@ -50,7 +55,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Starts all schedulers with so many warm workers. */
+    /** Starts all schedulers with this many warm workers. */
     SlowStartFleet startWithWarmWorkers(int count) {
         for (int i = 0; i < count; i++) {
             workers.put(
@@ -104,7 +109,7 @@
                 new JobArrived(id, jobClass, 0, null, now + JOB_TIMEOUT_US, traffic.slots(), 0));
     }
 
-    /** Plans an action for a time. */
+    /** Schedules an action for a time. */
     void schedule(long atUs, Runnable action) {
         scheduledActions.add(new ScheduledAction(atUs, order++, action));
     }
@@ -114,7 +119,7 @@
         trafficFactor = factor;
     }
 
-    /** Makes all warm workers report no free slots from now on. */
+    /** Makes all warm workers report that they have no free slots from now on. */
     void reportWarmWorkersFull() {
         workers.values().forEach(w -> w.reportsFull = w.started == Long.MIN_VALUE);
     }
@@ -130,7 +135,7 @@
         publishWorkerList();
     }
 
-    /** Stops a worker without a change of the worker list. */
+    /** Stops a worker without changing the worker list. */
     void killWorker(String id) {
         workers.get(id).up = false;
     }
@@ -149,7 +154,7 @@
         }
     }
 
-    /** Lists come in order: an older one than the last is dropped. */
+    /** Whether a list is newer than the other; a delayed older list is dropped. */
     private static boolean isNewer(List<WorkerEntry> list, List<WorkerEntry> other) {
         return list.size() > other.size()
                 || (list.size() == other.size() && sum(list) > sum(other));
@@ -159,14 +164,14 @@
         return list.stream().mapToDouble(w -> Math.max(0, w.startedUs())).sum();
     }
 
-    /** Restarts a part of the schedulers, which keep their cached lists. */
+    /** Restarts a fraction of the schedulers, which keep their cached lists. */
     void restartSchedulers(double fraction) {
         schedulers.stream()
                 .filter(i -> i.number < fraction * schedulers.size())
                 .forEach(SimulatedScheduler::start);
     }
 
-    /** Removes a part of the schedulers; the others' settings do not change. */
+    /** Removes a fraction of the schedulers; the settings of the others do not change. */
     void removeSchedulers(double fraction) {
         int count = (int) (fraction * schedulers.size());
         schedulers.subList(0, count).forEach(removed -> removed.incarnation++);
@@ -174,9 +179,9 @@
     }
 
     /**
-     * Upgrades a part of the schedulers: a second process of each starts, which counts as one of
-     * twice as many at once; the older one does so after the first time and ends after the second,
-     * when the new one is alone again.
+     * Upgrades a fraction of the schedulers: a second process of each starts and uses half of its
+     * scheduler's capacity at once. The older process does so after {@code sharedAfterUs} and ends
+     * after {@code endedAfterUs}; from then on the new one uses the full capacity.
      */
     void upgradeSchedulers(double fraction, long sharedAfterUs, long endedAfterUs) {
         for (SimulatedScheduler older :
@@ -216,7 +221,7 @@
         return workers.get(id);
     }
 
-    /** Returns for each start of a worker the window that came closest to the bound. */
+    /** Returns for each start of a worker the window whose work came closest to the bound. */
     List<SlowStartVerdict> verdicts() {
         List<SlowStartVerdict> verdicts = new ArrayList<>();
         for (SimulatedWorker w : workers.values()) {
--- a/src/test/java/damsonslip/policy/SlowStartFleetTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartFleetTest.java
@@ -19,18 +19,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Rule 4 over a whole fleet: the work that all schedulers together send to a worker that warms up
- * stays, in any window of the rule's length, within N + 2 sqrt(N) + 2 requests of mean work, or
- * came mostly from schedulers that could not know of the start.
+ * Slow start with many schedulers (rule 4): in any window of the configured length all schedulers
+ * together send a worker that warms up at most N + 2 sqrt(N) + 2 requests of mean work, where N is
+ * the overload factor times its present capacity. More is tolerated only if most of the work came
+ * from schedulers that could not know of the start.
  */
 class SlowStartFleetTest {
-    /** By then run times and load reports have been seen, where traffic allows it. */
+    /**
+     * Time by which the schedulers have received run times and load reports, if there is enough
+     * traffic.
+     */
     private static final long START = 6 * SECOND;
 
     private static final long END = 16 * SECOND;
     private static final int SEEDS = 4;
 
-    /** Fault beside two workers that warm up while all others are full. */
+    /** Fault that occurs while two workers warm up and all others are full. */
     enum Fault {
         NONE {
             @Override
@@ -43,8 +47,8 @@
             }
         },
         /**
-         * All schedulers learn of the start just before a window of the budget ends, and may spend
-         * this one and the next at once.
+         * All schedulers learn of the start just before a budget window ends, and may spend the
+         * budgets of this window and the next one at once.
          */
         LIST_AT_THE_END_OF_A_WINDOW {
             @Override
@@ -131,8 +135,8 @@
     }
 
     /**
-     * A random deployment with up to so many classes, whose traffic exceeds what workers that warm
-     * up may take.
+     * Returns a random deployment with at most this many job classes, whose traffic exceeds what
+     * workers that warm up may receive.
      */
     static SimulatedDeployment randomDeployment(SplittableRandom random, int maxClasses) {
         int schedulers = new int[] {20, 30, 100}[random.nextInt(3)];
@@ -166,7 +170,7 @@
                 schedulers, schedulers, guarantees, reporting, workerSlots, traffic, jobsPerSecond);
     }
 
-    /** Two workers start half a second apart while all others are full. */
+    /** Simulates two workers that start half a second apart while all others are full. */
     static List<SlowStartVerdict> simulate(
             SimulatedDeployment deployment, long seed, BiConsumer<SlowStartFleet, Long> fault) {
         SlowStartFleet fleet = new SlowStartFleet(deployment, seed).startWithWarmWorkers(4);
@@ -190,10 +194,12 @@
                 requests += verdict.requests();
             }
         }
-        assertTrue(requests > 50 * SEEDS, "cold workers get something: " + requests);
+        assertTrue(requests > 50 * SEEDS, "requests sent to workers that warm up: " + requests);
     }
 
-    /** Guards against budgets that rest on the default number of slots. */
+    /**
+     * Guards against budgets based on the default number of slots, which these workers do not have.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2})
     void keepsNewSchedulersWithinTheBoundOfSmallWorkers(int workerSlots) {
@@ -213,8 +219,8 @@
     }
 
     /**
-     * Shows that the tests above can fail: thirty schedulers that are configured as ten spend three
-     * budgets.
+     * Shows that the checks above detect overload: thirty schedulers that are configured as ten
+     * spend three times the budget.
      */
     @Test
     void overloadsWorkerIfSchedulersAreMiscounted() {
--- a/src/test/java/damsonslip/policy/SlowStartTest.java
+++ b/src/test/java/damsonslip/policy/SlowStartTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Rule 4: all schedulers together do not overload a worker that warms up. */
+/** All schedulers together do not overload a worker that warms up (rule 4). */
 class SlowStartTest {
     @Test
     void keepsAllSchedulersWithinTheSlowStartBudget() {
@@ -47,7 +47,7 @@
                 scheduler.advance(20_000);
             }
         }
-        assertFalse(sends.isEmpty(), "a cold worker gets something");
+        assertFalse(sends.isEmpty(), "a worker that warms up is sent some jobs");
         for (long from = start; from < start + 6 * SECOND; from += 100_000) {
             long begin = from;
             double work =
@@ -63,8 +63,10 @@
     void dividesTheBudgetAmongProcessesOfAScheduler() {
         int alone = sendsToWarmingUpWorker(1);
         int divided = sendsToWarmingUpWorker(2);
-        assertTrue(divided > 0, "it still gets something");
-        assertTrue(divided <= 1.1 * alone, divided + " against " + alone);
+        assertTrue(divided > 0, "the worker is still sent some jobs");
+        assertTrue(
+                divided <= 1.1 * alone,
+                divided + " sends by two processes per scheduler, by one: " + alone);
     }
 
     private static int sendsToWarmingUpWorker(int processes) {
@@ -83,7 +85,7 @@
                 List<Send> unfinished = new ArrayList<>(actionsOfType(actions, Send.class));
                 for (int next = 0;
                         next < unfinished.size();
-                        next++) { // each end may lead to the next send
+                        next++) { // each finished attempt may lead to the next send
                     sends++;
                     unfinished.addAll(
                             actionsOfType(
@@ -112,12 +114,12 @@
         }
         assertTrue(
                 sent > 0 && sent <= 10,
-                sent + " of 40 take their turn, where the budget holds 11 jobs");
+                sent + " of 40 schedulers send a job, where the budget allows 11 jobs");
     }
 
     /**
-     * After a rolling restart many workers warm up together; a scheduler's turns at them are spread
-     * out.
+     * After a rolling restart many workers warm up at the same time; a scheduler's turns to send to
+     * them are spread out.
      */
     @Test
     void spreadsTurnsOverWarmingUpWorkers() {
@@ -139,7 +141,7 @@
         }
     }
 
-    /** The bound holds in any window of the rule's length. */
+    /** The bound holds in any window of the configured length. */
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 100})
     void keepsAnyNumberOfSchedulersWithinTheBudget(int schedulers) {
@@ -151,10 +153,7 @@
                     WorkerListChange.CACHED, worker("cold", 0, 0, WorkerStatus.RUNNING, SECOND));
             List<List<Send>> steps = sendsOfSteps(scheduler, 400, "job");
             for (int i = 0; i < 400; i++) {
-                sent[i] +=
-                        0.2
-                                * steps.get(i)
-                                        .size(); // what a job of this class takes, in core-seconds
+                sent[i] += 0.2 * steps.get(i).size(); // run time of a job of this class in seconds
             }
         }
         for (int from = 0; from < 290; from++) {
@@ -168,7 +167,7 @@
         }
     }
 
-    /** Sends a job each 20 ms that runs for 200 ms; returns the sends of each step. */
+    /** Submits a job every 20 ms, each running for 200 ms; returns the sends of each step. */
     private static List<List<Send>> sendsOfSteps(
             ScriptedScheduler scheduler, int count, String name) {
         List<List<Send>> all = new ArrayList<>();
--- a/src/test/java/damsonslip/policy/SlowStartVerdict.java
+++ b/src/test/java/damsonslip/policy/SlowStartVerdict.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * The window in which the work sent after a start of a worker came closest to the rule's bound.
+ * The window after a worker's start in which the work that it received came closest to the
+ * slow-start bound.
  *
- * @param ratio work in the window, in parts of the bound
- * @param knownShare part of that work whose senders knew of the start
- * @param broken whether the first overload, if there was one, breaks the rule
+ * @param ratio work in the window as a fraction of the bound
+ * @param knownShare fraction of that work whose senders knew of the start
+ * @param violatesRule whether the first overload, if there was one, violates the slow-start rule
  */
 record SlowStartVerdict(
         String worker,
@@ -18,10 +19,13 @@
         double knownShare,
         boolean violatesRule,
         int requests) {
-    /** An overload breaks the rule if more than this part came from schedulers that knew. */
+    /**
+     * An overload violates the rule if more than this fraction of the work came from schedulers
+     * that knew of the start.
+     */
     private static final double MAX_KNOWN_SHARE = 2.0 / 3;
 
-    /** Judges the work that a worker received after a start. */
+    /** Checks the work that a worker received after a start. */
     static SlowStartVerdict of(
             SimulatedDeployment deployment,
             String id,
--- a/src/test/java/damsonslip/policy/TenantQuotasTest.java
+++ b/src/test/java/damsonslip/policy/TenantQuotasTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Enforces tenant quotas by token buckets. */
+/** Enforces tenant quotas with token buckets. */
 class TenantQuotasTest {
     private static final Settings TEN_A_SECOND =
             settings(2, 0, List.of(20.0, 20.0), false, IDEMPOTENT);
--- a/src/test/java/damsonslip/policy/WorkerHealthTest.java
+++ b/src/test/java/damsonslip/policy/WorkerHealthTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Keeps failures and pauses of a worker. */
+/** Keeps track of the failures and pauses of a worker. */
 class WorkerHealthTest {
     private final WorkerHealth health = new WorkerHealth();
 
--- a/src/test/java/damsonslip/policy/WorkerListTest.java
+++ b/src/test/java/damsonslip/policy/WorkerListTest.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rule 3: jobs are sent by a valid worker list alone, and not to draining workers. */
+/** Jobs are sent only by a valid worker list, and not to draining workers (rule 3). */
 class WorkerListTest {
     private static ScriptedScheduler pollingScheduler() {
         return new ScriptedScheduler(settings(1, 0, List.of(), true, IDEMPOTENT));
@@ -64,7 +64,7 @@
         assertTrue(actionsOfType(scheduler.advance(20 * SECOND), WatchWorkerList.class).isEmpty());
     }
 
-    /** An expired list may name workers that drain by now. */
+    /** An expired list may contain workers that are draining by now. */
     @Test
     void rejectsJobsOnceTheWorkerListHasExpired() {
         ScriptedScheduler scheduler = pollingScheduler();
@@ -78,11 +78,12 @@
         scheduler.advance(SECOND);
         assertEquals(1, actionsOfType(scheduler.jobArrives("too late"), Reject.class).size());
         scheduler.updateWorkerList(WorkerListChange.CHANGES);
-        assertEquals("a", sentTo(scheduler.jobArrives("told"), "told"));
+        assertEquals("a", sentTo(scheduler.jobArrives("updated"), "updated"));
     }
 
     /**
-     * A new process may have an old list, so that its first jobs wait for a list from discovery.
+     * The cached list of a new process may be old, so its first jobs wait for a list from
+     * discovery.
      */
     @Test
     void queuesJobsUntilTheFirstWorkerList() {
@@ -106,7 +107,7 @@
         assertEquals(1, actionsOfType(scheduler.jobArrives("x"), Reject.class).size());
     }
 
-    /** They are not kept until their deadline. */
+    /** Guards against queueing jobs until their deadline although no worker may be used. */
     @Test
     void rejectsQueuedJobsWhenTheWorkerListExpires() {
         ScriptedScheduler scheduler = pollingScheduler();
@@ -117,7 +118,7 @@
         }
         int rejected = actionsOfType(scheduler.actions, Reject.class).size();
         int sent = actionsOfType(scheduler.actions, Send.class).size();
-        assertTrue(rejected + sent < 12, "some are held");
+        assertTrue(rejected + sent < 12, "some jobs are queued");
         scheduler.advance(SECOND / 2);
         assertEquals(
                 12,
--- a/src/test/java/damsonslip/policy/WorkerLoadTest.java
+++ b/src/test/java/damsonslip/policy/WorkerLoadTest.java
@@ -8,7 +8,7 @@
 import damsonslip.policy.api.LoadReport;
 import org.junit.jupiter.api.Test;
 
-/** Separates own slots in use from the others'. */
+/** Separates this scheduler's slots in use from those of the other schedulers. */
 class WorkerLoadTest {
     private final WorkerLoad load = new WorkerLoad();
 
--- a/src/test/java/damsonslip/policy/WorkerRetentionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerRetentionTest.java
@@ -18,12 +18,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Workers are forgotten once they are replaced by others with new ids. */
+/** Workers are forgotten some time after others with new ids have replaced them. */
 class WorkerRetentionTest {
     private static final int WORKERS = 20;
     private static final long MINUTE = 60 * SECOND;
 
-    /** The running workers and those that stopped within the retention time. */
+    /** Running workers plus those that stopped within the retention time. */
     private static final int MAX_KNOWN_WORKERS = 12 * WORKERS;
 
     private final ScriptedScheduler scheduler =
@@ -48,7 +48,7 @@
             scheduler.advance(MINUTE);
         }
         int known = scheduler.policy.workers(scheduler.now).size();
-        assertTrue(known <= MAX_KNOWN_WORKERS, known + " workers are known");
+        assertTrue(known <= MAX_KNOWN_WORKERS, known + " workers are still known");
     }
 
     @Test
--- a/src/test/java/damsonslip/policy/WorkerSelectionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerSelectionTest.java
@@ -20,7 +20,10 @@
 
 /** Selects the worker for a job by affinity, zone and free slots. */
 class WorkerSelectionTest {
-    /** Guards against evicting data from the workers' caches by spreading each key over many. */
+    /**
+     * Guards against spreading each affinity key over many workers, which evicts data from their
+     * caches.
+     */
     @Test
     void keepsAffinityKeyOnItsWorker() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(12);
@@ -34,7 +37,7 @@
         assertEquals(1, used.size(), used.toString());
     }
 
-    /** Waiting is weighed against the price of crossing zones. */
+    /** The expected waiting time is weighed against the price of crossing zones. */
     @ParameterizedTest
     @CsvSource({"0.1,near", "0.02,far", "0,far"})
     void crossesZonesWhereThatIsCheap(double zonePrice, String used) {
@@ -45,7 +48,7 @@
                 worker("near", 0, 0, WorkerStatus.RUNNING, Long.MIN_VALUE),
                 worker("far", 1, 0, WorkerStatus.RUNNING, Long.MIN_VALUE));
         scheduler.advance(2 * SECOND);
-        for (int i = 0; i < 3; i++) { // three of four slots are in use nearby
+        for (int i = 0; i < 3; i++) { // three of four slots of the near worker are in use
             scheduler.handle(
                     new JobArrived(
                             "j" + i,
@@ -62,7 +65,7 @@
         assertEquals(used, sentTo(scheduler.jobArrives("x"), "x"));
     }
 
-    /** A late report still shows four jobs that have just ended. */
+    /** A delayed load report still includes four jobs that have just ended. */
     @Test
     void countsEndedOwnJobsAsFreeDespiteLateReport() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT)).workers(1);
