--- a/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
+++ b/src/main/java/damsonslip/admin/upgrade/UpgradeCoordinator.java
@@ -123,7 +123,7 @@
     }
 
     private static void logPollFailure(IOException error) {
-        LOG.warn("shared directory cannot be read: {}", error.getMessage());
+        LOG.warn("the folder of marks and bans cannot be read: {}", error.getMessage());
     }
 
     private void apply(PollResult result) {
@@ -145,9 +145,7 @@
             engine.restoreOverrides(text);
             LOG.info("took over the operators' bans");
         } catch (WorkerOverrides.MalformedException e) {
-            LOG.warn(
-                    "ignored malformed worker overrides in the shared directory: {}",
-                    e.getMessage());
+            LOG.warn("the kept bans cannot be used: {}", e.getMessage());
         }
     }
 
--- a/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
+++ b/src/main/java/damsonslip/platform/discovery/DiscoveryClient.java
@@ -111,7 +111,7 @@
         return switch (failure) {
             case UNREACHABLE -> "it cannot be reached";
             case LOCAL -> "no socket is available on this machine";
-            case UNDETECTED -> "its connection was established but not noticed in time";
+            case UNDETECTED -> "its connection came up unheard";
         };
     }
 
