--- a/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
+++ b/src/test/java/damsonslip/policy/IdempotencyRulesTest.java
@@ -29,7 +29,7 @@
         return new Job(arrival, new WorkerPool(jobClass, 1, 1), SECOND, 0, 1);
     }
 
-    /** The window of a keyed job ends 5 s after it was first sent. */
+    /** The window of an idempotency key ends 5 s after the job was first sent. */
     @ParameterizedTest
     @CsvSource({
         "IDEMPOTENT, 2, true",
@@ -39,18 +39,19 @@
         "IDEMPOTENT_WITH_KEY, 6, false",
         "NOT_IDEMPOTENT, 2, false"
     })
-    void decidesWhetherAJobMayBeSentAgain(Idempotency idempotency, long second, boolean expected) {
+    void decidesWhetherAJobMayBeSentAgain(
+            Idempotency idempotency, long sentAgainAtS, boolean expected) {
         JobClass jobClass = jobClass(idempotency, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, 3);
-        IdempotencyRules rules = rulesAt(jobClass, second * SECOND);
-        assertTrue(rules.maySend(job), "it was not sent yet");
+        IdempotencyRules rules = rulesAt(jobClass, sentAgainAtS * SECOND);
+        assertTrue(rules.maySend(job), "it has not been sent yet");
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.maySend(job));
     }
 
     @ParameterizedTest
     @CsvSource({"1, false", "2, true"})
-    void boundsTheRunsOfAJob(int maxRuns, boolean expected) {
+    void limitsTheRunsOfAJob(int maxRuns, boolean expected) {
         JobClass jobClass = jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS);
         Job job = job(jobClass, maxRuns);
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
@@ -70,7 +71,7 @@
         JobClass jobClass = jobClass(idempotency, scope);
         Job job = job(jobClass, 3);
         IdempotencyRules rules = rulesAt(jobClass, 2 * SECOND);
-        assertTrue(rules.isSafeToRetryByClient(job), "it never ran");
+        assertTrue(rules.isSafeToRetryByClient(job), "it has never run");
         job.recordPossibleRun(new JobAttempt(job, worker, SECOND));
         assertEquals(expected, rules.isSafeToRetryByClient(job));
     }
--- a/src/test/java/damsonslip/policy/TenantQuotasTest.java
+++ b/src/test/java/damsonslip/policy/TenantQuotasTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Enforces tenant quotas by token buckets. */
+/** Enforces tenant quotas with token buckets. */
 class TenantQuotasTest {
     private static final Settings TEN_A_SECOND =
             settings(2, 0, List.of(20.0, 20.0), false, IDEMPOTENT);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void enforcesItsOwnPartOfAQuota() {
+    void enforcesThePartOfAQuotaOfOneScheduler() {
         TenantQuotas quotas = new TenantQuotas(2);
         quotas.start(0);
         assertEquals(10, acquired(quotas, 0, 100, SECOND));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void keepsTheQuotasOfTenantsApart() {
+    void enforcesTheQuotasOfTenantsSeparately() {
         TenantQuotas quotas = new TenantQuotas(2);
         quotas.start(0);
         acquired(quotas, 0, 100, SECOND);
