--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -17,17 +17,21 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A producer's or worker's connection. Commands are handled one at a time: the next one is taken up
+ * A connection of a producer or worker. Commands are handled one at a time: the next one starts
  * once the reply to the previous one is written. Confined to the event loop.
  */
 final class FaktoryConnection extends EventLoopConnection {
-    /** Bytes of a HELLO with every label that a worker may have. */
+    /** The maximum size of a HELLO, which has room for every label that a worker may have. */
     private static final int MAX_HELLO_BYTES = 16 * 1024;
 
-    /** An incomplete command up to this length is accepted however much others have buffered. */
+    /**
+     * An incomplete command up to this size is accepted even if the total buffer limit is reached.
+     */
     private static final int ALWAYS_ACCEPTED_BYTES = 32 * 1024;
 
-    /** All incomplete commands together may use the heap divided by this. */
+    /**
+     * The maximum heap size divided by this limits the total size of buffered incomplete commands.
+     */
     private static final int HEAP_DIVISOR = 16;
 
     private static final long HELLO_TIMEOUT_US = 2_000_000;
@@ -37,23 +41,23 @@
     private final String salt = Password.salt();
     private final LineDecoder decoder;
 
-    /** Bytes received of an incomplete command. */
+    /** The number of bytes received of an incomplete command. */
     private int incompleteBytes;
 
-    /** The peer's rate at sending a command. */
+    /** The rate at which the peer sends a command. */
     private final MinimumDataRate sendRate;
 
-    /** The peer's rate at reading a reply. */
+    /** The rate at which the peer reads a reply. */
     private final MinimumDataRate readRate;
 
     private final ArrayDeque<String> pendingLines = new ArrayDeque<>();
     private long openedUs;
-    private boolean greeted;
+    private boolean handshakeComplete;
 
-    /** Whether a command is being handled, or its reply being written. */
-    private boolean handling;
+    /** Whether a command is being handled or its reply is being written. */
+    private boolean commandInProgress;
 
-    /** The worker that this connection belongs to, or null for a producer's. */
+    /** The worker that this connection belongs to; null for a producer. */
     private Worker worker;
 
     FaktoryConnection(EndPoint endPoint, Faktory faktory) {
@@ -64,8 +68,8 @@
         this.readRate = new MinimumDataRate(faktory.peerLimits());
     }
 
-    boolean isGreeted() {
-        return greeted;
+    boolean isHandshakeComplete() {
+        return handshakeComplete;
     }
 
     long openedUs() {
@@ -80,40 +84,40 @@
     protected void opened() {
         openedUs = faktory.loop().nowUs();
         faktory.connectionOpened(this);
-        String proof =
+        String challenge =
                 faktory.password().isRequired()
-                        ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ROUNDS
+                        ? ",\"s\":\"" + salt + "\",\"i\":" + Password.ITERATIONS
                         : "";
-        write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + proof + "}"));
-        faktory.loop().scheduleAfter(HELLO_TIMEOUT_US, this::endIfNotGreeted);
+        write(() -> {}, Reply.simple("HI {\"v\":" + PROTOCOL_VERSION + challenge + "}"));
+        faktory.loop().scheduleAfter(HELLO_TIMEOUT_US, this::closeIfHandshakeIncomplete);
     }
 
-    private void endIfNotGreeted() {
-        if (!greeted) {
+    private void closeIfHandshakeIncomplete() {
+        if (!handshakeComplete) {
             closeNow();
         }
     }
 
     @Override
     protected void received(ByteBuffer bytes) {
-        if (handling) {
-            return; // bytes sent ahead stay unread, which bounds a pipelining peer's memory
+        if (commandInProgress) {
+            return; // pipelined bytes stay unread, which bounds the memory for a peer
         }
-        byte[] part = new byte[bytes.remaining()];
-        bytes.get(part);
-        List<String> complete = decoder.decode(part);
-        if (complete == null || (!greeted && decoder.unfinishedBytes() > MAX_HELLO_BYTES)) {
+        byte[] data = new byte[bytes.remaining()];
+        bytes.get(data);
+        List<String> lines = decoder.decode(data);
+        if (lines == null || (!handshakeComplete && decoder.unfinishedBytes() > MAX_HELLO_BYTES)) {
             closeWithError("a line too long");
             return;
         }
-        faktory.addBuffered(decoder.unfinishedBytes() - incompleteBytes);
+        faktory.addBufferedBytes(decoder.unfinishedBytes() - incompleteBytes);
         incompleteBytes = decoder.unfinishedBytes();
-        measureSending(part.length, !complete.isEmpty());
+        measureSending(data.length, !lines.isEmpty());
         if (incompleteBytes > ALWAYS_ACCEPTED_BYTES && faktory.bufferedBytes() > maxBuffered()) {
             closeWithError("too much is being sent here at once; come back in a moment");
             return;
         }
-        pendingLines.addAll(complete);
+        pendingLines.addAll(lines);
         handleNext();
     }
 
@@ -121,10 +125,13 @@
         return Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
     }
 
-    /** Measures the rate of an incomplete command; each command is measured by itself. */
-    private void measureSending(int bytes, boolean ended) {
+    /**
+     * Measures the rate at which an incomplete command arrives; each command is measured
+     * separately.
+     */
+    private void measureSending(int bytes, boolean commandComplete) {
         long now = faktory.loop().nowUs();
-        if (ended) {
+        if (commandComplete) {
             sendRate.end();
         }
         if (incompleteBytes > 0) {
@@ -133,7 +140,7 @@
         }
     }
 
-    /** The transfers that are under way, for the console. */
+    /** Returns the connection's transfers in progress, for the console. */
     Stream<SlowPeer> slowPeers(long nowUs) {
         SlowPeer reading =
                 new SlowPeer(
@@ -158,10 +165,10 @@
             return;
         }
         if (readRate.isTooSlow(nowUs)) {
-            faktory.closing(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
+            faktory.recordSlowPeer(this, Count.SLOW_READERS_LET_GO, "does not read its replies");
             closeNow();
-        } else if (sendRate.isTooSlow(nowUs) && !handling) {
-            faktory.closing(
+        } else if (sendRate.isTooSlow(nowUs) && !commandInProgress) {
+            faktory.recordSlowPeer(
                     this,
                     Count.SLOW_SENDERS_LET_GO,
                     "sends a command at " + (long) sendRate.bytesPerSecond(nowUs) + " bytes/s");
@@ -170,33 +177,33 @@
     }
 
     /**
-     * Handles the next command, one in each task of the loop. Otherwise a peer that pipelines
-     * thousands of commands, whose replies are written at once, would have all of them handled
-     * before any other connection.
+     * Handles the next command, only one per task of the event loop. Otherwise all commands of a
+     * peer that pipelines thousands of them, and whose replies can be written immediately, would be
+     * handled before those of any other connection.
      */
     private void handleNext() {
-        while (!handling && !isClosed() && !pendingLines.isEmpty()) {
+        while (!commandInProgress && !isClosed() && !pendingLines.isEmpty()) {
             String line = pendingLines.poll();
             if (line.isEmpty()) {
                 continue;
             }
-            handling = true;
+            commandInProgress = true;
             sendRate.end();
             handle(line);
-            return; // the next one follows the reply
+            return; // the next command follows the reply
         }
     }
 
     private void handle(String line) {
         try {
             Command command = CommandDecoder.decode(line);
-            if (greeted) {
+            if (handshakeComplete) {
                 faktory.handle(this, command);
             } else {
                 handleHello(command);
             }
         } catch (MalformedCommandException e) {
-            if (greeted) {
+            if (handshakeComplete) {
                 reply(Reply.error(CommandError.error(e.getMessage())));
             } else {
                 closeWithError(e.getMessage());
@@ -205,12 +212,12 @@
     }
 
     private void replied() {
-        handling = false;
-        if (incompleteBytes > 0) { // nothing was read while the last command was handled
+        commandInProgress = false;
+        if (incompleteBytes > 0) { // no bytes are read while a command is handled
             sendRate.begin(faktory.loop().nowUs());
         }
         handleNext();
-        if (!handling && pendingLines.isEmpty()) {
+        if (!commandInProgress && pendingLines.isEmpty()) {
             resumeReading();
         }
     }
@@ -224,15 +231,15 @@
         }
         if (faktory.password().isRequired()
                 && !faktory.password().verify(salt, hello.passwordHash())) {
-            faktory.wrongPassword();
+            faktory.countWrongPassword();
             throw new MalformedCommandException("invalid password");
         }
-        greeted = true;
+        handshakeComplete = true;
         worker = hello.wid().isEmpty() ? null : faktory.register(hello, this);
         reply(Reply.ok());
     }
 
-    /** Replies to the current command; the next one follows once the reply is written. */
+    /** Replies to the current command; the next command is handled once the reply is written. */
     void reply(ByteBuffer reply) {
         readRate.begin(faktory.loop().nowUs(), reply.remaining());
         write(
@@ -243,7 +250,7 @@
                 reply);
     }
 
-    /** Sends an error and closes the connection. */
+    /** Sends an error, then closes the connection. */
     void closeWithError(String message) {
         write(() -> {}, Reply.error(CommandError.error(message)));
         closeAfterWrites();
@@ -254,7 +261,7 @@
 
     @Override
     protected void connectionClosed() {
-        faktory.addBuffered(-incompleteBytes);
+        faktory.addBufferedBytes(-incompleteBytes);
         incompleteBytes = 0;
         faktory.connectionClosed(this);
     }
--- a/src/main/java/damsonslip/faktory/JobCompletion.java
+++ b/src/main/java/damsonslip/faktory/JobCompletion.java
@@ -15,8 +15,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Decides what follows when a job was not served: a rejection, a retry or its end. A job that may
- * have run and must not run twice is moved to the dead set. Confined to the event loop.
+ * Decides what happens to a job that was not served: rejection, retry or a final state. A
+ * non-idempotent job that may have run is moved to the dead set. Confined to the event loop.
  */
 final class JobCompletion {
     private final JobLifecycle lifecycle;
@@ -28,17 +28,17 @@
         this.counters = counters;
     }
 
-    /** Ends an awaited job that was not served; returns the rejection, if it was rejected. */
+    /** Ends an awaited job that was not served; returns the error if it was rejected. */
     Optional<CommandError> finishAwaited(
-            DispatchedJob dispatched, Response answer, CommandCallback callback) {
+            DispatchedJob dispatched, Response response, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
-        String message = describe(answer) + describe(dispatched.failure);
+        String message = describe(response) + describe(dispatched.failure);
         boolean mayHaveRun = dispatched.ran || dispatched.ranBefore;
         if (mayHaveRun && !isIdempotent(entry)) {
             lifecycle.kill(entry, "it may have run; " + message, callback);
             return Optional.empty();
         }
-        if (answer.kind() != Response.Kind.THROTTLED) {
+        if (response.kind() != Response.Kind.THROTTLED) {
             lifecycle.fail(entry, message, callback);
             return Optional.empty();
         }
@@ -52,11 +52,11 @@
         return lifecycle.classOf(entry).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    private static String describe(Response answer) {
-        return switch (answer.kind()) {
+    private static String describe(Response response) {
+        return switch (response.kind()) {
             case SERVED -> "";
-            case THROTTLED -> describeThrottling(answer.retryAfterUs());
-            case FAILED -> answer.deadlineReached() ? "out of time" : "failed";
+            case THROTTLED -> describeThrottling(response.retryAfterUs());
+            case FAILED -> response.deadlineReached() ? "out of time" : "failed";
         };
     }
 
@@ -70,7 +70,7 @@
         return failure == null ? "" : "; " + failure.type() + ": " + failure.message();
     }
 
-    /** Applies the retry policy to an unawaited job whose run has failed. */
+    /** Applies the retry policy to a job that no client waits for and whose run has failed. */
     void retryOrEnd(JobEntry entry, RunFailure failure, CommandCallback callback) {
         counters.add(Count.RUNS_FAILED);
         JobRecord record = entry.record();
@@ -83,8 +83,11 @@
         lifecycle.transition(entry, failed, callback);
     }
 
-    /** Ends a run whose job is not dispatched any more. */
-    void endLostRun(JobEntry entry, RunFailure failure, CommandCallback callback) {
+    /**
+     * Ends a failed run of a job that is no longer dispatched, such as one that a worker received
+     * before a restart.
+     */
+    void endOrphanedRun(JobEntry entry, RunFailure failure, CommandCallback callback) {
         counters.add(Count.ANSWERS_FAILED);
         if (!entry.record().hasWaitingClient()) {
             retryOrEnd(entry, failure, callback);
--- a/src/main/java/damsonslip/faktory/MutateCommand.java
+++ b/src/main/java/damsonslip/faktory/MutateCommand.java
@@ -23,7 +23,7 @@
  * Confined to the event loop.
  */
 final class MutateCommand {
-    /** Jobs changed, or bodies read, in one task of the loop. */
+    /** The number of jobs changed, or of bodies read, in one task of the event loop. */
     private static final int BATCH_SIZE = 250;
 
     private static final CommandError STORE_DOWN =
@@ -53,11 +53,11 @@
         final List<JobEntry> jobs;
         final FaktoryConnection connection;
 
-        /** Jobs not handled yet. */
+        /** The number of jobs not handled yet. */
         int remaining;
 
-        /** Jobs that were left unchanged since they must not run twice. */
-        int unsafe;
+        /** The number of jobs left unchanged because they may have run and must not run twice. */
+        int skipped;
 
         /** Whether the store failed to record a change. */
         boolean unrecorded;
@@ -69,7 +69,7 @@
             this.remaining = jobs.size();
         }
 
-        /** Called once for each job; replies after the last one. */
+        /** Called once for each job; sends the reply after the last one. */
         void jobHandled(Optional<CommandError> error) {
             unrecorded |= error.isPresent();
             if (--remaining == 0) {
@@ -78,8 +78,8 @@
         }
 
         void reply() {
-            if (unsafe > 0) {
-                String counts = unsafe + " of " + jobs.size();
+            if (skipped > 0) {
+                String counts = skipped + " of " + jobs.size();
                 String message =
                         counts + " may have run and must not run twice; they stay where they are";
                 connection.reply(Reply.error(CommandError.error(message)));
@@ -91,16 +91,16 @@
         }
     }
 
-    /** Handles the command; the reply follows once all changes are recorded. */
+    /** Handles the command; the reply is sent once all changes are recorded. */
     void execute(FaktoryConnection connection, Mutate command) {
         List<JobEntry> jobs = new ArrayList<>(jobTable.jobsIn(state(command.target())));
-        if (command.verb() == Mutate.Verb.CLEAR) { // empties the set, whatever the filter says
+        if (command.verb() == Mutate.Verb.CLEAR) { // empties the set and ignores the filter
             change(new Mutation(command.verb(), jobs, connection));
             return;
         }
         Mutate.Filter filter = command.filter();
         Set<String> ids = Set.copyOf(filter.jids());
-        jobs.removeIf(entry -> !fitsType(filter, entry));
+        jobs.removeIf(entry -> !matchesType(filter, entry));
         jobs.removeIf(entry -> !ids.isEmpty() && !ids.contains(entry.id()));
         if (filter.glob().isEmpty()) {
             change(new Mutation(command.verb(), jobs, connection));
@@ -123,12 +123,12 @@
         };
     }
 
-    private static boolean fitsType(Mutate.Filter filter, JobEntry entry) {
+    private static boolean matchesType(Mutate.Filter filter, JobEntry entry) {
         String jobtype = entry.record().options().jobtype();
         return filter.jobtype().isEmpty() || filter.jobtype().equals(jobtype);
     }
 
-    /** Filters jobs by their text, for which their bodies are read from the store in batches. */
+    /** Filters jobs by their JSON text; the bodies are read from the store in batches. */
     private void filterByText(
             Glob glob,
             List<JobEntry> jobs,
@@ -200,7 +200,7 @@
         boolean mayRun =
                 RetryPolicy.mayRun(entry.record(), lifecycle.classOf(entry), lifecycle.nowMs());
         if (!mayRun) {
-            mutation.unsafe++;
+            mutation.skipped++;
             mutation.jobHandled(Optional.empty());
             return;
         }
--- a/src/main/java/damsonslip/faktory/ServerInfo.java
+++ b/src/main/java/damsonslip/faktory/ServerInfo.java
@@ -17,10 +17,10 @@
  * The reply to INFO: the sizes of sets and queues, and the counters. Confined to the event loop.
  */
 final class ServerInfo {
-    /** The version of Faktory whose protocol is spoken. */
+    /** The Faktory version whose protocol is implemented. */
     private static final String FAKTORY_VERSION = "1.9.0";
 
-    private static final DateTimeFormatter CLOCK =
+    private static final DateTimeFormatter TIME_FORMAT =
             DateTimeFormatter.ofPattern("HH:mm:ss 'UTC'").withZone(ZoneOffset.UTC);
 
     private static final int BYTES_TO_MIB_SHIFT = 20;
@@ -40,14 +40,14 @@
     }
 
     /**
-     * The information as JSON.
+     * Returns the reply as JSON.
      *
      * @param connections the number of open connections
      * @param commands the number of commands handled since the start
      */
     String describe(int connections, long commands) {
         ObjectNode info = Json.MAPPER.createObjectNode();
-        info.put("server_utc_time", CLOCK.format(Instant.now()));
+        info.put("server_utc_time", TIME_FORMAT.format(Instant.now()));
         putJobs(info.putObject("faktory"));
         putServer(info.putObject("server"), connections, commands);
         counters.forEachNonZero(info.putObject("counters")::put);
