--- a/src/main/java/damsonslip/faktory/Faktory.java
+++ b/src/main/java/damsonslip/faktory/Faktory.java
@@ -142,7 +142,7 @@
             LOG.info("event=configuration_reloaded settings=password");
         } catch (ConfigurationException e) {
             LOG.warn(
-                    "event=configuration_not_reloaded reload: {}; keeping the previous settings",
+                    "event=configuration_not_reloaded reload: {}; what held before goes on",
                     e.getMessage());
         }
     }
