--- a/src/main/java/damsonslip/faktory/FaktoryConnection.java
+++ b/src/main/java/damsonslip/faktory/FaktoryConnection.java
@@ -141,14 +141,14 @@
                         remoteAddress(),
                         backlogBytes(),
                         readRate.bytesPerSecond(nowUs),
-                        readRate.leftUs(nowUs));
+                        readRate.remainingUs(nowUs));
         SlowPeer sending =
                 new SlowPeer(
                         "sends a command",
                         remoteAddress(),
                         incompleteBytes,
                         sendRate.bytesPerSecond(nowUs),
-                        sendRate.leftUs(nowUs));
+                        sendRate.remainingUs(nowUs));
         return Stream.of(reading, sending).filter(peer -> peer.remainingUs() < Long.MAX_VALUE);
     }
 
--- a/src/main/java/damsonslip/transport/OutboundRateMonitor.java
+++ b/src/main/java/damsonslip/transport/OutboundRateMonitor.java
@@ -67,7 +67,7 @@
                 peer,
                 backlogBytes.getAsLong(),
                 rate.bytesPerSecond(nowUs),
-                rate.leftUs(nowUs));
+                rate.remainingUs(nowUs));
     }
 
     private void scheduleCheck() {
--- a/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
@@ -39,7 +39,7 @@
 
     private final Limits limits;
     private boolean active;
-    private long leftUs;
+    private long remainingUs;
     private long drainedAtUs;
     private long transferredBytes;
     private long startedUs;
@@ -53,7 +53,7 @@
     public void begin(long nowUs) {
         if (!active) {
             active = true;
-            leftUs = limits.graceUs();
+            remainingUs = limits.graceUs();
             startedUs = nowUs;
             drainedAtUs = nowUs;
             transferredBytes = 0;
@@ -66,7 +66,7 @@
      */
     public void begin(long nowUs, long bytes) {
         begin(nowUs);
-        leftUs += limits.durationUs(bytes);
+        remainingUs += limits.durationUs(bytes);
     }
 
     /** Records that so many bytes were transferred. */
@@ -75,11 +75,11 @@
             drain(nowUs);
             transferredBytes += bytes;
             // an empty bucket stays empty: bytes that come after it ran out do not refill it
-            if (leftUs > 0) {
-                leftUs =
+            if (remainingUs > 0) {
+                remainingUs =
                         Math.min(
-                                Math.max(limits.windowUs(), leftUs),
-                                leftUs + limits.durationUs(bytes));
+                                Math.max(limits.windowUs(), remainingUs),
+                                remainingUs + limits.durationUs(bytes));
             }
         }
     }
@@ -94,7 +94,7 @@
         if (active) {
             drain(nowUs);
         }
-        return active && leftUs <= 0;
+        return active && remainingUs <= 0;
     }
 
     /** The mean rate since the transfer started, in bytes a second; 0 if none is under way. */
@@ -106,13 +106,15 @@
      * How long the peer may still pause, in microseconds; {@link Long#MAX_VALUE} if no transfer is
      * under way.
      */
-    public long leftUs(long nowUs) {
-        return active ? Math.max(0, leftUs - Math.max(0, nowUs - drainedAtUs)) : Long.MAX_VALUE;
+    public long remainingUs(long nowUs) {
+        return active
+                ? Math.max(0, remainingUs - Math.max(0, nowUs - drainedAtUs))
+                : Long.MAX_VALUE;
     }
 
     /** Drains the bucket by the time that has passed; a clock that steps back drains nothing. */
     private void drain(long nowUs) {
-        leftUs -= Math.max(0, nowUs - drainedAtUs);
+        remainingUs -= Math.max(0, nowUs - drainedAtUs);
         drainedAtUs = nowUs;
     }
 }
--- a/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
+++ b/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
@@ -37,11 +37,11 @@
 
     @Test
     void reportsRemainingTime() {
-        assertEquals(Long.MAX_VALUE, rate.leftUs(0), "no transfer is under way");
+        assertEquals(Long.MAX_VALUE, rate.remainingUs(0), "no transfer is under way");
         rate.begin(0);
-        assertEquals(2 * S, rate.leftUs(0));
-        assertEquals(S / 2, rate.leftUs(3 * S / 2));
-        assertEquals(0, rate.leftUs(3 * S));
+        assertEquals(2 * S, rate.remainingUs(0));
+        assertEquals(S / 2, rate.remainingUs(3 * S / 2));
+        assertEquals(0, rate.remainingUs(3 * S));
     }
 
     @Test
