--- a/src/main/java/damsonslip/store/StoreCircuitBreaker.java
+++ b/src/main/java/damsonslip/store/StoreCircuitBreaker.java
@@ -32,7 +32,7 @@
             throw new StoreException("the store is down", null);
         }
         try {
-            List<Object> results = call(operations);
+            List<Object> results = callStore(operations);
             if (open) {
                 LOG.info("event=store_available");
             }
@@ -49,7 +49,8 @@
     }
 
     /** Calls the store; an unexpected exception must not end the thread that serves all calls. */
-    private List<Object> call(List<? extends StoreOperation<?>> operations) throws StoreException {
+    private List<Object> callStore(List<? extends StoreOperation<?>> operations)
+            throws StoreException {
         try {
             return store.execute(operations);
         } catch (RuntimeException e) {
--- a/src/main/java/damsonslip/transport/AcceptBackOff.java
+++ b/src/main/java/damsonslip/transport/AcceptBackoff.java
@@ -4,7 +4,7 @@
  * Exponential backoff of a listener after a failed accept: the system is out of descriptors or
  * memory, and would refuse the next one as well. No I/O and no clock; not thread-safe.
  */
-final class AcceptBackOff {
+final class AcceptBackoff {
     /** Where only single accepts fail, no client waits noticeably. */
     static final long INITIAL_DELAY_US = 1_000;
 
--- a/src/main/java/damsonslip/transport/ConnectionLimiter.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -103,7 +103,7 @@
                             .filter(other -> !other.isLingering() && !considered.contains(other))
                             .filter(evictable)
                             .min(evictionOrder);
-            done = evictIfUnneeded(candidate.orElse(newest)) || candidate.isEmpty();
+            done = evictIfStillEvictable(candidate.orElse(newest)) || candidate.isEmpty();
             candidate.ifPresent(considered::add);
         }
     }
@@ -113,7 +113,7 @@
      * read yet would be lost, so what has come is read first. Returns whether the connection is
      * closing.
      */
-    private boolean evictIfUnneeded(L connection) {
+    private boolean evictIfStillEvictable(L connection) {
         connection.readAvailable();
         boolean evicted = !connection.isClosed() && evictable.test(connection);
         if (evicted) {
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -34,13 +34,13 @@
      * Send buffer of accepted connections, whose round trips are longer: 0.6 MB/s at 0.1 s, and any
      * usual answer whole.
      */
-    private static final int ANSWER_SEND_BUFFER_BYTES = 64 * 1024;
+    private static final int RESPONSE_SEND_BUFFER_BYTES = 64 * 1024;
 
     /**
      * Interval of the checks for sockets that the system does not watch (epoll_ctl(2)). Below the
      * half second by which an answer may be late (STANDING).
      */
-    private static final long UNREPORTED_CHECK_US = 400_000;
+    private static final long UNREPORTED_CHECK_INTERVAL_US = 400_000;
 
     private final EventLoop loop;
     private final RoundClock rounds;
@@ -104,7 +104,7 @@
             throws IOException {
         ConnectionManager manager =
                 DescriptorShortage.retryWhileShort(() -> startOnce(loop, connectTimeoutMs));
-        loop.scheduleAfter(UNREPORTED_CHECK_US, manager::checkUnreported);
+        loop.scheduleAfter(UNREPORTED_CHECK_INTERVAL_US, manager::checkUnreported);
         return manager;
     }
 
@@ -127,7 +127,7 @@
         connections.removeIf(EventLoopConnection::isClosed);
         List.copyOf(connections).forEach(EventLoopConnection::checkUnreported);
         selector.submit(listeners::acceptUnreported);
-        loop.scheduleAfter(UNREPORTED_CHECK_US, this::checkUnreported);
+        loop.scheduleAfter(UNREPORTED_CHECK_INTERVAL_US, this::checkUnreported);
     }
 
     /** Returns the event loop on which all connections are used. */
@@ -208,7 +208,7 @@
     @Override
     protected void accepted(SelectableChannel channel) throws IOException {
         SocketChannel connection = (SocketChannel) channel;
-        setUpAccepted(connection, listeners.at(connection.getLocalAddress()));
+        setUpAccepted(connection, listeners.findByAddress(connection.getLocalAddress()));
     }
 
     private void setUpAccepted(SocketChannel channel, ListeningSocket listener) throws IOException {
@@ -218,7 +218,7 @@
         }
         accepted.put(channel, new Accepted(listener, listener.queueArrival().arrivedAfterUs()));
         try {
-            configure(channel, ANSWER_SEND_BUFFER_BYTES);
+            configure(channel, RESPONSE_SEND_BUFFER_BYTES);
             accept(channel, listener.acceptor());
         } catch (IOException | RuntimeException e) {
             onAcceptFailed(channel, e);
--- a/src/main/java/damsonslip/transport/ConnectionReader.java
+++ b/src/main/java/damsonslip/transport/ConnectionReader.java
@@ -19,20 +19,22 @@
     private static final int MAX_BYTES_PER_TURN = 64 * 1024;
 
     /** Bytes that are read and dropped from a lingering peer; the rest stays with the system. */
-    private static final int MAX_DROPPED_BYTES = 128 * 1024;
+    private static final int MAX_DISCARDED_BYTES = 128 * 1024;
 
     /** Repetitions of a read that the system could not make, before it is left to a later turn. */
     private static final int MAX_IMMEDIATE_RETRIES = 4;
 
     private static final long RETRY_DELAY_US = 1_000;
 
-    /** What a read returns at the end of the stream; less is {@link LoopEndPoint#NOT_NOW}. */
+    /**
+     * What a read returns at the end of the stream; less is {@link LoopEndPoint#TRANSIENT_FAILURE}.
+     */
     private static final int END_OF_STREAM = -1;
 
     private final EventLoopConnection connection;
     private final EventLoop loop;
     private final ReadBuffer buffer;
-    private int droppedBytes;
+    private int discardedBytes;
 
     /**
      * @param maxBufferedBytes how much is read ahead without being consumed
@@ -44,7 +46,7 @@
     }
 
     /** Reads what is there, unless the selector is to report it anyway. */
-    void readUnlessAwaited() {
+    void readUnlessFillInterested() {
         if (!connection.isClosed() && !connection.isFillInterested()) {
             read();
         }
@@ -66,7 +68,7 @@
     }
 
     /** Drops what is buffered, and reads and drops what still comes. */
-    void beginDropping() {
+    void startDiscarding() {
         buffer.clear();
         if (!connection.isFillInterested()) {
             read();
@@ -78,11 +80,11 @@
         try {
             readOneTurn();
         } catch (IOException e) {
-            connection.broken();
+            connection.closeAsLost();
         } catch (RuntimeException e) {
             // a connection that nobody reads from any more must not stay open
             LOG.error("event=connection_failed peer={}", connection.remoteAddress(), e);
-            connection.broken();
+            connection.closeAsLost();
         }
     }
 
@@ -94,11 +96,11 @@
             }
             int bytes = fill();
             if (bytes <= 0) {
-                nothingRead(bytes);
+                handleNoBytes(bytes);
                 return;
             }
             if (isLingering()) {
-                if (!drop(bytes)) {
+                if (!discard(bytes)) {
                     return;
                 }
             } else {
@@ -107,7 +109,7 @@
                 remainingBytes -= bytes;
             }
         }
-        loop.execute(this::readUnlessAwaited);
+        loop.execute(this::readUnlessFillInterested);
     }
 
     /**
@@ -122,21 +124,21 @@
         return connection.state() == ConnectionState.LINGERING;
     }
 
-    private void nothingRead(int result) {
+    private void handleNoBytes(int result) {
         if (result == END_OF_STREAM) {
-            connection.broken();
+            connection.closeAsLost();
         } else if (result < END_OF_STREAM) {
-            loop.scheduleAfter(RETRY_DELAY_US, this::readUnlessAwaited);
-        } else if (!isLingering() || drop(0)) {
+            loop.scheduleAfter(RETRY_DELAY_US, this::readUnlessFillInterested);
+        } else if (!isLingering() || discard(0)) {
             awaitMore();
         }
     }
 
     /** Drops what was read; returns whether more may be read and dropped. */
-    private boolean drop(int bytes) {
+    private boolean discard(int bytes) {
         buffer.clear();
-        droppedBytes += bytes;
-        return droppedBytes <= MAX_DROPPED_BYTES;
+        discardedBytes += bytes;
+        return discardedBytes <= MAX_DISCARDED_BYTES;
     }
 
     /**
@@ -149,7 +151,7 @@
         for (int retry = 0; bytes < END_OF_STREAM && retry < MAX_IMMEDIATE_RETRIES; retry++) {
             bytes = endPoint.fill(buffer.bytes());
         }
-        connection.progressed(Math.max(0, bytes));
+        connection.recordProgress(Math.max(0, bytes));
         if (bytes == 0 && endPoint instanceof LoopEndPoint loopEndPoint) {
             loopEndPoint.arrival().recordEmpty(beforeUs);
         }
--- a/src/main/java/damsonslip/transport/EventLoopConnection.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -37,7 +37,7 @@
     private final WriteQueue writes;
     private ConnectionState state = ConnectionState.OPEN;
     private boolean lingered;
-    private boolean endedByPeer;
+    private boolean closedByPeer;
 
     /** Counts bytes read and messages written, to see whether a check has found anything. */
     private long progress;
@@ -102,7 +102,7 @@
 
     /** Whether the peer, or the network, has closed the connection. */
     protected final boolean isClosedByPeer() {
-        return endedByPeer;
+        return closedByPeer;
     }
 
     private boolean changeTo(ConnectionState next) {
@@ -122,9 +122,9 @@
     }
 
     /** Closes the connection after an error, or as its peer has closed it. */
-    final void broken() {
+    final void closeAsLost() {
         if (changeTo(ConnectionState.CLOSED)) {
-            endedByPeer = true;
+            closedByPeer = true;
             getEndPoint().close();
             connectionClosed();
             connectionLost();
@@ -148,7 +148,7 @@
             lingered = true;
             getEndPoint().shutdownOutput();
             loop.scheduleAfter(LINGER_US, this::closeNow);
-            reader.beginDropping();
+            reader.startDiscarding();
         }
     }
 
@@ -202,7 +202,7 @@
         reader.resume();
     }
 
-    final void progressed(long amount) {
+    final void recordProgress(long amount) {
         progress += amount;
     }
 
@@ -212,19 +212,19 @@
      * (epoll_ctl(2)), is never reported.
      */
     final void checkUnreported() {
-        boolean quiet = progress == progressAtLastCheck;
-        if (quiet && !isClosed() && getEndPoint() instanceof LoopEndPoint endPoint) {
+        boolean idle = progress == progressAtLastCheck;
+        if (idle && !isClosed() && getEndPoint() instanceof LoopEndPoint endPoint) {
             if (writes.isWriting()) {
                 readyForIo(); // the subclass may want to abandon what is being written
             }
             if (writes.isWriting() && !isClosed()) {
-                endPoint.tryWriting();
+                endPoint.resumeWrite();
             }
             if (isFillInterested()) {
                 reader.read();
             }
             if (progress != progressAtLastCheck && !isClosed()) {
-                endPoint.watchAnew();
+                endPoint.renewRegistration();
             }
         }
         progressAtLastCheck = progress;
@@ -271,7 +271,7 @@
 
     @Override
     protected final void onFillInterestedFailed(Throwable cause) {
-        loop.execute(this::broken);
+        loop.execute(this::closeAsLost);
     }
 
     /** Has the selector report the next bytes, without a thread to hand them over. */
@@ -288,7 +288,7 @@
 
         @Override
         public void messageWritten() {
-            progressed(1);
+            recordProgress(1);
         }
 
         @Override
@@ -305,7 +305,7 @@
 
         @Override
         public void writeFailed() {
-            broken();
+            closeAsLost();
         }
     }
 }
--- a/src/main/java/damsonslip/transport/Listeners.java
+++ b/src/main/java/damsonslip/transport/Listeners.java
@@ -27,7 +27,7 @@
     private static final int BACKLOG = 512;
 
     /** Suspension of a listener at its limit: some turns of the loop. */
-    private static final long FULL_DELAY_US = 2_000;
+    private static final long LIMIT_DELAY_US = 2_000;
 
     private final Map<SelectableChannel, ListeningSocket> sockets = new ConcurrentHashMap<>();
     private final EventLoop loop;
@@ -64,7 +64,7 @@
         try {
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
             if (shared) {
-                allowSharing(server);
+                enablePortSharing(server);
             }
             server.bind(address, BACKLOG);
             server.configureBlocking(false);
@@ -82,7 +82,7 @@
      * system supports that, and concludes that it does not if it gets no socket for the question.
      * This process serves nevertheless; an upgrade beside it will not start.
      */
-    private static void allowSharing(ServerSocketChannel server) throws IOException {
+    private static void enablePortSharing(ServerSocketChannel server) throws IOException {
         if (server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
@@ -98,7 +98,7 @@
     }
 
     /** Returns the socket that listens at an address, or null. */
-    ListeningSocket at(SocketAddress address) throws IOException {
+    ListeningSocket findByAddress(SocketAddress address) throws IOException {
         for (ListeningSocket listener : sockets.values()) {
             if (address.equals(listener.server().getLocalAddress())) {
                 return listener;
@@ -118,7 +118,7 @@
         }
         listener.queueArrival().reported();
         if (!listener.acceptor().hasCapacity()) {
-            suspend(listener, FULL_DELAY_US);
+            suspend(listener, LIMIT_DELAY_US);
             return null;
         }
         try {
--- a/src/main/java/damsonslip/transport/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -26,7 +26,7 @@
     private final ServerSocketChannel server;
     private final ConnectionManager.ConnectionAcceptor acceptor;
     private final ArrivalBound queueArrival;
-    private final AcceptBackOff backOff = new AcceptBackOff();
+    private final AcceptBackoff backoff = new AcceptBackoff();
     private long failures;
     private long lastLoggedUs = Long.MIN_VALUE / 2;
 
@@ -61,14 +61,14 @@
     SocketChannel accept(long nowUs) throws AcceptFailedException {
         try {
             SocketChannel accepted = server.accept();
-            backOff.succeeded();
+            backoff.succeeded();
             if (accepted == null) {
                 queueArrival.recordEmpty(nowUs);
             }
             return accepted;
         } catch (IOException e) {
             failures++;
-            long delayUs = backOff.failed();
+            long delayUs = backoff.failed();
             logFailure(nowUs, delayUs, e);
             throw new AcceptFailedException(delayUs, e);
         }
--- a/src/main/java/damsonslip/transport/LoopEndPoint.java
+++ b/src/main/java/damsonslip/transport/LoopEndPoint.java
@@ -20,7 +20,7 @@
  */
 final class LoopEndPoint extends SocketChannelEndPoint {
     /** What {@link #fill} returns if the system could not read just now. */
-    static final int NOT_NOW = -2;
+    static final int TRANSIENT_FAILURE = -2;
 
     /**
      * A connection counts as broken once its transfers have failed in a row for this long and at
@@ -62,8 +62,8 @@
 
     /**
      * Reads once. If the system fails the read for lack of memory (recv(2)) or a signal interrupts
-     * it, the connection stays open and this returns {@link #NOT_NOW}; Jetty would treat either as
-     * the end of the stream.
+     * it, the connection stays open and this returns {@link #TRANSIENT_FAILURE}; Jetty would treat
+     * either as the end of the stream.
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
@@ -77,13 +77,13 @@
             if (bytes == END_OF_STREAM) {
                 shutdownInput();
             }
-            return bytes < END_OF_STREAM ? NOT_NOW : bytes;
+            return bytes < END_OF_STREAM ? TRANSIENT_FAILURE : bytes;
         } catch (SocketException e) { // how the JDK reports a reset
             shutdownInput();
             return END_OF_STREAM;
         } catch (IOException e) {
             if (mayRetryAfterFailure()) {
-                return NOT_NOW;
+                return TRANSIENT_FAILURE;
             }
             shutdownInput();
             return END_OF_STREAM;
@@ -146,12 +146,12 @@
      * Continues a write that waits for space in the send buffer, though the selector has not
      * reported any. Called on the loop.
      */
-    void tryWriting() {
+    void resumeWrite() {
         getWriteFlusher().completeWrite();
     }
 
     /** Has the system watch the socket again, as it seems not to; thread-safe. */
-    void watchAnew() {
+    void renewRegistration() {
         selector.submit(
                 thisRound -> {
                     if (key.isValid()) {
