--- a/src/main/java/damsonslip/transport/AcceptBackoff.java
+++ b/src/main/java/damsonslip/transport/AcceptBackoff.java
@@ -1,14 +1,14 @@
 package damsonslip.transport;
 
 /**
- * Exponential backoff of a listener after a failed accept: the system is out of descriptors or
- * memory, and would refuse the next one as well. No I/O and no clock; not thread-safe.
+ * Exponential backoff of a listener after a failed accept: there are no free descriptors or memory,
+ * and an immediate retry would fail as well. No I/O and no clock; not thread-safe.
  */
 final class AcceptBackoff {
-    /** Where only single accepts fail, no client waits noticeably. */
+    /** Short enough that no client waits noticeably if only single accepts fail. */
     static final long INITIAL_DELAY_US = 1_000;
 
-    /** 30 failed accepts a second take a fraction of a percent of a core. */
+    /** About 30 failed accepts a second use a fraction of a percent of a CPU core. */
     static final long MAX_DELAY_US = 32_000;
 
     private long nextDelayUs = INITIAL_DELAY_US;
@@ -20,7 +20,7 @@
         return delayUs;
     }
 
-    /** Records that an accept returned a connection, or found none. */
+    /** Resets the delay: an accept returned a connection, or none was queued. */
     void succeeded() {
         nextDelayUs = INITIAL_DELAY_US;
     }
--- a/src/main/java/damsonslip/transport/ArrivalBound.java
+++ b/src/main/java/damsonslip/transport/ArrivalBound.java
@@ -1,9 +1,10 @@
 package damsonslip.transport;
 
 /**
- * The last moment at which a socket, or a listener's accept queue, was seen empty: what is read
- * from it now came later. If the process was suspended, that may be long ago, and the deadline of a
- * request that waits there is closer than the request says.
+ * The last time at which a socket, or a listener's accept queue, is known to have been empty. This
+ * is a lower bound on the arrival of what is found there later. If the process was suspended, that
+ * time may be long ago, and a request may have used up a part of its time limit while it waited
+ * there.
  *
  * <p>{@link #recordEmpty} and {@link #arrivedAfterUs} are thread-safe; the other methods are called
  * on the selector's thread.
@@ -15,7 +16,7 @@
     private volatile long emptyAtUs;
     private long watchedFromRound = NEVER;
 
-    /** Creates a bound for a socket that was empty at this time. */
+    /** Creates the bound of a socket that was empty at this time. */
     ArrivalBound(RoundClock rounds, long emptyAtUs) {
         this.rounds = rounds;
         this.emptyAtUs = emptyAtUs;
@@ -36,8 +37,8 @@
     }
 
     /**
-     * Records that the current round has reported the socket: so the previous one, if it watched
-     * the socket, found it empty.
+     * Records that the current round has reported the socket. The previous round, if it watched the
+     * socket, therefore found it empty.
      */
     void reported() {
         if (watchedFromRound < rounds.round()) {
@@ -45,7 +46,7 @@
         }
     }
 
-    /** Returns the time, in microseconds of the loop's clock, after which what is there came. */
+    /** Returns the lower bound on the arrival, in microseconds of the loop's clock. */
     long arrivedAfterUs() {
         return emptyAtUs;
     }
--- a/src/main/java/damsonslip/transport/ConnectFailure.java
+++ b/src/main/java/damsonslip/transport/ConnectFailure.java
@@ -5,17 +5,17 @@
 
 /** Why a connection could not be opened. */
 public enum ConnectFailure {
-    /** The peer, or the network on the way there, refused it or did not answer. */
+    /** The peer, or the network on the way to it, refused the connection or did not answer. */
     UNREACHABLE,
-    /** This machine had no socket, port or memory for it, so that nothing is known of the peer. */
+    /** No local socket, port or memory was available; nothing is known about the peer. */
     LOCAL,
     /**
-     * The connection was established, but this process did not notice within the timeout: it was
-     * suspended, or the system did not watch the socket.
+     * The connection was established, but this process did not detect that within the timeout,
+     * because it was suspended or the kernel did not watch the socket.
      */
     UNDETECTED;
 
-    /** Classifies what the call threw that was to open the connection. */
+    /** Classifies the exception of a failed attempt to open a connection. */
     static ConnectFailure of(Exception thrown) {
         return thrown instanceof ConnectException || thrown instanceof NoRouteToHostException
                 ? UNREACHABLE
--- a/src/main/java/damsonslip/transport/ConnectionLimiter.java
+++ b/src/main/java/damsonslip/transport/ConnectionLimiter.java
@@ -12,8 +12,8 @@
 
 /**
  * Limits the number of open connections of one kind. At the limit a new connection is accepted and
- * the least important one is evicted, so that clients that open hundreds of connections and send
- * nothing do not keep others out. A few more than the limit, the overflow, may be open while
+ * the least important one is evicted, so that clients that open hundreds of idle connections do not
+ * lock out others. The overflow is the number of connections above the limit that may be open while
  * evicted ones close.
  *
  * <p>{@link #admit}, {@link #hasCapacity} and {@link #admissionFailed} are thread-safe; all other
@@ -26,16 +26,17 @@
     private final Comparator<L> evictionOrder;
     private final Set<L> open = new LinkedHashSet<>();
 
-    /** Connections that were admitted and not closed yet. */
+    /** The number of connections that were admitted and not closed yet. */
     private final AtomicInteger admitted = new AtomicInteger();
 
     /**
      * Creates a limiter.
      *
-     * @param limit how many connections stay open
-     * @param overflow how many more may be open until evicted ones have closed
+     * @param limit the number of connections above which one is evicted
+     * @param overflow the number of further connections that may be open until evicted ones have
+     *     closed
      * @param evictable whether a connection may be evicted
-     * @param evictionOrder orders connections by importance; the least is evicted first
+     * @param evictionOrder orders connections by importance, the least important first
      */
     public ConnectionLimiter(
             int limit, int overflow, Predicate<L> evictable, Comparator<L> evictionOrder) {
@@ -45,17 +46,17 @@
         this.evictionOrder = evictionOrder;
     }
 
-    /** Changes the limits; open connections stay until new ones come. */
+    /** Changes the limits; connections above them are only evicted when new ones open. */
     public void resize(int newLimit, int newOverflow) {
         limit = newLimit;
         overflow = newOverflow;
     }
 
     /**
-     * Counts one more connection if the limit and the overflow allow it; it will be reported by
-     * {@link #connectionOpened} and {@link #connectionClosed}, or by {@link #admissionFailed}.
-     * Connections are counted here and not when they are set up, since many are accepted before the
-     * first of them is.
+     * Counts one more connection if the limit and the overflow allow it. The caller must later
+     * report it by {@link #connectionOpened} and {@link #connectionClosed}, or by {@link
+     * #admissionFailed}. Connections are counted on admission and not when they are set up, since
+     * many may be accepted before the first of them is set up.
      */
     public boolean admit() {
         int maxAdmitted = limit + overflow;
@@ -74,9 +75,9 @@
     }
 
     /**
-     * Adds a connection and evicts one if there are too many. Lingering ones may take half of the
-     * overflow; more are closed at once, since peers that never close their side would otherwise
-     * use all of it.
+     * Adds a connection and evicts one if the limit is exceeded. Lingering connections may use half
+     * of the overflow; further ones are closed at once, since peers that never close their side
+     * would otherwise use up all of it.
      */
     public void connectionOpened(L connection) {
         open.add(connection);
@@ -90,8 +91,8 @@
     }
 
     /**
-     * Evicts the least important connection; the new one if no other is evictable, and none if that
-     * is not either.
+     * Evicts the least important connection: the new one if no other is evictable, and none if the
+     * new one is not evictable either.
      */
     private void evictOne(L newest) {
         Set<L> considered = new HashSet<>();
@@ -109,9 +110,8 @@
     }
 
     /**
-     * Evicts a connection unless it turns out to be needed: a request that has come and was not
-     * read yet would be lost, so what has come is read first. Returns whether the connection is
-     * closing.
+     * Evicts a connection if it is still evictable after a read: a request that has arrived but has
+     * not been read yet would be lost. Returns whether the connection is closing.
      */
     private boolean evictIfStillEvictable(L connection) {
         connection.readAvailable();
@@ -128,7 +128,7 @@
         admitted.decrementAndGet();
     }
 
-    /** Whether no connection is open, and none was admitted that is not set up yet. */
+    /** Whether no connection is open or admitted. */
     public boolean isEmpty() {
         return admitted.get() == 0;
     }
--- a/src/main/java/damsonslip/transport/ConnectionManager.java
+++ b/src/main/java/damsonslip/transport/ConnectionManager.java
@@ -19,46 +19,47 @@
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 
 /**
- * Opens and accepts {@link EventLoopConnection}s, over one selector of Jetty's. Methods that Jetty
- * calls run on the selector's thread or on one of its pool; callbacks to connections and factories
- * run on the event loop unless they say otherwise.
+ * Opens and accepts {@link EventLoopConnection}s with one selector of Jetty's. Methods that Jetty
+ * calls run on the selector's thread or on another thread of its pool; callbacks to connections and
+ * factories run on the event loop unless stated otherwise.
  */
 public final class ConnectionManager extends SelectorManager {
     /**
-     * Send buffer of connections to workers. Small, so that the last byte of a large request has
-     * not left while the worker reads nothing; a head and the usual body fit in several times.
+     * Send buffer of connections to workers. It is small so that the last byte of a large request
+     * is not passed to the kernel while the worker reads nothing; it still has room for several
+     * requests of the usual size.
      */
     private static final int REQUEST_SEND_BUFFER_BYTES = 16 * 1024;
 
     /**
-     * Send buffer of accepted connections, whose round trips are longer: 0.6 MB/s at 0.1 s, and any
-     * usual answer whole.
+     * Send buffer of accepted connections, whose round trips are longer. It allows 0.6 MB/s at a
+     * round trip of 0.1 s, and holds any response of usual size completely.
      */
     private static final int RESPONSE_SEND_BUFFER_BYTES = 64 * 1024;
 
     /**
-     * Interval of the checks for sockets that the system does not watch (epoll_ctl(2)). Below the
-     * half second by which an answer may be late (STANDING).
+     * Interval of the checks for sockets that the kernel does not watch because epoll_ctl(2)
+     * failed. Less than the 0.5 s by which a response may be late (STANDING).
      */
     private static final long UNREPORTED_CHECK_INTERVAL_US = 400_000;
 
     private final EventLoop loop;
     private final RoundClock rounds;
 
-    /** Open connections, and some that were closed since the last check; used on the loop. */
+    /** Open connections, and those closed since the last check; used on the loop. */
     private final List<EventLoopConnection> connections = new ArrayList<>();
 
     private final Listeners listeners;
 
-    /** Connections that were accepted and are not set up yet. */
+    /** Connections that have been accepted and not set up yet. */
     private final Map<SelectableChannel, Accepted> accepted = new ConcurrentHashMap<>();
 
     private volatile ManagedSelector selector;
 
-    /** An accepted connection's listener, and a time at which its first bytes had not come yet. */
+    /** An accepted connection's listener, and a time at which no bytes of it had arrived yet. */
     private record Accepted(ListeningSocket listener, long arrivedAfterUs) {}
 
-    /** Creates the object that speaks the protocol of a connection. */
+    /** Creates the object that implements the protocol of a connection. */
     public interface ConnectionFactory {
         /** Creates the connection; called on a thread of Jetty's. */
         EventLoopConnection open(EndPoint endPoint);
@@ -70,16 +71,16 @@
     /** Decides which connections are accepted. */
     public interface ConnectionAcceptor extends ConnectionFactory {
         /**
-         * Whether a connection may be accepted now; others wait in the listener's queue. Called on
-         * the selector's thread.
+         * Whether a connection may be accepted now; otherwise it stays in the accept queue. Called
+         * on the selector's thread.
          */
         default boolean hasCapacity() {
             return true;
         }
 
         /**
-         * Counts one more connection if the limit allows it: it will be opened, or reported as
-         * failed. Called on any thread.
+         * Counts one more connection if the limit allows it. It will then be opened, or reported to
+         * {@link #admissionFailed}. Called on any thread.
          */
         boolean admit();
 
@@ -95,10 +96,10 @@
     }
 
     /**
-     * Starts a selector; blocks while the system has no descriptors. Must not be called on the
-     * loop.
+     * Starts a selector; blocks while no descriptors are available. Must not be called on the loop.
      *
-     * @throws IOException if the system refuses for another reason, or for too long
+     * @throws IOException if this fails for another reason, or no descriptor becomes available in
+     *     time
      */
     public static ConnectionManager start(EventLoop loop, long connectTimeoutMs)
             throws IOException {
@@ -122,7 +123,7 @@
         }
     }
 
-    /** Checks all sockets for what the selector has not reported. */
+    /** Checks all sockets for events that the selector has not reported. */
     private void checkUnreported() {
         connections.removeIf(EventLoopConnection::isClosed);
         List.copyOf(connections).forEach(EventLoopConnection::checkUnreported);
@@ -136,7 +137,7 @@
     }
 
     /**
-     * Listens at an address until the result is closed; blocks while the system has no socket. Must
+     * Listens at an address until the result is closed; blocks while no socket is available. Must
      * not be called on the loop.
      *
      * @throws IOException if the address is not available
@@ -149,8 +150,8 @@
     /**
      * Listens at an address until the port is closed.
      *
-     * @param shared whether another process may listen there as well
-     * @throws IOException if the address is not available, or the system has no socket
+     * @param shared whether other processes may listen at the same address (SO_REUSEPORT)
+     * @throws IOException if the address or a socket is not available
      */
     public ListeningPort listenOnPort(
             InetSocketAddress address, ConnectionAcceptor acceptor, boolean shared)
@@ -164,10 +165,10 @@
     }
 
     /**
-     * Opens a connection; the factory learns on the loop whether that succeeded.
+     * Opens a connection; the factory is notified of the outcome on the loop.
      *
-     * @return abandons the attempt and frees its descriptor, if the connection is not established
-     *     yet; the factory may or may not be notified of that
+     * @return a handle that abandons the attempt and frees its descriptor, if the connection is not
+     *     established yet; the factory may or may not be notified then
      */
     public Closeable connect(InetSocketAddress address, ConnectionFactory factory) {
         SocketChannel channel = null;
@@ -196,8 +197,8 @@
     }
 
     /**
-     * Returns the next connection, on the selector's thread, or null if none waits or the system
-     * refuses. Jetty would answer an exception by closing the connection that it accepted before,
+     * Returns the next connection, or null if none is queued or the accept fails; called on the
+     * selector's thread. This must not throw: Jetty would close the connection accepted before,
      * whose request would be lost.
      */
     @Override
--- a/src/main/java/damsonslip/transport/ConnectionReader.java
+++ b/src/main/java/damsonslip/transport/ConnectionReader.java
@@ -7,27 +7,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads from one connection, on the event loop, until nothing more is there, and has the selector
- * report when more is. How much is read is bounded: by the read buffer where nobody consumes it, by
- * the write queue's watermarks, and in one turn of the loop, so that a fast peer does not keep it
- * from others.
+ * Reads from one connection, on the event loop, until no more bytes are available, and then
+ * registers read interest with the selector. The amount that is read is bounded by the size of the
+ * read buffer if its content is not consumed, by the write queue's watermarks, and by a maximum for
+ * each turn of the loop, so that a fast peer does not starve other connections.
  */
 final class ConnectionReader {
     private static final Logger LOG = LoggerFactory.getLogger(ConnectionReader.class);
 
-    /** Bytes that are read from a peer in one turn of the loop. */
+    /** Bytes that are read from a peer in one turn of the loop at most. */
     private static final int MAX_BYTES_PER_TURN = 64 * 1024;
 
-    /** Bytes that are read and dropped from a lingering peer; the rest stays with the system. */
+    /** Bytes that are read and discarded while lingering; the rest stays in the socket's buffer. */
     private static final int MAX_DISCARDED_BYTES = 128 * 1024;
 
-    /** Repetitions of a read that the system could not make, before it is left to a later turn. */
+    /** Immediate retries of a read that failed transiently, before a delayed retry. */
     private static final int MAX_IMMEDIATE_RETRIES = 4;
 
     private static final long RETRY_DELAY_US = 1_000;
 
     /**
-     * What a read returns at the end of the stream; less is {@link LoopEndPoint#TRANSIENT_FAILURE}.
+     * Result of a read at the end of the stream; a smaller one is {@link
+     * LoopEndPoint#TRANSIENT_FAILURE}.
      */
     private static final int END_OF_STREAM = -1;
 
@@ -37,7 +38,7 @@
     private int discardedBytes;
 
     /**
-     * @param maxBufferedBytes how much is read ahead without being consumed
+     * @param maxBufferedBytes the maximum number of bytes that are read and not consumed
      */
     ConnectionReader(EventLoopConnection connection, EventLoop loop, int maxBufferedBytes) {
         this.connection = connection;
@@ -45,14 +46,14 @@
         this.buffer = new ReadBuffer(maxBufferedBytes);
     }
 
-    /** Reads what is there, unless the selector is to report it anyway. */
+    /** Reads the available bytes, unless the selector will report them anyway. */
     void readUnlessFillInterested() {
         if (!connection.isClosed() && !connection.isFillInterested()) {
             read();
         }
     }
 
-    /** Offers the bytes that were not consumed once more, and then reads on. */
+    /** Passes the unconsumed bytes to the subclass again, and then continues to read. */
     void resume() {
         boolean offered =
                 connection.state().acceptsInput()
@@ -67,7 +68,7 @@
         }
     }
 
-    /** Drops what is buffered, and reads and drops what still comes. */
+    /** Discards the buffered bytes and all that are received from now on. */
     void startDiscarding() {
         buffer.clear();
         if (!connection.isFillInterested()) {
@@ -75,14 +76,14 @@
         }
     }
 
-    /** Reads until nothing more is there, or a bound is reached. */
+    /** Reads until no more bytes are available, or a bound is reached. */
     void read() {
         try {
             readOneTurn();
         } catch (IOException e) {
             connection.closeAsLost();
         } catch (RuntimeException e) {
-            // a connection that nobody reads from any more must not stay open
+            // reading has stopped: left open, the connection would never be read again
             LOG.error("event=connection_failed peer={}", connection.remoteAddress(), e);
             connection.closeAsLost();
         }
@@ -113,8 +114,8 @@
     }
 
     /**
-     * A full buffer that nobody consumes is not read into: what a peer sends ahead is bounded by
-     * it, and by the watermarks.
+     * Whether bytes may be read now. A full buffer and the high watermark both stop reading, which
+     * bounds the bytes that a peer can send ahead.
      */
     private boolean isReadable() {
         return !connection.isClosed() && !connection.isBackpressured() && buffer.makeSpace();
@@ -134,7 +135,7 @@
         }
     }
 
-    /** Drops what was read; returns whether more may be read and dropped. */
+    /** Discards the bytes read; returns whether more may be read and discarded. */
     private boolean discard(int bytes) {
         buffer.clear();
         discardedBytes += bytes;
@@ -142,7 +143,8 @@
     }
 
     /**
-     * Reads once; returns less than {@link #END_OF_STREAM} if the system keeps failing the read.
+     * Reads once, with immediate retries; returns less than {@link #END_OF_STREAM} if all of them
+     * fail.
      */
     private int fill() throws IOException {
         long beforeUs = loop.nowUs();
--- a/src/main/java/damsonslip/transport/ConnectionState.java
+++ b/src/main/java/damsonslip/transport/ConnectionState.java
@@ -1,7 +1,7 @@
 package damsonslip.transport;
 
 /**
- * The states of an {@link EventLoopConnection}, with the one table of their transitions.
+ * The states of an {@link EventLoopConnection} and their transitions.
  *
  * <pre>
  *                 CLOSE_PENDING   LINGERING   CLOSED
@@ -16,7 +16,7 @@
     OPEN,
     /** Closes once everything is written; still reads. */
     CLOSE_PENDING,
-    /** Has shut down its output and drops what it reads until the peer closes its side. */
+    /** Has shut down its output and discards what it reads until the peer closes its side. */
     LINGERING,
     /** Closed, by either side or by the network. */
     CLOSED;
@@ -31,7 +31,7 @@
         };
     }
 
-    /** Whether bytes that are read go to the subclass. */
+    /** Whether bytes that are read are passed to the connection's subclass. */
     boolean acceptsInput() {
         return this == OPEN || this == CLOSE_PENDING;
     }
--- a/src/main/java/damsonslip/transport/DescriptorShortage.java
+++ b/src/main/java/damsonslip/transport/DescriptorShortage.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Retries what the system refuses for the moment: sockets or descriptors, for lack of memory,
- * buffers or entries in its tables (socket(2), epoll_create(2)). A start that failed for it would
- * have to be repeated by the platform.
+ * Retries operations that need a socket or descriptor while the kernel cannot provide one, for lack
+ * of memory, buffers or table entries (socket(2), epoll_create(2)). If the start failed for this
+ * reason, the platform would have to start the process again.
  */
 public final class DescriptorShortage {
     private static final Logger LOG = LoggerFactory.getLogger(DescriptorShortage.class);
@@ -18,7 +18,7 @@
     /** Delay before the next attempt, in milliseconds. */
     public static final long RETRY_DELAY_MS = 100;
 
-    /** Below the 30 s within which a process has to be ready (STANDING). */
+    /** Less than the 30 s within which a process has to be ready (STANDING). */
     private static final long TIMEOUT_MS = 25_000;
 
     /** An operation that needs a socket or descriptor. */
@@ -28,7 +28,9 @@
 
     private DescriptorShortage() {}
 
-    /** Whether the failure is transient; an address that is in use or not available is not. */
+    /**
+     * Whether the failure is transient; one because an address is in use or not available is not.
+     */
     public static boolean isTransient(IOException failure) {
         boolean addressUnavailable = failure instanceof BindException;
         return !addressUnavailable
@@ -36,7 +38,7 @@
     }
 
     /**
-     * Repeats the attempt until it succeeds, fails for another reason, or 25 s have passed. Blocks
+     * Retries until the attempt succeeds, it fails for another reason, or 25 s have passed. Blocks
      * the calling thread.
      *
      * @throws IOException the last failure
--- a/src/main/java/damsonslip/transport/EventLoopConnection.java
+++ b/src/main/java/damsonslip/transport/EventLoopConnection.java
@@ -8,22 +8,22 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * One open connection, whose subclass speaks a protocol. Jetty's selector only reports that there
- * is something to do; reading ({@link ConnectionReader}), deciding and writing ({@link WriteQueue})
- * all happen on the {@link EventLoop}, so that subclasses need no locks. All methods are called on
- * the loop unless they say otherwise.
+ * An open connection; subclasses implement a protocol. Jetty's selector only reports readiness;
+ * reading ({@link ConnectionReader}), processing and writing ({@link WriteQueue}) are done on the
+ * {@link EventLoop}, so that subclasses need no locks. All methods are called on the loop unless
+ * stated otherwise.
  *
- * <p>{@link ConnectionState} has the states and their transitions.
+ * <p>{@link ConnectionState} defines the states and their transitions.
  */
 public abstract class EventLoopConnection extends AbstractConnection {
-    /** How long a peer may take to close its side after the last answer. */
+    /** How long a peer may take to close its side after the last response. */
     private static final long LINGER_US = 500_000;
 
     /**
-     * How long a request may have waited here unread without its being counted as waiting. A worker
-     * may be given 0.15 s more than the client has (STANDING); a third of that is kept for the time
-     * from this check to the write. Unless the process was suspended, two rounds of the selector
-     * take less than this, and no client loses time.
+     * How long a request may wait unread without a deduction from its time limit. A worker may be
+     * given 0.15 s more than the client has left (STANDING); a third of that is reserved for the
+     * time from this check to the write. Unless the process was suspended, two rounds of the
+     * selector take less than this, and nothing is deducted.
      */
     static final long TOLERATED_WAIT_US = 100_000;
 
@@ -39,21 +39,21 @@
     private boolean lingered;
     private boolean closedByPeer;
 
-    /** Counts bytes read and messages written, to see whether a check has found anything. */
+    /** Bytes read plus messages written; shows whether a check has found anything to do. */
     private long progress;
 
     private long progressAtLastCheck;
 
-    /** Creates a connection that reads ahead one buffer at most. */
+    /** Creates a connection that reads ahead one buffer of the initial size at most. */
     protected EventLoopConnection(EndPoint endPoint, EventLoop loop) {
         this(endPoint, loop, ReadBuffer.INITIAL_BYTES);
     }
 
     /**
-     * Creates a connection that reads ahead though nobody consumes what it reads, so that it
-     * notices when its peer closes.
+     * Creates a connection that continues to read while its subclass consumes nothing, so that it
+     * detects a close by its peer.
      *
-     * @param maxReadAheadBytes how much of it is buffered; then nothing more is read
+     * @param maxReadAheadBytes the number of unconsumed bytes at which reading stops
      */
     protected EventLoopConnection(EndPoint endPoint, EventLoop loop, int maxReadAheadBytes) {
         super(endPoint, loop::execute);
@@ -62,19 +62,19 @@
         this.writes = new WriteQueue(endPoint, new WriteListener());
     }
 
-    /** Called once the connection is up. */
+    /** Called once the connection is open. */
     protected abstract void opened();
 
     /**
-     * Called when bytes have been read; those left in the buffer are offered again with the next
+     * Called when bytes have been read; those left in the buffer are passed again with the next
      * ones, or on {@link #resumeReading}.
      */
     protected abstract void received(ByteBuffer bytes);
 
-    /** Called when the system is ready to read or write, before any byte is read or written. */
+    /** Called when the socket is ready for reading or writing, before any byte is transferred. */
     protected void readyForIo() {}
 
-    /** Called when all that has come until now was read, and the connection is still open. */
+    /** Called when all available bytes have been read and the connection is still open. */
     protected void readComplete() {}
 
     /**
@@ -83,19 +83,19 @@
      */
     protected abstract void connectionLost();
 
-    /** Called when the connection is closed, by whichever side. */
+    /** Called when the connection is closed by either side. */
     protected void connectionClosed() {}
 
     final ConnectionState state() {
         return state;
     }
 
-    /** Whether the connection is closed, by whichever side. */
+    /** Whether the connection was closed by either side. */
     public final boolean isClosed() {
         return state == ConnectionState.CLOSED;
     }
 
-    /** Whether only the peer's close is awaited, or was when the connection closed. */
+    /** Whether the connection is waiting for its peer's close, or was when it closed. */
     public final boolean isLingering() {
         return lingered;
     }
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Closes the connection after an error, or as its peer has closed it. */
+    /** Closes the connection after an error or a close by its peer. */
     final void closeAsLost() {
         if (changeTo(ConnectionState.CLOSED)) {
             closedByPeer = true;
@@ -132,9 +132,10 @@
     }
 
     /**
-     * Closes the connection once everything is written. Closing with bytes unread would reset the
-     * connection, and the peer might never see what was written, so these are read and dropped
-     * first. That is bounded in time and bytes, since a fast peer would keep the loop from others.
+     * Closes the connection once everything is written. Closing it with unread bytes would reset
+     * it, and the peer might lose what was written, so unread bytes are read and discarded first.
+     * This is bounded in time and bytes, since a fast peer would otherwise starve other
+     * connections.
      */
     protected final void closeAfterWrites() {
         changeTo(ConnectionState.CLOSE_PENDING);
@@ -153,8 +154,8 @@
     }
 
     /**
-     * Closes the connection to free its capacity: gracefully, or at once if it was closing already.
-     * Bytes that come in the moment of an immediate close would reset the connection, and the peer
+     * Closes the connection to make room for another one: gracefully, or at once if it is closing
+     * already. Bytes that arrive during an immediate close would reset the connection, and the peer
      * might lose what was written last.
      */
     final void evict() {
@@ -166,38 +167,38 @@
     }
 
     /**
-     * Closes the connection gracefully between requests; a subclass may have to answer a request of
-     * which only a part has come.
+     * Closes the connection gracefully between requests; a subclass may have to answer an
+     * incomplete request first.
      */
     protected void closeGracefully() {
         closeAfterWrites();
     }
 
-    /** Writes in order; runs the callback once the last byte has been handed to the system. */
+    /** Writes in order; runs the callback once the last byte has been passed to the kernel. */
     protected final void write(Runnable written, ByteBuffer... bytes) {
         if (!isClosed()) {
             writes.add(written, bytes);
         }
     }
 
-    /** Returns how many bytes the system has not taken yet. */
+    /** Returns the number of bytes that have not been passed to the kernel yet. */
     protected final long backlogBytes() {
         return writes.backlogBytes();
     }
 
-    /** Whether reading has to pause, since too much waits to be written. */
+    /** Whether the write backlog is so large that reading has to pause. */
     final boolean isBackpressured() {
         return writes.isFull();
     }
 
-    /** Reads what has come, so that a connection is not closed over a request not read yet. */
+    /** Reads the available bytes, so that a connection with an unread request is not closed. */
     protected final void readAvailable() {
         if (state.acceptsInput()) {
             reader.read();
         }
     }
 
-    /** Offers the bytes that were not consumed once more, and then reads on. */
+    /** Passes the unconsumed bytes to {@link #received} again, and then continues to read. */
     protected final void resumeReading() {
         reader.resume();
     }
@@ -207,15 +208,15 @@
     }
 
     /**
-     * Reads and writes what the selector has not reported, if nothing has moved since the last
-     * check. A socket that the system does not watch, because it had no memory for that
-     * (epoll_ctl(2)), is never reported.
+     * Tries to read and write without a report of the selector, if there was no progress since the
+     * last check. A socket that the kernel does not watch, because epoll_ctl(2) failed for lack of
+     * memory, is never reported.
      */
     final void checkUnreported() {
         boolean idle = progress == progressAtLastCheck;
         if (idle && !isClosed() && getEndPoint() instanceof LoopEndPoint endPoint) {
             if (writes.isWriting()) {
-                readyForIo(); // the subclass may want to abandon what is being written
+                readyForIo(); // the subclass may abandon what is being written
             }
             if (writes.isWriting() && !isClosed()) {
                 endPoint.resumeWrite();
@@ -235,7 +236,7 @@
         return String.valueOf(getEndPoint().getRemoteSocketAddress());
     }
 
-    /** Returns a time, in microseconds, at which what was read last had not come yet. */
+    /** Returns a lower bound on the arrival of the bytes read last, in microseconds. */
     protected final long arrivedAfterUs() {
         return getEndPoint() instanceof LoopEndPoint endPoint
                 ? endPoint.arrival().arrivedAfterUs()
@@ -243,8 +244,8 @@
     }
 
     /**
-     * Returns the time, in microseconds, at which what was read last counts as come: now, unless it
-     * may have waited here for longer than is tolerated.
+     * Returns the time, in microseconds, that is taken as the arrival of the bytes read last: now,
+     * unless they may have waited for longer than {@link #TOLERATED_WAIT_US}.
      */
     protected final long arrivalUs() {
         return Math.min(loop.nowUs(), arrivedAfterUs() + TOLERATED_WAIT_US);
@@ -263,7 +264,7 @@
                 });
     }
 
-    /** Called by Jetty, on the loop, as {@link LoopEndPoint} runs the selected tasks there. */
+    /** Called by Jetty, on the loop, since {@link LoopEndPoint} runs the selected tasks there. */
     @Override
     public final void onFillable() {
         reader.read();
@@ -274,7 +275,7 @@
         loop.execute(this::closeAsLost);
     }
 
-    /** Has the selector report the next bytes, without a thread to hand them over. */
+    /** Registers read interest; the callback runs without a hand-over to another thread. */
     @Override
     public void fillInterested() {
         getEndPoint().fillInterested(readable);
--- a/src/main/java/damsonslip/transport/LimitedAcceptor.java
+++ b/src/main/java/damsonslip/transport/LimitedAcceptor.java
@@ -1,9 +1,9 @@
 package damsonslip.transport;
 
 /**
- * Accepts connections of one kind up to the limit of a {@link ConnectionLimiter}; those beyond it
- * wait in the listener's queue until others have been closed. The acceptor's own methods are called
- * on any thread, {@link #connectionOpened} and {@link #connectionClosed} by the connections, on the
+ * Accepts connections of one kind up to the limits of a {@link ConnectionLimiter}; further ones
+ * stay in the accept queue until others have been closed. The acceptor's own methods are called on
+ * any thread, {@link #connectionOpened} and {@link #connectionClosed} by the connections, on the
  * event loop.
  */
 public abstract class LimitedAcceptor<L extends EventLoopConnection>
@@ -15,7 +15,7 @@
         this.limiter = limiter;
     }
 
-    /** Returns the limiter, which knows the open connections. */
+    /** Returns the limiter, which holds the open connections. */
     protected final ConnectionLimiter<L> limiter() {
         return limiter;
     }
--- a/src/main/java/damsonslip/transport/LineDecoder.java
+++ b/src/main/java/damsonslip/transport/LineDecoder.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Splits a byte stream into lines of UTF-8 text without surrounding white space. An unfinished line
- * is bounded, so that a peer that never ends one cannot exhaust the memory. Not thread-safe.
+ * Splits a byte stream into lines of UTF-8 text and trims them. The length of an unfinished line is
+ * bounded, so that a peer that never sends a line feed cannot exhaust the memory. Not thread-safe.
  */
 public final class LineDecoder {
     private final int maxLineBytes;
@@ -16,13 +16,15 @@
     /**
      * Creates a decoder.
      *
-     * @param maxLineBytes the bound on a line without its end
+     * @param maxLineBytes the maximum length of an unfinished line
      */
     public LineDecoder(int maxLineBytes) {
         this.maxLineBytes = maxLineBytes;
     }
 
-    /** Returns the lines that end in these bytes; null if the unfinished line is too long. */
+    /**
+     * Returns the lines that are completed by these bytes; null if the unfinished line is too long.
+     */
     public List<String> decode(byte[] bytes) {
         List<String> lines = new ArrayList<>(2);
         int lineStart = 0;
@@ -42,7 +44,7 @@
         return unfinished.size();
     }
 
-    /** Returns the unfinished line and forgets it. */
+    /** Returns the unfinished line and removes it from the decoder. */
     public String takeUnfinished() {
         String line = unfinished.toString(StandardCharsets.UTF_8).trim();
         unfinished = new ByteArrayOutputStream();
--- a/src/main/java/damsonslip/transport/Listeners.java
+++ b/src/main/java/damsonslip/transport/Listeners.java
@@ -17,16 +17,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The listening sockets of one selector: binds them, accepts from them, and suspends one for a
- * while after a failed accept, or while its connections are at their limit.
+ * The listening sockets of one selector. Binds them, accepts connections from them, and suspends a
+ * socket for a while after a failed accept, or while the number of its connections is at the limit.
  */
 final class Listeners {
     private static final Logger LOG = LoggerFactory.getLogger(Listeners.class);
 
-    /** How many connections the system queues for each socket. */
+    /** Capacity of the accept queue of each socket. */
     private static final int BACKLOG = 512;
 
-    /** Suspension of a listener at its limit: some turns of the loop. */
+    /** Suspension of a listener whose connections are at the limit: some turns of the loop. */
     private static final long LIMIT_DELAY_US = 2_000;
 
     private final Map<SelectableChannel, ListeningSocket> sockets = new ConcurrentHashMap<>();
@@ -40,7 +40,7 @@
     }
 
     /**
-     * @param selector the selector, once it has been started
+     * @param selector returns the selector; called only after it has started
      */
     Listeners(EventLoop loop, Supplier<ManagedSelector> selector, AcceptHandler acceptHandler) {
         this.loop = loop;
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Begins to listen at an address; accepting is left to the selector.
+     * Binds a socket to an address and listens; accepting is up to the selector.
      *
-     * @param shared whether another process may listen there as well
-     * @param queueArrival the bound on when the connections in its queue came
+     * @param shared whether other processes may listen at the same address (SO_REUSEPORT)
+     * @param queueArrival the earliest possible arrival of the connections in the accept queue
      */
     ListeningSocket bind(
             InetSocketAddress address,
@@ -78,26 +78,27 @@
     }
 
     /**
-     * Lets other processes listen at the same address. The JDK asks once, as it loads, whether the
-     * system supports that, and concludes that it does not if it gets no socket for the question.
-     * This process serves nevertheless; an upgrade beside it will not start.
+     * Lets other processes listen at the same address. The JDK checks support for that once, when
+     * its class loads, and takes it as missing if it cannot open a socket for the check. This
+     * process serves nevertheless, but a new version cannot be started beside it for an upgrade.
      */
     private static void enablePortSharing(ServerSocketChannel server) throws IOException {
         if (server.supportedOptions().contains(StandardSocketOptions.SO_REUSEPORT)) {
             server.setOption(StandardSocketOptions.SO_REUSEPORT, true);
         } else {
             LOG.warn(
-                    "event=port_not_shared reason=\"no socket could be had as the program began\"");
+                    "event=port_not_shared reason=\"no socket for the JDK's check of"
+                            + " SO_REUSEPORT\"");
         }
     }
 
-    /** Closes a listening socket; connections in its queue are reset. */
+    /** Closes a listening socket; connections in its accept queue are reset. */
     void close(ListeningSocket listener) throws IOException {
         listener.server().close();
         sockets.remove(listener.server());
     }
 
-    /** Returns the socket that listens at an address, or null. */
+    /** Returns the socket that listens at this address, or null. */
     ListeningSocket findByAddress(SocketAddress address) throws IOException {
         for (ListeningSocket listener : sockets.values()) {
             if (address.equals(listener.server().getLocalAddress())) {
@@ -108,7 +109,7 @@
     }
 
     /**
-     * Returns the next connection, or null if none waits or the system refuses; called on the
+     * Returns the next connection, or null if none is queued or the accept fails; called on the
      * selector's thread.
      */
     SocketChannel acceptNext(SelectableChannel server) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /** Accepts all connections that wait, up to the limit; returns whether there were any. */
+    /** Accepts all queued connections, up to the limit; returns whether there were any. */
     boolean acceptAll(ListeningSocket listener) throws IOException {
         boolean any = false;
         SocketChannel next = acceptIfBelowLimit(listener);
@@ -147,8 +148,8 @@
     }
 
     /**
-     * Accepts connections that the selector has not reported; called on its thread, which alone
-     * accepts.
+     * Accepts connections that the selector has not reported; called on the selector's thread, the
+     * only one that accepts.
      */
     void acceptUnreported(Selector current) {
         for (ListeningSocket listener : sockets.values()) {
@@ -171,7 +172,7 @@
         }
     }
 
-    /** Has the selector ignore the listener for a while: it would report it again and again. */
+    /** Stops watching the listener for a while; the selector would report it in every round. */
     private void suspend(ListeningSocket listener, long delayUs) {
         ManagedSelector managed = selector.get();
         listener.setWatched(managed.getSelector(), false);
--- a/src/main/java/damsonslip/transport/ListeningPort.java
+++ b/src/main/java/damsonslip/transport/ListeningPort.java
@@ -7,13 +7,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An address where connections are accepted, which can be closed without a reset of those that wait
- * in its queue.
+ * A listening address that can be closed without a reset of the connections in its accept queue.
  */
 public final class ListeningPort implements Closeable {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningPort.class);
 
-    /** Delay before the next check of whether the selector has released the socket. */
+    /** Delay before the next check of whether the selector has deregistered the socket. */
     private static final long RETRY_DELAY_US = 1_000;
 
     private final EventLoop loop;
@@ -23,7 +22,8 @@
     private boolean closedGracefully;
 
     /**
-     * @param registration has the selector release the socket when it is closed
+     * @param registration the socket's registration with the selector; closing it deregisters the
+     *     socket
      */
     ListeningPort(
             EventLoop loop, Listeners listeners, ListeningSocket socket, Closeable registration) {
@@ -33,7 +33,7 @@
         this.registration = registration;
     }
 
-    /** Closes the address at once; connections in its queue are reset. */
+    /** Closes the socket at once; connections in its accept queue are reset. */
     @Override
     public void close() throws IOException {
         registration.close();
@@ -41,10 +41,11 @@
     }
 
     /**
-     * Closes the address gracefully; called on the loop. A close resets the connections that wait
-     * in the queue, and the JVM delays it until the selector has released the socket, so that all
-     * that come until then would be reset as well. So the selector releases the socket first, then
-     * all connections are accepted, and the close follows at once.
+     * Closes the socket gracefully; called on the loop. A close resets the connections in the
+     * accept queue, and the JVM delays it until the selector has deregistered the socket, so that
+     * connections that arrive in the meantime would be reset as well. Therefore the selector
+     * deregisters the socket first; then all queued connections are accepted, and the socket is
+     * closed immediately afterwards.
      */
     public void closeGracefully() {
         try {
@@ -55,20 +56,21 @@
         drainAndClose();
     }
 
-    /** Whether the graceful close is complete; called on the loop. */
+    /** Whether a graceful close has completed; called on the loop. */
     public boolean isClosedGracefully() {
         return closedGracefully;
     }
 
     /**
-     * Accepts what waits, and closes the socket once it is released. While accepts fail it stays
-     * open: its close would reset connections that can soon be accepted.
+     * Accepts all queued connections, and closes the socket once the selector has deregistered it.
+     * While accepts fail the socket stays open, since closing it would reset connections that can
+     * probably be accepted soon.
      */
     private void drainAndClose() {
-        boolean released = !socket.server().isRegistered();
+        boolean deregistered = !socket.server().isRegistered();
         try {
             listeners.acceptAll(socket);
-            if (released) {
+            if (deregistered) {
                 listeners.close(socket);
                 closedGracefully = true;
                 return;
--- a/src/main/java/damsonslip/transport/ListeningSocket.java
+++ b/src/main/java/damsonslip/transport/ListeningSocket.java
@@ -10,17 +10,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A listening socket and its accepts. An accept may fail because the system is out of descriptors,
- * buffers or memory (accept(2)); the connections in the queue are not lost then, and are accepted
- * once that succeeds again.
+ * A listening socket from which connections are accepted. An accept may fail for lack of
+ * descriptors, buffers or memory (accept(2)); the connections then stay in the accept queue until
+ * an accept succeeds again.
  *
- * <p>{@link #accept} is called by one thread at a time: the selector's, and the loop's once the
- * selector has released the socket.
+ * <p>{@link #accept} is called by one thread at a time: the selector's, or the loop's once the
+ * selector has deregistered the socket.
  */
 final class ListeningSocket {
     private static final Logger LOG = LoggerFactory.getLogger(ListeningSocket.class);
 
-    /** At most one line a second, however many accepts fail. */
+    /** Failed accepts are logged once a second at most. */
     private static final long LOG_INTERVAL_US = 1_000_000;
 
     private final ServerSocketChannel server;
@@ -43,20 +43,20 @@
         return server;
     }
 
-    /** Returns what decides on its connections. */
+    /** Returns the acceptor, which decides whether a connection is admitted. */
     ConnectionManager.ConnectionAcceptor acceptor() {
         return acceptor;
     }
 
-    /** Returns the bound on when the connections in its queue came. */
+    /** Returns the earliest possible arrival of the connections in the accept queue. */
     ArrivalBound queueArrival() {
         return queueArrival;
     }
 
     /**
-     * Returns the next connection, or null if none waits.
+     * Returns the next connection, or null if none is queued.
      *
-     * @throws AcceptFailedException if the system refuses, with the delay before the next attempt
+     * @throws AcceptFailedException if the accept fails, with the delay before the next attempt
      */
     SocketChannel accept(long nowUs) throws AcceptFailedException {
         try {
@@ -105,11 +105,11 @@
                 queueArrival.setWatched(watched);
             }
         } catch (CancelledKeyException e) {
-            // the selector has released it: it is being closed
+            // the selector has deregistered the socket: it is being closed
         }
     }
 
-    /** The system refused to hand over a connection. */
+    /** An accept failed. */
     static final class AcceptFailedException extends IOException {
         private static final long serialVersionUID = 1L;
         private final long retryDelayUs;
@@ -119,7 +119,7 @@
             this.retryDelayUs = retryDelayUs;
         }
 
-        /** Returns how long to wait before the next attempt. */
+        /** Returns the delay before the next attempt, in microseconds. */
         long retryDelayUs() {
             return retryDelayUs;
         }
--- a/src/main/java/damsonslip/transport/LoopEndPoint.java
+++ b/src/main/java/damsonslip/transport/LoopEndPoint.java
@@ -13,20 +13,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * An end point whose selector only reports what it is ready for; reads and writes then happen on
- * the event loop. If a write completed on the selector's thread and was reported to the loop later,
- * a reset that is read in between would find that the last byte had not left, and a request that
- * must run once would be sent to another worker.
+ * An end point whose selector only reports readiness; reads and writes are done on the event loop.
+ * If a write completed on the selector's thread and were reported to the loop later, a connection
+ * reset read in between would be handled as if the last byte had not been written, and a request
+ * that must not be repeated would be sent to another worker as well.
  */
 final class LoopEndPoint extends SocketChannelEndPoint {
-    /** What {@link #fill} returns if the system could not read just now. */
+    /** Result of {@link #fill} after a failure that may be transient. */
     static final int TRANSIENT_FAILURE = -2;
 
     /**
      * A connection counts as broken once its transfers have failed in a row for this long and at
-     * least {@link #MIN_FAILURES} times. A failure for lack of memory passes; any other is repeated
-     * at once, or followed by the end of the stream. The time alone would not do: if the process is
-     * suspended, it may be over before the second attempt.
+     * least {@link #MIN_FAILURES} times. A lack of memory is transient; any other failure occurs
+     * again at once, or is followed by the end of the stream. The time alone is not sufficient: if
+     * the process is suspended, it may have passed before the second attempt.
      */
     private static final long MIN_FAILING_US = 50_000;
 
@@ -55,15 +55,15 @@
         this.arrival = arrival;
     }
 
-    /** Returns the bound on when the bytes came that can be read now. */
+    /** Returns the earliest possible arrival of the bytes that can be read now. */
     ArrivalBound arrival() {
         return arrival;
     }
 
     /**
-     * Reads once. If the system fails the read for lack of memory (recv(2)) or a signal interrupts
-     * it, the connection stays open and this returns {@link #TRANSIENT_FAILURE}; Jetty would treat
-     * either as the end of the stream.
+     * Reads once. If the read fails for lack of memory (recv(2)) or is interrupted by a signal, the
+     * connection stays open and this returns {@link #TRANSIENT_FAILURE}; Jetty would treat either
+     * as the end of the stream.
      */
     @Override
     public int fill(ByteBuffer buffer) throws IOException {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Writes what the system takes; what it refuses for lack of memory (send(2)) is written later.
+     * Writes as much as possible; a write that fails for lack of memory (send(2)) is retried later.
      */
     @Override
     public boolean flush(ByteBuffer... buffers) throws IOException {
@@ -103,7 +103,7 @@
             return all;
         } catch (SocketException e) {
             throw e;
-        } catch (IOException e) { // or one of Jetty's with this as its cause
+        } catch (IOException e) { // or an exception of Jetty's with this as its cause
             if (mayRetryAfterFailure() && isOpen()) {
                 return false;
             }
@@ -143,14 +143,14 @@
     }
 
     /**
-     * Continues a write that waits for space in the send buffer, though the selector has not
-     * reported any. Called on the loop.
+     * Continues a write that waits for space in the send buffer, without a report of the selector.
+     * Called on the loop.
      */
     void resumeWrite() {
         getWriteFlusher().completeWrite();
     }
 
-    /** Has the system watch the socket again, as it seems not to; thread-safe. */
+    /** Renews the socket's registration with the kernel, which seems to be missing; thread-safe. */
     void renewRegistration() {
         selector.submit(
                 thisRound -> {
@@ -178,7 +178,7 @@
     private boolean watchesReads() {
         try {
             return (key.interestOps() & SelectionKey.OP_READ) != 0;
-        } catch (CancelledKeyException e) { // it is closed
+        } catch (CancelledKeyException e) { // the connection is closed
             return false;
         }
     }
--- a/src/main/java/damsonslip/transport/OutboundRateMonitor.java
+++ b/src/main/java/damsonslip/transport/OutboundRateMonitor.java
@@ -7,12 +7,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches one message being written to a peer, by the bytes that the system has not taken yet, and
- * reports a peer that is too slow. Most messages are taken at once and need no timer. Called on the
- * event loop.
+ * Monitors the rate at which a peer receives one message, by the bytes that have not been passed to
+ * the kernel yet, and reports a peer that is too slow. Most messages are passed to the kernel at
+ * once and need no timer. Called on the event loop.
  */
 public final class OutboundRateMonitor {
-    /** Interval of the checks; short beside every grace period. */
+    /** Interval of the checks; short compared with every grace period. */
     private static final long CHECK_INTERVAL_US = 50_000;
 
     private final EventLoop loop;
@@ -23,10 +23,10 @@
     private long lastBacklogBytes;
 
     /**
-     * Creates a monitor that watches nothing yet.
+     * Creates an inactive monitor.
      *
-     * @param backlogBytes how much the system has not taken
-     * @param tooSlow runs when the peer does not keep up; once for each message
+     * @param backlogBytes returns the number of bytes that have not been passed to the kernel
+     * @param tooSlow runs when the peer is too slow; at most once for each message
      */
     public OutboundRateMonitor(
             EventLoop loop,
@@ -39,7 +39,7 @@
         this.tooSlow = tooSlow;
     }
 
-    /** Begins to watch a message that was just written, if the system has not taken all of it. */
+    /** Starts monitoring a message just written, unless all of it was passed to the kernel. */
     public void begin() {
         lastBacklogBytes = backlogBytes.getAsLong();
         if (lastBacklogBytes > 0) {
@@ -48,18 +48,18 @@
         }
     }
 
-    /** Whether a message is being watched that the peer has not taken yet. */
+    /** Whether a message is being monitored. */
     public boolean isWatching() {
         return nextCheck != null;
     }
 
-    /** Returns the connection's use of buffers: bytes not taken, and the rate of those taken. */
+    /** Returns the connection's buffer use: bytes not passed to the kernel, and the write rate. */
     public <L> BufferBudget.Usage<L> bufferUsage(L connection) {
         return new BufferBudget.Usage<>(
                 connection, backlogBytes.getAsLong(), rate.bytesPerSecond(loop.nowUs()));
     }
 
-    /** Returns the state of the transfer for operators. */
+    /** Returns the state of the transfer, to be shown to operators. */
     public SlowPeer describe(String what, String peer) {
         long nowUs = loop.nowUs();
         return new SlowPeer(
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Stops watching: all of the message is taken, or it is abandoned. */
+    /** Stops monitoring: the whole message was passed to the kernel, or it is abandoned. */
     public void end() {
         rate.end();
         if (nextCheck != null) {
--- a/src/main/java/damsonslip/transport/PendingConnect.java
+++ b/src/main/java/damsonslip/transport/PendingConnect.java
@@ -6,10 +6,10 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * A connection that is being established. The system may not watch its socket (epoll_ctl(2) fails
- * for lack of memory), or the selector may be delayed; then nothing is reported when it is
- * established, and its timeout passes, which says nothing of the peer. So the socket itself is
- * checked just before the timeout.
+ * A connection that is being established. If epoll_ctl(2) fails for lack of memory, or the selector
+ * is delayed, nothing is reported when the connection is established, and the connect timeout would
+ * expire although the peer has accepted it. Therefore the socket itself is checked shortly before
+ * the timeout.
  */
 final class PendingConnect implements ConnectionManager.ConnectionFactory {
     private static final long CHECK_BEFORE_TIMEOUT_US = 20_000;
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Ends the attempt if the connection is established: after this check the selector does not
-     * find it any more, and would only report its timeout.
+     * Closes the socket and reports a failure if the connection is established by now: after {@code
+     * finishConnect} the selector no longer reports the connection, only its timeout.
      */
     private void checkUnreported() {
         try {
@@ -39,7 +39,7 @@
                 channel.close();
                 connectFailed(ConnectFailure.UNDETECTED);
             }
-        } catch (IOException e) { // refused or reset, as the selector would have reported
+        } catch (IOException e) { // refused or reset; the selector would have reported the same
             connectFailed(ConnectFailure.UNREACHABLE);
         }
     }
@@ -50,7 +50,7 @@
         return factory.open(endPoint);
     }
 
-    /** Called on the loop; the check and the selector may both find a failure. */
+    /** Called on the loop; both the check and the selector may report a failure. */
     @Override
     public void connectFailed(ConnectFailure failure) {
         check.cancel();
--- a/src/main/java/damsonslip/transport/ReadBuffer.java
+++ b/src/main/java/damsonslip/transport/ReadBuffer.java
@@ -4,8 +4,8 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * The buffer that a connection reads into; grows up to a bound while nobody consumes it, and
- * shrinks again once it is empty. Not thread-safe.
+ * The read buffer of a connection. Grows up to a maximum size while its content is not consumed,
+ * and shrinks to its initial size once it is empty. Not thread-safe.
  */
 final class ReadBuffer {
     static final int INITIAL_BYTES = 8 * 1024;
@@ -14,13 +14,15 @@
     private ByteBuffer bytes = BufferUtil.allocate(INITIAL_BYTES);
 
     /**
-     * @param maxBytes how much may be buffered without being consumed
+     * @param maxBytes the maximum size, and so the number of unconsumed bytes
      */
     ReadBuffer(int maxBytes) {
         this.maxBytes = maxBytes;
     }
 
-    /** Returns the buffer in flush mode: its remaining bytes were read and not yet consumed. */
+    /**
+     * Returns the buffer in flush mode: its remaining bytes have been read and not consumed yet.
+     */
     ByteBuffer bytes() {
         return bytes;
     }
@@ -29,12 +31,14 @@
         return BufferUtil.isEmpty(bytes);
     }
 
-    /** Drops all bytes. */
+    /** Discards all bytes. */
     void clear() {
         BufferUtil.clear(bytes);
     }
 
-    /** Makes space to read into, up to the bound; returns whether there is any. */
+    /**
+     * Compacts or enlarges the buffer if it is full; returns whether there is space to read into.
+     */
     boolean makeSpace() {
         if (BufferUtil.isFull(bytes)) {
             BufferUtil.compact(bytes);
@@ -48,8 +52,8 @@
     }
 
     /**
-     * Makes a buffer that was consumed to its very end usable from its start, or shrinks it; it
-     * would count as full otherwise.
+     * Resets an empty buffer to its start and its initial size. A buffer that has been consumed up
+     * to its end would count as full otherwise.
      */
     void reclaimIfEmpty() {
         if (!isEmpty()) {
--- a/src/main/java/damsonslip/transport/RearmableKey.java
+++ b/src/main/java/damsonslip/transport/RearmableKey.java
@@ -5,17 +5,17 @@
 import java.nio.channels.Selector;
 
 /**
- * A selection key whose registration with the system can be renewed. Where epoll_ctl(2) fails for
- * lack of memory, the JDK considers the socket registered all the same, and calls the system again
- * only once the interest set has changed. So {@link #disarm} clears the interest set, and {@link
- * #rearm} restores it after the selector's next round.
+ * A selection key whose registration with the kernel can be renewed. If epoll_ctl(2) fails for lack
+ * of memory, the JDK considers the socket registered nevertheless, and calls it again only after a
+ * change of the interest set. Therefore {@link #disarm} clears the interest set, and {@link #rearm}
+ * restores it after the selector's next round.
  *
  * <p>Used on the selector's thread.
  */
 final class RearmableKey extends SelectionKey {
     private final SelectionKey key;
 
-    /** The interest set; the key itself has an empty one between disarm and rearm. */
+    /** The requested interest set; that of the key itself is empty between disarm and rearm. */
     private int interestOps;
 
     private boolean disarmed;
@@ -25,13 +25,13 @@
         this.interestOps = key.interestOps();
     }
 
-    /** Cancels the registration with the system until {@link #rearm}. */
+    /** Removes the registration with the kernel until {@link #rearm}. */
     void disarm() {
         disarmed = true;
         key.interestOps(0);
     }
 
-    /** Registers with the system again, for the interest set as it is by now. */
+    /** Registers with the kernel again, for the current interest set. */
     void rearm() {
         disarmed = false;
         key.interestOps(interestOps);
--- a/src/main/java/damsonslip/transport/RoundClock.java
+++ b/src/main/java/damsonslip/transport/RoundClock.java
@@ -3,10 +3,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Numbers a selector's rounds and remembers when the last two started. A socket that was watched in
- * a round and not reported by it was empty at some moment after that round started: whatever is
- * found there later has come after that. The time at which a round returned would not do, since the
- * thread may be suspended between the system's check and its own. Used on the selector's thread.
+ * Counts the rounds of a selector, that is its select calls, and records when the last two started.
+ * A socket that was watched in a round and not reported by it was empty at some moment after that
+ * round started, so that any bytes found there later arrived after the start. The time at which a
+ * round returned could not be used instead, since the thread may be suspended between the kernel's
+ * check of the sockets and the return. Used on the selector's thread.
  */
 final class RoundClock {
     private final LongSupplier nowUs;
@@ -23,7 +24,7 @@
         this.previousRoundStartUs = roundStartUs;
     }
 
-    /** Records that the selector is about to ask the system once more. */
+    /** Records that the selector is about to make its next select call. */
     void startRound() {
         round++;
         previousRoundStartUs = roundStartUs;
@@ -35,12 +36,12 @@
         return round;
     }
 
-    /** Returns how long the previous round took, up to the start of the current one. */
+    /** Returns the time from the start of the previous round to that of the current one. */
     long lastRoundUs() {
         return roundStartUs - previousRoundStartUs;
     }
 
-    /** Returns when the previous round started, in microseconds of the loop's clock. */
+    /** Returns the start of the previous round, in microseconds of the loop's clock. */
     long previousRoundStartUs() {
         return previousRoundStartUs;
     }
--- a/src/main/java/damsonslip/transport/SelectorThreads.java
+++ b/src/main/java/damsonslip/transport/SelectorThreads.java
@@ -5,18 +5,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The threads of Jetty's selector. The JDK's pool, since Jetty's own generates code for its
- * threads' names and looks for a security manager, which costs a tenth of the CPU of a start.
+ * The threads of Jetty's selector. They are in a pool of the JDK, since Jetty's own generates code
+ * for the names of its threads and looks for a security manager, which takes a tenth of the CPU
+ * time of a process start.
  */
 final class SelectorThreads {
-    /** A selector, what it hands over, and two to spare while either waits. */
+    /**
+     * One for the selector, one for the tasks it hands over, and two spare ones if either blocks.
+     */
     private static final int THREADS = 4;
 
     private SelectorThreads() {}
 
     /**
-     * Starts all threads at once: one that the system refuses later would cost the connection that
-     * asked for it.
+     * Starts all threads immediately: if a thread could not be created later, the connection that
+     * needed it would be lost.
      */
     static ThreadPoolExecutor start() {
         ThreadPoolExecutor threads =
--- a/src/main/java/damsonslip/transport/TimedSelector.java
+++ b/src/main/java/damsonslip/transport/TimedSelector.java
@@ -6,16 +6,17 @@
 import org.eclipse.jetty.io.SelectorManager;
 
 /**
- * A selector whose rounds are of bounded length and recorded by a {@link RoundClock}. So it is
- * known of every watched socket that it was empty two rounds ago at the latest, and only after a
- * suspension of the process a longer wait has to be assumed ({@link
+ * A selector whose rounds are of bounded duration and recorded by a {@link RoundClock}. The bytes
+ * found on a watched socket have therefore waited for two rounds at most; only after a suspension
+ * of the process does a longer wait have to be assumed ({@link
  * EventLoopConnection#TOLERATED_WAIT_US}).
  */
 final class TimedSelector extends ManagedSelector {
     private static final long MAX_ROUND_MS = 40;
 
     /**
-     * A round that took longer was delayed: what comes after it would count as old as its start.
+     * A longer round was delayed: bytes reported by the next one would be assumed to have arrived
+     * when the delayed round started.
      */
     private static final long DELAYED_ROUND_US = 2 * MAX_ROUND_MS * 1_000;
 
@@ -29,7 +30,7 @@
     @Override
     protected int nioSelect(Selector selector, boolean now) throws IOException {
         rounds.startRound();
-        // after a delayed round, one follows at once that is known to be short
+        // a delayed round is followed by one that does not block and so is short
         boolean delayed = rounds.lastRoundUs() > DELAYED_ROUND_US;
         return now || delayed ? selector.selectNow() : selector.select(MAX_ROUND_MS);
     }
--- a/src/main/java/damsonslip/transport/WriteQueue.java
+++ b/src/main/java/damsonslip/transport/WriteQueue.java
@@ -10,15 +10,15 @@
 
 /**
  * Writes the messages of one connection in order, one at a time, and applies backpressure: above
- * the high watermark nothing is read from the peer until the backlog has fallen to the low one. All
- * calls are made on the event loop, the completion of a write included, since the {@link
- * LoopEndPoint} writes there. So every later event finds it known whether the last byte was handed
- * to the system.
+ * the high watermark nothing is read from the peer until the backlog has fallen to the low
+ * watermark. All calls are made on the event loop, and so are completions of writes, since {@link
+ * LoopEndPoint} writes there. Therefore, whenever a later event is handled, it is known whether the
+ * last byte was passed to the kernel.
  */
 final class WriteQueue {
     /**
-     * As large as the largest usual answer, so that one alone does not stop reading. Above it a
-     * peer's further requests would only add answers that wait as well.
+     * The size of the largest usual response, so that a single one does not pause reading. Above
+     * it, further requests of the peer would only add responses to the queue.
      */
     private static final int HIGH_WATERMARK_BYTES = 256 * 1024;
 
@@ -29,10 +29,10 @@
     private final ArrayDeque<Message> queue = new ArrayDeque<>();
     private boolean writing;
 
-    /** Whether the backlog has passed the high watermark, and not yet fallen to the low one. */
+    /** Whether the backlog has exceeded the high watermark and not fallen to the low one since. */
     private boolean full;
 
-    /** What is being written; its buffers show what the system has not taken yet. */
+    /** The message being written; the remaining bytes are those not yet passed to the kernel. */
     private List<ByteBuffer> current = List.of();
 
     /** The connection whose messages are written. */
@@ -42,7 +42,7 @@
         /** A message was written, even if the connection has been closed since. */
         void messageWritten();
 
-        /** Nothing is left to write. */
+        /** The queue is empty. */
         void allWritten();
 
         /** The backlog has fallen to the low watermark, so that reading may resume. */
@@ -58,7 +58,7 @@
         this.listener = listener;
     }
 
-    /** Adds a message; runs the callback once its last byte has been handed to the system. */
+    /** Adds a message; runs the callback once its last byte has been passed to the kernel. */
     void add(Runnable written, ByteBuffer... buffers) {
         queue.add(new Message(Arrays.asList(buffers), written));
         writeNext();
@@ -70,12 +70,12 @@
         return writing;
     }
 
-    /** Whether reading has to pause, since too much waits to be written. */
+    /** Whether the backlog is so large that reading has to pause. */
     boolean isFull() {
         return full;
     }
 
-    /** Returns how many bytes the system has not taken yet. */
+    /** Returns the number of bytes that have not been passed to the kernel yet. */
     long backlogBytes() {
         long waiting = queue.stream().mapToLong(message -> remaining(message.buffers())).sum();
         return remaining(current) + waiting;
@@ -103,7 +103,7 @@
         endPoint.write(new Completion(next.written()), current.toArray(ByteBuffer[]::new));
     }
 
-    /** Runs on the loop when the system has taken a message, or the connection has broken. */
+    /** Runs on the loop when a message has been passed to the kernel, or the connection broke. */
     private final class Completion implements Callback {
         private final Runnable written;
 
@@ -115,7 +115,7 @@
         public void succeeded() {
             listener.messageWritten();
             writing = false;
-            current = List.of(); // an idle connection would keep its last message in memory
+            current = List.of(); // releases the message of a connection that becomes idle
             if (listener.isClosed()) {
                 return;
             }
--- a/src/main/java/damsonslip/transport/datarate/BufferBudget.java
+++ b/src/main/java/damsonslip/transport/datarate/BufferBudget.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * Bounds the bytes that all connections together keep buffered for peers that do not read them.
- * Over the bound, the connections that hold the most for the least progress are chosen to be
- * closed.
+ * Bounds the total number of bytes that all connections buffer for peers that do not read them.
+ * Above the bound, the connections with the most buffered bytes and the least progress are chosen
+ * to be closed.
  */
 public final class BufferBudget {
     /**
-     * What one connection keeps buffered.
+     * The buffer use of one connection.
      *
      * @param connection the connection
      * @param bufferedBytes bytes that its peer has not read yet
-     * @param bytesPerSecond the rate at which it has read them lately, in bytes a second
+     * @param bytesPerSecond the rate at which its peer has read recently, in bytes per second
      */
     public record Usage<L>(L connection, long bufferedBytes, double bytesPerSecond) {
-        /** The remaining time at the present rate, weighted by the bytes held. */
+        /** The time to write the buffered bytes at the current rate, weighted by their number. */
         private double weight() {
             return bufferedBytes * (bufferedBytes / (bytesPerSecond + 1));
         }
@@ -30,8 +30,8 @@
      * Chooses the connections to close.
      *
      * @param maxBytes the bound on all buffered bytes together
-     * @return connections in descending order of weight; none while the bound holds, and no more
-     *     than needed
+     * @return connections in descending order of weight: none while the total is within the bound,
+     *     and otherwise no more than needed to get below it
      */
     public static <L> List<L> chooseOverBudget(long maxBytes, List<Usage<L>> all) {
         long bufferedBytes = all.stream().mapToLong(Usage::bufferedBytes).sum();
@@ -41,12 +41,12 @@
         List<Usage<L>> heaviestFirst = new ArrayList<>(all);
         heaviestFirst.sort(Comparator.comparingDouble(Usage<L>::weight).reversed());
         List<L> chosen = new ArrayList<>();
-        for (Usage<L> holding : heaviestFirst) {
+        for (Usage<L> usage : heaviestFirst) {
             if (bufferedBytes <= maxBytes) {
                 break;
             }
-            bufferedBytes -= holding.bufferedBytes();
-            chosen.add(holding.connection());
+            bufferedBytes -= usage.bufferedBytes();
+            chosen.add(usage.connection());
         }
         return chosen;
     }
--- a/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
+++ b/src/main/java/damsonslip/transport/datarate/MinimumDataRate.java
@@ -2,36 +2,40 @@
 
 /**
  * Enforces a minimum data rate on one direction of a connection, as a token bucket counted in
- * microseconds. The bucket opens with a grace period, drains in real time, and refills by the time
- * that the transferred bytes take at the minimum rate; the peer is too slow when it is empty. Its
- * capacity is bounded, so that a peer that was fast once may pause but cannot hold a connection for
- * long. Compared with a sliding window of byte counts it needs two numbers for each connection, and
- * a burst at exactly the minimum rate cannot fall between two slots.
+ * microseconds. The bucket initially holds the grace period, drains in real time, and is refilled
+ * by the time that the transferred bytes would take at the minimum rate; the peer is too slow when
+ * the bucket is empty. The capacity is bounded, so that a peer that was fast before may pause but
+ * cannot hold a connection for long. Unlike a sliding window of byte counts, the bucket needs only
+ * two numbers per connection, and a burst at exactly the minimum rate cannot fall between two
+ * slots.
  *
  * <p>Not thread-safe; the caller passes the time, in microseconds.
  */
 public final class MinimumDataRate {
     /**
-     * The requirements on a peer.
+     * The limits that a peer has to meet.
      *
-     * @param graceUs how long it may transfer nothing at first, in microseconds; above 0
+     * @param graceUs how long it may initially transfer nothing, in microseconds; above 0
      * @param windowUs the bucket's capacity and so the longest pause, in microseconds; at least
      *     {@code graceUs}
-     * @param bytesPerS the minimum rate in bytes a second; above 0
+     * @param bytesPerS the minimum rate in bytes per second; above 0
      */
     public record Limits(long graceUs, long windowUs, double bytesPerS) {
-        /**
-         * Checks the ranges; throws {@link IllegalArgumentException} if a limit is outside of its
-         * range.
-         */
+        /** Throws {@link IllegalArgumentException} if a limit is out of range. */
         public Limits {
             if (graceUs <= 0 || windowUs < graceUs || !(bytesPerS > 0)) {
                 throw new IllegalArgumentException(
-                        "grace, window or rate: " + graceUs + " " + windowUs + " " + bytesPerS);
+                        "data rate limits out of range: grace "
+                                + graceUs
+                                + " us, window "
+                                + windowUs
+                                + " us, rate "
+                                + bytesPerS
+                                + " bytes/s");
             }
         }
 
-        /** How long so many bytes take at the minimum rate, in microseconds. */
+        /** The time that these bytes take at the minimum rate, in microseconds. */
         private long durationUs(long bytes) {
             return (long) (bytes / bytesPerS * 1e6);
         }
@@ -44,12 +48,12 @@
     private long transferredBytes;
     private long startedUs;
 
-    /** Creates a rate without a transfer under way. */
+    /** Creates an instance without a transfer in progress. */
     public MinimumDataRate(Limits limits) {
         this.limits = limits;
     }
 
-    /** Starts a transfer; has no effect while one is under way. */
+    /** Starts a transfer; has no effect while one is in progress. */
     public void begin(long nowUs) {
         if (!active) {
             active = true;
@@ -61,20 +65,20 @@
     }
 
     /**
-     * Starts a transfer of so many bytes whose progress cannot be observed, and so grants their
-     * whole time at once.
+     * Starts a transfer whose progress cannot be observed, and credits the time that all of its
+     * bytes take at the minimum rate in advance.
      */
     public void begin(long nowUs, long bytes) {
         begin(nowUs);
         remainingUs += limits.durationUs(bytes);
     }
 
-    /** Records that so many bytes were transferred. */
+    /** Records that bytes were transferred. */
     public void transferred(long nowUs, long bytes) {
         if (active) {
             drain(nowUs);
             transferredBytes += bytes;
-            // an empty bucket stays empty: bytes that come after it ran out do not refill it
+            // an empty bucket stays empty: later bytes do not refill it
             if (remainingUs > 0) {
                 remainingUs =
                         Math.min(
@@ -89,7 +93,7 @@
         active = false;
     }
 
-    /** Whether a transfer is under way and its bucket has run empty. */
+    /** Whether a transfer is in progress and its bucket is empty. */
     public boolean isTooSlow(long nowUs) {
         if (active) {
             drain(nowUs);
@@ -97,14 +101,14 @@
         return active && remainingUs <= 0;
     }
 
-    /** The mean rate since the transfer started, in bytes a second; 0 if none is under way. */
+    /** The mean rate since the transfer started, in bytes per second; 0 without a transfer. */
     public double bytesPerSecond(long nowUs) {
         return !active ? 0 : transferredBytes * 1e6 / Math.max(1, nowUs - startedUs);
     }
 
     /**
-     * How long the peer may still pause, in microseconds; {@link Long#MAX_VALUE} if no transfer is
-     * under way.
+     * The time for which the peer may still pause, in microseconds; {@link Long#MAX_VALUE} if no
+     * transfer is in progress.
      */
     public long remainingUs(long nowUs) {
         return active
@@ -112,7 +116,7 @@
                 : Long.MAX_VALUE;
     }
 
-    /** Drains the bucket by the time that has passed; a clock that steps back drains nothing. */
+    /** Drains the bucket by the elapsed time; does nothing if the clock has stepped back. */
     private void drain(long nowUs) {
         remainingUs -= Math.max(0, nowUs - drainedAtUs);
         drainedAtUs = nowUs;
