--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -13,20 +13,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Gives the event loop asynchronous access to a {@link JobStore}. Operations are executed on a
- * thread of their own in the order of submission, many in one round trip, and their results are
- * handled on the loop. The number of pending operations is bounded: while the store hangs, further
- * ones fail at once.
+ * Asynchronous access to a {@link JobStore} from the event loop. Operations are executed on a
+ * dedicated thread in the order of submission, many in one round trip, and their results are
+ * handled on the loop. At a maximum number of pending operations, which is reached while the store
+ * hangs, {@link #submit} fails immediately.
  *
- * <p>Methods that submit or write are called on the event loop; the others on any thread.
+ * <p>Methods that submit or write are called on the event loop; the others may be called on any
+ * thread.
  */
 public final class AsyncStore {
     private static final Logger LOG = LoggerFactory.getLogger(AsyncStore.class);
 
-    /** Pending operations at most; the store executes about as many in a second. */
+    /** Maximum number of pending operations; the store executes about as many in a second. */
     private static final int MAX_PENDING = 40_000;
 
-    /** Operations in one round trip at most, so that it stays within the store's time limit. */
+    /** Maximum number of operations in a round trip, which has to meet the store's timeout. */
     private static final int MAX_BATCH = 512;
 
     private static final long RETRY_DELAY_US = 500_000;
@@ -44,8 +45,8 @@
     private final Thread thread = new Thread(this::executeCalls, "store");
 
     /**
-     * The newest submitted record of each job: a failed write of an older one must not be repeated
-     * after it.
+     * The newest record of each job among the submitted writes: a failed write of an older record
+     * must not be retried after it.
      */
     private final Map<String, JobRecord> newest = new HashMap<>();
 
@@ -60,17 +61,17 @@
         thread.start();
     }
 
-    /** Whether the store answered the last call to it. */
+    /** Whether the last call to the store succeeded. */
     public boolean isAvailable() {
         return circuitBreaker.isClosed();
     }
 
-    /** The number of operations that wait to be executed. */
+    /** Returns the number of operations that wait to be executed. */
     public int pendingCount() {
         return pending.get();
     }
 
-    /** Submits an operation; one of the two callbacks is called later, on the loop. */
+    /** Submits an operation; one of the callbacks is called later, on the loop. */
     public <T> void submit(StoreOperation<T> operation, Consumer<T> onSuccess, Runnable onFailure) {
         if (closing || pending.get() >= MAX_PENDING) {
             loop.execute(onFailure);
@@ -136,7 +137,10 @@
         }
     }
 
-    /** Waits for a call and takes those behind it; returns none after a short time without any. */
+    /**
+     * Waits briefly for a call; returns it with those queued behind it, or an empty list if none
+     * came.
+     */
     private List<Call<?>> takeBatch() throws InterruptedException {
         List<Call<?>> batch = new ArrayList<>();
         Call<?> first = calls.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
@@ -164,7 +168,7 @@
         }
     }
 
-    /** Calls a callback; one that throws must not prevent the others of its batch. */
+    /** Calls a callback; an exception of it must not prevent the other callbacks of the batch. */
     private <T> void complete(Call<T> call, Object result) {
         try {
             if (result instanceof StoreException failure) {
@@ -187,7 +191,7 @@
         call.onSuccess().accept((T) result);
     }
 
-    /** Executes the pending operations, for a short time at most, and closes the store. */
+    /** Waits for the pending operations, for a limited time, and closes the store. */
     public void close() {
         closing = true;
         try {
--- a/src/main/java/damsonslip/store/JobRecord.java
+++ b/src/main/java/damsonslip/store/JobRecord.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * What the store holds of a job, apart from its body. Kept small, since the record of each open job
- * is in memory while its body stays in the store until a worker receives it.
+ * The stored data of a job, apart from its body. A record is kept small, since those of all open
+ * jobs are in memory, while the bodies stay in the store until a worker receives them.
  *
- * <p>Immutable. Times are in milliseconds since the Unix epoch. The {@link JsonProperty} names are
- * those of the stored form.
+ * <p>Immutable. Times are in milliseconds since the Unix epoch. The {@link JsonProperty}
+ * annotations give the names in the stored form.
  *
  * @param id the job's id
  * @param state the job's state
- * @param options what was settled when the job was pushed
+ * @param options the options that were set when the job was pushed
  * @param failure the last failure; null if there was none
- * @param sequence the position in the order of arrival
+ * @param sequence the position in the order in which jobs are queued
  * @param dueMs when a scheduled job or a retry is due; otherwise 0
- * @param worker the worker that has it reserved, or had it last; may be empty
- * @param firstRunMs when it was first handed to a worker; 0 as long as it provably never ran
+ * @param worker the worker that holds the reservation, or held it last; may be empty
+ * @param firstRunMs when it was first sent to a worker; 0 if it provably never ran
  * @param detail how it ended, as text; may be empty
  * @param updatedMs when this record was written
  */
@@ -37,20 +37,20 @@
     public enum State {
         /** Waiting in its queue. */
         QUEUED,
-        /** Handed to a worker or about to be: from here on it may have run. */
+        /** Sent to a worker or about to be sent: it may have run. */
         RESERVED,
         /** Waiting for the time at which its producer wants it to run. */
         SCHEDULED,
         /** Failed, and waiting for its next retry. */
         RETRY,
-        /** In the dead set: runs again only if an operator requeues it. */
+        /** In the dead set: not run again unless an operator requeues it. */
         DEAD,
         /** Acknowledged by its worker. */
         SUCCESS,
         /** Rejected by admission control before it ran. */
         @JsonProperty("REFUSED")
         REJECTED,
-        /** Ended without success while its producer waited for it. */
+        /** Ended without success while a client waited for its result. */
         FAILED,
         /** Discarded by its retry limit, its expiry or an operator. */
         DISCARDED;
@@ -62,24 +62,25 @@
     }
 
     /**
-     * What is settled when a job is pushed.
+     * The options that are set when a job is pushed.
      *
      * @param queue the queue that workers fetch it from
-     * @param jobtype the type by which workers know what to run
-     * @param className the name of its job class
+     * @param jobtype the type, by which workers select the code to run
+     * @param className the name of the job class
      * @param priority 1 to 9, the highest first
      * @param retryLimit the number of retries; 0 discards the job on failure, -1 moves it to the
      *     dead set
-     * @param reservationMs how long a worker may have it without a report, in milliseconds
-     * @param slots the slots that it occupies
-     * @param deadlineMs when its producer stops waiting for it; 0 if no client waits
-     * @param expiresMs the time from which it must not run any more; 0 for never
+     * @param reservationMs how long a worker may hold the reservation without a report, in
+     *     milliseconds
+     * @param slots the number of slots that it occupies
+     * @param deadlineMs when the client stops waiting for the result; 0 if no client waits
+     * @param expiresMs the time from which it must not be started any more; 0 for none
      * @param batchId the batch that it belongs to; may be empty
-     * @param callbackBatchId the batch whose callback it is; may be empty
-     * @param uniqueKey the key that no other open job may have; may be empty
-     * @param uniqueUntilMs until when the key is locked
-     * @param uniqueUntilStart whether the key is locked only until a worker has the job
-     * @param backtraceLines the number of lines of a failure's backtrace that are recorded
+     * @param callbackBatchId the batch that it is a callback of; may be empty
+     * @param uniqueKey the key that is unique among open jobs; may be empty
+     * @param uniqueUntilMs when the lock on the key expires
+     * @param uniqueUntilStart whether the key is unlocked as soon as a worker has the job
+     * @param backtraceLines the maximum number of recorded backtrace lines of a failure
      */
     public record Options(
             String queue,
@@ -97,7 +98,7 @@
             @JsonProperty("uniqueMs") long uniqueUntilMs,
             @JsonProperty("untilStart") boolean uniqueUntilStart,
             @JsonProperty("backtrace") int backtraceLines) {
-        /** Interns the names, which very many waiting jobs share; null becomes the empty text. */
+        /** Interns the names, which are shared by many jobs, and replaces null by empty strings. */
         public Options {
             queue = interned(queue);
             jobtype = interned(jobtype);
@@ -120,7 +121,7 @@
      * @param nextMs when its next retry was due; 0 if there was none
      * @param type the type of the error, as its worker reported it
      * @param message the error's message
-     * @param backtrace the first lines of the stack trace, as many as the job asked for
+     * @param backtrace the first lines of the stack trace, up to the job's limit
      */
     public record Failure(
             int count,
@@ -129,7 +130,7 @@
             String type,
             String message,
             List<String> backtrace) {
-        /** Replaces null by an empty text or list. */
+        /** Replaces null by an empty string or list. */
         public Failure {
             type = emptyIfNull(type);
             message = emptyIfNull(message);
@@ -137,7 +138,7 @@
         }
     }
 
-    /** Replaces null texts by empty ones. */
+    /** Replaces null by empty strings. */
     public JobRecord {
         worker = emptyIfNull(worker);
         detail = emptyIfNull(detail);
@@ -148,32 +149,32 @@
     }
 
     /**
-     * A job that has just been pushed.
+     * Creates the record of a job that has just been pushed.
      *
-     * @param dueMs when it shall run; 0 for at once
+     * @param dueMs when it is due; 0 for immediately
      */
     public static JobRecord pushed(String id, Options options, long dueMs, long nowMs) {
         State state = dueMs > 0 ? State.SCHEDULED : State.QUEUED;
         return new JobRecord(id, state, options, null, 0, dueMs, "", 0, "", nowMs);
     }
 
-    /** Whether it provably never ran. */
+    /** Whether the job provably never ran. */
     public boolean hasNeverRun() {
         return firstRunMs == 0;
     }
 
-    /** Whether a client waits for its end. */
+    /** Whether a client waits for the job's result. */
     public boolean hasWaitingClient() {
         return options.deadlineMs() > 0;
     }
 
-    /** The job in its queue, at this position in the order of arrival. */
+    /** The record of the job in its queue, at this position in the queuing order. */
     public JobRecord enqueued(long position, long nowMs) {
         return new JobRecord(
                 id, State.QUEUED, options, failure, position, 0, "", firstRunMs, "", nowMs);
     }
 
-    /** The job reserved by a worker. */
+    /** The record of the job reserved by a worker. */
     public JobRecord reserved(String by, long nowMs) {
         long firstMs = firstRunMs == 0 ? nowMs : firstRunMs;
         return new JobRecord(
@@ -181,7 +182,7 @@
     }
 
     /**
-     * The job back in its queue, from a worker that provably never received it.
+     * The record of the job returned to its queue, since the worker provably never received it.
      *
      * @param ranBefore whether it may have run before that reservation
      */
@@ -192,10 +193,11 @@
     }
 
     /**
-     * The job in another state.
+     * The record of the job in another state.
      *
      * @param newDueMs when it is due there; 0 for a final state
-     * @param newDetail why it is there, as shown to operators and to those who track the job
+     * @param newDetail the reason for the state, as shown to operators and to clients that track
+     *     the job
      */
     public JobRecord withState(State next, long newDueMs, String newDetail, long nowMs) {
         return new JobRecord(
@@ -211,13 +213,13 @@
                 nowMs);
     }
 
-    /** The job with its last failure. */
+    /** The record with this last failure. */
     public JobRecord withFailure(Failure last) {
         return new JobRecord(
                 id, state, options, last, sequence, dueMs, worker, firstRunMs, detail, updatedMs);
     }
 
-    /** The job at this position in the order of arrival. */
+    /** The record with this position in the queuing order. */
     public JobRecord withSequence(long position) {
         return new JobRecord(
                 id,
--- a/src/main/java/damsonslip/store/JobRecordJson.java
+++ b/src/main/java/damsonslip/store/JobRecordJson.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** The stored JSON form of {@link JobRecord}; properties with their default value are left out. */
+/** The stored JSON form of {@link JobRecord}; properties with default values are omitted. */
 final class JobRecordJson {
     private static final ObjectMapper MAPPER =
             JsonMapper.builder()
@@ -22,7 +22,7 @@
         try {
             return MAPPER.writeValueAsString(record);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a record of plain values", e);
+            throw new IllegalStateException("a job record cannot be encoded as JSON", e);
         }
     }
 
@@ -30,7 +30,7 @@
         try {
             JobRecord record = MAPPER.readValue(text, JobRecord.class);
             if (record.id() == null || record.state() == null || record.options() == null) {
-                throw new StoreException("a record in the store is not whole", null);
+                throw new StoreException("a record in the store has no id, state or options", null);
             }
             return record;
         } catch (JsonProcessingException | IllegalArgumentException e) {
--- a/src/main/java/damsonslip/store/JobStore.java
+++ b/src/main/java/damsonslip/store/JobStore.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * Persists jobs beyond the life of the process. Calls block until the store has answered, so none
- * may be made on the event loop; see {@link AsyncStore}.
+ * Persists jobs beyond the lifetime of the process. Calls block until the store has answered, so
+ * they must not be made on the event loop; see {@link AsyncStore}.
  */
 public interface JobStore extends AutoCloseable {
     /**
-     * Carries out operations in their order.
+     * Executes operations in the given order.
      *
-     * @return for each operation its result, or the {@link StoreException} with which it alone
+     * @return for each operation its result, or a {@link StoreException} if only that operation
      *     failed
-     * @throws StoreException if the store did not answer; whether any operation took effect is not
-     *     known
+     * @throws StoreException if the store did not answer; any of the operations may have taken
+     *     effect
      */
     List<Object> execute(List<? extends StoreOperation<?>> operations) throws StoreException;
 
--- a/src/main/java/damsonslip/store/MemoryOperations.java
+++ b/src/main/java/damsonslip/store/MemoryOperations.java
@@ -11,7 +11,7 @@
 
 /** The content of a {@link MemoryStore} and the operations on it. Not thread-safe. */
 final class MemoryOperations implements StoreOperation.Visitor<Object> {
-    /** Ended jobs that are remembered, so that a repeated push finds them. */
+    /** Maximum number of retained ended jobs, by which a repeated push is recognized. */
     private static final int MAX_ENDED_JOBS = 20_000;
 
     private record StoredJob(JobRecord record, String body) {}
@@ -109,18 +109,18 @@
         return job == null ? null : job.body();
     }
 
-    /** Writes a job; one that has ended needs no body any more. */
+    /** Writes a job; drops the body of an ended one, which is no longer needed. */
     private void write(JobRecord record, String body) {
         if (record.state().isFinal()) {
             jobs.put(record.id(), new StoredJob(record, null));
-            rememberEnded(record.id());
+            retainEnded(record.id());
         } else {
             jobs.put(record.id(), new StoredJob(record, body));
             endedIds.remove(record.id());
         }
     }
 
-    private void rememberEnded(String id) {
+    private void retainEnded(String id) {
         if (endedIds.add(id) && endedIds.size() > MAX_ENDED_JOBS) {
             String oldest = endedIds.iterator().next();
             endedIds.remove(oldest);
--- a/src/main/java/damsonslip/store/MemoryStore.java
+++ b/src/main/java/damsonslip/store/MemoryStore.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A store in memory, for trials: its content ends with the process. Thread-safe. */
+/** An in-memory store for trials: its content is lost when the process ends. Thread-safe. */
 public final class MemoryStore implements JobStore {
     private final MemoryOperations content = new MemoryOperations();
 
--- a/src/main/java/damsonslip/store/RedisOperations.java
+++ b/src/main/java/damsonslip/store/RedisOperations.java
@@ -13,20 +13,20 @@
 import redis.clients.jedis.params.SetParams;
 
 /**
- * Translates store operations to Redis commands, queues them in one pipeline, and decodes the
- * replies. Not thread-safe; used for one pipeline.
+ * Translates store operations to Redis commands, queues the commands in one pipeline, and decodes
+ * the replies. One instance for each pipeline; not thread-safe.
  */
 final class RedisOperations implements StoreOperation.Visitor<RedisOperations.PendingResult> {
     private static final Logger LOG = LoggerFactory.getLogger(RedisOperations.class);
     private static final String PREFIX = "damsonslip:";
 
-    /** Between the owning scheduler's name and the JSON form, in the value of a record's key. */
+    /** Separates the owning scheduler's name from the JSON form in the value of a record's key. */
     private static final char OWNER_SEPARATOR = '\n';
 
-    /** Retention of an ended job, so that a repeated push finds it. */
+    /** Retention of an ended job's record, by which a repeated push is recognized. */
     private static final long ENDED_JOB_RETENTION_S = TimeUnit.DAYS.toSeconds(1);
 
-    /** Retention of a worker's first appearance; a worker of that age is warm in any case. */
+    /** Retention of the time a worker was first seen; by then it has certainly warmed up. */
     private static final long FIRST_SEEN_RETENTION_S = TimeUnit.HOURS.toSeconds(1);
 
     private final AbstractPipeline pipeline;
@@ -39,14 +39,14 @@
         this.openSet = PREFIX + "open:" + scheduler;
     }
 
-    /** The result of an operation, to be read once the pipeline has been synchronized. */
+    /** The result of an operation; available once the pipeline has been synchronized. */
     interface PendingResult {
         Object get() throws StoreException;
     }
 
     /**
      * Adds the job to the open set before its body, and its body before its record: a crash in
-     * between leaves an id without a job, never a lost job or a record without a body.
+     * between may leave an id without a job, but never a lost job or a record without a body.
      */
     @Override
     public PendingResult visit(StoreOperation.Add add) {
@@ -176,14 +176,15 @@
     }
 
     /**
-     * Whether a stored record belongs to this scheduler. Another one that had the same id pushed to
-     * it has the id in its open set too, and must not recover the job at its next start.
+     * Whether a stored record belongs to this scheduler. If a job with the same id was pushed to
+     * several schedulers, each has the id in its open set, but only the owner may recover the job
+     * at its next start.
      */
     private boolean isOwn(String text) {
         return text != null && text.startsWith(scheduler + OWNER_SEPARATOR);
     }
 
-    /** Returns null for an unreadable record, which must not prevent the recovery of others. */
+    /** Decodes a record; null if it is unreadable, since this must not prevent others' recovery. */
     private static JobRecord decodeOrSkip(String text) {
         try {
             return decode(text);
@@ -209,7 +210,7 @@
         return ids.stream().map(key).toArray(String[]::new);
     }
 
-    /** Has no value; fails if one of the commands failed. */
+    /** Returns a result without a value, which fails if one of the commands failed. */
     private static PendingResult whenAllDone(List<? extends Response<?>> responses) {
         return () -> {
             responses.forEach(Response::get);
--- a/src/main/java/damsonslip/store/RedisStore.java
+++ b/src/main/java/damsonslip/store/RedisStore.java
@@ -11,12 +11,12 @@
 import redis.clients.jedis.exceptions.JedisException;
 
 /**
- * Stores jobs in Redis: each has a key with its record and one with its body, which several
- * schedulers share, and each scheduler has the set of its open jobs. Operations that are executed
- * together go out in one pipeline. Thread-safe.
+ * Stores jobs in Redis. Each job has a key for its record and one for its body, which all
+ * schedulers share; each scheduler has a set of its open jobs. Operations that are executed
+ * together are sent in one pipeline. Thread-safe.
  */
 public final class RedisStore implements JobStore {
-    /** A store on the same network that takes longer counts as down. */
+    /** Timeout of a connect or reply; a store on the same network that takes longer is down. */
     private static final int TIMEOUT_MS = 500;
 
     private static final int DEFAULT_PORT = 6379;
@@ -25,11 +25,11 @@
     private final String scheduler;
 
     /**
-     * Creates a store that connects at its first call, so that the scheduler starts while Redis is
-     * down.
+     * Creates a store that connects on its first call, so that the scheduler can start while Redis
+     * is down.
      *
-     * @param password the password of Redis; empty for none
-     * @param scheduler the name of this scheduler, part of its keys
+     * @param password the Redis password; empty for none
+     * @param scheduler the name of this scheduler, which is a part of its keys
      */
     public RedisStore(HostAndPort address, String password, String scheduler) {
         DefaultJedisClientConfig.Builder config =
@@ -58,14 +58,14 @@
         }
     }
 
-    /** An error reply to one command fails only the operation that it belongs to. */
+    /** Returns a result, or an exception: an error reply fails only the operation it belongs to. */
     private static Object resultOrError(RedisOperations.PendingResult pending) {
         try {
             return pending.get();
         } catch (StoreException e) {
             return e;
         } catch (JedisDataException | NumberFormatException e) {
-            return new StoreException("the store refuses: " + e.getMessage(), e);
+            return new StoreException("the store returned an error: " + e.getMessage(), e);
         }
     }
 
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Parses an address such as {@code redis://127.0.0.1:6379}; the port may be left out.
+     * Parses an address such as {@code redis://127.0.0.1:6379}; the port is optional.
      *
-     * @throws IllegalArgumentException if it is not of this form
+     * @throws IllegalArgumentException if the text does not have this form
      */
     public static HostAndPort parseAddress(String url) {
         URI uri = URI.create(url);
--- a/src/main/java/damsonslip/store/StoreCircuitBreaker.java
+++ b/src/main/java/damsonslip/store/StoreCircuitBreaker.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A circuit breaker around a {@link JobStore}: after a failed call further ones fail at once, apart
- * from one trial in each open period. Calls are made on one thread; the state may be read on any.
+ * A circuit breaker around a {@link JobStore}: after a failed call, further calls fail immediately,
+ * except for one trial call after each open period. Calls are made on one thread; the state may be
+ * read on any thread.
  */
 final class StoreCircuitBreaker {
     private static final Logger LOG = LoggerFactory.getLogger(StoreCircuitBreaker.class);
@@ -22,7 +23,7 @@
         this.store = store;
     }
 
-    /** Whether the last call succeeded. */
+    /** Whether the last call to the store succeeded. */
     boolean isClosed() {
         return !open;
     }
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Calls the store; an unexpected exception must not end the thread that serves all calls. */
+    /** Calls the store; wraps unexpected exceptions, which must not end the thread of all calls. */
     private List<Object> callStore(List<? extends StoreOperation<?>> operations)
             throws StoreException {
         try {
--- a/src/main/java/damsonslip/store/StoreException.java
+++ b/src/main/java/damsonslip/store/StoreException.java
@@ -1,6 +1,6 @@
 package damsonslip.store;
 
-/** The store did not carry out an operation; whether it took effect is not known. */
+/** A store operation failed; it may have taken effect nevertheless. */
 public final class StoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/damsonslip/store/StoreOperation.java
+++ b/src/main/java/damsonslip/store/StoreOperation.java
@@ -5,12 +5,13 @@
 
 /**
  * An operation on a {@link JobStore}, as a value, so that many can share one round trip. Each is
- * idempotent, since a lost reply does not show whether it was carried out. Immutable.
+ * idempotent: after a lost reply it is unknown whether it was executed, and it may be repeated.
+ * Immutable.
  *
  * @param <T> the type of its result
  */
 public sealed interface StoreOperation<T> {
-    /** The job record that it writes; null if it writes none. */
+    /** The job record that the operation writes; null if it writes none. */
     default JobRecord record() {
         return null;
     }
@@ -19,7 +20,7 @@
     <R> R accept(Visitor<R> visitor);
 
     /**
-     * Carries out one operation of each type.
+     * Handles each type of operation.
      *
      * @param <R> what the methods return
      */
@@ -101,7 +102,7 @@
         }
     }
 
-    /** Returns the bodies of jobs in the same order; null for one that is absent. */
+    /** Returns the bodies of jobs in the order of the ids; null for one that is absent. */
     record GetBodies(List<String> ids) implements StoreOperation<List<String>> {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -117,7 +118,9 @@
         }
     }
 
-    /** Returns the ids of the jobs that this scheduler accepted and that have no final state. */
+    /**
+     * Returns the ids of the jobs that this scheduler accepted and that are not in a final state.
+     */
     record ListOpen() implements StoreOperation<List<String>> {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /** Writes a value of the scheduler's own under a kind and a key; null deletes it. */
+    /** Writes a value of this scheduler's metadata under a kind and a key; null deletes it. */
     record PutMetadata(String kind, String key, String value) implements StoreOperation<Void> {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -141,7 +144,7 @@
         }
     }
 
-    /** Returns all values of a kind, by key. */
+    /** Returns all metadata values of a kind, by key. */
     record GetMetadata(String kind) implements StoreOperation<Map<String, String>> {
         @Override
         public <R> R accept(Visitor<R> visitor) {
@@ -151,7 +154,7 @@
 
     /**
      * Returns when a worker was first seen by any scheduler, in milliseconds since the Unix epoch;
-     * records {@code nowMs} if it never was.
+     * records {@code nowMs} if it was not seen before.
      */
     record RecordFirstSeen(String worker, long nowMs) implements StoreOperation<Long> {
         @Override
--- a/src/main/java/damsonslip/transport/RearmableKey.java
+++ b/src/main/java/damsonslip/transport/RearmableKey.java
@@ -6,9 +6,9 @@
 
 /**
  * A selection key whose registration with the kernel can be renewed. If epoll_ctl(2) fails for lack
- * of memory, the JDK considers the socket registered nevertheless, and calls it again only after a
- * change of the interest set. Therefore {@link #disarm} clears the interest set, and {@link #rearm}
- * restores it after the selector's next round.
+ * of memory, the JDK considers the socket registered nevertheless, and repeats the call only after
+ * a change of the interest set. Therefore {@link #disarm} clears the interest set, and {@link
+ * #rearm} restores it after the selector's next round.
  *
  * <p>Used on the selector's thread.
  */
