--- a/src/test/java/damsonslip/store/MemoryStoreTest.java
+++ b/src/test/java/damsonslip/store/MemoryStoreTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The operations on jobs and metadata, on the store in memory. */
+/** Operations on jobs and metadata in the in-memory store. */
 class MemoryStoreTest {
     private static final JobRecord.Options OPTIONS =
             new JobRecord.Options("q", "t", "any", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
--- a/src/test/java/damsonslip/store/StoreCircuitBreakerTest.java
+++ b/src/test/java/damsonslip/store/StoreCircuitBreakerTest.java
@@ -13,15 +13,15 @@
     /** A store that fails on demand and counts its calls. */
     private static final class FailingStore implements JobStore {
         private boolean failing;
-        private boolean broken;
+        private boolean throwing;
         private int calls;
 
         @Override
         public List<Object> execute(List<? extends StoreOperation<?>> operations)
                 throws StoreException {
             calls++;
-            if (broken) {
-                throw new IllegalStateException("a fault of the store's client");
+            if (throwing) {
+                throw new IllegalStateException("a fault in the store's client");
             }
             if (failing) {
                 throw new StoreException("no answer", null);
@@ -37,7 +37,7 @@
     private final StoreCircuitBreaker breaker = new StoreCircuitBreaker(store);
 
     @Test
-    void failsFurtherCallsWithoutTheStoreOnceOneHasFailed() throws StoreException {
+    void failsFurtherCallsImmediatelyAfterAFailedOne() throws StoreException {
         breaker.execute(List.of());
         assertTrue(breaker.isClosed());
         store.failing = true;
@@ -48,8 +48,8 @@
     }
 
     @Test
-    void turnsUnexpectedExceptionIntoStoreException() {
-        store.broken = true;
+    void wrapsUnexpectedExceptionInStoreException() {
+        store.throwing = true;
         assertThrows(StoreException.class, () -> breaker.execute(List.of()));
         assertFalse(breaker.isClosed());
     }
--- a/src/test/java/damsonslip/store/package-info.java
+++ b/src/test/java/damsonslip/store/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the stores and of the stored form of jobs. */
+/** Tests of the stores and of the stored form of job records. */
 package damsonslip.store;
--- a/src/test/java/damsonslip/transport/ArrivalBoundTest.java
+++ b/src/test/java/damsonslip/transport/ArrivalBoundTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Since when what is read from a socket may have waited there. */
+/** The lower bound on the arrival of bytes that are read from a socket. */
 class ArrivalBoundTest {
     private long nowUs = 100;
     private final RoundClock rounds = new RoundClock(() -> nowUs);
@@ -20,7 +20,7 @@
         bound.setWatched(true);
         startRoundAt(200);
         bound.reported();
-        assertEquals(100, bound.arrivedAfterUs(), "the round before did not watch it");
+        assertEquals(100, bound.arrivedAfterUs(), "the previous round did not watch the socket");
         startRoundAt(300);
         bound.reported();
         assertEquals(200, bound.arrivedAfterUs());
--- a/src/test/java/damsonslip/transport/BackpressureTest.java
+++ b/src/test/java/damsonslip/transport/BackpressureTest.java
@@ -18,17 +18,17 @@
 
 /** Above the high watermark nothing is read from a peer, and no byte is lost. */
 class BackpressureTest {
-    /** How many bytes answer each byte that is read. */
-    private static final int FACTOR = 100;
+    /** The number of response bytes for each byte that is read. */
+    private static final int AMPLIFICATION = 100;
 
     private static final int REQUEST_BYTES = 200_000;
     private static final int HIGH_WATERMARK = 256 * 1024;
     private static final int READ_BUFFER = 8 * 1024;
-    private static final long QUIET_MS = 300;
+    private static final long SETTLE_MS = 300;
     private final AtomicLong maxBacklog = new AtomicLong();
 
-    private final class Amplifier extends EventLoopConnection {
-        Amplifier(EndPoint endPoint, EventLoop loop) {
+    private final class AmplifyingConnection extends EventLoopConnection {
+        AmplifyingConnection(EndPoint endPoint, EventLoop loop) {
             super(endPoint, loop);
         }
 
@@ -37,7 +37,7 @@
 
         @Override
         protected void received(ByteBuffer bytes) {
-            write(() -> {}, ByteBuffer.allocate(bytes.remaining() * FACTOR));
+            write(() -> {}, ByteBuffer.allocate(bytes.remaining() * AMPLIFICATION));
             bytes.position(bytes.limit());
             maxBacklog.accumulateAndGet(backlogBytes(), Math::max);
         }
@@ -46,10 +46,10 @@
         protected void connectionLost() {}
     }
 
-    private final class AmplifierAcceptor implements ConnectionManager.ConnectionAcceptor {
+    private final class AmplifyingAcceptor implements ConnectionManager.ConnectionAcceptor {
         private final EventLoop loop;
 
-        AmplifierAcceptor(EventLoop loop) {
+        AmplifyingAcceptor(EventLoop loop) {
             this.loop = loop;
         }
 
@@ -63,7 +63,7 @@
 
         @Override
         public EventLoopConnection open(EndPoint endPoint) {
-            return new Amplifier(endPoint, loop);
+            return new AmplifyingConnection(endPoint, loop);
         }
     }
 
@@ -74,16 +74,16 @@
         InetAddress local = InetAddress.getLoopbackAddress();
         Closeable listener =
                 ConnectionManager.start(loop, 1_000)
-                        .listen(new InetSocketAddress(local, port), new AmplifierAcceptor(loop));
+                        .listen(new InetSocketAddress(local, port), new AmplifyingAcceptor(loop));
         try (listener;
                 Socket peer = new Socket(local, port)) {
             Thread sender = startSending(peer);
-            Program.await("answers are queued", () -> maxBacklog.get() > 0);
-            Thread.sleep(QUIET_MS);
+            Program.await("responses are queued", () -> maxBacklog.get() > 0);
+            Thread.sleep(SETTLE_MS);
             assertTrue(
-                    maxBacklog.get() <= HIGH_WATERMARK + READ_BUFFER * FACTOR,
+                    maxBacklog.get() <= HIGH_WATERMARK + READ_BUFFER * AMPLIFICATION,
                     maxBacklog.get() + " bytes are queued for one peer");
-            assertEquals((long) REQUEST_BYTES * FACTOR, readAnswers(peer));
+            assertEquals((long) REQUEST_BYTES * AMPLIFICATION, readResponses(peer));
             sender.join();
         } finally {
             loop.stop();
@@ -104,13 +104,13 @@
         return sender;
     }
 
-    /** Reads until all answers have come; returns the number of bytes. */
-    private static long readAnswers(Socket peer) throws IOException {
+    /** Reads until all responses have arrived; returns the number of bytes. */
+    private static long readResponses(Socket peer) throws IOException {
         byte[] buffer = new byte[64 * 1024];
         long received = 0;
-        while (received < (long) REQUEST_BYTES * FACTOR) {
+        while (received < (long) REQUEST_BYTES * AMPLIFICATION) {
             int next = peer.getInputStream().read(buffer);
-            assertTrue(next > 0, "ended after " + received);
+            assertTrue(next > 0, "the connection ended after " + received + " bytes");
             received += next;
         }
         return received;
--- a/src/test/java/damsonslip/transport/ConnectionLimiterTest.java
+++ b/src/test/java/damsonslip/transport/ConnectionLimiterTest.java
@@ -9,13 +9,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** How many connections are admitted. */
+/** The number of connections that are admitted. */
 class ConnectionLimiterTest {
     private final ConnectionLimiter<EventLoopConnection> limiter =
             new ConnectionLimiter<>(
                     30, 10, connection -> true, Comparator.comparingInt(connection -> 0));
 
-    /** Many connections are accepted at once, long before the first of them is set up. */
+    /** Many connections are accepted concurrently before the first of them is set up. */
     @Test
     void admitsNoMoreThanLimitAndOverflowAtOnce() throws Exception {
         AtomicInteger admitted = new AtomicInteger();
--- a/src/test/java/damsonslip/transport/ConnectionStateTest.java
+++ b/src/test/java/damsonslip/transport/ConnectionStateTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table of transitions of a connection. */
+/** The transitions between the states of a connection. */
 class ConnectionStateTest {
     @ParameterizedTest
     @CsvSource({
@@ -17,7 +17,7 @@
         "LINGERING,CLOSED",
         "CLOSED,''"
     })
-    void allowsTransitionsOfTable(ConnectionState state, String allowed) {
+    void allowsOnlyDocumentedTransitions(ConnectionState state, String allowed) {
         Set<ConnectionState> next =
                 EnumSet.allOf(ConnectionState.class).stream()
                         .filter(state::mayBecome)
--- a/src/test/java/damsonslip/transport/EvictionTest.java
+++ b/src/test/java/damsonslip/transport/EvictionTest.java
@@ -16,13 +16,13 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-/** Which connection is evicted above the limit. */
+/** The choice of the connection that is evicted above the limit. */
 class EvictionTest {
-    private static final long ARRIVAL_MS = 200;
+    private static final long REQUEST_ARRIVAL_MS = 200;
 
     /** A connection that is not evictable once it has read a byte. */
     private static final class RequestConnection extends EventLoopConnection {
-        private final CountDownLatch up = new CountDownLatch(1);
+        private final CountDownLatch opened = new CountDownLatch(1);
         private volatile boolean requestRead;
 
         RequestConnection(EndPoint endPoint, EventLoop loop) {
@@ -31,7 +31,7 @@
 
         @Override
         protected void opened() {
-            up.countDown();
+            opened.countDown();
         }
 
         @Override
@@ -47,18 +47,18 @@
     private static RequestConnection connect(
             ConnectionManager manager, EventLoop loop, ServerSocket server)
             throws InterruptedException {
-        RequestConnection[] made = new RequestConnection[1];
+        RequestConnection[] created = new RequestConnection[1];
         manager.connect(
                 (InetSocketAddress) server.getLocalSocketAddress(),
-                endPoint -> made[0] = new RequestConnection(endPoint, loop));
-        Program.await("the connection is created", () -> made[0] != null);
-        assertTrue(made[0].up.await(5, TimeUnit.SECONDS));
-        return made[0];
+                endPoint -> created[0] = new RequestConnection(endPoint, loop));
+        Program.await("the connection is created", () -> created[0] != null);
+        assertTrue(created[0].opened.await(5, TimeUnit.SECONDS));
+        return created[0];
     }
 
-    /** The request has come before the second connection opens, and was not read yet. */
+    /** A request has arrived before the second connection opens, but has not been read yet. */
     @Test
-    void keepsConnectionWhoseRequestWasNotReadYet() throws Exception {
+    void doesNotEvictConnectionWithUnreadRequest() throws Exception {
         EventLoop loop = new EventLoop();
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             ConnectionManager manager = ConnectionManager.start(loop, 1_000);
@@ -77,7 +77,7 @@
                         limiter.connectionOpened(first);
                         try {
                             peer.getOutputStream().write('Q');
-                            Thread.sleep(ARRIVAL_MS);
+                            Thread.sleep(REQUEST_ARRIVAL_MS);
                         } catch (Exception e) {
                             throw new IllegalStateException(e);
                         }
@@ -86,10 +86,12 @@
                     });
             assertTrue(done.await(5, TimeUnit.SECONDS));
             Program.await("the request is read", () -> first.requestRead);
-            assertFalse(first.isLingering() || first.isClosed(), "it has a request and stays open");
+            assertFalse(
+                    first.isLingering() || first.isClosed(),
+                    "a connection with a request must stay open");
             assertTrue(
                     second.isLingering() || second.isClosed(),
-                    "the new one is evicted, since the other is needed");
+                    "the new connection must be evicted, since the other one has a request");
             peer.close();
         } finally {
             loop.stop();
--- a/src/test/java/damsonslip/transport/LineDecoderTest.java
+++ b/src/test/java/damsonslip/transport/LineDecoderTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Lines of a byte stream that comes in parts. */
+/** Lines of a byte stream that arrives in parts. */
 class LineDecoderTest {
     private static final int MAX_LINE_BYTES = 8;
 
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void joinsLineThatComesInParts() {
+    void joinsLineThatArrivesInParts() {
         assertEquals(List.of(), decode("on"));
         assertEquals(2, decoder.unfinishedBytes());
         assertEquals(List.of("one", "two"), decode("e\r\ntwo\nth"));
--- a/src/test/java/damsonslip/transport/ReadBufferTest.java
+++ b/src/test/java/damsonslip/transport/ReadBufferTest.java
@@ -8,7 +8,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.junit.jupiter.api.Test;
 
-/** Growth of a read buffer that nobody consumes, and its reuse. */
+/** Growth of a read buffer that is not consumed, and reuse of its space. */
 class ReadBufferTest {
     private static final int MAX_BYTES = 3 * ReadBuffer.INITIAL_BYTES;
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void growsUpToBoundWhileNothingIsConsumed() {
+    void growsUpToMaximumWhileNothingIsConsumed() {
         while (buffer.makeSpace()) {
             fill();
         }
@@ -41,7 +41,7 @@
             fill();
         }
         buffer.reclaimIfEmpty();
-        assertFalse(buffer.isEmpty(), "bytes that were not consumed stay");
+        assertFalse(buffer.isEmpty(), "unconsumed bytes must stay");
         buffer.bytes().position(buffer.bytes().limit());
         buffer.reclaimIfEmpty();
         assertTrue(buffer.isEmpty());
--- a/src/test/java/damsonslip/transport/WriteCompletionOrderTest.java
+++ b/src/test/java/damsonslip/transport/WriteCompletionOrderTest.java
@@ -19,12 +19,12 @@
 import org.eclipse.jetty.io.EndPoint;
 import org.junit.jupiter.api.Test;
 
-/** The completion of a write is known before any later event of its connection. */
+/** The completion of a write is reported before any later event of its connection. */
 class WriteCompletionOrderTest {
-    /** More than the system takes at once, and below the high watermark. */
+    /** More than the kernel takes at once, and below the high watermark. */
     private static final int MESSAGE_BYTES = 200_000;
 
-    private static final int QUIET_MS = 400;
+    private static final int SETTLE_MS = 400;
 
     private final AtomicBoolean written = new AtomicBoolean();
     private final AtomicReference<Boolean> writtenWhenLost = new AtomicReference<>();
@@ -53,10 +53,11 @@
     }
 
     /**
-     * The peer sends a byte while the message is being written, reads as much of it as comes, and
-     * resets the connection; all of that while the loop is blocked, so that it finds all events at
-     * once. If writes completed on another thread, the peer would have every byte by then, and the
-     * reset would be read before the loop learns of the completion.
+     * Guards against writes that complete on another thread than the event loop. While the message
+     * is only partly written and the loop is blocked, the peer sends a byte, reads as much of the
+     * message as it receives, and resets the connection, so that the loop finds all events at once.
+     * With writes on another thread the peer would have received every byte by then, and the loop
+     * would read the reset before the completion is reported to it.
      */
     @Test
     void reportsCompletedWriteBeforeReset() throws Exception {
@@ -84,25 +85,25 @@
                         });
                 assertTrue(blocked.await(5, TimeUnit.SECONDS));
                 peer.getOutputStream().write('H');
-                Thread.sleep(QUIET_MS);
+                Thread.sleep(SETTLE_MS);
                 received = readAll(peer);
                 peer.setSoLinger(true, 0);
             }
-            Thread.sleep(QUIET_MS);
+            Thread.sleep(SETTLE_MS);
             release.countDown();
-            Program.await("the reset is reported", () -> writtenWhenLost.get() != null);
+            Program.await("the connection is reported lost", () -> writtenWhenLost.get() != null);
             assertEquals(
                     received == MESSAGE_BYTES,
                     writtenWhenLost.get(),
-                    "the peer has " + received + " of " + MESSAGE_BYTES + " bytes");
+                    "the peer received " + received + " of " + MESSAGE_BYTES + " bytes");
         } finally {
             loop.stop();
         }
     }
 
-    /** Reads until nothing more comes; returns the number of bytes. */
+    /** Reads until no more bytes arrive; returns their number. */
     private static int readAll(Socket peer) throws Exception {
-        peer.setSoTimeout(QUIET_MS);
+        peer.setSoTimeout(SETTLE_MS);
         InputStream in = peer.getInputStream();
         byte[] buffer = new byte[64 * 1024];
         int received = 0;
@@ -111,7 +112,7 @@
                 received += Math.max(0, in.read(buffer));
             }
         } catch (SocketTimeoutException e) {
-            return received; // the rest does not come
+            return received; // the rest was not written
         }
         return received;
     }
--- a/src/test/java/damsonslip/transport/datarate/BufferBudgetTest.java
+++ b/src/test/java/damsonslip/transport/datarate/BufferBudgetTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which connections are closed when buffers exceed the budget. */
+/** The choice of connections to close when buffers exceed the budget. */
 class BufferBudgetTest {
     private static final List<Usage<String>> ALL =
             List.of(
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void choosesLargestWithLeastProgressAndNoMoreThanNeeded() {
+    void choosesLargestWithLeastProgressAndOnlyAsManyAsNeeded() {
         assertEquals(List.of("still"), BufferBudget.chooseOverBudget(2_799, ALL));
         assertEquals(List.of("still", "crawls"), BufferBudget.chooseOverBudget(1_000, ALL));
         assertEquals(
--- a/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
+++ b/src/test/java/damsonslip/transport/datarate/MinimumDataRateTest.java
@@ -7,20 +7,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Peers that keep up or not: a grace of 2 s, a window of 5 s, 1,000 bytes a second. */
+/** Fast and slow peers; grace period 2 s, window 5 s, minimum rate 1,000 bytes per second. */
 class MinimumDataRateTest {
     private static final long S = 1_000_000;
     private final MinimumDataRate rate =
             new MinimumDataRate(new MinimumDataRate.Limits(2 * S, 5 * S, 1_000));
 
     /**
-     * Returns when a peer counts as too slow, in seconds, that transfers these bytes in this
-     * interval; -1 if not within a minute.
+     * Returns the time, in seconds, at which a peer that transfers these bytes at this interval
+     * counts as too slow; -1 if it does not within a minute.
      */
-    private double tooSlowAfterS(long bytes, long everyUs) {
+    private double tooSlowAfterS(long bytes, long intervalUs) {
         rate.begin(0);
         for (long now = 0; now <= 60 * S; now += S / 100) {
-            if (now > 0 && now % everyUs == 0) {
+            if (now > 0 && now % intervalUs == 0) {
                 rate.transferred(now, bytes);
             }
             if (rate.isTooSlow(now)) {
@@ -31,13 +31,13 @@
     }
 
     @Test
-    void allowsGraceWithoutAnyByte() {
+    void allowsGracePeriodWithoutAnyByte() {
         assertEquals(2, tooSlowAfterS(0, S), 0.02);
     }
 
     @Test
     void reportsRemainingTime() {
-        assertEquals(Long.MAX_VALUE, rate.remainingUs(0), "no transfer is under way");
+        assertEquals(Long.MAX_VALUE, rate.remainingUs(0), "no transfer is in progress");
         rate.begin(0);
         assertEquals(2 * S, rate.remainingUs(0));
         assertEquals(S / 2, rate.remainingUs(3 * S / 2));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void detectsPeerThatSendsSingleBytes() {
+    void detectsPeerThatTransfersSingleBytes() {
         assertEquals(2, tooSlowAfterS(1, S / 10), 0.05);
     }
 
@@ -65,9 +65,9 @@
         rate.begin(0);
         rate.transferred(S / 10, 1_000_000);
         assertFalse(rate.isTooSlow(5 * S));
-        assertTrue(rate.isTooSlow(5 * S + S / 10), "its credit is bounded");
+        assertTrue(rate.isTooSlow(5 * S + S / 10), "the bucket's capacity must be bounded");
         rate.transferred(5 * S + S / 5, 1_000_000);
-        assertTrue(rate.isTooSlow(5 * S + S / 5), "and an empty bucket stays empty");
+        assertTrue(rate.isTooSlow(5 * S + S / 5), "an empty bucket must not be refilled");
     }
 
     @Test
@@ -75,16 +75,16 @@
         rate.begin(10 * S);
         rate.transferred(9 * S, 0);
         assertFalse(rate.isTooSlow(10 * S + S / 2));
-        assertTrue(rate.isTooSlow(11 * S + S), "and the time after it counts");
+        assertTrue(rate.isTooSlow(11 * S + S), "the time after the step must count");
     }
 
     @Test
-    void grantsWholeTimeOfUnobservedTransfer() {
+    void creditsWholeUnobservedTransferInAdvance() {
         rate.begin(0, 30_000);
         assertFalse(rate.isTooSlow(31 * S));
         assertTrue(rate.isTooSlow(33 * S));
         rate.end();
-        assertFalse(rate.isTooSlow(99 * S), "no transfer is under way");
+        assertFalse(rate.isTooSlow(99 * S), "no transfer is in progress");
         assertThrows(IllegalArgumentException.class, () -> new MinimumDataRate.Limits(2, 1, 1));
     }
 }
