--- a/src/test/java/damsonslip/membership/SerialDiscovery.java
+++ b/src/test/java/damsonslip/membership/SerialDiscovery.java
@@ -9,32 +9,35 @@
 import java.util.function.LongBinaryOperator;
 
 /**
- * A simulated discovery that serves the polls of a fleet one after another, and spends as much on
- * those that waited too long as on those that it serves. Times are microseconds.
+ * A simulated discovery that serves the polls of a fleet one after another. A poll that waited too
+ * long costs it as much as one that it serves. Times are microseconds.
  */
 final class SerialDiscovery {
-    /** What all polls of a fleet of 98 cost together soon after an outage: 61 ms each. */
+    /** Cost of one poll by each of 98 schedulers soon after an outage: 61 ms each. */
     static final long COST_AFTER_OUTAGE = 6_000_000;
 
-    /** The same during a release, when 54 workers had changed: 71 ms each, and a tenth more. */
+    /**
+     * The same during a release, when 54 workers had changed: 71 ms each, plus a margin of a tenth.
+     */
     static final long COST_DURING_RELEASE = 7_600_000;
 
     private static final long SECOND = 1_000_000;
     private static final long POLL_TIMEOUT = 2 * SECOND;
 
-    /** The interval between changes of the list, each of which is pushed to all open watches. */
+    /** Interval between list changes, each of which is pushed to all open watches. */
     private static final long CHANGE_INTERVAL = 1_100_000;
 
-    /** A push costs this fraction of a poll. */
+    /** Number of pushes that cost as much as one poll. */
     private static final int PUSHES_PER_POLL = 60;
 
-    /** A poll that is due, or the loss of one. */
-    private record Due(long at, int scheduler, Failure loss) {}
+    /** A poll to be sent at a given time, or the failure of one. */
+    private record ScheduledPoll(long at, int scheduler, Failure failure) {}
 
     private final DiscoveryWatch[] watches;
     private final long[] connectedAt;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final List<Long> polls = new ArrayList<>();
+    private final PriorityQueue<ScheduledPoll> scheduledPolls =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledPoll::at));
+    private final List<Long> pollTimes = new ArrayList<>();
     private final long pollCost;
     private final long downUntil;
     private int maxPollsPerSecond;
@@ -42,10 +45,10 @@
     private long nextChange;
 
     /**
-     * Creates a discovery before these watches, whose polls are reported to them.
+     * Creates a discovery for these watches, which are notified of each poll.
      *
-     * @param fleetCost what one poll of each scheduler costs, all together
-     * @param downUntil until then every poll fails
+     * @param fleetCost total cost of one poll by each scheduler
+     * @param downUntil time before which every poll fails
      */
     SerialDiscovery(DiscoveryWatch[] watches, long fleetCost, long downUntil) {
         this.watches = watches;
@@ -54,25 +57,26 @@
         this.downUntil = downUntil;
     }
 
-    /** Marks schedulers from this index on as connected from the beginning. */
+    /** Marks the schedulers from this index on as connected from the start. */
     void connectFrom(int first) {
         Arrays.fill(connectedAt, first, connectedAt.length, 1);
     }
 
     /** Schedules a poll. */
     void pollAt(int scheduler, long at) {
-        due.add(new Due(at, scheduler, null));
+        scheduledPolls.add(new ScheduledPoll(at, scheduler, null));
     }
 
     /**
-     * Runs until nothing is due any more, or the end.
+     * Runs until no poll is scheduled before the end.
      *
-     * @param retry returns from a scheduler's index and the time of its failure when it polls again
+     * @param retry returns when a scheduler polls again, given its index and the time of the
+     *     failure
      */
     void run(long end, LongBinaryOperator retry) {
-        while (!due.isEmpty() && due.peek().at() < end) {
-            Due next = due.poll();
-            if (next.loss() != null) {
+        while (!scheduledPolls.isEmpty() && scheduledPolls.peek().at() < end) {
+            ScheduledPoll next = scheduledPolls.poll();
+            if (next.failure() != null) {
                 pollAt(next.scheduler(), retry.applyAsLong(next.scheduler(), next.at()));
             } else {
                 poll(next.scheduler(), next.at());
@@ -90,15 +94,15 @@
             busyUntil = Math.max(busyUntil, at) + pollCost;
         }
         if (down || wait > POLL_TIMEOUT) {
-            due.add(new Due(at + POLL_TIMEOUT, scheduler, Failure.FAILED));
+            scheduledPolls.add(new ScheduledPoll(at + POLL_TIMEOUT, scheduler, Failure.FAILED));
         } else {
             connectedAt[scheduler] = at + wait + pollCost;
         }
     }
 
     private void countPoll(long at) {
-        polls.add(at);
-        int lastSecond = (int) polls.stream().filter(other -> other > at - SECOND).count();
+        pollTimes.add(at);
+        int lastSecond = (int) pollTimes.stream().filter(other -> other > at - SECOND).count();
         maxPollsPerSecond = Math.max(maxPollsPerSecond, lastSecond);
     }
 
@@ -111,12 +115,12 @@
         }
     }
 
-    /** Returns how many schedulers were not connected by then. */
+    /** Returns how many schedulers were not connected by the given time. */
     int countNotConnectedBy(long time) {
         return (int) Arrays.stream(connectedAt).filter(at -> at == 0 || at > time).count();
     }
 
-    /** Returns the most polls within a second. */
+    /** Returns the largest number of polls within a second. */
     int maxPollsPerSecond() {
         return maxPollsPerSecond;
     }
--- a/src/test/java/damsonslip/membership/StartTimesTest.java
+++ b/src/test/java/damsonslip/membership/StartTimesTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Start stamps translated to the caller's clock, whether that is right or wrong. */
+/** Start timestamps converted to the caller's clock, whether or not that clock is right. */
 class StartTimesTest {
     private static final long SECOND = 1_000_000;
     private static final long HOUR = 3_600 * SECOND;
@@ -15,29 +15,29 @@
     private final StartTimes times = new StartTimes();
 
     @Test
-    void keepsPlausibleStampOfObservedStart() {
+    void keepsPlausibleTimestampOfObservedStart() {
         times.listReceived(true, NOW);
         assertEquals(NOW + 3 * SECOND, times.observedStartUs(NOW + 3 * SECOND, NOW + 5 * SECOND));
         assertEquals(0, times.correctionUs());
     }
 
     @Test
-    void keepsStampOnLateList() {
+    void keepsTimestampOnDelayedList() {
         times.listReceived(true, NOW);
         assertEquals(NOW - 6 * SECOND, times.observedStartUs(NOW - 6 * SECOND, NOW + SECOND));
     }
 
     @Test
-    void countsObservedStartAsNowWhenStampContradicts() {
+    void countsObservedStartAsNowWhenTimestampContradicts() {
         times.listReceived(true, NOW);
         assertEquals(
                 NOW + SECOND,
                 times.observedStartUs(NOW - HOUR, NOW + SECOND),
-                "this clock is ahead");
+                "the caller's clock is ahead");
         assertEquals(
                 NOW + SECOND,
                 times.observedStartUs(NOW + HOUR, NOW + SECOND),
-                "this clock is behind");
+                "the caller's clock is behind");
     }
 
     @Test
@@ -47,12 +47,16 @@
         assertEquals(
                 NOW - 2 * HOUR,
                 times.listedStartUs(NOW - 2 * HOUR, NOW + SECOND),
-                "one may be that worker's own clock");
+                "a single one may be an error of that worker's clock");
         times.observedStartUs(NOW + SECOND - HOUR, NOW + 2 * SECOND);
         long listed = times.listedStartUs(NOW - 5 * SECOND - HOUR, NOW + 2 * SECOND);
-        assertTrue(Math.abs(listed - (NOW - 4 * SECOND)) <= SECOND, "a cold one on the list");
+        assertTrue(
+                Math.abs(listed - (NOW - 4 * SECOND)) <= SECOND,
+                "corrects starts that were not observed");
         long fits = times.observedStartUs(NOW + 2 * SECOND - HOUR, NOW + 4 * SECOND);
-        assertTrue(Math.abs(fits - (NOW + 2 * SECOND)) <= 2 * SECOND, "later ones fit");
+        assertTrue(
+                Math.abs(fits - (NOW + 2 * SECOND)) <= 2 * SECOND,
+                "corrects later observed starts");
     }
 
     @Test
@@ -67,7 +71,7 @@
     }
 
     @Test
-    void keepsStartOfLongAgo() {
+    void keepsStartLongAgo() {
         times.listReceived(true, NOW);
         assertEquals(StartTimes.LONG_AGO, times.observedStartUs(StartTimes.LONG_AGO, NOW));
         assertEquals(StartTimes.LONG_AGO, times.listedStartUs(StartTimes.LONG_AGO, NOW));
--- a/src/test/java/damsonslip/policy/BorrowingTest.java
+++ b/src/test/java/damsonslip/policy/BorrowingTest.java
@@ -24,10 +24,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sends jobs to the pools of other classes. */
+/** Sends jobs to workers of other classes' pools. */
 class BorrowingTest {
     /**
-     * The threshold bounds the queue of the own pool; beside a mostly free pool no job is rejected.
+     * The threshold limits the queue of the job's own pool; while another pool is mostly free, no
+     * job is rejected.
      */
     @Test
     void borrowsFromMostlyFreePoolInsteadOfRejecting() {
@@ -41,21 +42,21 @@
         assertEquals(0, actionsOfType(all, Reject.class).size());
         assertTrue(
                 actionsOfType(all, Send.class).stream().map(Send::worker).distinct().count() > 5,
-                "beyond the own five");
+                "more than the five workers of its own pool");
     }
 
     /**
-     * If the whole pool of a class is slow, its mean run time does not show that; the run times at
-     * borrowed workers do.
+     * If all workers of a pool are slow, the mean run time of the pool does not show it; the run
+     * times at borrowed workers do.
      */
     @Test
     void borrowsWhenAllWorkersOfThePoolAreSlow() {
         ScriptedScheduler scheduler =
                 new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(4);
-        int[] late = new int[2];
+        int[] sentToSlow = new int[2];
         for (int round = 0; round < 120; round++) {
             String prefix = "job" + round + "-";
-            Set<String> slow = new TreeSet<>();
+            Set<String> jobsAtSlowWorkers = new TreeSet<>();
             for (int j = 0; j < 12; j++) {
                 String id = prefix + j;
                 scheduler.jobArrives(id, j % 2, 0, null);
@@ -65,48 +66,53 @@
                 if (send.job().startsWith(prefix)) {
                     scheduler.attemptStarts(send.job(), 0);
                     if (send.worker().compareTo("w2") < 0) {
-                        slow.add(send.job());
+                        jobsAtSlowWorkers.add(send.job());
                     }
                 }
             }
             scheduler.advance(SECOND / 10);
             actionsOfType(scheduler.actions, Send.class).stream()
                     .map(Send::job)
-                    .filter(job -> job.startsWith(prefix) && !slow.contains(job))
+                    .filter(job -> job.startsWith(prefix) && !jobsAtSlowWorkers.contains(job))
                     .forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
             scheduler.advance(SECOND);
-            slow.forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
-            late[round < 60 ? 0 : 1] += slow.size();
+            jobsAtSlowWorkers.forEach(job -> scheduler.attemptEnds(job, 0, AttemptOutcome.SERVED));
+            sentToSlow[round < 60 ? 0 : 1] += jobsAtSlowWorkers.size();
         }
         assertTrue(
-                late[0] > 0 && late[1] < late[0] / 2,
-                late[0] + ", then " + late[1] + " at slow workers");
+                sentToSlow[0] > 0 && sentToSlow[1] < sentToSlow[0] / 2,
+                sentToSlow[0]
+                        + " jobs in the first half, "
+                        + sentToSlow[1]
+                        + " in the second half at slow workers");
     }
 
     /**
-     * Guards against rejecting jobs beside reported free slots while the only worker of a small
-     * pool fails.
+     * Guards against rejecting jobs while other pools report free slots and the only worker of a
+     * small pool fails.
      */
     @Test
-    void borrowsAnyFreeSlotWhenThePoolIsOut() {
+    void borrowsAnyFreeSlotWhenThePoolIsUnavailable() {
         ScriptedScheduler scheduler =
                 new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
         for (int i = 0; i < 100; i++) {
             scheduler.reportedFreeSlots =
-                    i % 20 == 0 ? 4 : 1.4; // of four: less than a pool lends in good times
+                    i % 20 == 0 ? 4 : 1.4; // of four slots: fewer than a pool lends normally
             scheduler.jobArrives("j" + i, i % 20 == 0 ? 1 : 0, 0, null);
             scheduler.advance(100_000);
             scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
         }
         String own = sentTo(scheduler.jobArrives("x", 1, 0, null), "x");
         scheduler.attemptEnds("x", 0, AttemptOutcome.NOT_CONNECTED);
-        String lent = sentTo(scheduler.advance(110_000), "x");
-        assertTrue(lent != null && !lent.equals(own), "sent to " + own + ", then to " + lent);
+        String borrowed = sentTo(scheduler.advance(110_000), "x");
+        assertTrue(
+                borrowed != null && !borrowed.equals(own),
+                "sent to " + own + ", then to " + borrowed);
     }
 
     /**
-     * Guards against rejecting jobs of a valuable class beside slots that a cheaper one leaves
-     * free.
+     * Guards against rejecting jobs of a class with a high priority weight while a class with a
+     * lower one leaves slots free.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.2, 5})
@@ -124,7 +130,7 @@
                 new ScriptedScheduler(settings(1, 0, first, IDEMPOTENT)).workers(8);
         for (int i = 0; i < 200; i++) {
             scheduler.reportedFreeSlots =
-                    i % 20 < 2 ? 4 : 1.4; // of four: less than a pool lends in good times
+                    i % 20 < 2 ? 4 : 1.4; // of four slots: fewer than a pool lends normally
             scheduler.jobArrives("j" + i, i % 2, 0, null);
             scheduler.advance(100_000);
             scheduler.attemptEnds("j" + i, 0, AttemptOutcome.SERVED);
@@ -136,6 +142,8 @@
         long used =
                 actionsOfType(actions, Send.class).stream().map(Send::worker).distinct().count();
         assertEquals(
-                priorityWeight > 1, used > 4, "half of the workers are its own: it used " + used);
+                priorityWeight > 1,
+                used > 4,
+                "its own pool has four of the eight workers: it used " + used);
     }
 }
--- a/src/test/java/damsonslip/policy/CandidateProbingTest.java
+++ b/src/test/java/damsonslip/policy/CandidateProbingTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Probes some workers before a job is sent, where only probes report load: older reports are of
- * little use.
+ * Probes some candidates before a job is sent, where only probes report load: older reports say
+ * little about the current load.
  */
 class CandidateProbingTest {
     private static final int WORKERS = 8;
@@ -87,17 +87,17 @@
     }
 
     @Test
-    void waitsForAnswersOnlyForALimitedTime() {
+    void waitsForProbeResponsesForALimitedTimeOnly() {
         reportsFreeSlots(probedWorkers.get(2), 2);
         assertEquals(probedWorkers.get(2), sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
     @Test
-    void sendsJobThoughNoCandidateAnswers() {
+    void sendsJobThoughNoCandidateResponds() {
         assertNotNull(sentTo(scheduler.advance(2 * WAIT_US), "j1"));
     }
 
-    /** A fresh report is as good as the answer to a probe. */
+    /** A recent load report replaces a probe. */
     @Test
     void doesNotProbeWorkersThatHaveJustReported() {
         probedWorkers.forEach(worker -> reportsFreeSlots(worker, 4));
--- a/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
+++ b/src/test/java/damsonslip/policy/SchedulerDesynchronizationTest.java
@@ -23,13 +23,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Schedulers that start or fail together do not act in step. */
+/** Schedulers that start or fail at the same time do not act at the same time afterwards. */
 class SchedulerDesynchronizationTest {
     /** Discovery fails for all schedulers at once, several times. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void spreadsDiscoveryCallsAndDealsAfterFailures(int schedulers) {
-        List<Long> calls = new ArrayList<>();
+    void spreadsDiscoveryPollsAndDealsAfterFailures(int schedulers) {
+        List<Long> polls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
         for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
@@ -51,23 +51,23 @@
                                     }
                                 });
             }
-            calls.add(actionsOfType(actions, SetTimer.class).get(0).atUs());
+            polls.add(actionsOfType(actions, SetTimer.class).get(0).atUs());
         }
         assertTrue(
-                maxWithin(calls, 100_000) < schedulers / 5 + 3,
-                "calls in a tenth of a second: " + maxWithin(calls, 100_000));
+                maxWithin(polls, 100_000) < schedulers / 5 + 3,
+                "polls within 100 ms: " + maxWithin(polls, 100_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
-                "deals in a twentieth: " + maxWithin(deals, 50_000));
+                "deals within 50 ms: " + maxWithin(deals, 50_000));
     }
 
-    /** All schedulers start at once with the same list and get a job each. */
+    /** All schedulers start at once with the same list and receive one job each. */
     @ParameterizedTest
     @ValueSource(ints = {14, 100})
-    void spreadsFirstCallsDealsAndConnections(int schedulers) {
-        List<Long> calls = new ArrayList<>();
+    void spreadsFirstPollsDealsAndConnections(int schedulers) {
+        List<Long> polls = new ArrayList<>();
         List<Long> deals = new ArrayList<>();
-        Map<String, Integer> opened = new HashMap<>();
+        Map<String, Integer> firstSends = new HashMap<>();
         for (int schedulerIndex = 0; schedulerIndex < schedulers; schedulerIndex++) {
             SchedulingPolicy policy =
                     new SchedulingPolicy(
@@ -76,37 +76,40 @@
             List<Action> actions = startWithJob(policy);
             for (SetTimer timer : actionsOfType(actions, SetTimer.class)) {
                 if (timer.label().equals("list")) {
-                    calls.add(timer.atUs());
+                    polls.add(timer.atUs());
                 } else if (timer.label().equals("deal")) {
                     deals.add(timer.atUs());
                 }
             }
-            opened.merge(actionsOfType(actions, Send.class).get(0).worker(), 1, Integer::sum);
+            firstSends.merge(actionsOfType(actions, Send.class).get(0).worker(), 1, Integer::sum);
         }
-        assertEquals(schedulers, calls.size());
+        assertEquals(schedulers, polls.size());
         assertTrue(
-                maxWithin(calls, 50_000) < schedulers / 4 + 3,
-                "calls in a twentieth: " + maxWithin(calls, 50_000));
+                maxWithin(polls, 50_000) < schedulers / 4 + 3,
+                "polls within 50 ms: " + maxWithin(polls, 50_000));
         assertTrue(
                 maxWithin(deals, 50_000) < schedulers / 5 + 3,
-                "deals in a twentieth: " + maxWithin(deals, 50_000));
-        int most = opened.values().stream().max(Integer::compare).orElseThrow();
+                "deals within 50 ms: " + maxWithin(deals, 50_000));
+        int most = firstSends.values().stream().max(Integer::compare).orElseThrow();
         assertTrue(
                 most < schedulers / 10 + 3,
-                most + " of " + schedulers + " go to one of 40 workers first");
+                most
+                        + " of "
+                        + schedulers
+                        + " schedulers send their first job to the same one of 40 workers");
     }
 
     private static List<Action> startWithJob(SchedulingPolicy policy) {
         List<WorkerEntry> workers = IntStream.range(0, 40).mapToObj(i -> worker("w" + i)).toList();
         List<Action> actions = new ArrayList<>();
         policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CACHED, workers), actions);
-        // nothing is sent before a list from discovery
+        // no job is sent before a list is received from discovery
         policy.handle(SECOND, new WorkerListUpdate(WorkerListChange.CHANGES, List.of()), actions);
         policy.handle(SECOND, new JobArrived("j", 0, 0, null, 3 * SECOND, 1, 0), actions);
         return actions;
     }
 
-    /** Largest number of these times within any interval of this length. */
+    /** Returns the largest number of these times within any interval of this length. */
     private static long maxWithin(List<Long> times, long length) {
         return times.stream()
                 .mapToLong(
--- a/src/test/java/damsonslip/policy/FleetSite.java
+++ b/src/test/java/damsonslip/policy/SimulatedDeployment.java
@@ -8,12 +8,12 @@
 import java.util.List;
 
 /**
- * A deployment and its traffic.
+ * The simulated deployment and its traffic.
  *
  * @param schedulers number of schedulers
- * @param configuredSchedulers their number by the settings
+ * @param configuredSchedulers number of schedulers according to the settings
  */
-record FleetSite(
+record SimulatedDeployment(
         int schedulers,
         int configuredSchedulers,
         Guarantees guarantees,
@@ -44,29 +44,30 @@
     }
 
     double meanWork() {
-        return traffic.stream().mapToDouble(t -> t.share() * t.work()).sum();
+        return traffic.stream().mapToDouble(part -> part.share() * part.work()).sum();
     }
 
     /**
-     * Requests of mean work that overload a worker that warms up, if they come within the window up
-     * to this age.
+     * Returns how many requests of mean work a worker that warms up may receive in the window that
+     * ends at this age; more overload it.
      */
-    double bound(long age) {
-        double warmth = guarantees.slowStartShareAt(age - guarantees.overloadWindowUs() / 2);
-        double n =
+    double overloadBound(long ageUs) {
+        double capacityShare =
+                guarantees.slowStartShareAt(ageUs - guarantees.overloadWindowUs() / 2);
+        double requests =
                 guarantees.overloadFactor()
-                        * warmth
+                        * capacityShare
                         * workerSlots
                         * guarantees.overloadWindowUs()
                         / meanWork();
-        return n + 2 * Math.sqrt(n) + 2;
+        return requests + 2 * Math.sqrt(requests) + 2;
     }
 
     /**
      * Traffic of one job class.
      *
      * @param workUs work of a job in each of its slots
-     * @param share part of all jobs
+     * @param share fraction of all jobs
      */
     record Traffic(JobClass jobClass, double workUs, int slots, double share) {
         double work() {
