--- a/src/main/java/damsonslip/store/AsyncStore.java
+++ b/src/main/java/damsonslip/store/AsyncStore.java
@@ -27,7 +27,7 @@
     /** Maximum number of pending operations; the store executes about as many in a second. */
     private static final int MAX_PENDING = 40_000;
 
-    /** Maximum number of operations in a round trip, which has to meet the store's timeout. */
+    /** Maximum number of operations in a round trip, which must stay within the store's timeout. */
     private static final int MAX_BATCH = 512;
 
     private static final long RETRY_DELAY_US = 500_000;
