--- a/src/main/java/damsonslip/store/StoreCircuitBreaker.java
+++ b/src/main/java/damsonslip/store/StoreCircuitBreaker.java
@@ -6,8 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A circuit breaker around a {@link JobStore}: after a failed call further ones fail at once, apart
- * from one trial in each open period. Calls are made on one thread; the state may be read on any.
+ * A circuit breaker around a {@link JobStore}: after a failed call, further calls fail immediately,
+ * except for one trial call after each open period. Calls are made on one thread; the state may be
+ * read on any thread.
  */
 final class StoreCircuitBreaker {
     private static final Logger LOG = LoggerFactory.getLogger(StoreCircuitBreaker.class);
@@ -22,7 +23,7 @@
         this.store = store;
     }
 
-    /** Whether the last call succeeded. */
+    /** Whether the last call to the store succeeded. */
     boolean isClosed() {
         return !open;
     }
@@ -32,7 +33,7 @@
             throw new StoreException("the store is down", null);
         }
         try {
-            List<Object> results = call(operations);
+            List<Object> results = callStore(operations);
             if (open) {
                 LOG.info("event=store_available");
             }
@@ -48,8 +49,9 @@
         }
     }
 
-    /** Calls the store; an unexpected exception must not end the thread that serves all calls. */
-    private List<Object> call(List<? extends StoreOperation<?>> operations) throws StoreException {
+    /** Calls the store; wraps unexpected exceptions, which must not end the thread of all calls. */
+    private List<Object> callStore(List<? extends StoreOperation<?>> operations)
+            throws StoreException {
         try {
             return store.execute(operations);
         } catch (RuntimeException e) {
