--- a/src/main/java/damsonslip/faktory/BatchCallbacks.java
+++ b/src/main/java/damsonslip/faktory/BatchCallbacks.java
@@ -31,7 +31,7 @@
      * @param onExisting called with the job's record if it was pushed before
      */
     void push(DueCallback callback, Consumer<JobRecord> onExisting) {
-        String jid = callback.batch().callbackJobId(callback.success());
+        String jid = callback.batch().callbackJobId(callback.isSuccess());
         NewJob job = jobFactory.createCallback(callback.job(), jid, callback.batch().bid());
         store.submit(
                 new StoreOperation.Add(job.record(), job.body()),
--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -76,7 +76,7 @@
     /** Called when a callback was pushed before a restart; it may have run already. */
     private void pushedBefore(DueCallback callback, JobRecord existing) {
         if (existing.state() == JobRecord.State.SUCCESS) {
-            callbackSucceeded(callback.batch().bid(), callback.success());
+            callbackSucceeded(callback.batch().bid(), callback.isSuccess());
         }
     }
 
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -153,7 +153,7 @@
                     && !fetchDirectory.isFetchWaiting(dispatched.queue())) {
                 unawaited.remove(dispatched);
                 engine.clientDisconnected(dispatched.context);
-                jobTable.undispatch(dispatched.entry, 0);
+                jobTable.returnToQueue(dispatched.entry, 0);
             }
         }
     }
@@ -166,7 +166,7 @@
     Optional<CommandError> dispatch(JobEntry entry) {
         JobRecord record = entry.record();
         if (engine.isIdInUse(record.id())) { // its previous attempt has not ended there yet
-            jobTable.undispatch(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
+            jobTable.returnToQueue(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
             return Optional.empty();
         }
         if (!RetryPolicy.mayRun(record, lifecycle.classOf(entry), lifecycle.nowMs())) {
@@ -250,7 +250,7 @@
     private void finishUnawaited(
             DispatchedJob dispatched, Response answer, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
-        jobTable.undispatch(entry, 0);
+        jobTable.returnToQueue(entry, 0);
         if (dispatched.ran) {
             RunFailure failure =
                     dispatched.failure == null ? RunFailure.DEADLINE_PASSED : dispatched.failure;
--- a/src/main/java/damsonslip/faktory/MutateCommand.java
+++ b/src/main/java/damsonslip/faktory/MutateCommand.java
@@ -3,7 +3,7 @@
 import damsonslip.engine.EventLoop;
 import damsonslip.faktory.codec.Command.Mutate;
 import damsonslip.faktory.codec.CommandError;
-import damsonslip.faktory.codec.JobText;
+import damsonslip.faktory.codec.JobJson;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.Glob;
 import damsonslip.faktory.jobs.JobEntry;
@@ -156,7 +156,7 @@
         for (int i = 0; i < jobs.size(); i++) {
             JobEntry entry = jobs.get(i);
             String body = bodies.get(i);
-            if (body != null && glob.matches(JobText.merge(body, entry.record(), 0))) {
+            if (body != null && glob.matches(JobJson.merge(body, entry.record(), 0))) {
                 matching.add(entry);
             }
         }
--- a/src/main/java/damsonslip/faktory/Reservations.java
+++ b/src/main/java/damsonslip/faktory/Reservations.java
@@ -5,7 +5,7 @@
 import damsonslip.engine.Counters.Count;
 import damsonslip.engine.EventLoop;
 import damsonslip.engine.SchedulerEngine;
-import damsonslip.faktory.codec.JobText;
+import damsonslip.faktory.codec.JobJson;
 import damsonslip.faktory.codec.Reply;
 import damsonslip.faktory.jobs.RetryPolicy.RunFailure;
 import damsonslip.policy.api.AttemptOutcome;
@@ -113,7 +113,7 @@
         reservation.expiry =
                 loop.scheduleAfter(
                         job.record().options().reservationMs() * 1000, () -> expire(reservation));
-        String text = JobText.merge(body, job.record(), job.entry.enqueuedMs());
+        String text = JobJson.merge(body, job.record(), job.entry.enqueuedMs());
         fetch.connection().reply(Reply.bulk(text));
         engine.attemptStarted(reservation.attempt);
     }
@@ -149,7 +149,7 @@
     void endAllOf(Worker worker) {
         for (Reservation reservation : List.copyOf(reservations.values())) {
             if (reservation.worker == worker && reservation.handedOut) {
-                reservation.job().failure = RunFailure.WORKER_GONE;
+                reservation.job().failure = RunFailure.WORKER_LOST;
                 end(reservation, AttemptOutcome.RESET);
             }
         }
--- a/src/main/java/damsonslip/faktory/codec/JobText.java
+++ b/src/main/java/damsonslip/faktory/codec/JobJson.java
@@ -7,10 +7,10 @@
  * The text of a job as a worker, or an operator's filter, sees it: its body with what has become of
  * it since it was pushed.
  */
-public final class JobText {
+public final class JobJson {
     private static final String EMPTY_OBJECT = "{}";
 
-    private JobText() {}
+    private JobJson() {}
 
     /**
      * Merges a job's body with its record. The fields are inserted before the body's last brace,
--- a/src/main/java/damsonslip/faktory/codec/package-info.java
+++ b/src/main/java/damsonslip/faktory/codec/package-info.java
@@ -3,7 +3,7 @@
  * damsonslip.faktory.codec.CommandDecoder} decodes each line that a peer sends into a {@link
  * damsonslip.faktory.codec.Command}, {@link damsonslip.faktory.codec.PushedJob} a pushed job, and
  * {@link damsonslip.faktory.codec.Reply} encodes each reply, an error as a {@link
- * damsonslip.faktory.codec.CommandError}. {@link damsonslip.faktory.codec.JobText} merges what a
+ * damsonslip.faktory.codec.CommandError}. {@link damsonslip.faktory.codec.JobJson} merges what a
  * worker gets of a job. The protocol's own names are mapped to domain names here.
  *
  * <p>Called by the Faktory front. Depends on Jackson and the store's records; never on connections,
--- a/src/main/java/damsonslip/faktory/jobs/Batch.java
+++ b/src/main/java/damsonslip/faktory/jobs/Batch.java
@@ -56,7 +56,7 @@
                 createdMs);
     }
 
-    Batch withCallbackState(boolean ofSuccess, CallbackState state) {
+    Batch withCallbackState(boolean isSuccess, CallbackState state) {
         return new Batch(
                 bid,
                 parent,
@@ -65,18 +65,18 @@
                 complete,
                 committed,
                 total,
-                ofSuccess ? onComplete : state,
-                ofSuccess ? state : onSuccess,
+                isSuccess ? onComplete : state,
+                isSuccess ? state : onSuccess,
                 createdMs);
     }
 
     /**
      * The job id of a callback: the same at each attempt, so that the callback is pushed once.
      *
-     * @param ofSuccess whether the success callback is meant
+     * @param isSuccess whether the success callback is meant
      */
-    public String callbackJobId(boolean ofSuccess) {
-        return bid + (ofSuccess ? SUCCESS_SUFFIX : COMPLETE_SUFFIX);
+    public String callbackJobId(boolean isSuccess) {
+        return bid + (isSuccess ? SUCCESS_SUFFIX : COMPLETE_SUFFIX);
     }
 
     /** Whether the callback with this job id is a success callback. */
--- a/src/main/java/damsonslip/faktory/jobs/BatchTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchTable.java
@@ -135,16 +135,18 @@
                         .allMatch(nested -> nested.onSuccess() == CallbackState.DONE);
     }
 
-    private DueCallback setDue(Batch batch, boolean success) {
-        boolean hasCallback = !(success ? batch.success() : batch.complete()).isEmpty();
+    private DueCallback setDue(Batch batch, boolean isSuccess) {
+        boolean hasCallback = !(isSuccess ? batch.success() : batch.complete()).isEmpty();
         CallbackState state = hasCallback ? CallbackState.DUE : CallbackState.DONE;
-        return new DueCallback(replace(batch.withCallbackState(success, state)), success);
+        return new DueCallback(replace(batch.withCallbackState(isSuccess, state)), isSuccess);
     }
 
     /** Records that a callback has succeeded; returns the batch, or null if it is unknown. */
-    public Batch markCallbackDone(String bid, boolean success) {
+    public Batch markCallbackDone(String bid, boolean isSuccess) {
         Batch batch = all.get(bid);
-        return batch == null ? null : replace(batch.withCallbackState(success, CallbackState.DONE));
+        return batch == null
+                ? null
+                : replace(batch.withCallbackState(isSuccess, CallbackState.DONE));
     }
 
     private List<Batch> nestedIn(String bid) {
--- a/src/main/java/damsonslip/faktory/jobs/JobTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobTable.java
@@ -137,7 +137,7 @@
      * Returns a job from the decision module to its old position; it is not offered again before
      * {@code notBeforeMs}.
      */
-    public void undispatch(JobEntry entry, long notBeforeMs) {
+    public void returnToQueue(JobEntry entry, long notBeforeMs) {
         removeFromSet(entry);
         entry.setDispatched(false);
         entry.setNotBeforeMs(notBeforeMs);
--- a/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -80,7 +80,7 @@
                         List.of());
 
         /** The worker disconnected or stopped its heartbeats. */
-        public static final RunFailure WORKER_GONE =
+        public static final RunFailure WORKER_LOST =
                 new RunFailure("WorkerGone", "its worker went away with it", List.of());
 
         /** The job's deadline passed during the run. */
--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -104,12 +104,12 @@
         JobRecord.Options options =
                 new JobRecord.Options("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
         JobRecord record = JobRecord.pushed("job-00001", options, 0, 0);
-        JsonNode plain = Json.read(JobText.merge(pushed.body(), record, 1_000));
+        JsonNode plain = Json.read(JobJson.merge(pushed.body(), record, 1_000));
         assertEquals("1970-01-01T00:00:01Z", plain.path("enqueued_at").asText());
         assertTrue(plain.path("failure").isMissingNode());
         JsonNode failed =
                 Json.read(
-                                JobText.merge(
+                                JobJson.merge(
                                         pushed.body(),
                                         record.withFailure(
                                                 new JobRecord.Failure(
--- a/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -55,7 +55,7 @@
 
     private String due(String bid) {
         return batches.collectDueCallbacks(bid).stream()
-                .map(callback -> callback.batch().callbackJobId(callback.success()))
+                .map(callback -> callback.batch().callbackJobId(callback.isSuccess()))
                 .toList()
                 .toString();
     }
@@ -155,7 +155,7 @@
         assertEquals(
                 List.of("b-complete", "b-success"),
                 after.unfinishedCallbacks().stream()
-                        .map(callback -> callback.batch().callbackJobId(callback.success()))
+                        .map(callback -> callback.batch().callbackJobId(callback.isSuccess()))
                         .toList());
     }
 
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -66,7 +66,7 @@
         add("a2", "a", 0);
         JobEntry first = jobTable.get("a1");
         jobTable.dispatch(first);
-        jobTable.undispatch(first, 500);
+        jobTable.returnToQueue(first, 500);
         assertNull(
                 jobTable.next(List.of("a"), false, 499, c -> true),
                 "the order holds while the first may not go");
@@ -208,7 +208,7 @@
                 if (queued && !entry.isDispatched()) {
                     large.dispatch(entry);
                 } else if (entry.isDispatched()) {
-                    large.undispatch(entry, 0);
+                    large.returnToQueue(entry, 0);
                 }
             }
             case 4 -> large.move(entry, entry.record().enqueued(large.nextSequence(), 0));
