--- a/src/main/java/damsonslip/faktory/jobs/Batch.java
+++ b/src/main/java/damsonslip/faktory/jobs/Batch.java
@@ -1,13 +1,13 @@
 package damsonslip.faktory.jobs;
 
 /**
- * A batch of jobs. Immutable; stored as JSON with the components' names.
+ * A batch of jobs. Immutable; stored as JSON under the names of its components.
  *
  * @param bid its id
  * @param parent the id of the enclosing batch; empty if there is none
- * @param description a text of its creator
- * @param success the success callback, a job as JSON; empty if there is none
- * @param complete the completion callback, a job as JSON; empty if there is none
+ * @param description free text from its creator
+ * @param success the job to push as the success callback, as JSON; empty if there is none
+ * @param complete the job to push as the completion callback, as JSON; empty if there is none
  * @param committed whether its creator has finished pushing jobs
  * @param total the number of jobs pushed into it
  * @param onComplete the state of the completion callback
@@ -71,9 +71,10 @@
     }
 
     /**
-     * The job id of a callback: the same at each attempt, so that the callback is pushed once.
+     * The job id of a callback. It is derived from the batch id, so that a repeated push of the
+     * same callback is detected as a duplicate.
      *
-     * @param isSuccess whether the success callback is meant
+     * @param isSuccess whether it is the success callback; otherwise it is the completion callback
      */
     public String callbackJobId(boolean isSuccess) {
         return bid + (isSuccess ? SUCCESS_SUFFIX : COMPLETE_SUFFIX);
--- a/src/main/java/damsonslip/faktory/jobs/BatchCounters.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchCounters.java
@@ -6,7 +6,7 @@
 
 /** Counts the open jobs of each batch. Not thread-safe. */
 final class BatchCounters {
-    /** The number of a batch's open jobs, and of those among them that have not failed yet. */
+    /** The number of open jobs in a batch, and how many of them have never failed. */
     static final class Counts {
         private int open;
         private int neverFailed;
@@ -26,7 +26,7 @@
         return byBatch.getOrDefault(batchId, new Counts());
     }
 
-    /** Adds a job with sign 1, or removes it with sign -1. */
+    /** Counts a job that enters the table (sign 1) or leaves it (sign -1). */
     void count(JobRecord record, int sign) {
         String batchId = record.options().batchId();
         if (batchId.isEmpty()) {
--- a/src/main/java/damsonslip/faktory/jobs/BatchTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/BatchTable.java
@@ -9,98 +9,102 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Batches of jobs and their callbacks. The completion callback is due when each job has been run
- * once, the success callback when each has succeeded; both only after the callbacks of nested
- * batches. The number of open jobs is read from the {@link JobTable}, so that a restart between two
- * writes cannot leave a wrong count. Not thread-safe.
+ * Batches of jobs and their callbacks. The completion callback becomes due once every job has ended
+ * or has failed at least once, the success callback once no job is open any more; each also waits
+ * for the same callback of all nested batches. The number of open jobs is not stored but counted by
+ * the {@link JobTable}, so that a restart between two writes cannot leave a wrong count. Not
+ * thread-safe.
  */
 public final class BatchTable {
-    /** Retention of a batch from its creation, whatever its state. */
-    private static final long RETENTION_MS = TimeUnit.DAYS.toMillis(30);
+    /** Maximum age of a batch, in whatever state. */
+    private static final long MAX_AGE_MS = TimeUnit.DAYS.toMillis(30);
 
-    /** Retention of a batch that has ended, from its creation. */
-    private static final long ENDED_RETENTION_MS = TimeUnit.HOURS.toMillis(1);
+    /** Maximum age of a batch that has ended; also counted from its creation. */
+    private static final long ENDED_MAX_AGE_MS = TimeUnit.HOURS.toMillis(1);
 
     private final JobTable jobTable;
-    private final Map<String, Batch> all = new LinkedHashMap<>();
-    private final Map<String, List<String>> children = new HashMap<>();
+    private final Map<String, Batch> byId = new LinkedHashMap<>();
+    private final Map<String, List<String>> childIds = new HashMap<>();
 
-    /** Creates an empty table, which reads the number of open jobs from the job table. */
+    /** Creates an empty table that reads job counts from the given job table. */
     public BatchTable(JobTable jobTable) {
         this.jobTable = jobTable;
     }
 
     /** The batch of this id, or null. */
     public Batch get(String bid) {
-        return all.get(bid);
+        return byId.get(bid);
     }
 
     /** The number of batches. */
     public int size() {
-        return all.size();
+        return byId.size();
     }
 
-    /** Adds a batch, a new one or one from the store. */
+    /** Adds a new batch, or one loaded from the store. */
     public void add(Batch batch) {
-        if (all.put(batch.bid(), batch) == null && !batch.parent().isEmpty()) {
-            children.computeIfAbsent(batch.parent(), bid -> new ArrayList<>()).add(batch.bid());
+        if (byId.put(batch.bid(), batch) == null && !batch.parent().isEmpty()) {
+            childIds.computeIfAbsent(batch.parent(), bid -> new ArrayList<>()).add(batch.bid());
         }
     }
 
-    /** Why no job may be pushed into a batch now; null if one may. */
+    /** The reason why no job can be pushed into a batch now; null if jobs are accepted. */
     public String rejectionReason(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         if (batch == null) {
             return "no such batch: " + bid;
         }
         return batch.committed() ? "batch " + bid + " is committed; open it first" : null;
     }
 
-    /** Counts a job that was pushed into a batch. */
+    /** Adds a pushed job to the total of its batch; returns the changed batch. */
     public Batch countPushedJob(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return replace(batch.withTotal(batch.total() + 1));
     }
 
     /**
-     * Corrects the totals after the recovery from the store: no batch has fewer jobs than were
-     * found. A stop may have come between recording a job, which acknowledges its push, and
-     * recording its batch.
+     * Raises totals that are too low after recovery: a batch has at least as many jobs as were
+     * found in the store. The process may have stopped after a job was recorded, which acknowledges
+     * its push, and before the new total of its batch was.
      */
     public void correctTotals() {
-        all.replaceAll((bid, batch) -> batch.withTotal(Math.max(batch.total(), pendingJobs(bid))));
+        byId.replaceAll((bid, batch) -> batch.withTotal(Math.max(batch.total(), pendingJobs(bid))));
     }
 
-    /** Opens a batch for further jobs; returns null if its completion callback has become due. */
+    /**
+     * Reopens a batch for further jobs; returns null if it is unknown, or if its completion
+     * callback has already become due.
+     */
     public Batch open(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return batch == null || batch.onComplete() != CallbackState.NOT_YET
                 ? null
                 : replace(batch.withCommitted(false));
     }
 
-    /** Commits a batch: its creator has finished pushing jobs; returns null if it is unknown. */
+    /** Commits a batch, to which no more jobs are pushed; returns null if it is unknown. */
     public Batch commit(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return batch == null ? null : replace(batch.withCommitted(true));
     }
 
-    private Batch replace(Batch next) {
-        all.put(next.bid(), next);
-        return next;
+    private Batch replace(Batch batch) {
+        byId.put(batch.bid(), batch);
+        return batch;
     }
 
     /**
-     * The callbacks, of this batch and of those around it, that a change of it or its jobs has made
-     * due.
+     * Marks the callbacks that a change of this batch or its jobs has made due, in this batch and
+     * in the batches that enclose it, and returns them.
      */
     public List<DueCallback> collectDueCallbacks(String bid) {
         List<DueCallback> due = new ArrayList<>();
         String current = bid;
-        int depth = 0; // bounded, as parents might form a cycle
-        while (depth <= all.size() && all.containsKey(current)) {
+        int depth = 0; // bounded, since parents come from clients and may form a cycle
+        while (depth <= byId.size() && byId.containsKey(current)) {
             collectDueCallbacks(current, due);
-            current = all.get(current).parent();
+            current = byId.get(current).parent();
             depth++;
         }
         return due;
@@ -108,16 +112,16 @@
 
     private void collectDueCallbacks(String bid, List<DueCallback> due) {
         if (isComplete(bid)) {
-            due.add(setDue(all.get(bid), false));
+            due.add(markDue(byId.get(bid), false));
         }
         if (isSuccessful(bid)) {
-            due.add(setDue(all.get(bid), true));
+            due.add(markDue(byId.get(bid), true));
         }
     }
 
-    /** Whether a batch's completion callback is to become due. */
+    /** Whether a batch's completion callback, not yet due, has its condition met. */
     private boolean isComplete(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return batch.onComplete() == CallbackState.NOT_YET
                 && batch.committed()
                 && jobTable.batchCounts(bid).neverFailed() == 0
@@ -125,9 +129,9 @@
                         .allMatch(nested -> nested.onComplete() == CallbackState.DONE);
     }
 
-    /** Whether a batch's success callback is to become due. */
+    /** Whether a batch's success callback, not yet due, has its condition met. */
     private boolean isSuccessful(String bid) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return batch.onSuccess() == CallbackState.NOT_YET
                 && batch.onComplete() != CallbackState.NOT_YET
                 && pendingJobs(bid) == 0
@@ -135,44 +139,48 @@
                         .allMatch(nested -> nested.onSuccess() == CallbackState.DONE);
     }
 
-    private DueCallback setDue(Batch batch, boolean isSuccess) {
+    private DueCallback markDue(Batch batch, boolean isSuccess) {
         boolean hasCallback = !(isSuccess ? batch.success() : batch.complete()).isEmpty();
         CallbackState state = hasCallback ? CallbackState.DUE : CallbackState.DONE;
         return new DueCallback(replace(batch.withCallbackState(isSuccess, state)), isSuccess);
     }
 
-    /** Records that a callback has succeeded; returns the batch, or null if it is unknown. */
+    /**
+     * Records that a callback has succeeded; returns the changed batch, or null if it is unknown.
+     */
     public Batch markCallbackDone(String bid, boolean isSuccess) {
-        Batch batch = all.get(bid);
+        Batch batch = byId.get(bid);
         return batch == null
                 ? null
                 : replace(batch.withCallbackState(isSuccess, CallbackState.DONE));
     }
 
     private List<Batch> nestedIn(String bid) {
-        return children.getOrDefault(bid, List.of()).stream()
-                .map(all::get)
+        return childIds.getOrDefault(bid, List.of()).stream()
+                .map(byId::get)
                 .filter(Objects::nonNull)
                 .toList();
     }
 
-    /** Callbacks that are due and not done: a stop may have come before they were pushed. */
+    /**
+     * Callbacks that are due but not done. They may have been pushed before the last stop or not.
+     */
     public List<DueCallback> unfinishedCallbacks() {
-        List<DueCallback> found = new ArrayList<>();
-        for (Batch batch : all.values()) {
+        List<DueCallback> unfinished = new ArrayList<>();
+        for (Batch batch : byId.values()) {
             if (batch.onComplete() == CallbackState.DUE) {
-                found.add(new DueCallback(batch, false));
+                unfinished.add(new DueCallback(batch, false));
             }
             if (batch.onSuccess() == CallbackState.DUE) {
-                found.add(new DueCallback(batch, true));
+                unfinished.add(new DueCallback(batch, true));
             }
         }
-        return found;
+        return unfinished;
     }
 
-    /** All batches, in the order of their creation or recovery. */
+    /** All batches in the order of their creation or recovery. */
     public List<Batch> all() {
-        return List.copyOf(all.values());
+        return List.copyOf(byId.values());
     }
 
     /** The number of open jobs in a batch. */
@@ -187,14 +195,14 @@
     }
 
     /**
-     * Removes batches that have ended and are an hour old, or have reached their retention; returns
-     * their ids.
+     * Removes batches that have reached their maximum age, which is shorter for those that have
+     * ended; returns their ids.
      */
     public List<String> removeExpired(long nowMs) {
         List<String> removed = new ArrayList<>();
-        for (Batch batch : List.copyOf(all.values())) {
-            long retentionMs = hasEnded(batch) ? ENDED_RETENTION_MS : RETENTION_MS;
-            if (batch.createdMs() + retentionMs < nowMs) {
+        for (Batch batch : List.copyOf(byId.values())) {
+            long maxAgeMs = hasEnded(batch) ? ENDED_MAX_AGE_MS : MAX_AGE_MS;
+            if (batch.createdMs() + maxAgeMs < nowMs) {
                 remove(batch);
                 removed.add(batch.bid());
             }
@@ -204,14 +212,14 @@
 
     private boolean hasEnded(Batch batch) {
         return batch.onSuccess() == CallbackState.DONE
-                && !all.containsKey(batch.parent())
+                && !byId.containsKey(batch.parent())
                 && nestedIn(batch.bid()).isEmpty();
     }
 
     private void remove(Batch batch) {
-        all.remove(batch.bid());
-        children.remove(batch.bid());
-        List<String> siblings = children.get(batch.parent());
+        byId.remove(batch.bid());
+        childIds.remove(batch.bid());
+        List<String> siblings = childIds.get(batch.parent());
         if (siblings != null) {
             siblings.remove(batch.bid());
         }
@@ -219,7 +227,7 @@
 
     /** Removes all batches. */
     public void clear() {
-        all.clear();
-        children.clear();
+        byId.clear();
+        childIds.clear();
     }
 }
--- a/src/main/java/damsonslip/faktory/jobs/Glob.java
+++ b/src/main/java/damsonslip/faktory/jobs/Glob.java
@@ -1,25 +1,25 @@
 package damsonslip.faktory.jobs;
 
 /**
- * A glob pattern: a star stands for any run of characters, a question mark for one, {@code [a-c]}
- * and {@code [^a-c]} for one of a set, and a backslash quotes the next character. Backtracking is
- * limited to the last star, so that the time is bounded by the product of the lengths of text and
- * pattern. Immutable.
+ * A glob pattern: {@code *} matches any sequence of characters, {@code ?} any single character,
+ * {@code [a-c]} and {@code [^a-c]} a character in or not in a set, and a backslash escapes the next
+ * character. Backtracking is limited to the last star, so that the time is bounded by the product
+ * of the lengths of text and pattern. Immutable.
  */
 public final class Glob {
     private final String pattern;
 
-    /** Creates a pattern; each text is valid. */
+    /** Creates a pattern; any string is a valid one. */
     public Glob(String pattern) {
         this.pattern = pattern;
     }
 
-    /** Whether the whole text matches. */
+    /** Whether the pattern matches the whole text. */
     public boolean matches(String text) {
         int element = 0;
         int position = 0;
         int lastStar = -1;
-        int starEnd = 0; // the position up to which the last star stands
+        int starEnd = 0; // end of the text that the last star matches
         while (position < text.length()) {
             boolean hasElement = element < pattern.length();
             if (hasElement && pattern.charAt(element) == '*') {
@@ -41,7 +41,7 @@
         return element == pattern.length();
     }
 
-    /** Whether the element at this index, which is not a star, matches a character. */
+    /** Whether the pattern element at this index, which is not a star, matches a character. */
     private boolean matchesCharacter(int element, char c) {
         boolean isLast = element + 1 == pattern.length();
         return switch (pattern.charAt(element)) {
@@ -54,22 +54,22 @@
 
     private boolean matchesSet(int element, char c) {
         int end = nextElement(element) - 1;
-        int at = element + 1;
-        boolean negated = at < end && pattern.charAt(at) == '^';
-        at += negated ? 1 : 0;
-        boolean found = false;
-        while (at < end) {
-            if (at + 2 < end && pattern.charAt(at + 1) == '-') {
-                found |= c >= pattern.charAt(at) && c <= pattern.charAt(at + 2);
-                at += 3;
+        int index = element + 1;
+        boolean negated = index < end && pattern.charAt(index) == '^';
+        index += negated ? 1 : 0;
+        boolean inSet = false;
+        while (index < end) {
+            if (index + 2 < end && pattern.charAt(index + 1) == '-') {
+                inSet |= c >= pattern.charAt(index) && c <= pattern.charAt(index + 2);
+                index += 3;
             } else {
-                found |= c == pattern.charAt(at++);
+                inSet |= c == pattern.charAt(index++);
             }
         }
-        return found != negated;
+        return inSet != negated;
     }
 
-    /** The index of the element after this one. */
+    /** The index of the pattern element after this one. */
     private int nextElement(int element) {
         if (pattern.charAt(element) == '\\') {
             return Math.min(element + 2, pattern.length());
--- a/src/main/java/damsonslip/faktory/jobs/JobEntry.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobEntry.java
@@ -15,7 +15,7 @@
         this.jobClass = jobClass;
     }
 
-    /** The job's present record. */
+    /** The job's current record. */
     public JobRecord record() {
         return record;
     }
@@ -30,19 +30,17 @@
         return record.id();
     }
 
-    /** Whether the decision module or a worker has it. */
+    /** Whether it is held by the scheduling policy or a worker. */
     public boolean isDispatched() {
         return dispatched;
     }
 
-    /**
-     * When it entered its queue, in milliseconds since the Unix epoch; 0 if it has not been in one.
-     */
+    /** When it last entered a queue, in milliseconds since the Unix epoch; 0 if it never did. */
     public long enqueuedMs() {
         return enqueuedMs;
     }
 
-    /** The time before which it is not selected again, in milliseconds since the Unix epoch. */
+    /** The time before which it is not dispatched again, in milliseconds since the Unix epoch. */
     long notBeforeMs() {
         return notBeforeMs;
     }
--- a/src/main/java/damsonslip/faktory/jobs/JobQueues.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobQueues.java
@@ -12,16 +12,16 @@
 import java.util.function.IntPredicate;
 
 /**
- * The queues with the jobs in them that are not dispatched. Each queue is kept as one class queue
- * for each job class, ordered by priority and then by arrival. Not thread-safe.
+ * The queues and their jobs that are not dispatched. Each queue is split into one class queue per
+ * job class, ordered by priority and then by arrival. Not thread-safe.
  */
 final class JobQueues {
-    /** Above the highest priority of the protocol, which is 9. */
-    private static final int PRIORITIES = 10;
+    /** Exclusive upper bound of the priorities, the highest of which is 9 in the protocol. */
+    private static final int PRIORITY_BOUND = 10;
 
     /**
-     * A class queue's sort key has the inverted priority above these bits and the sequence number
-     * in them.
+     * The low bits of a class queue's sort key hold the sequence number; the bits above them hold
+     * the inverted priority.
      */
     private static final int SEQUENCE_BITS = 56;
 
@@ -33,10 +33,11 @@
 
     private final Set<String> paused = new TreeSet<>();
 
-    /** The turn in which each queue was served last, for the fair order. */
+    /** For the fair order: the value of {@link #serveCount} when each queue was last served. */
     private final Map<String, Long> lastServed = new HashMap<>();
 
-    private long turns;
+    /** How often any queue has been served. */
+    private long serveCount;
 
     JobQueues(int classes) {
         for (int i = 0; i < classes; i++) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Adds a job to its queue; a dispatched one is counted only. */
+    /** Adds a job to its queue; a dispatched job only counts towards the size. */
     void add(JobEntry entry) {
         String queue = entry.record().options().queue();
         sizes.merge(queue, 1, Integer::sum);
@@ -54,7 +55,10 @@
         }
     }
 
-    /** Removes a job from its queue; its record and position have to be those it was added with. */
+    /**
+     * Removes a job from its queue; its record and dispatched flag must be those that it was added
+     * with.
+     */
     void remove(JobEntry entry) {
         String queue = entry.record().options().queue();
         sizes.computeIfPresent(queue, (name, size) -> size == 1 ? null : size - 1);
@@ -77,16 +81,16 @@
 
     private static long sortKey(JobEntry entry) {
         JobRecord record = entry.record();
-        long invertedPriority = PRIORITIES - record.options().priority();
+        long invertedPriority = PRIORITY_BOUND - record.options().priority();
         return invertedPriority << SEQUENCE_BITS | record.sequence();
     }
 
     /** Selects the next job; see {@link JobTable#next}. */
-    JobEntry next(List<String> queues, boolean fair, long nowMs, IntPredicate open) {
+    JobEntry next(List<String> queues, boolean fair, long nowMs, IntPredicate mayDispatch) {
         for (String queue : fair ? leastRecentlyServedFirst(queues) : queues) {
-            JobEntry next = paused.contains(queue) ? null : first(queue, nowMs, open);
+            JobEntry next = paused.contains(queue) ? null : first(queue, nowMs, mayDispatch);
             if (next != null) {
-                lastServed.put(queue, ++turns);
+                lastServed.put(queue, ++serveCount);
                 return next;
             }
         }
@@ -100,16 +104,17 @@
     }
 
     /**
-     * The first job of a queue by priority and arrival, among the classes that may be dispatched.
+     * The first job of a queue by priority and arrival, among the heads of those classes that may
+     * be dispatched. The head of a class blocks the jobs behind it while it is delayed.
      */
-    private JobEntry first(String queue, long nowMs, IntPredicate open) {
+    private JobEntry first(String queue, long nowMs, IntPredicate mayDispatch) {
         JobEntry found = null;
         long lowestKey = Long.MAX_VALUE;
         for (int jobClass = 0; jobClass < classQueues.size(); jobClass++) {
             TreeMap<Long, JobEntry> classQueue = classQueues.get(jobClass).get(queue);
             if (classQueue != null
                     && classQueue.firstKey() < lowestKey
-                    && open.test(jobClass)
+                    && mayDispatch.test(jobClass)
                     && classQueue.firstEntry().getValue().notBeforeMs() <= nowMs) {
                 lowestKey = classQueue.firstKey();
                 found = classQueue.firstEntry().getValue();
--- a/src/main/java/damsonslip/faktory/jobs/JobTable.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobTable.java
@@ -10,22 +10,23 @@
 import java.util.function.IntPredicate;
 
 /**
- * The open jobs of this scheduler with the set that each is in: queued, scheduled, waiting for a
- * retry, dead, or reserved by a worker. Holds records without bodies, and the locks of unique jobs.
+ * The open jobs of this scheduler and the set that each is in: queued, scheduled, waiting for a
+ * retry, dead, or reserved by a worker. Holds job records without bodies, and the locks of unique
+ * jobs.
  *
- * <p>A job that is dispatched to the decision module leaves its queue's order; one that comes back
- * without having run returns to its old position.
+ * <p>A job that has been dispatched to the scheduling policy still counts towards its queue but is
+ * not selected again; if it comes back without having run, it returns to its old position.
  *
- * <p>Not thread-safe. The caller passes the time, in milliseconds since the Unix epoch, and keeps
- * the store in step.
+ * <p>Not thread-safe. The caller passes the time, in milliseconds since the Unix epoch, and writes
+ * each change to the store.
  */
 public final class JobTable {
     /**
-     * The table's limits.
+     * Limits on the number of jobs and their retention.
      *
-     * @param maxWaiting most jobs in queues, scheduled and waiting for a retry, all together
-     * @param maxPerQueue most jobs in one queue
-     * @param maxDead most dead jobs; beyond that the oldest are removed
+     * @param maxWaiting the maximum number of open jobs that are not dead; reserved jobs count too
+     * @param maxPerQueue the maximum number of jobs in one queue, dispatched ones included
+     * @param maxDead the maximum number of dead jobs; beyond it the oldest are removed
      * @param deadRetentionMs how long a dead job is kept, in milliseconds
      */
     public record Limits(int maxWaiting, int maxPerQueue, int maxDead, long deadRetentionMs) {}
@@ -50,7 +51,7 @@
         this.queues = new JobQueues(classes);
     }
 
-    /** Why no further job may wait in this queue; null if one may. */
+    /** The reason why this queue accepts no further job; null if it accepts one. */
     public String rejectionReason(String queue) {
         if (byId.size() - timedSets.size(State.DEAD) >= limits.maxWaiting()) {
             return "too many jobs wait here; push it again later";
@@ -61,7 +62,7 @@
         return null;
     }
 
-    /** Takes a unique job's lock; returns false if another open job holds it. */
+    /** Acquires a unique job's lock; returns false if another open job holds it. */
     public boolean lockUnique(String id, JobRecord.Options options, long nowMs) {
         return uniqueLocks.lock(id, options, nowMs);
     }
@@ -71,12 +72,12 @@
         uniqueLocks.unlock(id, options);
     }
 
-    /** Removes the locks of unique jobs that have expired. */
+    /** Removes the unique-job locks that have expired. */
     public void removeExpiredLocks(long nowMs) {
         uniqueLocks.removeExpired(nowMs);
     }
 
-    /** The next sequence number in the order of arrival. */
+    /** Takes the next sequence number, by which jobs are ordered on arrival. */
     public long nextSequence() {
         return ++lastSequence;
     }
@@ -86,7 +87,7 @@
         return byId.get(id);
     }
 
-    /** Whether this entry is still in the table; a later job may have the same id. */
+    /** Whether this very entry is in the table, and not a later job with the same id. */
     public boolean contains(JobEntry entry) {
         return byId.get(entry.id()) == entry;
     }
@@ -99,7 +100,7 @@
     public JobEntry add(JobRecord record, int jobClass) {
         JobEntry entry = new JobEntry(record, jobClass);
         if (byId.putIfAbsent(record.id(), entry) != null) {
-            throw new IllegalArgumentException("a job that is here already: " + record.id());
+            throw new IllegalArgumentException("duplicate job id: " + record.id());
         }
         lastSequence = Math.max(lastSequence, record.sequence());
         uniqueLocks.restore(record);
@@ -107,7 +108,7 @@
         return entry;
     }
 
-    /** Replaces a job's record, and so possibly moves it to another set. */
+    /** Replaces a job's record, which moves the job to the set of its new state. */
     public void move(JobEntry entry, JobRecord next) {
         removeFromSet(entry);
         entry.setRecord(next);
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Marks a job as given to the decision module. */
+    /** Marks a job as dispatched to the scheduling policy. */
     public void dispatch(JobEntry entry) {
         removeFromSet(entry);
         entry.setDispatched(true);
@@ -134,7 +135,7 @@
     }
 
     /**
-     * Returns a job from the decision module to its old position; it is not offered again before
+     * Returns a dispatched job to its old position in its queue. It is not selected again before
      * {@code notBeforeMs}.
      */
     public void returnToQueue(JobEntry entry, long notBeforeMs) {
@@ -144,7 +145,7 @@
         addToSet(entry);
     }
 
-    /** Records when a job entered its queue; 0 if it is in none. */
+    /** Records when a job entered a queue; 0 if it never did. */
     public void setEnqueuedMs(JobEntry entry, long atMs) {
         entry.setEnqueuedMs(atMs);
     }
@@ -174,25 +175,30 @@
     }
 
     /**
-     * The job to dispatch next for a worker that fetches from these queues; null if there is none.
+     * Selects the next job to dispatch for a worker that fetches from these queues; null if there
+     * is none.
      *
-     * @param queueNames in the worker's order: the first that has a job is served, as in Faktory's
-     *     protocol
-     * @param fair whether the queue that was served longest ago comes first instead
-     * @param open which classes may be dispatched now
+     * @param queueNames the queues in the worker's order; as in Faktory's protocol, the first that
+     *     has a job is served
+     * @param fair whether the least recently served queue comes first instead
+     * @param mayDispatch the classes, by index, whose jobs may be dispatched now
      */
-    public JobEntry next(List<String> queueNames, boolean fair, long nowMs, IntPredicate open) {
-        return queues.next(queueNames, fair, nowMs, open);
+    public JobEntry next(
+            List<String> queueNames, boolean fair, long nowMs, IntPredicate mayDispatch) {
+        return queues.next(queueNames, fair, nowMs, mayDispatch);
     }
 
-    /** Whether a class has jobs that wait for dispatch. */
+    /** Whether a class has queued jobs that are not dispatched. */
     public boolean hasWaiting(int jobClass) {
         return queues.hasWaiting(jobClass);
     }
 
-    /** Retries and scheduled jobs that are due, each the earliest first; at most {@code most}. */
-    public List<JobEntry> due(long nowMs, int most) {
-        return timedSets.due(nowMs, most);
+    /**
+     * Retries and scheduled jobs that are due, up to the limit: the retries first, then the
+     * scheduled jobs, each the earliest first.
+     */
+    public List<JobEntry> due(long nowMs, int limit) {
+        return timedSets.due(nowMs, limit);
     }
 
     /** Dead jobs beyond the retention period or the limit on their number, the oldest first. */
@@ -210,7 +216,7 @@
         return queues.resume(queue);
     }
 
-    /** Whether a queue is paused: no job of it is dispatched. */
+    /** Whether a queue is paused, so that none of its jobs is dispatched. */
     public boolean isPaused(String queue) {
         return queues.isPaused(queue);
     }
@@ -220,7 +226,7 @@
         return queues.paused();
     }
 
-    /** The number of jobs in each queue that has some, dispatched ones included. */
+    /** The number of jobs in each non-empty queue, dispatched ones included. */
     public Map<String, Integer> queueSizes() {
         return queues.sizes();
     }
@@ -249,7 +255,7 @@
         return byId.size();
     }
 
-    /** The number of jobs that the decision module or a worker has. */
+    /** The number of jobs that are held by the scheduling policy or a worker. */
     public int dispatchedCount() {
         return dispatchedCount;
     }
--- a/src/main/java/damsonslip/faktory/jobs/JobTransitions.java
+++ b/src/main/java/damsonslip/faktory/jobs/JobTransitions.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /**
- * The table of a job's state transitions. A job starts as {@link State#QUEUED} or {@link
+ * The allowed state transitions of a job. A new job is {@link State#QUEUED} or {@link
  * State#SCHEDULED}; a final state is never left. Immutable.
  */
 public final class JobTransitions {
@@ -18,7 +18,7 @@
                 State.SCHEDULED, // due, killed, discarded or flushed
                 EnumSet.of(State.QUEUED, State.DEAD, State.DISCARDED));
         NEXT_STATES.put(
-                State.QUEUED, // handed to a worker, or ended in one of the ways of a reserved job
+                State.QUEUED, // reserved by a worker, or ended as a reserved job may end
                 EnumSet.of(
                         State.QUEUED,
                         State.RESERVED,
@@ -29,7 +29,7 @@
                         State.FAILED,
                         State.DISCARDED));
         NEXT_STATES.put(
-                State.RESERVED, // acknowledged, failed, expired, retried or returned unrun
+                State.RESERVED, // acknowledged, failed, expired, retried, or returned without a run
                 EnumSet.of(
                         State.QUEUED,
                         State.RESERVED,
@@ -52,7 +52,7 @@
 
     private JobTransitions() {}
 
-    /** Whether a job in one state may move to the other. */
+    /** Whether a job may move from one state to the other. */
     public static boolean isAllowed(State from, State to) {
         return NEXT_STATES.get(from).contains(to);
     }
--- a/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
+++ b/src/main/java/damsonslip/faktory/jobs/RetryPolicy.java
@@ -11,68 +11,68 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides what follows when a run of a job has failed, and when a job is found in the store at a
- * start. Faktory's retry count decides, subject to the job's class: a job that must not run twice
- * never returns to a queue once a worker may have run it, whoever asks for that.
+ * Decides what follows a failed run of a job, and what happens at startup to a job found in the
+ * store. Faktory's retry limit applies, subject to the job's class: a job that must not run twice
+ * never returns to a queue once a worker may have run it, whoever requests it.
  *
- * <p>Stateless; times are in milliseconds since the Unix epoch, and randomness comes from the
- * caller.
+ * <p>Stateless. Times are in milliseconds since the Unix epoch; the caller provides the source of
+ * randomness.
  */
 public final class RetryPolicy {
-    /** Back-off of the first retry, in seconds; from Faktory's protocol. */
+    /** The constant part of the backoff, in seconds; from Faktory's protocol. */
     private static final int MIN_BACKOFF_S = 15;
 
     /**
-     * Jitter in seconds for each failure so far, from Faktory's protocol: spreads jobs that failed
-     * together.
+     * Exclusive upper bound of the jitter, in seconds per failure; from Faktory's protocol. Jitter
+     * spreads the retries of jobs that failed together.
      */
     private static final int JITTER_S = 30;
 
     /**
-     * Failures counted at most: their fourth power is a year. An operator who grants more retries
-     * waits no longer.
+     * Upper limit of the failure count in the backoff formula: 75^4 seconds is about a year.
+     * Retries beyond this number do not back off any longer.
      */
-    private static final int MAX_FAILURES_COUNTED = 75;
+    private static final int MAX_BACKOFF_COUNT = 75;
 
     /**
-     * A job that was reserved at a start is given up after this time if its worker has not
-     * reconnected.
+     * How long after startup the worker of a job that was reserved before it may take to reconnect.
+     * After this time the run counts as lost.
      */
     public static final long ORPHAN_TIMEOUT_MS = 60_000;
 
     private RetryPolicy() {}
 
     /**
-     * Where a job goes after a failed run.
+     * The state of a job after a failed run.
      *
      * @param state its next state
-     * @param dueMs when it is due there; 0 for a final state
-     * @param failure its failure record, with the failures before counted
-     * @param message what operators and those who track the job are shown
+     * @param dueMs the time by which that state's set is ordered; 0 for a final state
+     * @param failure its new failure record, whose count includes the failures before
+     * @param message the description shown to operators and in replies to TRACK
      */
     public record NextState(State state, long dueMs, Failure failure, String message) {}
 
-    /** What a start does with a job from the store. */
+    /** What recovery does at startup with a job from the store. */
     public enum RecoveryAction {
-        /** Return it to its set, from which it is taken in turn. */
+        /** Restore it to its set, where it waits as before. */
         RESTORE,
-        /** Dispatch it at once, since a client waits for it. */
+        /** Queue it to run again, since a client still waits for it. */
         DISPATCH,
-        /** A worker may have it: await that worker's report, or the end of the reservation. */
+        /** A worker may be running it: await that worker's report or the end of the reservation. */
         AWAIT_REPORT,
-        /** End it: its deadline has passed and it never ran. */
+        /** Fail it: its deadline has passed and it never ran. */
         EXPIRE
     }
 
     /**
      * How a run failed.
      *
-     * @param type the error's type, in the worker's words or one of ours
+     * @param type the error's type, as reported by the worker or set by this scheduler
      * @param message the error's message
      * @param backtrace the worker's stack trace, innermost line first; may be empty
      */
     public record RunFailure(String type, String message, List<String> backtrace) {
-        /** The reservation ran out without a report. */
+        /** The reservation expired without a report from the worker. */
         public static final RunFailure RESERVATION_EXPIRED =
                 new RunFailure(
                         "ReservationExpired",
@@ -89,18 +89,22 @@
     }
 
     /**
-     * The back-off before the next retry, in milliseconds: count^4 + 15 + rand(30)*(count+1)
+     * The backoff before the next retry, in milliseconds: count^4 + 15 + rand(30) * (count + 1)
      * seconds, as in Faktory's protocol.
      *
-     * @param count the failures before this one
+     * @param count the number of failures before this one
      */
     public static long backoffMs(int count, SplittableRandom random) {
-        long n = Math.min(count, MAX_FAILURES_COUNTED);
+        long n = Math.min(count, MAX_BACKOFF_COUNT);
         return TimeUnit.SECONDS.toMillis(
                 n * n * n * n + MIN_BACKOFF_S + random.nextInt(JITTER_S) * (n + 1));
     }
 
-    /** Whether the job's class allows a run at this time, given what may have run before. */
+    /**
+     * Whether the job's class allows a run at this time. A job that may have run before may run
+     * again if its class is idempotent, or if all workers recognise its idempotency key and the
+     * window since its first run is still open.
+     */
     public static boolean mayRun(JobRecord record, JobClass jobClass, long atMs) {
         if (record.hasNeverRun() || jobClass.idempotency() == Idempotency.IDEMPOTENT) {
             return true;
@@ -108,16 +112,16 @@
         boolean deduplicated =
                 jobClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
                         && jobClass.idempotencyScope() == IdempotencyScope.ALL_WORKERS;
-        // negative if the wall clock was put back, which leaves the time since then unknown
+        // negative if the wall clock was set back, so that the elapsed time is unknown
         long sinceMs = atMs - record.firstRunMs();
         return deduplicated && sinceMs >= 0 && sinceMs < jobClass.idempotencyWindowUs() / 1000;
     }
 
     /**
-     * Decides what follows a failed run: one that its worker reported, whose worker went away, or
-     * whose reservation expired.
+     * Decides what follows a failed run: a failure reported by the worker, the loss of the worker,
+     * an expired reservation, or a deadline that passed during the run.
      *
-     * @param runFailure the worker's report, or what was observed instead
+     * @param runFailure the failure as reported by the worker or detected by this scheduler
      */
     public static NextState nextState(
             JobRecord record,
@@ -127,7 +131,7 @@
             SplittableRandom random) {
         int retryLimit = record.options().retryLimit();
         int count = record.failure() == null ? 0 : record.failure().count() + 1;
-        Failure failure = failure(record, count, nowMs, 0, runFailure);
+        Failure failure = newFailure(record, count, nowMs, 0, runFailure);
         String message = runFailure.type() + ": " + runFailure.message();
         if (jobClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
             return dead(failure, "it may have run and its class must not run twice; " + message);
@@ -146,7 +150,7 @@
             String reason = "it may have run, and a retry would come after its key's window; ";
             return dead(failure, reason + message);
         }
-        Failure retried = failure(record, count, nowMs, retryMs, runFailure);
+        Failure retried = newFailure(record, count, nowMs, retryMs, runFailure);
         return new NextState(State.RETRY, retryMs, retried, message);
     }
 
@@ -154,7 +158,7 @@
         return new NextState(State.DEAD, failure.failedMs(), failure, message);
     }
 
-    private static Failure failure(
+    private static Failure newFailure(
             JobRecord record, int count, long nowMs, long nextMs, RunFailure runFailure) {
         List<String> backtrace = runFailure.backtrace();
         int lines = Math.min(backtrace.size(), record.options().backtraceLines());
@@ -167,14 +171,15 @@
                 backtrace.subList(0, lines));
     }
 
-    /** Decides what a start does with a stored job, from what it may have done before the stop. */
+    /** Decides what to do at startup with a stored job, which may have run before the stop. */
     public static RecoveryAction recoveryAction(JobRecord record, JobClass jobClass, long nowMs) {
-        boolean late = record.hasWaitingClient() && nowMs >= record.options().deadlineMs();
+        boolean deadlinePassed =
+                record.hasWaitingClient() && nowMs >= record.options().deadlineMs();
         return switch (record.state()) {
-            case QUEUED -> recoveredFromQueue(record, jobClass, nowMs, late);
+            case QUEUED -> recoverQueued(record, jobClass, nowMs, deadlinePassed);
             case RESERVED ->
                     record.hasWaitingClient()
-                                    && !late
+                                    && !deadlinePassed
                                     && jobClass.idempotency() == Idempotency.IDEMPOTENT
                             ? RecoveryAction.DISPATCH
                             : RecoveryAction.AWAIT_REPORT;
@@ -182,12 +187,12 @@
         };
     }
 
-    private static RecoveryAction recoveredFromQueue(
-            JobRecord record, JobClass jobClass, long nowMs, boolean late) {
+    private static RecoveryAction recoverQueued(
+            JobRecord record, JobClass jobClass, long nowMs, boolean deadlinePassed) {
         if (!record.hasWaitingClient()) {
             return RecoveryAction.RESTORE;
         }
-        if (late && record.hasNeverRun()) {
+        if (deadlinePassed && record.hasNeverRun()) {
             return RecoveryAction.EXPIRE;
         }
         return mayRun(record, jobClass, nowMs)
@@ -196,8 +201,8 @@
     }
 
     /**
-     * Until when the report of a worker that has reconnected is awaited for a job that it had
-     * before the stop.
+     * The time until which the report on a job that was reserved before the stop is awaited, if its
+     * worker has reconnected.
      */
     public static long reportDeadlineMs(JobRecord record) {
         long reservedUntil = record.updatedMs() + record.options().reservationMs();
--- a/src/main/java/damsonslip/faktory/jobs/TimedSets.java
+++ b/src/main/java/damsonslip/faktory/jobs/TimedSets.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 
 /**
- * The sets that are ordered by time: scheduled jobs, jobs that wait for a retry, and dead jobs. Not
+ * The sets that are sorted by time: scheduled jobs, jobs that wait for a retry, and dead jobs. Not
  * thread-safe.
  */
 final class TimedSets {
@@ -41,28 +41,28 @@
         sets.get(record.state()).remove(new DueTime(record.dueMs(), record.id()));
     }
 
-    /** The size of a set; 0 for a state without one. */
+    /** The size of the set for a state; 0 if there is no such set. */
     int size(State state) {
         return sets.containsKey(state) ? sets.get(state).size() : 0;
     }
 
-    /** The jobs of a set, the earliest due first. */
+    /** The jobs of the set for a state, the earliest first. */
     Collection<JobEntry> jobs(State state) {
         return List.copyOf(sets.get(state).values());
     }
 
-    /** Retries and scheduled jobs that are due, each the earliest first; at most {@code most}. */
-    List<JobEntry> due(long nowMs, int most) {
-        List<JobEntry> found = new ArrayList<>();
+    /** The jobs that are due, up to the limit; see {@link JobTable#due}. */
+    List<JobEntry> due(long nowMs, int limit) {
+        List<JobEntry> entries = new ArrayList<>();
         for (State state : List.of(State.RETRY, State.SCHEDULED)) {
-            for (Map.Entry<DueTime, JobEntry> each : sets.get(state).entrySet()) {
-                if (each.getKey().atMs > nowMs || found.size() >= most) {
+            for (Map.Entry<DueTime, JobEntry> dueEntry : sets.get(state).entrySet()) {
+                if (dueEntry.getKey().atMs > nowMs || entries.size() >= limit) {
                     break;
                 }
-                found.add(each.getValue());
+                entries.add(dueEntry.getValue());
             }
         }
-        return found;
+        return entries;
     }
 
     /**
@@ -72,15 +72,15 @@
      * @param retentionMs the retention period, in milliseconds
      */
     List<JobEntry> expiredDead(long nowMs, int maxDead, long retentionMs) {
-        List<JobEntry> found = new ArrayList<>();
+        List<JobEntry> expired = new ArrayList<>();
         int surplus = size(State.DEAD) - maxDead;
-        for (Map.Entry<DueTime, JobEntry> each : sets.get(State.DEAD).entrySet()) {
-            boolean expired = each.getKey().atMs + retentionMs <= nowMs;
-            if (found.size() >= surplus && !expired) {
+        for (Map.Entry<DueTime, JobEntry> deadEntry : sets.get(State.DEAD).entrySet()) {
+            boolean isExpired = deadEntry.getKey().atMs + retentionMs <= nowMs;
+            if (expired.size() >= surplus && !isExpired) {
                 break;
             }
-            found.add(each.getValue());
+            expired.add(deadEntry.getValue());
         }
-        return found;
+        return expired;
     }
 }
--- a/src/main/java/damsonslip/faktory/jobs/UniqueLocks.java
+++ b/src/main/java/damsonslip/faktory/jobs/UniqueLocks.java
@@ -4,13 +4,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The locks of unique jobs: no two open jobs hold one key at a time. Not thread-safe. */
+/** The locks of unique jobs: at most one open job holds a key at a time. Not thread-safe. */
 final class UniqueLocks {
     private record Lock(String jobId, long untilMs) {}
 
     private final Map<String, Lock> locks = new HashMap<>();
 
-    /** Takes a job's lock, if it has a key; returns false if another open job holds it. */
+    /** Acquires a job's lock, if it has a key; returns false if another open job holds it. */
     boolean lock(String jobId, JobRecord.Options options, long nowMs) {
         if (options.uniqueKey().isEmpty()) {
             return true;
@@ -23,7 +23,9 @@
         return true;
     }
 
-    /** Restores the lock of a job that is added to the table, if the job still holds one. */
+    /**
+     * Restores the lock of a job that is added to the table, unless it was released at its start.
+     */
     void restore(JobRecord record) {
         JobRecord.Options options = record.options();
         boolean releasedAtStart = options.uniqueUntilStart() && !record.hasNeverRun();
