--- a/src/main/java/damsonslip/faktory/codec/Command.java
+++ b/src/main/java/damsonslip/faktory/codec/Command.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * A command of a producer, a worker or an operator, decoded by {@link CommandDecoder}. Immutable.
+ * A command from a producer, a worker or an operator, decoded by {@link CommandDecoder}. Immutable.
  */
 public sealed interface Command {
     /** Calls the visitor's method for this type of command. */
     <C> void accept(Visitor<C> visitor, C context);
 
     /**
-     * Handles one command of each type.
+     * Handles commands, with one method for each type.
      *
-     * @param <C> what the methods need besides the command
+     * @param <C> the type of the context that is passed along with the command
      */
     interface Visitor<C> {
         /** Handles {@link Hello}. */
@@ -69,12 +69,12 @@
     }
 
     /**
-     * The first line of each connection.
+     * The first command of each connection.
      *
      * @param version the version of the protocol
      * @param wid the worker's id; empty for a producer
-     * @param process the worker's host and process id, which tell a restart apart
-     * @param passwordHash the proof of the password; empty if there is none
+     * @param process the worker's host and process id, by which a restarted worker is recognised
+     * @param passwordHash the salted hash of the password; empty if none was sent
      * @param labels the worker's labels, among them its zone and kind
      */
     record Hello(int version, String wid, String process, String passwordHash, List<String> labels)
@@ -88,7 +88,7 @@
     /**
      * Pushes jobs.
      *
-     * @param bulk whether it is PUSHB, whose reply has an error for each job
+     * @param bulk whether it is PUSHB, whose reply lists the errors by job
      */
     record Push(List<JsonNode> jobs, boolean bulk) implements Command {
         @Override
@@ -97,7 +97,7 @@
         }
     }
 
-    /** A worker offers a slot for a job of the first of these queues that has one. */
+    /** A worker has a free slot and requests a job from the first of these queues that has one. */
     record Fetch(List<String> queues) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** A worker has completed a job. */
+    /** A worker reports that a job has succeeded. */
     record Ack(String jid) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -113,7 +113,7 @@
         }
     }
 
-    /** A worker has failed at a job; the error is described in its own words. */
+    /** A worker reports that a job has failed; the error is as the worker describes it. */
     record Fail(String jid, String type, String message, List<String> backtrace)
             implements Command {
         @Override
@@ -125,8 +125,8 @@
     /**
      * A worker's heartbeat (BEAT).
      *
-     * @param state the state that it reports; empty while it runs
-     * @param rssKb its memory in KiB; 0 if it reports none
+     * @param state the worker's state, such as quiet; empty in normal operation
+     * @param rssKb the worker's resident memory in KiB; 0 if it reports none
      */
     record Heartbeat(String wid, String state, long rssKb) implements Command {
         @Override
@@ -135,7 +135,7 @@
         }
     }
 
-    /** Asks for a job's state. */
+    /** Queries a job's state. */
     record TrackGet(String jid) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -146,8 +146,8 @@
     /**
      * Reports a job's progress.
      *
-     * @param reserveUntilMs until when the reservation is to be extended, in milliseconds since the
-     *     Unix epoch; 0 for no extension
+     * @param reserveUntilMs the time to which the reservation is to be extended, in milliseconds
+     *     since the Unix epoch; 0 for no extension
      */
     record TrackSet(String jid, int percent, String description, long reserveUntilMs)
             implements Command {
@@ -157,7 +157,7 @@
         }
     }
 
-    /** Asks for the server's state. */
+    /** Queries the server's state. */
     record Info() implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -181,7 +181,7 @@
         }
     }
 
-    /** An operator's change of a set of jobs. */
+    /** An operator's change to the jobs of one set. */
     record Mutate(Mutate.Verb verb, Target target, Filter filter) implements Command {
         /** What to do with the jobs. */
         public enum Verb {
@@ -199,9 +199,9 @@
         }
 
         /**
-         * Selects jobs of the set; an empty part selects each.
+         * Selects jobs of the set; an empty component matches every job.
          *
-         * @param glob a pattern for the whole text of a job
+         * @param glob a pattern for the whole JSON text of a job
          */
         public record Filter(String jobtype, List<String> jids, String glob) {}
 
@@ -211,7 +211,7 @@
         }
     }
 
-    /** An operator's change of queues; a star among the names stands for all. */
+    /** An operator's change to queues; {@code *} among the names stands for all queues. */
     record Queue(Queue.Verb verb, List<String> names) implements Command {
         /** What to do with the queues. */
         public enum Verb {
@@ -230,8 +230,8 @@
      * Creates a batch.
      *
      * @param parent the id of the enclosing batch; empty if there is none
-     * @param success the success callback, a job; null if there is none
-     * @param complete the completion callback, a job; null if there is none
+     * @param success the job to push as the success callback; null if there is none
+     * @param complete the job to push as the completion callback; null if there is none
      */
     record BatchNew(String parent, String description, JsonNode success, JsonNode complete)
             implements Command {
@@ -241,7 +241,7 @@
         }
     }
 
-    /** Opens a batch for further jobs. */
+    /** Reopens a batch for further jobs. */
     record BatchOpen(String bid) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -249,7 +249,7 @@
         }
     }
 
-    /** Commits a batch: its creator has finished pushing jobs. */
+    /** Commits a batch, to which no more jobs are pushed. */
     record BatchCommit(String bid) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
@@ -257,7 +257,7 @@
         }
     }
 
-    /** Asks for a batch's state. */
+    /** Queries a batch's state. */
     record BatchStatus(String bid) implements Command {
         @Override
         public <C> void accept(Visitor<C> visitor, C context) {
--- a/src/main/java/damsonslip/faktory/codec/CommandDecoder.java
+++ b/src/main/java/damsonslip/faktory/codec/CommandDecoder.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Decodes the lines that producers, workers and operators send into {@link Command}s. */
+/** Decodes lines from producers, workers and operators into {@link Command}s. */
 public final class CommandDecoder {
-    /** Characters of an unknown command that the error repeats. */
+    /** Maximum number of characters of an invalid word that an error message repeats. */
     private static final int MAX_ECHOED_CHARACTERS = 20;
 
-    /** Jobs in one PUSHB at most, so that one line does not hold up other connections. */
+    /** Maximum number of jobs in one PUSHB, so that one line does not delay other connections. */
     private static final int MAX_BULK_JOBS = 5_000;
 
     private static final String DEFAULT_QUEUE = "default";
@@ -20,7 +20,8 @@
     /**
      * Decodes a line.
      *
-     * @throws MalformedCommandException if it is not a command; the message says why in one line
+     * @throws MalformedCommandException if it is not a valid command; the message gives the reason
+     *     in one line
      */
     public static Command decode(String line) throws MalformedCommandException {
         int space = line.indexOf(' ');
@@ -31,7 +32,7 @@
             case "PUSH" -> new Command.Push(List.of(object(arguments)), false);
             case "PUSHB" -> new Command.Push(array(arguments), true);
             case "FETCH" -> fetch(arguments);
-            case "ACK" -> new Command.Ack(Json.requiredText(object(arguments), "jid"));
+            case "ACK" -> new Command.Ack(Json.requiredString(object(arguments), "jid"));
             case "FAIL" -> fail(object(arguments));
             case "BEAT" -> heartbeat(object(arguments));
             case "TRACK" -> track(arguments);
@@ -65,7 +66,7 @@
         List<String> backtrace = new ArrayList<>();
         failure.path("backtrace").forEach(line -> backtrace.add(line.asText()));
         return new Command.Fail(
-                Json.requiredText(failure, "jid"),
+                Json.requiredString(failure, "jid"),
                 failure.path("errtype").asText(""),
                 failure.path("message").asText(""),
                 backtrace);
@@ -74,7 +75,7 @@
     private static Command.Heartbeat heartbeat(JsonNode heartbeat)
             throws MalformedCommandException {
         return new Command.Heartbeat(
-                Json.requiredText(heartbeat, "wid"),
+                Json.requiredString(heartbeat, "wid"),
                 heartbeat.path("current_state").asText(""),
                 heartbeat.path("rss_kb").asLong(0));
     }
@@ -85,13 +86,13 @@
             return new Command.TrackGet(words[1]);
         }
         if (words.length == 2 && words[0].equalsIgnoreCase("SET")) {
-            JsonNode set = object(words[1]);
-            String until = Json.text(set, "reserve_until", "");
+            JsonNode progress = object(words[1]);
+            String reserveUntil = Json.string(progress, "reserve_until", "");
             return new Command.TrackSet(
-                    Json.requiredText(set, "jid"),
-                    Json.integer(set, "percent", 0, 0, 100),
-                    Json.text(set, "desc", ""),
-                    until.isEmpty() ? 0 : Json.parseTime(until, "reserve_until"));
+                    Json.requiredString(progress, "jid"),
+                    Json.integer(progress, "percent", 0, 0, 100),
+                    Json.string(progress, "desc", ""),
+                    reserveUntil.isEmpty() ? 0 : Json.parseTime(reserveUntil, "reserve_until"));
         }
         throw new MalformedCommandException("TRACK takes GET jid, or SET and an object");
     }
@@ -99,11 +100,11 @@
     private static Command.Mutate mutate(JsonNode mutation) throws MalformedCommandException {
         Command.Mutate.Verb verb =
                 enumConstant(
-                        Command.Mutate.Verb.class, Json.requiredText(mutation, "cmd"), "MUTATE");
+                        Command.Mutate.Verb.class, Json.requiredString(mutation, "cmd"), "MUTATE");
         Command.Mutate.Target target =
                 enumConstant(
                         Command.Mutate.Target.class,
-                        Json.requiredText(mutation, "target"),
+                        Json.requiredString(mutation, "target"),
                         "target");
         JsonNode filter = mutation.path("filter");
         List<String> jids = new ArrayList<>();
@@ -114,7 +115,9 @@
                 verb,
                 target,
                 new Command.Mutate.Filter(
-                        Json.text(filter, "jobtype", ""), jids, Json.text(filter, "regexp", "")));
+                        Json.string(filter, "jobtype", ""),
+                        jids,
+                        Json.string(filter, "regexp", "")));
     }
 
     private static Command.Queue queue(String arguments) throws MalformedCommandException {
@@ -145,8 +148,8 @@
 
     private static Command.BatchNew newBatch(JsonNode batch) throws MalformedCommandException {
         return new Command.BatchNew(
-                Json.text(batch, "parent_bid", ""),
-                Json.text(batch, "description", ""),
+                Json.string(batch, "parent_bid", ""),
+                Json.string(batch, "description", ""),
                 callback(batch, "success"),
                 callback(batch, "complete"));
     }
@@ -162,17 +165,17 @@
         return job;
     }
 
-    private static <E extends Enum<E>> E enumConstant(Class<E> type, String word, String what)
+    private static <E extends Enum<E>> E enumConstant(Class<E> type, String word, String subject)
             throws MalformedCommandException {
-        for (E each : type.getEnumConstants()) {
-            if (each.name().equalsIgnoreCase(word)) {
-                return each;
+        for (E constant : type.getEnumConstants()) {
+            if (constant.name().equalsIgnoreCase(word)) {
+                return constant;
             }
         }
-        throw new MalformedCommandException(what + ": unknown: " + echo(word));
+        throw new MalformedCommandException(subject + ": unknown: " + echo(word));
     }
 
-    /** The beginning of a word, for errors. */
+    /** The beginning of an invalid word, for an error message. */
     private static String echo(String word) {
         return word.substring(0, Math.min(MAX_ECHOED_CHARACTERS, word.length()));
     }
@@ -194,8 +197,8 @@
             throw new MalformedCommandException(
                     "more than " + MAX_BULK_JOBS + " jobs at once; push them in parts");
         }
-        List<JsonNode> entries = new ArrayList<>(node.size());
-        node.forEach(entries::add);
-        return entries;
+        List<JsonNode> elements = new ArrayList<>(node.size());
+        node.forEach(elements::add);
+        return elements;
     }
 }
--- a/src/main/java/damsonslip/faktory/codec/CommandError.java
+++ b/src/main/java/damsonslip/faktory/codec/CommandError.java
@@ -3,11 +3,11 @@
 /**
  * An error reply to a command. Immutable.
  *
- * @param code the first word of the reply, by which clients tell errors apart
- * @param message what went wrong, in one line
+ * @param code the first word of the reply, by which clients distinguish errors
+ * @param message the reason, in one line
  */
 public record CommandError(Code code, String message) {
-    /** The first word of an error reply. The constants' names are those on the wire. */
+    /** The first word of an error reply. Sent under the names of the constants. */
     public enum Code {
         /** The command failed or cannot be carried out now. */
         ERR,
@@ -19,12 +19,12 @@
         NOTUNIQUE
     }
 
-    /** An error of the code {@link Code#ERR}. */
+    /** Creates an error with the code {@link Code#ERR}. */
     public static CommandError error(String message) {
         return new CommandError(Code.ERR, message);
     }
 
-    /** The text of the error reply. */
+    /** The text of the error reply, without framing. */
     public String text() {
         return code + " " + message;
     }
--- a/src/main/java/damsonslip/faktory/codec/JobJson.java
+++ b/src/main/java/damsonslip/faktory/codec/JobJson.java
@@ -4,8 +4,8 @@
 import damsonslip.store.JobRecord;
 
 /**
- * The text of a job as a worker, or an operator's filter, sees it: its body with what has become of
- * it since it was pushed.
+ * The JSON text of a job as workers receive it and as operators' filters match it: its body, with
+ * fields for its state and failures since it was pushed.
  */
 public final class JobJson {
     private static final String EMPTY_OBJECT = "{}";
@@ -13,24 +13,24 @@
     private JobJson() {}
 
     /**
-     * Merges a job's body with its record. The fields are inserted before the body's last brace,
-     * which {@link PushedJob} has written, so that the body is not decoded again.
+     * Adds the fields from a job's record to its body. They are inserted before the closing brace
+     * of the body, which {@link PushedJob} has written, so that the body need not be decoded again.
      *
      * @param enqueuedMs when it entered its queue, in milliseconds since the Unix epoch; 0 to omit
-     *     that
+     *     the field
      */
     public static String merge(String body, JobRecord record, long enqueuedMs) {
-        ObjectNode added = Json.MAPPER.createObjectNode();
+        ObjectNode addedFields = Json.MAPPER.createObjectNode();
         if (enqueuedMs > 0) {
-            added.put("enqueued_at", Json.formatTime(enqueuedMs));
+            addedFields.put("enqueued_at", Json.formatTime(enqueuedMs));
         }
         if (record.state() == JobRecord.State.SCHEDULED) {
-            added.put("at", Json.formatTime(record.dueMs()));
+            addedFields.put("at", Json.formatTime(record.dueMs()));
         }
         if (record.failure() != null) {
-            putFailure(added.putObject("failure"), record);
+            putFailure(addedFields.putObject("failure"), record);
         }
-        String fields = added.toString();
+        String fields = addedFields.toString();
         return fields.equals(EMPTY_OBJECT)
                 ? body
                 : body.substring(0, body.length() - 1) + "," + fields.substring(1);
--- a/src/main/java/damsonslip/faktory/codec/Json.java
+++ b/src/main/java/damsonslip/faktory/codec/Json.java
@@ -13,17 +13,17 @@
 import java.time.format.DateTimeParseException;
 
 /**
- * Decodes JSON from untrusted peers, within limits, and preserves numbers as they were written.
+ * Decodes JSON from untrusted peers, within limits, and keeps numbers as they were written.
  * Thread-safe.
  */
 public final class Json {
-    /** Levels of nesting at most, since each costs stack and memory. */
+    /** Maximum nesting depth, since each level costs stack and memory. */
     private static final int MAX_DEPTH = 200;
 
-    /** Digits of a number at most; longer than any number that a language's own types hold. */
+    /** Maximum number of digits; more than the numeric types of any client's language hold. */
     private static final int MAX_NUMBER_LENGTH = 200;
 
-    /** The mapper with these limits. */
+    /** The mapper that enforces these limits. */
     public static final ObjectMapper MAPPER =
             JsonMapper.builder(
                             JsonFactory.builder()
@@ -38,13 +38,13 @@
                     .disable(JsonNodeFeature.STRIP_TRAILING_BIGDECIMAL_ZEROES)
                     .build();
 
-    /** Characters of the decoder's own message that an error repeats. */
+    /** Maximum number of characters of the parser's message that an error message repeats. */
     private static final int MAX_REASON_CHARACTERS = 120;
 
     private Json() {}
 
     /**
-     * Decodes one value; an empty text is null.
+     * Decodes one value; an empty text counts as null.
      *
      * @throws MalformedCommandException if the text is not JSON, or exceeds a limit
      */
@@ -62,7 +62,7 @@
      * Parses a time in RFC 3339, with any offset and fraction, to milliseconds since the Unix
      * epoch.
      *
-     * @param field the name of the field, for the error
+     * @param field the name of the field, for the error message
      * @throws MalformedCommandException if it is not such a time
      */
     public static long parseTime(String text, String field) throws MalformedCommandException {
@@ -78,7 +78,7 @@
         return Instant.ofEpochMilli(ms).toString();
     }
 
-    /** A whole number within these bounds; the default value if it is absent or null. */
+    /** An integer field within these bounds; the default value if it is absent or null. */
     static int integer(JsonNode node, String name, int defaultValue, int min, int max)
             throws MalformedCommandException {
         JsonNode value = node.path(name);
@@ -95,8 +95,8 @@
         return value.intValue();
     }
 
-    /** A text; the default value if it is absent or null. */
-    static String text(JsonNode node, String name, String defaultValue)
+    /** A string field; the default value if it is absent or null. */
+    static String string(JsonNode node, String name, String defaultValue)
             throws MalformedCommandException {
         JsonNode value = node.path(name);
         if (value.isMissingNode() || value.isNull()) {
@@ -108,9 +108,9 @@
         return value.textValue();
     }
 
-    /** A text that must be present and not empty. */
-    static String requiredText(JsonNode node, String name) throws MalformedCommandException {
-        String value = text(node, name, "");
+    /** A string field that must be present and not empty. */
+    static String requiredString(JsonNode node, String name) throws MalformedCommandException {
+        String value = string(node, name, "");
         if (value.isEmpty()) {
             throw new MalformedCommandException("lacks " + name);
         }
--- a/src/main/java/damsonslip/faktory/codec/PushedJobDecoder.java
+++ b/src/main/java/damsonslip/faktory/codec/PushedJobDecoder.java
@@ -58,7 +58,7 @@
     }
 
     private static String jid(JsonNode job) throws MalformedCommandException {
-        String jid = Json.text(job, "jid", "");
+        String jid = Json.string(job, "jid", "");
         boolean validLength = jid.length() >= MIN_ID_LENGTH && jid.length() <= MAX_NAME_LENGTH;
         if (!validLength || hasBlanks(jid)) {
             throw new MalformedCommandException(
@@ -68,7 +68,7 @@
     }
 
     private static String jobtype(JsonNode job) throws MalformedCommandException {
-        String jobtype = Json.text(job, "jobtype", "");
+        String jobtype = Json.string(job, "jobtype", "");
         if (jobtype.isEmpty() || jobtype.length() > MAX_NAME_LENGTH) {
             throw new MalformedCommandException("jobtype is missing, or too long");
         }
@@ -76,22 +76,22 @@
     }
 
     private static String queue(JsonNode job) throws MalformedCommandException {
-        String named = Json.text(job, "queue", "");
-        String queue = named.isEmpty() ? DEFAULT_QUEUE : named;
+        String name = Json.string(job, "queue", "");
+        String queue = name.isEmpty() ? DEFAULT_QUEUE : name;
         if (queue.length() > MAX_NAME_LENGTH || hasBlanks(queue) || queue.equals(ALL_QUEUES)) {
             throw new MalformedCommandException("queue: not a name");
         }
         return queue;
     }
 
-    /** Whether a name has blanks or control characters. */
+    /** Whether a name contains blanks or control characters. */
     private static boolean hasBlanks(String name) {
         return name.chars().anyMatch(c -> c <= ' ' || c == DELETE_CHARACTER);
     }
 
-    /** When a job shall run; 0 for at once, as also for a time that has passed. */
+    /** When a job is to run; 0 for immediately, which includes times in the past. */
     private long scheduledMs(JsonNode job) throws MalformedCommandException {
-        String at = Json.text(job, "at", "");
+        String at = Json.string(job, "at", "");
         long atMs = at.isEmpty() ? 0 : Json.parseTime(at, "at");
         return atMs <= nowMs ? 0 : atMs;
     }
@@ -108,24 +108,24 @@
         if (!custom.isObject()) {
             return PushedJob.CustomOptions.NONE;
         }
-        String uniqueUntil = Json.text(custom, "unique_until", "success");
+        String uniqueUntil = Json.string(custom, "unique_until", "success");
         if (!uniqueUntil.equals("success") && !uniqueUntil.equals("start")) {
             throw new MalformedCommandException("custom.unique_until: neither success nor start");
         }
         int uniqueForS = Json.integer(custom, "unique_for", 0, 0, Integer.MAX_VALUE);
         return new PushedJob.CustomOptions(
-                Json.text(custom, "class", ""),
+                Json.string(custom, "class", ""),
                 instantMs(custom, "deadline", startMs),
                 Json.integer(custom, "slots", 1, 1, MAX_SLOTS),
                 instantMs(custom, "expires_at", startMs),
                 TimeUnit.SECONDS.toMillis(uniqueForS),
                 uniqueUntil.equals("start"),
-                Json.text(custom, "bid", Json.text(job, "bid", "")));
+                Json.string(custom, "bid", Json.string(job, "bid", "")));
     }
 
     /**
-     * An instant, given as text, or as a number of seconds from when the job may run; 0 if it is
-     * absent.
+     * A point in time, given as an RFC 3339 string or as a number of seconds after the job may
+     * first run; 0 if it is absent.
      */
     private static long instantMs(JsonNode custom, String name, long startMs)
             throws MalformedCommandException {
@@ -144,15 +144,18 @@
         return Json.parseTime(value.textValue(), "custom." + name);
     }
 
-    /** The job without the fields that the server itself sets. */
+    /**
+     * The JSON text of a job: without the fields that the server adds later, with defaults filled
+     * in.
+     */
     private String body(JsonNode job) throws MalformedCommandException {
         ObjectNode body = ((ObjectNode) job).deepCopy();
         body.remove("enqueued_at");
         body.remove("failure");
         body.remove("at");
-        String created = Json.text(job, "created_at", "");
-        body.put("created_at", created.isEmpty() ? Json.formatTime(nowMs) : created);
-        if (Json.text(job, "queue", "").isEmpty()) {
+        String createdAt = Json.string(job, "created_at", "");
+        body.put("created_at", createdAt.isEmpty() ? Json.formatTime(nowMs) : createdAt);
+        if (Json.string(job, "queue", "").isEmpty()) {
             body.put("queue", DEFAULT_QUEUE);
         }
         return body.toString();
