--- a/src/test/java/damsonslip/faktory/codec/CodecTest.java
+++ b/src/test/java/damsonslip/faktory/codec/CodecTest.java
@@ -13,12 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Decoding of commands and pushed jobs, and the text of jobs that workers get. */
+/** Decoding of commands and pushed jobs, and the JSON of jobs that workers receive. */
 class CodecTest {
+    /** A valid job without its closing brace, so that fields can be appended. */
     private static final String JOB = "{\"jid\":\"job-00001\",\"jobtype\":\"t\",\"args\":[1]";
 
-    private static PushedJob job(String more) throws MalformedCommandException {
-        return PushedJob.decode(Json.read(JOB + more + "}"), 1_000_000, 60);
+    private static PushedJob job(String fields) throws MalformedCommandException {
+        return PushedJob.decode(Json.read(JOB + fields + "}"), 1_000_000, 60);
     }
 
     @Test
@@ -29,8 +30,11 @@
         assertEquals(1_800_000, job.reservationMs());
         assertEquals(5, job.priority());
         assertEquals(0, job.scheduledMs());
-        assertEquals(0, job.custom().deadlineMs(), "nobody waits for it");
-        assertEquals(60_000, job(",\"reserve_for\":1").reservationMs(), "a minute at the least");
+        assertEquals(0, job.custom().deadlineMs(), "no client waits for it");
+        assertEquals(
+                60_000,
+                job(",\"reserve_for\":1").reservationMs(),
+                "raised to the minimum of a minute");
         assertEquals(-1, job(",\"retry\":-1").retryLimit());
     }
 
@@ -46,14 +50,14 @@
         assertEquals(
                 0,
                 job(",\"at\":\"1970-01-01T00:00:01Z\"").scheduledMs(),
-                "what is past is at once");
+                "a time in the past means immediately");
         assertEquals(1_005_000, job(",\"custom\":{\"deadline\":5}").custom().deadlineMs());
         assertEquals(
                 1_767_225_605_000L,
                 job(",\"at\":\"2026-01-01T00:00:00Z\",\"custom\":{\"deadline\":5}")
                         .custom()
                         .deadlineMs(),
-                "from its time on");
+                "relative to the time for which it is scheduled");
     }
 
     @ParameterizedTest
@@ -76,37 +80,37 @@
                 ",\"custom\":{\"expires_at\":true}",
                 ",\"created_at\":5"
             })
-    void rejectsInvalidJob(String more) {
-        assertThrows(MalformedCommandException.class, () -> job(more));
+    void rejectsInvalidJob(String fields) {
+        assertThrows(MalformedCommandException.class, () -> job(fields));
     }
 
     /** Numbers are preserved, however many digits they have. */
     @Test
     void preservesTheProducersFields() throws MalformedCommandException {
         String args = "\"args\":[1.10,12345678901234567890123456789,1E+400,0.1,\"\\u0000é\"]";
-        JsonNode given =
+        JsonNode original =
                 Json.read(
                         JOB.replace("\"args\":[1]", args)
                                 + ",\"x\":{\"y\":null},\"failure\":{\"n\":1}}");
-        JsonNode decoded = Json.read(PushedJob.decode(given, 0, 60).body());
-        assertEquals(given.path("args").toString(), decoded.path("args").toString());
+        JsonNode decoded = Json.read(PushedJob.decode(original, 0, 60).body());
+        assertEquals(original.path("args").toString(), decoded.path("args").toString());
         assertTrue(
                 decoded.path("args")
                         .toString()
                         .startsWith("[1.10,12345678901234567890123456789,1E+400"));
-        assertEquals(given.path("x"), decoded.path("x"));
-        assertTrue(decoded.path("failure").isMissingNode(), "a producer cannot say how it failed");
+        assertEquals(original.path("x"), decoded.path("x"));
+        assertTrue(decoded.path("failure").isMissingNode(), "a producer cannot set the failure");
     }
 
     @Test
-    void addsTheFailureToTheJobsText() throws MalformedCommandException {
+    void addsTheFailureToTheJson() throws MalformedCommandException {
         PushedJob pushed = job("");
         JobRecord.Options options =
                 new JobRecord.Options("q", "t", "c", 5, 25, 1, 1, 0, 0, "", "", "", 0, false, 0);
         JobRecord record = JobRecord.pushed("job-00001", options, 0, 0);
-        JsonNode plain = Json.read(JobJson.merge(pushed.body(), record, 1_000));
-        assertEquals("1970-01-01T00:00:01Z", plain.path("enqueued_at").asText());
-        assertTrue(plain.path("failure").isMissingNode());
+        JsonNode withoutFailure = Json.read(JobJson.merge(pushed.body(), record, 1_000));
+        assertEquals("1970-01-01T00:00:01Z", withoutFailure.path("enqueued_at").asText());
+        assertTrue(withoutFailure.path("failure").isMissingNode());
         JsonNode failed =
                 Json.read(
                                 JobJson.merge(
@@ -176,7 +180,7 @@
                 "BATCH NEW {\"success\":1}",
                 "PUSH {} {}"
             })
-    void rejectsInvalidLineWithOneLineOfError(String line) {
+    void rejectsInvalidLineWithOneLineMessage(String line) {
         MalformedCommandException rejected =
                 assertThrows(MalformedCommandException.class, () -> CommandDecoder.decode(line));
         assertTrue(
@@ -191,11 +195,11 @@
         assertThrows(
                 MalformedCommandException.class,
                 () -> CommandDecoder.decode("PUSH {\"a\":" + "9".repeat(10_000) + "}"));
-        String many = "{},".repeat(100_000);
+        String emptyJobs = "{},".repeat(100_000);
         MalformedCommandException rejected =
                 assertThrows(
                         MalformedCommandException.class,
-                        () -> CommandDecoder.decode("PUSHB [" + many + "{}]"));
+                        () -> CommandDecoder.decode("PUSHB [" + emptyJobs + "{}]"));
         assertTrue(rejected.getMessage().contains("in parts"), rejected.getMessage());
     }
 
@@ -215,7 +219,7 @@
         "BATCH "
     };
 
-    /** Whatever bytes come, a line is decoded or rejected: nothing else is thrown. */
+    /** Any line is either decoded or rejected: no other exception is thrown. */
     @Test
     void decodesOrRejectsAnyLine() {
         SplittableRandom random = new SplittableRandom(3);
@@ -228,10 +232,10 @@
                     PushedJob.decode(push.jobs().get(0), 0, 60);
                 }
             } catch (MalformedCommandException e) {
-                // rejected, as most are
+                // expected for most lines
             }
         }
-        assertTrue(decoded > 3_000, decoded + " were decoded");
+        assertTrue(decoded > 3_000, decoded + " lines decoded");
     }
 
     private static String randomLine(SplittableRandom random) {
@@ -240,7 +244,7 @@
                         + ",\"wid\":\"w\"}";
         StringBuilder line = new StringBuilder(VERBS[random.nextInt(VERBS.length)]);
         line.append(JOB).append(fields);
-        for (int change = random.nextInt(4); change > 0; change--) {
+        for (int mutations = random.nextInt(4); mutations > 0; mutations--) {
             int at = random.nextInt(line.length());
             switch (random.nextInt(3)) {
                 case 0 -> line.deleteCharAt(at);
--- a/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/BatchTableTest.java
@@ -11,12 +11,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When callbacks are due. */
+/** Conditions under which the callbacks of batches become due. */
 class BatchTableTest {
     private final JobTable jobTable = new JobTable(1, new JobTable.Limits(100, 100, 100, 1_000));
     private final BatchTable batches = new BatchTable(jobTable);
 
-    private void batch(String bid, String parent) {
+    private void addBatch(String bid, String parent) {
         batches.add(
                 new Batch(
                         bid,
@@ -31,7 +31,7 @@
                         0));
     }
 
-    private void batchWithoutSuccessCallback(String bid, String parent, boolean committed) {
+    private void addBatchWithoutSuccessCallback(String bid, String parent, boolean committed) {
         batches.add(
                 new Batch(
                         bid,
@@ -46,14 +46,14 @@
                         0));
     }
 
-    private JobEntry job(String id, String bid) {
+    private JobEntry addJob(String id, String bid) {
         batches.countPushedJob(bid);
-        Options facts = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
+        Options options = new Options("q", "t", "any", 5, 5, 1, 1, 0, 0, bid, "", "", 0, false, 0);
         return jobTable.add(
-                JobRecord.pushed(id, facts, 0, 0).withSequence(jobTable.nextSequence()), 0);
+                JobRecord.pushed(id, options, 0, 0).withSequence(jobTable.nextSequence()), 0);
     }
 
-    private String due(String bid) {
+    private String collectDue(String bid) {
         return batches.collectDueCallbacks(bid).stream()
                 .map(callback -> callback.batch().callbackJobId(callback.isSuccess()))
                 .toList()
@@ -68,111 +68,120 @@
 
     @Test
     void completesOnceAllJobsRanAndSucceedsOnceAllSucceeded() {
-        batch("b", "");
-        JobEntry one = job("one", "b");
-        JobEntry two = job("two", "b");
+        addBatch("b", "");
+        JobEntry one = addJob("one", "b");
+        JobEntry two = addJob("two", "b");
         jobTable.remove(one);
         fail(two, State.RETRY);
-        assertEquals("[]", due("b"), "not committed");
+        assertEquals("[]", collectDue("b"), "not committed");
         batches.commit("b");
-        assertEquals("[b-complete]", due("b"));
-        assertEquals("[]", due("b"), "once only");
+        assertEquals("[b-complete]", collectDue("b"));
+        assertEquals("[]", collectDue("b"), "each callback becomes due once only");
         assertEquals(1, batches.failedJobs("b"));
         jobTable.remove(two);
-        assertEquals("[b-success]", due("b"));
-        assertEquals("[]", due("b"));
+        assertEquals("[b-success]", collectDue("b"));
+        assertEquals("[]", collectDue("b"));
     }
 
-    /** The scheduler was stopped after a job was recorded and before its batch was. */
+    /** The scheduler stopped after a job was recorded and before its batch was. */
     @Test
     void correctsTotalsToTheJobsInTheStore() {
-        batch("b", "");
-        job("one", "b");
-        job("two", "b");
+        addBatch("b", "");
+        addJob("one", "b");
+        addJob("two", "b");
         batches.correctTotals();
         assertEquals(2, batches.get("b").total());
         assertEquals(3, batches.countPushedJob("b").total());
         batches.correctTotals();
-        assertEquals(3, batches.get("b").total(), "one that was done already is not forgotten");
+        assertEquals(
+                3, batches.get("b").total(), "a total that includes ended jobs is not lowered");
     }
 
     @Test
     void withholdsSuccessWhileAJobIsDead() {
-        batch("b", "");
-        JobEntry job = job("one", "b");
+        addBatch("b", "");
+        JobEntry job = addJob("one", "b");
         batches.commit("b");
         fail(job, State.DEAD);
-        assertEquals("[b-complete]", due("b"));
-        assertEquals("[]", due("b"));
+        assertEquals("[b-complete]", collectDue("b"));
+        assertEquals("[]", collectDue("b"));
         jobTable.move(job, job.record().enqueued(jobTable.nextSequence(), 0));
-        assertEquals("[]", due("b"));
+        assertEquals("[]", collectDue("b"));
         jobTable.remove(job);
-        assertEquals("[b-success]", due("b"));
+        assertEquals("[b-success]", collectDue("b"));
     }
 
     @Test
     void awaitsTheCallbacksOfNestedBatches() {
-        batch("out", "");
-        batch("in", "out");
-        JobEntry job = job("one", "in");
-        batches.commit("out");
-        assertEquals("[]", due("out"));
-        batches.commit("in");
+        addBatch("outer", "");
+        addBatch("inner", "outer");
+        JobEntry job = addJob("one", "inner");
+        batches.commit("outer");
+        assertEquals("[]", collectDue("outer"));
+        batches.commit("inner");
         jobTable.remove(job);
-        assertEquals("[in-complete, in-success]", due("in"));
-        assertEquals("[]", due("out"), "its callbacks have not succeeded yet");
-        batches.markCallbackDone("in", false);
-        assertEquals("[out-complete]", due("in"));
-        batches.markCallbackDone("in", true);
-        assertEquals("[out-success]", due("in"));
+        assertEquals("[inner-complete, inner-success]", collectDue("inner"));
+        assertEquals(
+                "[]",
+                collectDue("outer"),
+                "the callbacks of the nested batch have not succeeded yet");
+        batches.markCallbackDone("inner", false);
+        assertEquals("[outer-complete]", collectDue("inner"));
+        batches.markCallbackDone("inner", true);
+        assertEquals("[outer-success]", collectDue("inner"));
     }
 
     @Test
     void acceptsJobsOnlyWhileOpen() {
         assertNotNull(batches.rejectionReason("none"));
-        batch("b", "");
+        addBatch("b", "");
         assertNull(batches.rejectionReason("b"));
-        job("one", "b");
+        addJob("one", "b");
         batches.commit("b");
         assertTrue(batches.rejectionReason("b").contains("committed"));
         assertNotNull(batches.open("b"));
         assertNull(batches.rejectionReason("b"));
         batches.commit("b");
         jobTable.remove(jobTable.get("one"));
-        due("b");
+        collectDue("b");
         assertNull(batches.open("b"), "its completion callback is due");
         assertNull(batches.open("none"));
         assertNull(batches.commit("none"));
     }
 
     @Test
-    void knowsUnfinishedCallbacksAfterRestart() {
-        batch("b", "");
+    void findsUnfinishedCallbacksAfterRestart() {
+        addBatch("b", "");
         batches.commit("b");
-        due("b");
-        BatchTable after = new BatchTable(new JobTable(1, new JobTable.Limits(1, 1, 1, 1)));
-        batches.all().forEach(after::add);
+        collectDue("b");
+        BatchTable restarted = new BatchTable(new JobTable(1, new JobTable.Limits(1, 1, 1, 1)));
+        batches.all().forEach(restarted::add);
         assertEquals(
                 List.of("b-complete", "b-success"),
-                after.unfinishedCallbacks().stream()
+                restarted.unfinishedCallbacks().stream()
                         .map(callback -> callback.batch().callbackJobId(callback.isSuccess()))
                         .toList());
     }
 
     @Test
-    void endsWithoutCallbackAndToleratesCyclicParents() {
-        batchWithoutSuccessCallback("b", "c", false);
-        batchWithoutSuccessCallback("c", "b", false);
+    void toleratesCyclicParentsAndMissingCallbacks() {
+        addBatchWithoutSuccessCallback("b", "c", false);
+        addBatchWithoutSuccessCallback("c", "b", false);
         batches.commit("b");
         assertEquals(
-                "[]", due("b"), "each waits for the other, and the search for what is due ends");
-        batchWithoutSuccessCallback("d", "", true);
+                "[]",
+                collectDue("b"),
+                "each waits for the other, and the search along the parents terminates");
+        addBatchWithoutSuccessCallback("d", "", true);
         assertEquals(2, batches.collectDueCallbacks("d").size());
-        assertEquals(CallbackState.DONE, batches.get("d").onSuccess(), "there is nothing to run");
+        assertEquals(
+                CallbackState.DONE,
+                batches.get("d").onSuccess(),
+                "done at once, since there is no callback to run");
         assertEquals(CallbackState.DUE, batches.get("d").onComplete());
         assertEquals(
                 List.of("d"),
                 batches.removeExpired(4_000_000),
-                "an ended batch is removed after its retention");
+                "an ended batch is removed after an hour");
     }
 }
--- a/src/test/java/damsonslip/faktory/jobs/GlobTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/GlobTest.java
@@ -31,8 +31,8 @@
         "x[]]y,x]y,true",
         "*ab,aab,true"
     })
-    void matches(String pattern, String text, boolean fits) {
-        assertEquals(fits, new Glob(pattern).matches(text));
+    void matches(String pattern, String text, boolean expected) {
+        assertEquals(expected, new Glob(pattern).matches(text));
     }
 
     @Test
--- a/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/JobTableTest.java
@@ -16,7 +16,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The sets of jobs, the order in which they are dispatched, and the limits on them. */
+/** The sets of jobs, the order of dispatch, and the limits. */
 class JobTableTest {
     private final JobTable jobTable = new JobTable(2, new JobTable.Limits(50, 20, 3, 1_000));
 
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void servesQueuesInTheFetchsOrderAndJobsInArrivalOrder() {
+    void servesQueuesInFetchOrderAndJobsInArrivalOrder() {
         add("a1", "a", 0);
         add("b1", "b", 1);
         add("a2", "a", 1);
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void servesQueuesInTurnInFairOrder() {
+    void servesQueuesInRotationInFairOrder() {
         for (int i = 0; i < 10; i++) {
             add("a" + i, "a", 0);
         }
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void returnsJobToItsPositionAndDelaysIt() {
+    void returnsJobToItsOldPositionAndDelaysIt() {
         add("a1", "a", 0);
         add("a2", "a", 0);
         JobEntry first = jobTable.get("a1");
@@ -69,11 +69,11 @@
         jobTable.returnToQueue(first, 500);
         assertNull(
                 jobTable.next(List.of("a"), false, 499, c -> true),
-                "the order holds while the first may not go");
+                "a delayed first job blocks the jobs behind it");
         assertEquals("a1", jobTable.next(List.of("a"), false, 500, c -> true).id());
         assertNull(
                 jobTable.next(List.of("a"), false, 500, c -> false),
-                "nothing of a class that is not open");
+                "no job of a class that may not be dispatched");
         jobTable.pause("a");
         assertNull(jobTable.next(List.of("a"), false, 500, c -> true));
     }
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void limitsWaitingJobsInAllAndByQueueWithoutTheDead() {
+    void limitsJobsInTotalAndPerQueueExceptDeadJobs() {
         for (int i = 0; i < 20; i++) {
             assertNull(jobTable.rejectionReason("a"));
             add("a" + i, "a", 0);
@@ -114,8 +114,8 @@
         assertEquals(
                 List.of("d0", "d1"),
                 jobTable.expiredDead(200).stream().map(JobEntry::id).toList(),
-                "three are kept");
-        assertEquals(4, jobTable.expiredDead(1_103).size(), "for a second");
+                "the limit is three dead jobs");
+        assertEquals(4, jobTable.expiredDead(1_103).size(), "the retention is one second");
         assertEquals(5, jobTable.size(State.DEAD));
     }
 
@@ -133,19 +133,21 @@
 
     @Test
     void holdsUniqueLockUntilEndExpiryOrStart() {
-        Options facts =
+        Options options =
                 new Options("a", "t", "any", 5, 5, 1, 1, 0, 0, "", "", "key", 1_000, true, 0);
-        assertTrue(jobTable.lockUnique("one", facts, 0));
-        JobEntry one = jobTable.add(JobRecord.pushed("one", facts, 0, 0), 0);
-        assertFalse(jobTable.lockUnique("two", facts, 999));
-        assertTrue(jobTable.lockUnique("one", facts, 999), "the same job once more");
+        assertTrue(jobTable.lockUnique("one", options, 0));
+        JobEntry one = jobTable.add(JobRecord.pushed("one", options, 0, 0), 0);
+        assertFalse(jobTable.lockUnique("two", options, 999));
+        assertTrue(jobTable.lockUnique("one", options, 999), "the same job may lock again");
         jobTable.move(one, one.record().reserved("w", 5));
-        assertTrue(jobTable.lockUnique("two", facts, 999), "it holds only until the start");
+        assertTrue(
+                jobTable.lockUnique("two", options, 999),
+                "the lock was released at the start of the first job");
         jobTable.remove(one);
         assertFalse(
-                jobTable.lockUnique("three", facts, 999),
-                "the end of the first does not free what the second has");
-        assertTrue(jobTable.lockUnique("three", facts, 1_000), "its time is over");
+                jobTable.lockUnique("three", options, 999),
+                "the end of the first job does not release the lock of the second");
+        assertTrue(jobTable.lockUnique("three", options, 1_000), "the lock has expired");
     }
 
     @Test
@@ -155,90 +157,93 @@
     }
 
     /**
-     * Many random moves against plain counting: the sizes of sets, queues and batches stay
-     * consistent.
+     * Compares the sizes of sets and queues, and the next job of each queue, with a plain count
+     * over many random moves.
      */
     @Test
     void keepsCountsThroughRandomMoves() {
         SplittableRandom random = new SplittableRandom(7);
-        JobTable large =
+        JobTable table =
                 new JobTable(
                         3,
                         new JobTable.Limits(1_000_000, 1_000_000, 1_000_000, Long.MAX_VALUE / 2));
-        Map<String, JobEntry> here = new HashMap<>();
+        Map<String, JobEntry> entries = new HashMap<>();
         int ids = 0;
         for (int step = 0; step < 20_000; step++) {
-            if (here.size() < 40 || random.nextInt(3) == 0) {
+            if (entries.size() < 40 || random.nextInt(3) == 0) {
                 String id = "j" + ids++;
-                JobRecord fresh =
+                JobRecord record =
                         RetryPolicyTest.record(id, "q" + random.nextInt(4), 5, 0)
-                                .withSequence(large.nextSequence());
-                here.put(id, large.add(fresh, random.nextInt(3)));
+                                .withSequence(table.nextSequence());
+                entries.put(id, table.add(record, random.nextInt(3)));
             } else {
-                change(
-                        large,
-                        here,
-                        new ArrayList<>(here.values()).get(random.nextInt(here.size())),
+                moveAtRandom(
+                        table,
+                        entries,
+                        new ArrayList<>(entries.values()).get(random.nextInt(entries.size())),
                         random);
             }
             if (step % 500 == 0) {
-                agree(large, here);
+                assertCountsMatch(table, entries);
             }
         }
-        agree(large, here);
+        assertCountsMatch(table, entries);
     }
 
-    private static void change(
-            JobTable large, Map<String, JobEntry> here, JobEntry entry, SplittableRandom random) {
+    private static void moveAtRandom(
+            JobTable table,
+            Map<String, JobEntry> entries,
+            JobEntry entry,
+            SplittableRandom random) {
         boolean queued = entry.record().state() == State.QUEUED;
         switch (random.nextInt(6)) {
             case 0 -> {
-                large.remove(entry);
-                here.remove(entry.id());
+                table.remove(entry);
+                entries.remove(entry.id());
             }
             case 1 ->
-                    large.move(
+                    table.move(
                             entry,
                             entry.record().withState(State.RETRY, random.nextInt(1_000), "", 0));
             case 2 ->
-                    large.move(
+                    table.move(
                             entry,
                             entry.record().withState(State.DEAD, random.nextInt(1_000), "", 0));
             case 3 -> {
                 if (queued && !entry.isDispatched()) {
-                    large.dispatch(entry);
+                    table.dispatch(entry);
                 } else if (entry.isDispatched()) {
-                    large.returnToQueue(entry, 0);
+                    table.returnToQueue(entry, 0);
                 }
             }
-            case 4 -> large.move(entry, entry.record().enqueued(large.nextSequence(), 0));
-            default -> large.move(entry, entry.record().reserved("w", 1));
+            case 4 -> table.move(entry, entry.record().enqueued(table.nextSequence(), 0));
+            default -> table.move(entry, entry.record().reserved("w", 1));
         }
     }
 
-    private static void agree(JobTable large, Map<String, JobEntry> here) {
-        assertEquals(here.size(), large.size());
+    private static void assertCountsMatch(JobTable table, Map<String, JobEntry> entries) {
+        assertEquals(entries.size(), table.size());
         for (State state :
                 List.of(State.QUEUED, State.RESERVED, State.RETRY, State.DEAD, State.SCHEDULED)) {
             assertEquals(
-                    here.values().stream().filter(e -> e.record().state() == state).count(),
-                    large.size(state));
+                    entries.values().stream().filter(e -> e.record().state() == state).count(),
+                    table.size(state));
         }
         assertEquals(
-                here.values().stream().filter(JobEntry::isDispatched).count(),
-                large.dispatchedCount());
+                entries.values().stream().filter(JobEntry::isDispatched).count(),
+                table.dispatchedCount());
         for (int queue = 0; queue < 4; queue++) {
             String name = "q" + queue;
             List<JobEntry> waiting =
-                    here.values().stream()
+                    entries.values().stream()
                             .filter(
                                     e ->
                                             e.record().state() == State.QUEUED
                                                     && !e.isDispatched()
                                                     && e.record().options().queue().equals(name))
                             .toList();
-            assertEquals(waiting.size(), large.waitingIn(name).size());
-            JobEntry next = large.next(List.of(name), false, 0, c -> true);
+            assertEquals(waiting.size(), table.waitingIn(name).size());
+            JobEntry next = table.next(List.of(name), false, 0, c -> true);
             assertEquals(
                     waiting.stream().mapToLong(e -> e.record().sequence()).min().orElse(-1),
                     next == null ? -1 : next.record().sequence());
--- a/src/test/java/damsonslip/faktory/jobs/package-info.java
+++ b/src/test/java/damsonslip/faktory/jobs/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the job table, the retry policy, the batches and the patterns, without I/O or clock. */
+/** Tests of the job table, the retry policy, batches and glob patterns, without I/O or clock. */
 package damsonslip.faktory.jobs;
