--- a/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
+++ b/src/test/java/damsonslip/faktory/jobs/RetryPolicyTest.java
@@ -19,11 +19,11 @@
 
 /** Next states after a failed run and after a restart, by job class and retry limit. */
 class RetryPolicyTest {
-    static final JobClass IDEMPOTENT_CLASS =
+    static final JobClass IDEMPOTENT =
             new JobClass(1, 2, 1, Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
-    static final JobClass NOT_IDEMPOTENT_CLASS =
+    static final JobClass ONCE =
             new JobClass(1, 2, 1, Idempotency.NOT_IDEMPOTENT, IdempotencyScope.ALL_WORKERS, 0, -1);
-    static final JobClass WITH_KEY_CLASS =
+    static final JobClass WITH_KEY =
             new JobClass(
                     1,
                     2,
@@ -32,7 +32,7 @@
                     IdempotencyScope.ALL_WORKERS,
                     40_000_000,
                     -1);
-    static final JobClass WITH_KEY_PER_ZONE_CLASS =
+    static final JobClass WITH_ZONAL_KEY =
             new JobClass(
                     1,
                     2,
@@ -65,7 +65,7 @@
         return JobRecord.pushed(id, options, 0, 1_000);
     }
 
-    private static JobRecord reservedRecord(int retry, long deadlineMs) {
+    private static JobRecord reserved(int retry, long deadlineMs) {
         return record("j", "q", retry, deadlineMs).reserved("w", 10_000);
     }
 
@@ -88,18 +88,18 @@
     /** If the wall clock was set back between two runs, the time since the first run is unknown. */
     @Test
     void deniesRunWithKeyAfterTheClockWasSetBack() {
-        JobRecord record = reservedRecord(5, 0); // first run at 10,000 ms
-        assertTrue(RetryPolicy.mayRun(record, WITH_KEY_CLASS, 10_000));
-        assertFalse(RetryPolicy.mayRun(record, WITH_KEY_CLASS, 9_999));
-        assertFalse(RetryPolicy.mayRun(record, WITH_KEY_CLASS, 10_000 - 3_600_000));
-        assertTrue(RetryPolicy.mayRun(record, IDEMPOTENT_CLASS, 9_999));
+        JobRecord record = reserved(5, 0); // first run at 10,000 ms
+        assertTrue(RetryPolicy.mayRun(record, WITH_KEY, 10_000));
+        assertFalse(RetryPolicy.mayRun(record, WITH_KEY, 9_999));
+        assertFalse(RetryPolicy.mayRun(record, WITH_KEY, 10_000 - 3_600_000));
+        assertTrue(RetryPolicy.mayRun(record, IDEMPOTENT, 9_999));
     }
 
     @Test
     void retriesUntilTheRetryLimit() {
-        JobRecord record = reservedRecord(2, 0);
+        JobRecord record = reserved(2, 0);
         for (int count = 0; count < 2; count++) {
-            NextState next = fail(record, IDEMPOTENT_CLASS);
+            NextState next = fail(record, IDEMPOTENT);
             assertEquals(State.RETRY, next.state());
             assertEquals(count, next.failure().count());
             assertTrue(next.dueMs() >= 20_000 + 15_000);
@@ -109,98 +109,83 @@
                     "as many lines as the job asked for");
             record = record.withFailure(next.failure());
         }
-        NextState last = fail(record, IDEMPOTENT_CLASS);
+        NextState last = fail(record, IDEMPOTENT);
         assertEquals(State.DEAD, last.state());
         assertTrue(last.message().contains("no retries are left"));
     }
 
     @Test
     void discardsWithoutRetriesAndMovesToTheDeadSetOnMinusOne() {
-        assertEquals(State.DISCARDED, fail(reservedRecord(0, 0), IDEMPOTENT_CLASS).state());
-        assertEquals(State.DEAD, fail(reservedRecord(-1, 0), IDEMPOTENT_CLASS).state());
+        assertEquals(State.DISCARDED, fail(reserved(0, 0), IDEMPOTENT).state());
+        assertEquals(State.DEAD, fail(reserved(-1, 0), IDEMPOTENT).state());
     }
 
     @Test
     void movesNonIdempotentJobToTheDeadSetWhateverItsRetryLimit() {
         for (int retry : new int[] {-1, 0, 1, 25}) {
-            NextState next = fail(reservedRecord(retry, 0), NOT_IDEMPOTENT_CLASS);
+            NextState next = fail(reserved(retry, 0), ONCE);
             assertEquals(State.DEAD, next.state());
             assertTrue(next.message().contains("may have run"), next.message());
         }
-        assertFalse(RetryPolicy.mayRun(reservedRecord(25, 0), NOT_IDEMPOTENT_CLASS, 20_000));
+        assertFalse(RetryPolicy.mayRun(reserved(25, 0), ONCE, 20_000));
         assertTrue(
-                RetryPolicy.mayRun(record("j", "q", 25, 0), NOT_IDEMPOTENT_CLASS, 20_000),
+                RetryPolicy.mayRun(record("j", "q", 25, 0), ONCE, 20_000),
                 "a job that never ran may run");
     }
 
     @Test
     void allowsRerunWithKeyWithinItsWindowIfAllWorkersRecogniseTheKey() {
-        assertTrue(RetryPolicy.mayRun(reservedRecord(1, 0), WITH_KEY_CLASS, 49_999));
+        assertTrue(RetryPolicy.mayRun(reserved(1, 0), WITH_KEY, 49_999));
         assertFalse(
-                RetryPolicy.mayRun(reservedRecord(1, 0), WITH_KEY_CLASS, 50_000),
+                RetryPolicy.mayRun(reserved(1, 0), WITH_KEY, 50_000),
                 "40 s after the first run at 10 s");
         assertFalse(
-                RetryPolicy.mayRun(reservedRecord(1, 0), WITH_KEY_PER_ZONE_CLASS, 10_001),
+                RetryPolicy.mayRun(reserved(1, 0), WITH_ZONAL_KEY, 10_001),
                 "the next run may be in another zone");
-        assertEquals(State.DEAD, fail(reservedRecord(5, 0), WITH_KEY_PER_ZONE_CLASS).state());
-        JobRecord record = reservedRecord(5, 0);
+        assertEquals(State.DEAD, fail(reserved(5, 0), WITH_ZONAL_KEY).state());
+        JobRecord record = reserved(5, 0);
         assertEquals(
                 State.DEAD,
-                RetryPolicy.nextState(record, WITH_KEY_CLASS, RUN_FAILURE, 45_000, random).state());
+                RetryPolicy.nextState(record, WITH_KEY, RUN_FAILURE, 45_000, random).state());
     }
 
     @Test
     void recoversByWhatMayHaveRun() {
-        JobRecord queued = record("j", "q", 25, 0);
-        assertEquals(
-                RecoveryAction.RESTORE,
-                RetryPolicy.recoveryAction(queued, NOT_IDEMPOTENT_CLASS, 5_000));
+        JobRecord job = record("j", "q", 25, 0);
+        assertEquals(RecoveryAction.RESTORE, RetryPolicy.recoveryAction(job, ONCE, 5_000));
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
-                RetryPolicy.recoveryAction(reservedRecord(25, 0), IDEMPOTENT_CLASS, 5_000),
+                RetryPolicy.recoveryAction(reserved(25, 0), IDEMPOTENT, 5_000),
                 "its worker may still be running it");
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
-                RetryPolicy.recoveryAction(
-                        reservedRecord(25, 90_000), NOT_IDEMPOTENT_CLASS, 5_000));
+                RetryPolicy.recoveryAction(reserved(25, 90_000), ONCE, 5_000));
         assertEquals(
                 RecoveryAction.DISPATCH,
-                RetryPolicy.recoveryAction(reservedRecord(25, 90_000), IDEMPOTENT_CLASS, 5_000),
+                RetryPolicy.recoveryAction(reserved(25, 90_000), IDEMPOTENT, 5_000),
                 "a client waits for it");
-        assertEquals(
-                RecoveryAction.DISPATCH,
-                RetryPolicy.recoveryAction(
-                        record("j", "q", 25, 90_000), NOT_IDEMPOTENT_CLASS, 5_000));
-        assertEquals(
-                RecoveryAction.EXPIRE,
-                RetryPolicy.recoveryAction(
-                        record("j", "q", 25, 90_000), NOT_IDEMPOTENT_CLASS, 90_000));
-        JobRecord returned = reservedRecord(25, 90_000).returned(true, 11_000);
+        JobRecord awaited = record("j", "q", 25, 90_000);
+        assertEquals(RecoveryAction.DISPATCH, RetryPolicy.recoveryAction(awaited, ONCE, 5_000));
+        assertEquals(RecoveryAction.EXPIRE, RetryPolicy.recoveryAction(awaited, ONCE, 90_000));
+        JobRecord returned = reserved(25, 90_000).returned(true, 11_000);
         assertEquals(
                 RecoveryAction.AWAIT_REPORT,
-                RetryPolicy.recoveryAction(returned, NOT_IDEMPOTENT_CLASS, 20_000),
+                RetryPolicy.recoveryAction(returned, ONCE, 20_000),
                 "queued again, but it may have run before");
         assertEquals(
                 RecoveryAction.DISPATCH,
                 RetryPolicy.recoveryAction(
-                        reservedRecord(25, 90_000).returned(false, 11_000),
-                        NOT_IDEMPOTENT_CLASS,
-                        20_000));
+                        reserved(25, 90_000).returned(false, 11_000), ONCE, 20_000));
         for (State state : List.of(State.DEAD, State.RETRY, State.SCHEDULED)) {
             assertEquals(
                     RecoveryAction.RESTORE,
                     RetryPolicy.recoveryAction(
-                            reservedRecord(1, 0).withState(state, 9, "", 9),
-                            NOT_IDEMPOTENT_CLASS,
-                            5_000));
+                            reserved(1, 0).withState(state, 9, "", 9), ONCE, 5_000));
         }
-        assertEquals(
-                70_000,
-                RetryPolicy.reportDeadlineMs(reservedRecord(25, 0)),
-                "the end of its reservation");
+        assertEquals(70_000, RetryPolicy.reportDeadlineMs(reserved(25, 0)), "its reservation ends");
         assertEquals(
                 15_000,
-                RetryPolicy.reportDeadlineMs(reservedRecord(25, 15_000)),
-                "or its deadline, if that is earlier");
+                RetryPolicy.reportDeadlineMs(reserved(25, 15_000)),
+                "its deadline is earlier");
     }
 }
