--- a/src/test/java/damsonslip/membership/PollScheduleTest.java
+++ b/src/test/java/damsonslip/membership/PollScheduleTest.java
@@ -5,14 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The backoff between polls, and their alignment to slots. */
+/** The backoff between polls and their alignment to time slots. */
 class PollScheduleTest {
     private static final long SECOND = 1_000_000;
 
     private final PollSchedule schedule = new PollSchedule(6 * SECOND, 10 * SECOND);
 
     @Test
-    void doublesBackoffUpToBoundAndResetsIt() {
+    void doublesBackoffUpToLimitAndResetsIt() {
         schedule.setFleet(1, 0);
         long[] minDelaysUs = {200_000, 400_000, 800_000, 800_000};
         for (long minDelayUs : minDelaysUs) {
--- a/src/test/java/damsonslip/policy/PoolDealingTest.java
+++ b/src/test/java/damsonslip/policy/PoolDealingTest.java
@@ -28,7 +28,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Deals workers to the pools of the job classes. */
+/** Assigns workers to the pools of the job classes. */
 class PoolDealingTest {
     @Test
     void sendsEachClassToItsOwnPool() {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void dealsAlikeAtAllSchedulersInAnyListOrder() {
+    void dealsIdenticallyAtAllSchedulersInAnyListOrder() {
         ScriptedScheduler one =
                 new ScriptedScheduler(settings(4, 0, IDEMPOTENT, IDEMPOTENT)).workers(8);
         ScriptedScheduler other = new ScriptedScheduler(settings(4, 3, IDEMPOTENT, IDEMPOTENT));
@@ -65,8 +65,8 @@
     }
 
     @Test
-    void sendsBoundClassToItsKindOnly() {
-        JobClass bound =
+    void sendsClassWithRequiredKindToThatKindOnly() {
+        JobClass ofKindOne =
                 new JobClass(
                         200_000,
                         2,
@@ -83,7 +83,7 @@
                                 0,
                                 1,
                                 2,
-                                List.of(IDEMPOTENT, bound),
+                                List.of(IDEMPOTENT, ofKindOne),
                                 List.of(),
                                 new Limits(4, true, true, 0, 0),
                                 new Guarantees(0, 0, 0, 0.5, SECOND, 3, SECOND),
@@ -101,9 +101,7 @@
         }
     }
 
-    /**
-     * Each zone has some workers of every pool where possible, so that jobs need not cross zones.
-     */
+    /** Where possible, every pool gets workers of each zone, so that jobs need not cross zones. */
     @Test
     void dealsWorkersOfEachZoneToEveryPool() {
         ScriptedScheduler scheduler = new ScriptedScheduler(settings(1, 0, IDEMPOTENT, IDEMPOTENT));
@@ -115,22 +113,22 @@
         for (Set<String> used : workersUsedByClass(scheduler, 400)) {
             assertTrue(
                     used.stream().allMatch(w -> w.compareTo("w4") >= 0),
-                    "all in the own zone: " + used);
+                    "all in the scheduler's own zone: " + used);
         }
     }
 
     @Test
-    void repeatsTheSameActionsBesideAnotherScheduler() {
+    void takesTheSameActionsAlongsideAnotherScheduler() {
         ScriptedScheduler alone =
                 new ScriptedScheduler(settings(2, 0, IDEMPOTENT, IDEMPOTENT)).workers(6);
         workersUsedByClass(alone, 200);
         ScriptedScheduler again =
                 new ScriptedScheduler(settings(2, 0, IDEMPOTENT, IDEMPOTENT)).workers(6);
-        ScriptedScheduler beside =
+        ScriptedScheduler otherScheduler =
                 new ScriptedScheduler(settings(2, 1, IDEMPOTENT, IDEMPOTENT)).workers(6);
         for (int i = 0; i < 200; i++) {
             String id = "job" + i;
-            beside.jobArrives(id, i % 2, 0, null);
+            otherScheduler.jobArrives(id, i % 2, 0, null);
             String to = sentTo(again.jobArrives(id, i % 2, 0, null), id);
             if (to != null) {
                 again.attemptStarts(id, 0);
@@ -143,7 +141,10 @@
         assertEquals(alone.actions, again.actions);
     }
 
-    /** The first deal precedes the first request, on code that is not compiled yet. */
+    /**
+     * The first deal delays the first request and runs before the JIT compiler has compiled the
+     * code.
+     */
     @Test
     void dealsManyWorkersQuickly() {
         ScriptedScheduler scheduler =
@@ -162,7 +163,7 @@
                                                 Long.MIN_VALUE))
                         .toArray(WorkerEntry[]::new));
         long tookMs = (System.nanoTime() - before) / 1_000_000;
-        assertTrue(tookMs < 5_000, "3,000 workers took " + tookMs + " ms");
+        assertTrue(tookMs < 5_000, "dealing 3,000 workers took " + tookMs + " ms");
         assertEquals(3_000, scheduler.policy.pools().stream().mapToInt(PoolState::workers).sum());
     }
 }
--- a/src/test/java/damsonslip/policy/SlotEstimatorTest.java
+++ b/src/test/java/damsonslip/policy/SlotEstimatorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Estimates slots from reported free slots. */
+/** Estimates the slots of workers from reported free slots. */
 class SlotEstimatorTest {
     private final SlotEstimator estimator = new SlotEstimator();
 
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void takesTheLargestFigureThatTwoReportsReach() {
+    void usesTheLargestNumberThatTwoReportsReach() {
         observe(2, 8);
         assertEquals(8, estimator.slots());
         assertEquals(8, estimator.provenSlots());
--- a/src/test/java/damsonslip/policy/WorkerRetentionTest.java
+++ b/src/test/java/damsonslip/policy/WorkerRetentionTest.java
@@ -18,12 +18,12 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Workers are forgotten once they are replaced by others with new ids. */
+/** Workers are forgotten some time after others with new ids have replaced them. */
 class WorkerRetentionTest {
     private static final int WORKERS = 20;
     private static final long MINUTE = 60 * SECOND;
 
-    /** The running workers and those that stopped within the retention time. */
+    /** Running workers plus those that stopped within the retention time. */
     private static final int MAX_KNOWN_WORKERS = 12 * WORKERS;
 
     private final ScriptedScheduler scheduler =
@@ -31,7 +31,7 @@
                     ScriptedScheduler.settings(
                             1, 0, jobClass(Idempotency.IDEMPOTENT, IdempotencyScope.ALL_WORKERS)));
 
-    private static WorkerEntry[] release(int round) {
+    private static WorkerEntry[] workersOfRelease(int round) {
         return IntStream.range(0, WORKERS)
                 .mapToObj(i -> worker("w" + round + "-" + i))
                 .toArray(WorkerEntry[]::new);
@@ -40,7 +40,7 @@
     @Test
     void forgetsWorkersThatStoppedLongAgo() {
         for (int round = 0; round < 100; round++) {
-            scheduler.updateWorkerList(WorkerListChange.COMPLETE, release(round));
+            scheduler.updateWorkerList(WorkerListChange.COMPLETE, workersOfRelease(round));
             String job = "j" + round;
             assertNotNull(sentTo(scheduler.jobArrives(job), job));
             scheduler.advance(SECOND / 10);
@@ -48,7 +48,7 @@
             scheduler.advance(MINUTE);
         }
         int known = scheduler.policy.workers(scheduler.now).size();
-        assertTrue(known <= MAX_KNOWN_WORKERS, known + " workers are known");
+        assertTrue(known <= MAX_KNOWN_WORKERS, known + " workers are still known");
     }
 
     @Test
