--- a/src/main/java/damsonslip/faktory/BatchService.java
+++ b/src/main/java/damsonslip/faktory/BatchService.java
@@ -78,7 +78,7 @@
      */
     private void handleAlreadyPushed(DueCallback callback, JobRecord existing) {
         if (existing.state() == JobRecord.State.SUCCESS) {
-            callbackSucceeded(callback.batch().bid(), callback.success());
+            callbackSucceeded(callback.batch().bid(), callback.isSuccess());
         }
     }
 
--- a/src/main/java/damsonslip/faktory/JobDispatcher.java
+++ b/src/main/java/damsonslip/faktory/JobDispatcher.java
@@ -163,7 +163,7 @@
                     && !fetchDirectory.isFetchWaiting(dispatched.queue())) {
                 unawaited.remove(dispatched);
                 engine.clientDisconnected(dispatched.context);
-                jobTable.undispatch(dispatched.entry, 0);
+                jobTable.returnToQueue(dispatched.entry, 0);
             }
         }
     }
@@ -177,7 +177,7 @@
     Optional<CommandError> dispatch(JobEntry entry) {
         JobRecord record = entry.record();
         if (engine.isIdInUse(record.id())) { // its previous attempt has not ended in the engine yet
-            jobTable.undispatch(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
+            jobTable.returnToQueue(entry, lifecycle.nowMs() + REDISPATCH_DELAY_MS);
             return Optional.empty();
         }
         if (!RetryPolicy.mayRun(record, lifecycle.classOf(entry), lifecycle.nowMs())) {
@@ -262,7 +262,7 @@
     private void finishUnawaited(
             DispatchedJob dispatched, Response response, CommandCallback callback) {
         JobEntry entry = dispatched.entry;
-        jobTable.undispatch(entry, 0);
+        jobTable.returnToQueue(entry, 0);
         if (dispatched.ran) {
             RunFailure failure =
                     dispatched.failure == null ? RunFailure.DEADLINE_PASSED : dispatched.failure;
