--- a/src/test/java/damsonslip/platform/OtherSettingsTest.java
+++ b/src/test/java/damsonslip/platform/OtherSettingsTest.java
@@ -26,14 +26,14 @@
         program = new Program(file, "serve").awaitWord("listens on");
     }
 
-    private static String of(String tenant, String id) {
+    private static String queryOfTenant(String tenant, String id) {
         return query(id, "read", "4000m")
                 .replace("X-Time-Left", "X-Account: " + tenant + "\r\nX-Time-Left");
     }
 
     /** Each is judged by its own share, and a name that the settings do not have is refused. */
     @Test
-    void aTenantBeyondItsShareIsTurnedAwayBesideOneWithinItsOwn() throws Exception {
+    void rejectsTenantOverQuotaWhileTenantWithinQuotaWaits() throws Exception {
         startWith(
                 "\"lanes\"",
                 "\"realms\":[{\"name\":\"large\",\"quota_per_s\":50},"
@@ -47,19 +47,20 @@
                                     30_000); // a worker that did not say so would count as full
                         }));
         assertEquals(400, ask(query("q1", "read", "4000m")).status());
-        assertEquals(400, ask(of("nobody", "q2")).status());
+        assertEquals(400, ask(queryOfTenant("nobody", "q2")).status());
         Thread.sleep(1_100); // shares fill up
-        String whole =
-                of("large", "l0").replace("X-Time-Left", "X-Facts: cores_needed=4\r\nX-Time-Left");
-        try (Peer first = Peer.connect(port).send(whole);
-                Peer within = Peer.connect(port)) {
+        String wholeWorker =
+                queryOfTenant("large", "l0")
+                        .replace("X-Time-Left", "X-Facts: cores_needed=4\r\nX-Time-Left");
+        try (Peer occupying = Peer.connect(port).send(wholeWorker);
+                Peer waiting = Peer.connect(port)) {
             Program.await("the worker is full", () -> jobs("a") == 1);
-            within.send(of("small", "s0"));
-            assertTrue(within.silent(100), "one within its share waits");
+            waiting.send(queryOfTenant("small", "s0"));
+            assertTrue(waiting.silent(100), "one within its share waits");
             long before = System.nanoTime();
-            assertEquals(503, ask(of("small", "s1")).status());
+            assertEquals(503, ask(queryOfTenant("small", "s1")).status());
             assertTrue(System.nanoTime() - before < 1_000_000_000L, "at once");
-            try (Peer large = Peer.connect(port).send(of("large", "l9"))) {
+            try (Peer large = Peer.connect(port).send(queryOfTenant("large", "l9"))) {
                 assertTrue(large.silent(300), "one within its share waits");
             }
         }
@@ -70,7 +71,7 @@
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.25, 0.9})
-    void theDrainGraceIsTheSettings(double grace) throws Exception {
+    void usesDrainGraceFromSettings(double grace) throws Exception {
         String a = worker("a", SERVE);
         startWith("\"drain_grace_s\":0.5", "\"drain_grace_s\":" + grace, a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
@@ -86,7 +87,7 @@
 
     /** Names of classes say nothing: 'submit' may be repeated here, and 'read' must run once. */
     @Test
-    void anEffectIsReadFromTheSettingsAndNotFromTheName() throws Exception {
+    void readsSemanticsFromSettingsNotFromClassName() throws Exception {
         startWith(
                 "\"hard_limit_s\":5,\"semantics\":\"repeatable\"",
                 "\"hard_limit_s\":5,\"semantics\":\"once\"",
@@ -98,7 +99,7 @@
 
     /** A way to get the list that this program does not know cannot be guessed. */
     @Test
-    void anUnknownWayToGetTheListEndsTheStart() throws Exception {
+    void unknownRegistryModeFailsStart() throws Exception {
         Path file = config(list(7, true));
         Files.writeString(file, Files.readString(file).replace("on_request", "gossip"));
         try (Program failing = new Program(file, "serve")) {
@@ -109,10 +110,10 @@
 
     /** Where clients do not take advice none is given. */
     @Test
-    void whenToComeBackIsToldWhereTheSettingsAllowIt() throws Exception {
+    void sendsRetryAfterOnlyWhereSettingsAllowIt() throws Exception {
         start();
-        Message told = ask(query("q1", "read", "1000m"));
-        assertNotNull(told.field("Retry-After"));
+        Message rejection = ask(query("q1", "read", "1000m"));
+        assertNotNull(rejection.field("Retry-After"));
         program.close();
         startWith("\"may_cancel\"", "\"retry_after\":false,\"may_cancel\"");
         assertNull(ask(query("q1", "read", "1000m")).field("Retry-After"));
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -12,7 +12,8 @@
  * What a client sent reaches its worker as it was, or the client is told that it cannot be sent.
  */
 class PassedUnchangedTest extends PlatformStage {
-    private void unchangedOrRefused(String text, String field, String value) throws Exception {
+    private void assertForwardedUnchangedOrRejected(String text, String field, String value)
+            throws Exception {
         start(worker("a", SERVE), worker("b", SERVE));
         Message answer = ask(text);
         if (answer.status() == 200) {
@@ -47,8 +48,9 @@
                 "/api?x=a?b",
                 "/api?\u0001"
             })
-    void aTarget(String target) throws Exception {
-        unchangedOrRefused(query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+    void forwardsOrRejectsTarget(String target) throws Exception {
+        assertForwardedUnchangedOrRejected(
+                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 
     @ParameterizedTest
@@ -64,8 +66,8 @@
                 "a,b;c=d",
                 "x:y"
             })
-    void anId(String id) throws Exception {
-        unchangedOrRefused(
+    void forwardsOrRejectsCorrelationId(String id) throws Exception {
+        assertForwardedUnchangedOrRejected(
                 query(id, "read", "2000m")
                         .replace("Idempotency-Key: k-" + id, "Idempotency-Key: k"),
                 "X-Correlation-Id",
@@ -74,8 +76,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"plain-1", "a b", "a\tb", "é", "a\u0001b", "a\u007fb"})
-    void aKey(String key) throws Exception {
-        unchangedOrRefused(
+    void forwardsOrRejectsIdempotencyKey(String key) throws Exception {
+        assertForwardedUnchangedOrRejected(
                 query("q1", "read", "2000m")
                         .replace("Idempotency-Key: k-q1", "Idempotency-Key: " + key),
                 "Idempotency-Key",
@@ -83,8 +85,9 @@
     }
 
     @Test
-    void theLongestHeadThatIsTaken() throws Exception {
+    void forwardsOrRejectsNearlyLongestHead() throws Exception {
         String target = "/api?x=" + "y".repeat(7_500);
-        unchangedOrRefused(query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+        assertForwardedUnchangedOrRejected(
+                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 }
--- a/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
+++ b/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
@@ -16,17 +16,17 @@
  */
 class ProbedWorkersServeTest extends PlatformStage {
     /** A list holds so long after discovery was last heard at the most. */
-    private static final long LIST_ENDS_MS = 6_500;
+    private static final long LIST_EXPIRES_MS = 6_500;
 
-    private static final long HEARD_MS = 1_200;
+    private static final long DISCOVERY_UP_MS = 1_200;
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final long ASKED_FOR_NS = TimeUnit.SECONDS.toNanos(2);
+    private static final long ASKING_NS = TimeUnit.SECONDS.toNanos(2);
 
     private final AtomicBoolean failing = new AtomicBoolean();
     private final AtomicInteger ids = new AtomicInteger();
     private volatile long lastSentNs;
 
-    private final Work servesAndTakesWork =
+    private final Work servesAndPassesProbes =
             (peer, job) -> {
                 if (job.first().startsWith("GET /load ")) {
                     peer.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -36,16 +36,16 @@
                 }
             };
     private final AtomicBoolean draining = new AtomicBoolean();
-    private final Work drains =
+    private final Work failsProbesWhileDraining =
             (peer, job) -> {
                 if (draining.get() && job.first().startsWith("GET /load ")) {
                     peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
                 } else {
-                    servesAndTakesWork.on(peer, job);
+                    servesAndPassesProbes.on(peer, job);
                 }
             };
 
-    private void startAndLoseTheList(String worker) throws Exception {
+    private void startAndLetListExpire(String worker) throws Exception {
         discovery = discoveryFailingWhile(failing::get);
         startCounting(
                 file ->
@@ -56,10 +56,10 @@
                 worker);
         awaitDiscovery();
         assertEquals(200, ask()); // its connection is kept
-        Thread.sleep(HEARD_MS); // and discovery is heard after it came up
+        Thread.sleep(DISCOVERY_UP_MS); // and discovery is heard after it came up
         failing.set(true);
         discovery.endConnections();
-        Thread.sleep(LIST_ENDS_MS);
+        Thread.sleep(LIST_EXPIRES_MS);
     }
 
     private int ask() throws IOException {
@@ -67,8 +67,8 @@
     }
 
     @Test
-    void servesByWorkersThatSayTheyTakeWork() throws Exception {
-        startAndLoseTheList(worker("a", servesAndTakesWork));
+    void servesByWorkersThatPassProbesWhenListHasExpired() throws Exception {
+        startAndLetListExpire(worker("a", servesAndPassesProbes));
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask());
         }
@@ -77,21 +77,21 @@
 
     /** What the worker itself says counts at once, though discovery cannot tell of its drain. */
     @Test
-    void sendsNothingToAWorkerThatDrainsMeanwhile() throws Exception {
-        startAndLoseTheList(worker("a", drains));
+    void sendsNothingToWorkerThatFailsProbesWhenListHasExpired() throws Exception {
+        startAndLetListExpire(worker("a", failsProbesWhileDraining));
         assertEquals(200, ask());
         draining.set(true);
         long drainingNs = System.nanoTime();
-        while (System.nanoTime() - drainingNs < ASKED_FOR_NS) {
+        while (System.nanoTime() - drainingNs < ASKING_NS) {
             ask();
         }
         assertTrue(
                 lastSentNs - drainingNs < GRACE_NS,
                 (lastSentNs - drainingNs) / 1_000_000 + " ms after it drains");
-        Program.await("it is turned away", () -> counts503());
+        Program.await("it is turned away", () -> isRejected());
     }
 
-    private boolean counts503() {
+    private boolean isRejected() {
         try {
             return ask() == 503;
         } catch (IOException e) {
--- a/src/test/java/damsonslip/platform/ProbesTest.java
+++ b/src/test/java/damsonslip/platform/ProbesTest.java
@@ -46,7 +46,7 @@
      * A worker is probed every 0.4 s, and each probe has 0.5 s: one's rest is not the next one's.
      */
     @Test
-    void theTimeOfAnAnsweredProbeDoesNotEndTheNextOne() throws Exception {
+    void timeoutOfAnsweredProbeDoesNotEndNextProbe() throws Exception {
         Peer.Server worker = start(250);
         Program.await("eight probes", () -> probes.get() >= 8);
         assertEquals(1, worker.connections(), "all on the one link");
@@ -57,7 +57,7 @@
      * one.
      */
     @Test
-    void aProbeThatIsNotAnsweredEndsItsLink() throws Exception {
+    void unansweredProbeClosesItsConnection() throws Exception {
         Peer.Server worker = start(3_000);
         Program.await("three probes", () -> probes.get() >= 3);
         assertEquals(probes.get(), worker.connections(), "each on a link of its own");
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -28,7 +28,7 @@
  */
 class RareMomentsTest extends PlatformStage {
     /** When a worker's process dies: its connections are reset. */
-    enum Dies {
+    enum Crash {
         BEFORE_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
@@ -36,7 +36,7 @@
                 return null;
             }
         },
-        WITHIN_THE_REQUEST {
+        DURING_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
                 peer.line();
@@ -44,7 +44,7 @@
                 return null;
             }
         },
-        BEHIND_THE_REQUEST {
+        AFTER_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
                 Message job = peer.message();
@@ -58,7 +58,7 @@
     }
 
     /** The rules allow half a second after the deadline; as much again for a busy machine. */
-    private static final long LATEST_NS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    private static final long LATENESS_LIMIT_NS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
     private final ExecutorService clients = Executors.newFixedThreadPool(40);
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
@@ -68,19 +68,19 @@
         clients.shutdownNow();
     }
 
-    private void ran(Message job) {
+    private void countRun(Message job) {
         runs.computeIfAbsent(job.field("X-Correlation-Id"), id -> new AtomicInteger())
                 .incrementAndGet();
     }
 
-    private String dying(String id, Dies when) throws IOException {
+    private String crashingWorker(String id, Crash crash) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
                         peer -> {
-                            Message job = when.on(peer);
+                            Message job = crash.on(peer);
                             if (job != null) {
-                                ran(job);
+                                countRun(job);
                             }
                         });
         servers.add(server);
@@ -89,18 +89,18 @@
 
     /** What must not run twice runs once at the most; the other class is served elsewhere. */
     @ParameterizedTest
-    @EnumSource(Dies.class)
-    void aWorkerThatDiesBehindAnAcceptCostsNoSecondRunAndNoAnswer(Dies when) throws Exception {
+    @EnumSource(Crash.class)
+    void crashAfterAcceptCausesNoSecondRunAndNoMissingAnswer(Crash crash) throws Exception {
         Work serve =
                 (peer, job) -> {
-                    ran(job);
+                    countRun(job);
                     SERVE.on(peer, job);
                 };
         start(
-                dying("a", when),
+                crashingWorker("a", crash),
                 worker("b", serve),
                 worker("c", serve),
-                dying("d", when),
+                crashingWorker("d", crash),
                 worker("e", serve),
                 worker("f", serve));
         int served = 0;
@@ -112,7 +112,7 @@
             assertEquals(
                     200, ask(query("safe" + i, "read", "2000m")).status(), "it goes elsewhere");
             assertTrue(
-                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATEST_NS,
+                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATENESS_LIMIT_NS,
                     "in time");
         }
         assertTrue(
@@ -126,27 +126,29 @@
 
     /** Their time counts from when they came, not from when the one before them was answered. */
     @Test
-    void requestsWrittenAheadAreAllAnsweredByTheirDeadline() throws Exception {
+    void answersPipelinedRequestsByTheirDeadline() throws Exception {
         start(worker("a", SAY_NOTHING), worker("b", SAY_NOTHING), worker("c", SAY_NOTHING));
         ask(query("q0", "submit", "300m")); // the first one loads classes
-        int ahead = 5;
+        int pipelined = 5;
         StringBuilder text = new StringBuilder();
-        IntStream.range(0, ahead).forEach(i -> text.append(query("p" + i, "submit", "800m")));
+        IntStream.range(0, pipelined).forEach(i -> text.append(query("p" + i, "submit", "800m")));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.toString())) {
-            for (int i = 0; i < ahead; i++) {
+            for (int i = 0; i < pipelined; i++) {
                 assertTrue(client.message().status() >= 500);
             }
         }
         long took = System.nanoTime() - before;
-        assertTrue(took < TimeUnit.MILLISECONDS.toNanos(800) + LATEST_NS, took / 1_000_000 + " ms");
+        assertTrue(
+                took < TimeUnit.MILLISECONDS.toNanos(800) + LATENESS_LIMIT_NS,
+                took / 1_000_000 + " ms");
     }
 
     /**
      * Sends a text and waits for so many answers; what ends the connection counts as the end of the
      * rest.
      */
-    private static long endNs(int port, String text, int answers) throws IOException {
+    private static long timeToEndNs(int port, String text, int answers) throws IOException {
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text)) {
             for (int i = 0; i < answers; i++) {
@@ -165,7 +167,7 @@
      * all kinds.
      */
     @Test
-    void inACrowdEveryRequestHasItsEndInTime() throws Exception {
+    void endsEveryRequestInTimeUnderMixedLoad() throws Exception {
         AtomicInteger turn = new AtomicInteger();
         Work mixed =
                 (peer, job) -> {
@@ -190,21 +192,24 @@
                                             yield 0L;
                                         }
                                         case '5', '6' ->
-                                                endNs(port, one.substring(0, one.length() / 2), 1);
+                                                timeToEndNs(
+                                                        port,
+                                                        one.substring(0, one.length() / 2),
+                                                        1);
                                         case '7', '8' ->
-                                                endNs(
+                                                timeToEndNs(
                                                         port,
                                                         one
                                                                 + query(id + "a", lane, "1500m")
                                                                 + query(id + "b", lane, "1500m"),
                                                         3);
-                                        default -> endNs(port, one, 1);
+                                        default -> timeToEndNs(port, one, 1);
                                     }));
         }
         for (Future<Long> one : all) { // half a request has two seconds
             long took = one.get(20, TimeUnit.SECONDS);
             assertTrue(
-                    took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATEST_NS,
+                    took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATENESS_LIMIT_NS,
                     took / 1_000_000 + " ms");
         }
         program.terminate();
--- a/src/test/java/damsonslip/platform/ReadyInTimeTest.java
+++ b/src/test/java/damsonslip/platform/ReadyInTimeTest.java
@@ -23,13 +23,13 @@
  */
 class ReadyInTimeTest extends PlatformStage {
     /** How discovery is away. */
-    enum Away {
+    enum Outage {
         /** Nobody listens there. */
         REFUSES,
         /** Dials get no answer. */
         NEVER_COMES_UP,
         /** The call is taken, and nothing is said. */
-        SAYS_NOTHING,
+        NEVER_ANSWERS,
         /** It has too many callers. */
         FAILS_LATE
     }
@@ -43,33 +43,33 @@
     private static final long FAILS_AFTER_MS = 1_500;
     private static final int WORKERS = 60;
 
-    private LateServer late;
+    private LateServer unopened;
 
     @AfterEach
-    void closeLate() throws IOException {
-        if (late != null) {
-            late.close();
+    void closeUnopened() throws IOException {
+        if (unopened != null) {
+            unopened.close();
         }
     }
 
-    private int discoveryPort(Away away) throws IOException {
-        switch (away) {
+    private int discoveryPort(Outage outage) throws IOException {
+        switch (outage) {
             case REFUSES -> {
                 return deadPort();
             }
-            case SAYS_NOTHING -> {
+            case NEVER_ANSWERS -> {
                 return server(SAY_NOTHING);
             }
             case FAILS_LATE -> {
                 return server(
-                        (peer, asked) -> {
+                        (peer, call) -> {
                             Thread.sleep(FAILS_AFTER_MS);
                             peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
                         });
             }
             default -> {
-                late = new LateServer();
-                return late.port();
+                unopened = new LateServer();
+                return unopened.port();
             }
         }
     }
@@ -80,12 +80,12 @@
         return server.port();
     }
 
-    private String known() throws IOException {
+    private String listOfManyWorkers() throws IOException {
         List<String> entries = new ArrayList<>();
         worker("w", SERVE);
-        int shared = servers.get(servers.size() - 1).port();
+        int sharedPort = servers.get(servers.size() - 1).port();
         for (int i = 0; i < WORKERS; i++) {
-            entries.add(FleetConfig.entry("w" + i, i, shared, "k"));
+            entries.add(FleetConfig.entry("w" + i, i, sharedPort, "k"));
         }
         return list(7, true, entries.toArray(String[]::new));
     }
@@ -100,14 +100,16 @@
         "REFUSES,pushed",
         "NEVER_COMES_UP,on_request",
         "NEVER_COMES_UP,pushed",
-        "SAYS_NOTHING,on_request",
-        "SAYS_NOTHING,pushed",
+        "NEVER_ANSWERS,on_request",
+        "NEVER_ANSWERS,pushed",
         "FAILS_LATE,on_request",
         "FAILS_LATE,pushed"
     })
-    void aSchedulerIsReadyInTimeWhileDiscoveryIsAway(Away away, String registryMode)
+    void becomesReadyInTimeWhileDiscoveryIsUnavailable(Outage outage, String registryMode)
             throws Exception {
-        Path config = fleet(registryMode).write(dir, port, discoveryPort(away), known(), "");
+        Path config =
+                fleet(registryMode)
+                        .write(dir, port, discoveryPort(outage), listOfManyWorkers(), "");
         long before = System.nanoTime();
         program =
                 new Program(config, Map.of(), DeployFile.jvmFlags(), "serve")
