--- a/src/test/java/damsonslip/platform/OtherSettingsTest.java
+++ b/src/test/java/damsonslip/platform/OtherSettingsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What another customer's settings may say: tenants, another grace, effects by other names of
- * classes.
+ * Settings that differ from the other tests': tenants, drain grace, semantics per service class,
+ * registry mode, Retry-After.
  */
 class OtherSettingsTest extends PlatformStage {
     private void startWith(String one, String other, String... entries) throws IOException {
@@ -31,7 +31,10 @@
                 .replace("X-Time-Left", "X-Account: " + tenant + "\r\nX-Time-Left");
     }
 
-    /** Each is judged by its own share, and a name that the settings do not have is refused. */
+    /**
+     * Each tenant is admitted by its own quota, and a tenant that the settings do not define gets a
+     * 400.
+     */
     @Test
     void rejectsTenantOverQuotaWhileTenantWithinQuotaWaits() throws Exception {
         startWith(
@@ -43,12 +46,11 @@
                         (peer, job) -> {
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                                     .chunk(state(job, "started", ""));
-                            Thread.sleep(
-                                    30_000); // a worker that did not say so would count as full
+                            Thread.sleep(30_000); // without "started" it would count as full
                         }));
         assertEquals(400, ask(query("q1", "read", "4000m")).status());
         assertEquals(400, ask(queryOfTenant("nobody", "q2")).status());
-        Thread.sleep(1_100); // shares fill up
+        Thread.sleep(1_100); // the quotas refill
         String wholeWorker =
                 queryOfTenant("large", "l0")
                         .replace("X-Time-Left", "X-Facts: cores_needed=4\r\nX-Time-Left");
@@ -56,18 +58,19 @@
                 Peer waiting = Peer.connect(port)) {
             Program.await("the worker is full", () -> jobs("a") == 1);
             waiting.send(queryOfTenant("small", "s0"));
-            assertTrue(waiting.silent(100), "one within its share waits");
+            assertTrue(waiting.silent(100), "a request within its tenant's quota waits");
             long before = System.nanoTime();
             assertEquals(503, ask(queryOfTenant("small", "s1")).status());
-            assertTrue(System.nanoTime() - before < 1_000_000_000L, "at once");
+            assertTrue(System.nanoTime() - before < 1_000_000_000L, "rejected at once");
             try (Peer large = Peer.connect(port).send(queryOfTenant("large", "l9"))) {
-                assertTrue(large.silent(300), "one within its share waits");
+                assertTrue(large.silent(300), "a request within its tenant's quota waits");
             }
         }
     }
 
     /**
-     * The grace is the settings' own, shorter or longer than usual: well after it nothing is begun.
+     * The drain grace comes from the settings, shorter or longer than usual: once it is over, a
+     * draining worker gets no new job.
      */
     @ParameterizedTest
     @ValueSource(doubles = {0.25, 0.9})
@@ -85,7 +88,9 @@
         assertEquals(before, jobs("a"));
     }
 
-    /** Names of classes say nothing: 'submit' may be repeated here, and 'read' must run once. */
+    /**
+     * The name of a service class implies nothing: here 'read' must run once, so it is not retried.
+     */
     @Test
     void readsSemanticsFromSettingsNotFromClassName() throws Exception {
         startWith(
@@ -97,7 +102,7 @@
         assertEquals(1, jobs("a", "b"));
     }
 
-    /** A way to get the list that this program does not know cannot be guessed. */
+    /** An unknown registry mode is a configuration error; there is no default to fall back to. */
     @Test
     void unknownRegistryModeFailsStart() throws Exception {
         Path file = config(list(7, true));
@@ -108,7 +113,7 @@
         }
     }
 
-    /** Where clients do not take advice none is given. */
+    /** With {@code retry_after: false}, rejections carry no Retry-After field. */
     @Test
     void sendsRetryAfterOnlyWhereSettingsAllowIt() throws Exception {
         start();
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a client sent reaches its worker as it was, or the client is told that it cannot be sent.
+ * Targets and header values reach the worker byte for byte as the client sent them, or the client
+ * gets a 4xx answer and no worker is sent anything.
  */
 class PassedUnchangedTest extends PlatformStage {
     private void assertForwardedUnchangedOrRejected(String text, String field, String value)
@@ -25,10 +26,15 @@
                             .get(0);
             assertEquals(value, field == null ? job.first().split(" ", 0)[1] : job.field(field));
         } else {
-            assertTrue(answer.status() >= 400 && answer.status() < 500, "refused: " + answer);
+            assertTrue(
+                    answer.status() >= 400 && answer.status() < 500,
+                    "neither forwarded nor rejected: " + answer);
             assertEquals(0, jobs("a", "b"));
         }
-        assertEquals(200, ask(query("after", "read", "2000m")).status(), "others are served on");
+        assertEquals(
+                200,
+                ask(query("after", "read", "2000m")).status(),
+                "other requests are still served");
         assertTrue(!program.said().contains("ERROR"), program.said());
     }
 
--- a/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
+++ b/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The real program while discovery fails all calls and its last list holds no more: its workers are
- * asked themselves.
+ * The real program while discovery fails all calls and its last endpoint list has expired: the
+ * workers are probed instead.
  */
 class ProbedWorkersServeTest extends PlatformStage {
-    /** A list holds so long after discovery was last heard at the most. */
+    /** An endpoint list expires at the latest this long after the last message from discovery. */
     private static final long LIST_EXPIRES_MS = 6_500;
 
     private static final long DISCOVERY_UP_MS = 1_200;
@@ -55,8 +55,8 @@
                                 .replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"),
                 worker);
         awaitDiscovery();
-        assertEquals(200, ask()); // its connection is kept
-        Thread.sleep(DISCOVERY_UP_MS); // and discovery is heard after it came up
+        assertEquals(200, ask()); // leaves an open connection to the worker
+        Thread.sleep(DISCOVERY_UP_MS); // so that discovery is heard from after the start, too
         failing.set(true);
         discovery.endConnections();
         Thread.sleep(LIST_EXPIRES_MS);
@@ -75,7 +75,9 @@
         assertTrue(countsAny("list_failures"));
     }
 
-    /** What the worker itself says counts at once, though discovery cannot tell of its drain. */
+    /**
+     * A failed probe takes effect at once, although discovery cannot report the worker as draining.
+     */
     @Test
     void sendsNothingToWorkerThatFailsProbesWhenListHasExpired() throws Exception {
         startAndLetListExpire(worker("a", failsProbesWhileDraining));
@@ -87,8 +89,8 @@
         }
         assertTrue(
                 lastSentNs - drainingNs < GRACE_NS,
-                (lastSentNs - drainingNs) / 1_000_000 + " ms after it drains");
-        Program.await("it is turned away", () -> isRejected());
+                (lastSentNs - drainingNs) / 1_000_000 + " ms after it began to drain");
+        Program.await("requests are rejected", () -> isRejected());
     }
 
     private boolean isRejected() {
--- a/src/test/java/damsonslip/platform/ProbesTest.java
+++ b/src/test/java/damsonslip/platform/ProbesTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Probes where they alone tell how workers are. */
+/** Probes as the only source of the workers' load and health. */
 class ProbesTest extends PlatformStage {
     private final AtomicInteger probes = new AtomicInteger();
 
@@ -43,23 +43,24 @@
     }
 
     /**
-     * A worker is probed every 0.4 s, and each probe has 0.5 s: one's rest is not the next one's.
+     * A worker is probed every 0.4 s and each probe times out after 0.5 s. Guards against the
+     * timeout of an answered probe ending the next one on the same connection.
      */
     @Test
     void timeoutOfAnsweredProbeDoesNotEndNextProbe() throws Exception {
         Peer.Server worker = start(250);
         Program.await("eight probes", () -> probes.get() >= 8);
-        assertEquals(1, worker.connections(), "all on the one link");
+        assertEquals(1, worker.connections(), "all probes use one connection");
     }
 
     /**
-     * One that is not answered in its time ends its link, since its answer would count for the next
-     * one.
+     * A probe that times out closes its connection; otherwise its late answer would be taken for
+     * the next probe's.
      */
     @Test
     void unansweredProbeClosesItsConnection() throws Exception {
         Peer.Server worker = start(3_000);
         Program.await("three probes", () -> probes.get() >= 3);
-        assertEquals(probes.get(), worker.connections(), "each on a link of its own");
+        assertEquals(probes.get(), worker.connections(), "each probe uses a connection of its own");
     }
 }
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -23,11 +23,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Workers that die behind an accept, and requests in a crowd or written ahead: each has its end in
- * time.
+ * Workers that crash after accepting a connection, pipelined requests and bursts of mixed clients:
+ * every request ends in time.
  */
 class RareMomentsTest extends PlatformStage {
-    /** When a worker's process dies: its connections are reset. */
+    /** The moment at which a worker crashes and its connections are reset. */
     enum Crash {
         BEFORE_THE_REQUEST {
             @Override
@@ -53,11 +53,14 @@
             }
         };
 
-        /** Gives the job that has come whole, if one has. */
+        /** Returns the job if it was received completely, else null. */
         abstract Message on(Peer peer) throws IOException;
     }
 
-    /** The rules allow half a second after the deadline; as much again for a busy machine. */
+    /**
+     * An answer may come half a second after the deadline; as much again is allowed for a busy
+     * machine.
+     */
     private static final long LATENESS_LIMIT_NS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
     private final ExecutorService clients = Executors.newFixedThreadPool(40);
@@ -87,7 +90,10 @@
         return entry(id, server.port(), "ready");
     }
 
-    /** What must not run twice runs once at the most; the other class is served elsewhere. */
+    /**
+     * A request that is not repeatable runs at most once; a repeatable one is retried on another
+     * worker.
+     */
     @ParameterizedTest
     @EnumSource(Crash.class)
     void crashAfterAcceptCausesNoSecondRunAndNoMissingAnswer(Crash crash) throws Exception {
@@ -110,21 +116,28 @@
             assertTrue(status == 200 || status == 502 || status == 503, "answered with " + status);
             served += status == 200 ? 1 : 0;
             assertEquals(
-                    200, ask(query("safe" + i, "read", "2000m")).status(), "it goes elsewhere");
+                    200,
+                    ask(query("safe" + i, "read", "2000m")).status(),
+                    "a repeatable request is retried elsewhere");
             assertTrue(
                     System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATENESS_LIMIT_NS,
-                    "in time");
+                    "answered in time");
         }
         assertTrue(
                 served >= 8,
-                served + " of 12 that run once: each dying worker is found out by its first ones");
+                served
+                        + " of 12 run-once requests served: crashing workers should be avoided"
+                        + " after the first failures");
         runs.forEach(
                 (id, count) ->
                         assertTrue(
                                 id.startsWith("safe") || count.get() == 1, id + " ran " + count));
     }
 
-    /** Their time counts from when they came, not from when the one before them was answered. */
+    /**
+     * The time of a pipelined request counts from its arrival. Guards against counting it from the
+     * answer to the request before it.
+     */
     @Test
     void answersPipelinedRequestsByTheirDeadline() throws Exception {
         start(worker("a", SAY_NOTHING), worker("b", SAY_NOTHING), worker("c", SAY_NOTHING));
@@ -145,8 +158,8 @@
     }
 
     /**
-     * Sends a text and waits for so many answers; what ends the connection counts as the end of the
-     * rest.
+     * Sends a text and waits for this many answers; a closed connection counts as the end of all
+     * the remaining ones. Returns the time taken.
      */
     private static long timeToEndNs(int port, String text, int answers) throws IOException {
         long before = System.nanoTime();
@@ -157,14 +170,14 @@
         } catch (SocketTimeoutException e) {
             throw new AssertionError("no answer and no end: " + text, e);
         } catch (IOException e) {
-            // its connection's end
+            // the connection was closed, which ends the remaining requests
         }
         return System.nanoTime() - before;
     }
 
     /**
-     * Usual clients, some that reset, some with half a request, some that write ahead; workers of
-     * all kinds.
+     * A burst of ordinary clients, clients that reset, that send half a request or that pipeline,
+     * with workers that serve, stall and reset.
      */
     @Test
     void endsEveryRequestInTimeUnderMixedLoad() throws Exception {
@@ -206,7 +219,7 @@
                                         default -> timeToEndNs(port, one, 1);
                                     }));
         }
-        for (Future<Long> one : all) { // half a request has two seconds
+        for (Future<Long> one : all) { // an incomplete request times out after two seconds
             long took = one.get(20, TimeUnit.SECONDS);
             assertTrue(
                     took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATENESS_LIMIT_NS,
--- a/src/test/java/damsonslip/platform/ReadyInTimeTest.java
+++ b/src/test/java/damsonslip/platform/ReadyInTimeTest.java
@@ -18,25 +18,25 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A restarted scheduler is ready in time, whatever discovery does, and serves from the list that it
- * had.
+ * A restarted scheduler becomes ready in time while discovery is unavailable, and serves from the
+ * endpoint list in its configuration.
  */
 class ReadyInTimeTest extends PlatformStage {
-    /** How discovery is away. */
+    /** How discovery is unavailable. */
     enum Outage {
-        /** Nobody listens there. */
+        /** Connections are refused. */
         REFUSES,
-        /** Dials get no answer. */
+        /** Connection attempts get no answer. */
         NEVER_COMES_UP,
-        /** The call is taken, and nothing is said. */
+        /** The call is accepted and never answered. */
         NEVER_ANSWERS,
-        /** It has too many callers. */
+        /** Discovery is overloaded and answers 503 after a while. */
         FAILS_LATE
     }
 
     /**
-     * The pages want 6 s on the shorter days; a start's wait for discovery is far below that, on a
-     * busy machine too.
+     * The requirement is 6 s at its strictest; a start waits for discovery far less than that, also
+     * on a busy machine.
      */
     private static final long READY_NS = TimeUnit.SECONDS.toNanos(4);
 
