--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -26,7 +26,7 @@
 /** The real program between clients, workers and discovery that this test plays. */
 class PlatformTest extends PlatformStage {
     @Test
-    void aQueryGoesToAWorkerUnchangedAndItsResultComesBack() throws Exception {
+    void forwardsRequestUnchangedAndReturnsResult() throws Exception {
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port)) {
             for (String id : List.of("q1", "q2")) {
@@ -46,7 +46,7 @@
 
     /** A link lost after the last byte may have had its effect: once is enough for 'submit'. */
     @Test
-    void whatMayHaveRunIsSentAgainOnlyWhereItsClassAllows() throws Exception {
+    void retriesPossiblyExecutedRequestOnlyWhereClassIsRepeatable() throws Exception {
         start(worker("a", BREAK), worker("b", BREAK));
         Message answer = ask(query("q1", "submit", "1000m"));
         assertEquals(502, answer.status());
@@ -57,7 +57,7 @@
 
     /** Larger than any buffer on the way, in both directions, and two queries written at once. */
     @Test
-    void largeBodiesPassWholeAndQueriesWrittenAheadAreAnsweredInTurn() throws Exception {
+    void forwardsLargeBodiesAndAnswersPipelinedRequestsInOrder() throws Exception {
         String large = "x".repeat(60_000);
         start(
                 worker(
@@ -83,7 +83,7 @@
 
     /** Without load reports nothing but the ends of jobs tells that their slots are free again. */
     @Test
-    void aWorkerThatNeverReportsItsLoadIsUsedOnAndOn() throws Exception {
+    void keepsUsingWorkerThatNeverReportsLoad() throws Exception {
         start(
                 worker(
                         "a",
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatProvablyNeverRanIsSentElsewhere() throws Exception {
+    void retriesUnprocessedRequestOnOtherWorker() throws Exception {
         Peer.Server closed = new Peer.Server(0, peer -> {});
         closed.close();
         start(worker("a", TURN_AWAY), entry("b", closed.port(), "ready"), worker("c", SERVE));
@@ -113,7 +113,7 @@
                 "{\"id\":\"q1\",\"state\":\"jumping\"}",
                 "{\"id\":\"q1\",\"state\":\"done\"}"
             })
-    void aWorkersMalformedLineEndsItsExecutionAsAReset(String line) throws Exception {
+    void malformedWorkerLineFailsExecutionLikeReset(String line) throws Exception {
         start(worker("a", (peer, job) -> peer.answerLines(line)));
         assertEquals(502, ask(query("q1", "submit", "1000m")).status());
         assertEquals(1, jobs("a"));
@@ -124,7 +124,7 @@
      * back.
      */
     @Test
-    void aThrottleComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void rejectsAtOnceWithRetryAfterWhenOverloaded() throws Exception {
         start(worker("a", SAY_NOTHING));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void aSilentWorkersQueryIsAnsweredByItsDeadline() throws Exception {
+    void answersByDeadlineWhenWorkerIsSilent() throws Exception {
         start(worker("a", SAY_NOTHING));
         ask(query("q0", "submit", "300m")); // the first one loads classes
         long before = System.nanoTime();
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void aClientThatGoesTakesItsExecutionAlong() throws Exception {
+    void clientDisconnectCancelsItsExecution() throws Exception {
         List<Boolean> ended = new CopyOnWriteArrayList<>();
         start(worker("a", (peer, job) -> ended.add(peer.ended())));
         Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void nothingNewGoesToAWorkerThatIsToldToDrain() throws Exception {
+    void sendsNothingNewToDrainingWorker() throws Exception {
         String a = worker("a", SERVE);
         start(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
@@ -182,7 +182,7 @@
      * without news.
      */
     @Test
-    void aHangUpMovesTheWatchAndLeavesOpenExecutionsAlone() throws Exception {
+    void sighupMovesWatchAndKeepsOpenExecutions() throws Exception {
         String a =
                 worker(
                         "a",
@@ -192,34 +192,35 @@
                         });
         start(a);
         Program.await("a watch", () -> watches.size() == 1);
-        Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         program.reload("{\"listen\":").awaitWord("reload: config");
-        List<String> novelWatches = new CopyOnWriteArrayList<>();
+        List<String> newWatches = new CopyOnWriteArrayList<>();
         int before = discovery.port();
         discovery =
                 discovery(
                         List.of(list(3, true, a.replace("ready", "draining"), worker("b", SERVE))),
-                        novelWatches);
+                        newWatches);
         program.reload(Files.readString(config(list(7, true))));
-        Program.await("a watch at the new address", () -> novelWatches.size() == 1);
+        Program.await("a watch at the new address", () -> newWatches.size() == 1);
         assertTrue(
-                novelWatches.get(0).contains("after=0"),
-                "the new list is asked for whole: " + novelWatches);
+                newWatches.get(0).contains("after=0"),
+                "the new list is asked for whole: " + newWatches);
         assertEquals(1, watches.size(), "nothing more is asked of the old one, on port " + before);
         assertEquals(200, ask(query("q2", "submit", "2000m")).status());
         assertEquals(1, jobs("b"));
-        assertEquals("r-q1", early.message().body());
+        assertEquals("r-q1", earlyClient.message().body());
     }
 
     @Test
-    void aBadLineFromDiscoveryIsToldPlainlyAndTheListAskedForAgain() throws Exception {
+    void logsBadDiscoveryLineAndRequestsListAgain() throws Exception {
         start(worker("a", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         news.add("{\"generation\":");
         Program.await("a second watch", () -> watches.size() >= 2);
-        String novel = entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
-        news.add(list(9, false, novel, worker("b", SERVE)));
+        String withUnknownZone =
+                entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
+        news.add(list(9, false, withUnknownZone, worker("b", SERVE)));
         program.awaitWord("moon");
         assertEquals(200, ask(query("q1", "read", "2000m")).status());
         assertFalse(program.said().contains("Exception"), program.said());
@@ -229,7 +230,7 @@
      * A worker closes a link at its idle limit; a job written to it then would count as a reset.
      */
     @Test
-    void aServerLinkNearItsIdleLimitIsNotUsedAgain() throws Exception {
+    void doesNotReuseWorkerConnectionNearIdleLimit() throws Exception {
         start(worker("a", SERVE));
         ask(query("q1", "submit", "2000m"));
         Thread.sleep(1_200);
@@ -242,7 +243,7 @@
      * having run.
      */
     @Test
-    void aKindOfLinkThatBreaksUnderItsNextJobIsNotUsedForWhatMustRunOnce() throws Exception {
+    void sendsRunOnceRequestsOnNewConnectionsWhereReusedOnesBreak() throws Exception {
         start(
                 worker(
                         "a",
@@ -277,7 +278,7 @@
                 "nonsense~~|400",
                 "POST /api HTTP/1.1~Host: a~Content-Length: x~~|400"
             })
-    void badInputGetsAPlainRefusal(String text, int status) throws Exception {
+    void rejectsBadInputWithPlainStatus(String text, int status) throws Exception {
         start(worker("a", SERVE));
         assertEquals(status, ask(text.replace("~", "\r\n")).status());
         assertEquals(
@@ -296,7 +297,7 @@
                 + "~";
     }
 
-    static Stream<Arguments> messagesThatCannotBeTrusted() {
+    static Stream<Arguments> untrustworthyMessages() {
         return Stream.of(
                 // the second one would pass a front that goes by the length, and the first a front
                 // that goes by the chunks
@@ -323,8 +324,7 @@
      */
     @ParameterizedTest
     @MethodSource("messagesThatCannotBeTrusted")
-    void whatCannotBeTrustedIsRefusedAndTheConnectionEnds(String text, int status)
-            throws Exception {
+    void rejectsUntrustworthyMessageAndClosesConnection(String text, int status) throws Exception {
         start(worker("a", SERVE));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.replace("~", "\r\n"))) {
@@ -341,7 +341,7 @@
      * already.
      */
     @Test
-    void aQueryThatTurnsOutLongerThanItSaysIsNotServed() throws Exception {
+    void rejectsRequestLongerThanItsContentLength() throws Exception {
         start(worker("a", SAY_NOTHING));
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
@@ -354,7 +354,7 @@
      * whose id it is.
      */
     @Test
-    void anIdThatWasUsedIsRefusedWhetherItsQueryIsOpenOrNot() throws Exception {
+    void rejectsReusedIdOfOpenOrFinishedRequest() throws Exception {
         start(
                 worker(
                         "a",
@@ -376,7 +376,7 @@
      * silent ones go.
      */
     @Test
-    void silentConnectionsMakeWayForUsualClientsAndAreClosed() throws Exception {
+    void closesSilentConnectionsAndServesOrdinaryClients() throws Exception {
         start(worker("a", SERVE));
         List<Peer> silent = new ArrayList<>();
         for (int i = 0; i < 700; i++) {
@@ -406,7 +406,7 @@
 
     /** A flood behind a refusal is not read to its end: others would have to wait for it. */
     @Test
-    void aFloodBehindARefusalKeepsNobodyWaiting() throws Exception {
+    void floodAfterRejectionDelaysNobody() throws Exception {
         start(worker("a", SERVE));
         ask(query("q0", "read", "2000m")); // the first one loads classes
         AtomicInteger sent = new AtomicInteger();
@@ -441,7 +441,7 @@
      * ends.
      */
     @Test
-    void aStopAnswersEverythingAndAsksClientsToGo() throws Exception {
+    void shutdownAnswersEverythingAndClosesConnections() throws Exception {
         start(
                 worker(
                         "a",
@@ -449,22 +449,22 @@
                             Thread.sleep(900);
                             SERVE.on(peer, job);
                         }));
-        Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         Peer kept = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, kept.message().status());
         program.terminate();
         Thread.sleep(200);
-        Message late = ask(query("q2", "submit", "4000m"));
-        assertEquals(200, late.status());
-        assertEquals("close", late.field("Connection"));
+        Message duringShutdown = ask(query("q2", "submit", "4000m"));
+        assertEquals(200, duringShutdown.status());
+        assertEquals("close", duringShutdown.field("Connection"));
         Thread.sleep(
                 100); // a connection that was kept serves once more, as long as the process may not
         // be killed
         Message last = kept.send(query("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
-        Message answer = early.message();
+        Message answer = earlyClient.message();
         assertEquals("r-q1", answer.body());
         assertEquals("close", answer.field("Connection"));
         program.reload(null);
@@ -479,7 +479,7 @@
      * before.
      */
     @Test
-    void aStopAnswersWhatCannotBeWaitedFor() throws Exception {
+    void shutdownFailsRequestsThatOutlastIt() throws Exception {
         start(worker("a", SAY_NOTHING));
         Peer client = Peer.connect(port).send(query("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
@@ -491,7 +491,7 @@
     }
 
     @Test
-    void badConfigurationEndsTheProgramWithOnePlainLine() throws Exception {
+    void badConfigurationExitsWithOneLine() throws Exception {
         for (String text :
                 List.of(
                         "{",
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -18,7 +18,7 @@
 /** Drains that come with a new configuration or by whole lists, under load. */
 class ReloadsWithDrainsTest extends LoadedStage {
     /** What the first call to a new discovery meets. */
-    enum First {
+    enum FirstCall {
         ANSWERS,
         BUSY,
         RESETS
@@ -30,7 +30,7 @@
     private final AtomicInteger calls = new AtomicInteger();
 
     /** When the list of the new discovery was written. */
-    private final CompletableFuture<Long> told = new CompletableFuture<>();
+    private final CompletableFuture<Long> listSentNs = new CompletableFuture<>();
 
     private void reloadTo(int to) throws Exception {
         program.reload(
@@ -41,25 +41,25 @@
     }
 
     /** Answers its first call as told, and all others with this list on an open watch. */
-    private Peer.Server next(First first, String list) throws IOException {
+    private Peer.Server newDiscovery(FirstCall first, String list) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
                         peer -> {
-                            boolean troubled =
-                                    calls.incrementAndGet() == 1 && first != First.ANSWERS;
-                            if (troubled && first == First.RESETS) {
+                            boolean fails =
+                                    calls.incrementAndGet() == 1 && first != FirstCall.ANSWERS;
+                            if (fails && first == FirstCall.RESETS) {
                                 peer.reset();
                                 return;
                             }
                             peer.message();
-                            if (troubled) {
+                            if (fails) {
                                 peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
                                 return;
                             }
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                                     .chunk(list);
-                            told.complete(System.nanoTime());
+                            listSentNs.complete(System.nanoTime());
                             for (int i = 0; i < 30; i++) {
                                 Thread.sleep(1_000);
                                 peer.chunk("");
@@ -70,12 +70,12 @@
     }
 
     /** It was told in time, and from then on two of three workers get nothing. */
-    private void assertTold(long hungUpNs) throws Exception {
-        long toldNs = told.get(10, TimeUnit.SECONDS);
+    private void assertAppliedInTime(long reloadedNs) throws Exception {
+        long sentNs = listSentNs.get(10, TimeUnit.SECONDS);
         assertTrue(
-                toldNs - hungUpNs < RELOAD_NS,
-                (toldNs - hungUpNs) / 1_000_000 + " ms after SIGHUP");
-        assertLeftAlone(toldNs, "a", "b");
+                sentNs - reloadedNs < RELOAD_NS,
+                (sentNs - reloadedNs) / 1_000_000 + " ms after SIGHUP");
+        assertLeftAlone(sentNs, "a", "b");
         assertUsed("c");
     }
 
@@ -84,16 +84,16 @@
      * open and repeats them.
      */
     @ParameterizedTest
-    @EnumSource(First.class)
-    void drainsInTheFirstListOfANewAddressAreToldInTime(First first) throws Exception {
+    @EnumSource(FirstCall.class)
+    void appliesDrainsInFirstListOfNewAddressInTime(FirstCall first) throws Exception {
         String a = noting("a");
         String c = noting("c");
         loaded(a, noting("b"), c);
-        Peer.Server next = next(first, list(3, true, draining(a), c));
-        long hungUp = System.nanoTime();
-        reloadTo(next.port());
+        Peer.Server newDiscovery = newDiscovery(first, list(3, true, draining(a), c));
+        long sighupNs = System.nanoTime();
+        reloadTo(newDiscovery.port());
         news.add(list(8, false, a));
-        assertTold(hungUp);
+        assertAppliedInTime(sighupNs);
     }
 
     /**
@@ -101,17 +101,18 @@
      * back.
      */
     @Test
-    void ofTwoReloadsInARowTheSecondCountsThoughTheFirstAddressComesUpLater() throws Exception {
+    void secondReloadWinsWhenFirstAddressComesUpLater() throws Exception {
         String a = noting("a");
         String b = noting("b");
         String c = noting("c");
         try (LateServer slow = new LateServer()) {
             loaded(a, b, c);
-            Peer.Server next = next(First.ANSWERS, list(3, true, draining(a), c));
+            Peer.Server newDiscovery =
+                    newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
             reloadTo(slow.port());
             program.awaitWord("reload: discovery is at 127.0.0.1:" + slow.port());
-            long hungUp = System.nanoTime();
-            reloadTo(next.port());
+            long sighupNs = System.nanoTime();
+            reloadTo(newDiscovery.port());
             Program.await("the second is asked", () -> calls.get() == 1);
             slow.open(
                     peer -> {
@@ -120,7 +121,7 @@
                     });
             Program.await("the first has come up", () -> slow.connections() == 1);
             Thread.sleep(200); // it would be asked, and its list would count, at once
-            assertTold(hungUp);
+            assertAppliedInTime(sighupNs);
         }
     }
 
@@ -129,13 +130,13 @@
      * list.
      */
     @Test
-    void aReloadDuringACallLeavesThatCallsAnswerAside() throws Exception {
+    void reloadDuringCallIgnoresThatCallsAnswer() throws Exception {
         String a = noting("a");
         String b = noting("b");
         String c = noting("c");
         loaded(a, b, c);
         AtomicInteger asked = new AtomicInteger();
-        Peer.Server next = next(First.ANSWERS, list(3, true, draining(a), c));
+        Peer.Server newDiscovery = newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
         Peer.Server slow =
                 new Peer.Server(
                         0,
@@ -149,22 +150,22 @@
         servers.add(slow);
         reloadTo(slow.port());
         Program.await("the first is asked", () -> asked.get() == 1);
-        long hungUp = System.nanoTime();
-        reloadTo(next.port());
-        assertTold(hungUp);
+        long sighupNs = System.nanoTime();
+        reloadTo(newDiscovery.port());
+        assertAppliedInTime(sighupNs);
     }
 
     /** A new discovery that is too busy to answer: what it has to tell counts all the same. */
     @Test
-    void nothingIsSentOnTheOldListWhereTheNewDiscoveryDoesNotGetRoundToTelling() throws Exception {
+    void sendsNothingByOldListWhileNewDiscoveryIsOverloaded() throws Exception {
         loaded(noting("a"), noting("b"));
         Peer.Server busy = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(busy);
-        long hungUp = System.nanoTime();
+        long sighupNs = System.nanoTime();
         reloadTo(busy.port());
         Thread.sleep(1_500);
         discovery.close(); // as the old one does, by LATER
-        assertLeftAlone(hungUp + RELOAD_NS, "a", "b");
+        assertLeftAlone(sighupNs + RELOAD_NS, "a", "b");
     }
 
     /**
@@ -172,7 +173,7 @@
      * other ones missing.
      */
     @Test
-    void wholeListsOnAnOpenWatchCountWhateverTheirNumbers() throws Exception {
+    void appliesCompleteListsWhateverTheirGeneration() throws Exception {
         String a = noting("a");
         String b = noting("b");
         String c = noting("c");
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -29,16 +29,16 @@
         clients.shutdownNow();
     }
 
-    private void bothAnswered(String text, int at, String first, String second)
+    private void assertBothAnswered(String text, int split, String first, String second)
             throws IOException, InterruptedException {
         try (Peer client = Peer.connect(port)) {
-            client.send(text.substring(0, at));
+            client.send(text.substring(0, split));
             Thread.sleep(PAUSE_MS);
-            client.send(text.substring(at));
+            client.send(text.substring(split));
             for (String id : List.of(first, second)) {
                 Message answer = client.message();
                 assertEquals(
-                        "200 r-" + id, answer.status() + " " + answer.body(), "split at " + at);
+                        "200 r-" + id, answer.status() + " " + answer.body(), "split at " + split);
             }
         }
     }
@@ -48,7 +48,7 @@
      * between them.
      */
     @Test
-    void requestsInTwoPiecesAreServedWhereverTheSeamLies() throws Exception {
+    void servesRequestsSplitInTwoAtAnyByte() throws Exception {
         startCounting(worker("a", SERVE), worker("b", SERVE), worker("c", SERVE));
         awaitDiscovery();
         int length =
@@ -60,16 +60,16 @@
             all.add(
                     clients.submit(
                             () -> {
-                                for (int at = next.getAndIncrement();
-                                        at < length;
-                                        at = next.getAndIncrement()) {
-                                    String first = "x" + (100 + at);
-                                    String second = "y" + (100 + at);
+                                for (int split = next.getAndIncrement();
+                                        split < length;
+                                        split = next.getAndIncrement()) {
+                                    String first = "x" + (100 + split);
+                                    String second = "y" + (100 + split);
                                     String text =
                                             query(first, "read", "4000m")
                                                     + "\r\n"
                                                     + query(second, "submit", "4000m");
-                                    bothAnswered(text, at, first, second);
+                                    assertBothAnswered(text, split, first, second);
                                 }
                                 return null;
                             }));
@@ -81,7 +81,7 @@
 
     /** Byte by byte in both directions, and the body of a request that is written slowly. */
     @Test
-    void whatComesByteByByteIsReadLikeAnyOther() throws Exception {
+    void readsRequestsAndAnswersThatArriveByteByByte() throws Exception {
         start(
                 worker(
                         "a",
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -20,13 +20,13 @@
     @EnumSource(
             value = Errno.class,
             names = {"ENOMEM", "ENOBUFS", "ENFILE", "EMFILE"})
-    void startsOnceThereAreSocketsAgain(Errno error) throws Exception {
+    void startsOnceSocketsAreAvailableAgain(Errno error) throws Exception {
         Map<String, String> environment = new HashMap<>(faults.environment());
-        int second = Program.freePort();
+        int managementPort = Program.freePort();
         faults.fail(SystemCall.SOCKET, error, 1);
         program =
                 new Program(
-                        config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                        config(list(7, true, worker("a", SERVE)), mgmt(managementPort)),
                         environment,
                         List.of(),
                         "serve");
@@ -37,7 +37,7 @@
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
         Program.await(
                 "its second address listens",
-                () -> call(second, "READY").startsWith("YES"),
+                () -> call(managementPort, "READY").startsWith("YES"),
                 program);
     }
 }
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -14,15 +14,15 @@
      * time.
      */
     @Test
-    void neitherThreadsNorOrdersNeedCodeMadeAtRunTime() throws Exception {
-        int second = Program.freePort();
+    void startGeneratesNoCodeForThreadPoolsOrComparators() throws Exception {
+        int managementPort = Program.freePort();
         program =
                 new Program(
-                                config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                                config(list(7, true, worker("a", SERVE)), mgmt(managementPort)),
                                 List.of("-Xlog:class+load:stdout"),
                                 "serve")
                         .awaitWord("listens on");
-        Program.await("ready", () -> call(second, "READY").startsWith("YES"));
+        Program.await("ready", () -> call(managementPort, "READY").startsWith("YES"));
         List<String> loaded = program.said().lines().toList();
         assertTrue(
                 loaded.stream()
--- a/src/test/java/damsonslip/platform/StopTest.java
+++ b/src/test/java/damsonslip/platform/StopTest.java
@@ -13,26 +13,26 @@
 
 /** A stop at moments that are not usual. */
 class StopTest extends PlatformStage {
-    private static final int PIPE = 64 * 1024;
+    private static final int PIPE_BYTES = 64 * 1024;
 
     /**
      * Where all deadlines are short the process may be killed sooner: 0.7 s after the longest of
      * them.
      */
     @Test
-    void aStopFollowsTheDeadlinesOfTheSettings() throws Exception {
+    void shutdownTimeFollowsDeadlinesInSettings() throws Exception {
         Path file = config(list(7, true, worker("a", SAY_NOTHING)));
         Files.writeString(
                 file, Files.readString(file).replace("\"hard_limit_s\":5", "\"hard_limit_s\":0.8"));
         program = new Program(file, "serve").awaitWord("listens on");
-        Peer early = Peer.connect(port).send(query("q1", "submit", "20000m"));
+        Peer beforeStop = Peer.connect(port).send(query("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         long before = System.nanoTime();
         program.terminate();
         Thread.sleep(400);
-        Peer late = Peer.connect(port).send(query("q2", "submit", "20000m"));
-        assertEquals(502, early.message().status());
-        assertTrue(late.message().status() >= 500);
+        Peer afterStop = Peer.connect(port).send(query("q2", "submit", "20000m"));
+        assertEquals(502, beforeStop.message().status());
+        assertTrue(afterStop.message().status() >= 500);
         assertTrue(System.nanoTime() - before < 1_500_000_000L, "before it may be killed");
         assertEquals(143, program.exit());
     }
@@ -42,11 +42,11 @@
      * stop that comes then must find everything in place that answers what was taken.
      */
     @Test
-    void aStopBetweenTheDoorAndTheEndOfTheStartAnswersWhatWasTaken() throws Exception {
+    void stopBetweenListeningAndEndOfStartAnswersAcceptedRequests() throws Exception {
         Path pipe = dir.resolve("log");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         try (RandomAccessFile log = new RandomAccessFile(pipe.toFile(), "rw")) {
-            log.write(new byte[PIPE]);
+            log.write(new byte[PIPE_BYTES]);
             Path file =
                     config(
                             list(
@@ -60,17 +60,17 @@
                                             })));
             program =
                     new Program(file, List.of("-Dorg.slf4j.simpleLogger.logFile=" + pipe), "serve");
-            Peer client = open();
+            Peer client = connectOnceListening();
             client.send(query("q1", "submit", "4000m"));
             Program.await("it is sent", () -> jobs("a") == 1);
             program.terminate();
             assertEquals("r-q1", client.message().body());
-            log.readFully(new byte[PIPE]);
+            log.readFully(new byte[PIPE_BYTES]);
             assertEquals(143, program.exit());
         }
     }
 
-    private Peer open() {
+    private Peer connectOnceListening() {
         Peer[] client = new Peer[1];
         Program.await(
                 "the door is open",
@@ -87,7 +87,7 @@
 
     /** Before the door opens there is nothing to answer, and a stop ends the start. */
     @Test
-    void aStopBeforeTheDoorOpensEndsTheStart() throws Exception {
+    void stopBeforeListeningEndsStart() throws Exception {
         Peer.Server agent =
                 new Peer.Server(
                         0, peer -> Thread.sleep(30_000)); // lists are pushed there, and none comes
--- a/src/test/java/damsonslip/platform/ThreadShortageTest.java
+++ b/src/test/java/damsonslip/platform/ThreadShortageTest.java
@@ -21,26 +21,27 @@
     }
 
     @Test
-    void answersAllWhereNoThreadCanBeStarted() throws Exception {
+    void answersAllWhenNoThreadCanBeStarted() throws Exception {
         startShortOfThreads();
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
     }
 
     @Test
-    void followsDiscoveryOnSighupWhereNoThreadCanBeStarted() throws Exception {
+    void movesWatchOnSighupWhenNoThreadCanBeStarted() throws Exception {
         List<String> newWatches = new CopyOnWriteArrayList<>();
-        Peer.Server moved = discovery(new CopyOnWriteArrayList<>(), newWatches);
+        Peer.Server newDiscovery = discovery(new CopyOnWriteArrayList<>(), newWatches);
         startShortOfThreads();
-        String before = "127.0.0.1:" + discovery.port();
+        String oldAddress = "127.0.0.1:" + discovery.port();
         program.reload(
-                Files.readString(configuration).replace(before, "127.0.0.1:" + moved.port()));
+                Files.readString(configuration)
+                        .replace(oldAddress, "127.0.0.1:" + newDiscovery.port()));
         Program.await(
                 "it watches discovery where that is now", () -> !newWatches.isEmpty(), program);
     }
 
     /** The JVM starts a thread for each signal, and drops the signal where it cannot. */
     @Test
-    void endsOnSigtermWhereNoThreadCanBeStarted() throws Exception {
+    void exitsOnSigtermWhenNoThreadCanBeStarted() throws Exception {
         startShortOfThreads();
         program.terminate();
         assertEquals(EXIT_BY_SIGTERM, program.exit());
