--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The real program between clients, workers and discovery that this test plays. */
+/** Runs the real program; the test plays its clients, its workers and discovery. */
 class PlatformTest extends PlatformStage {
     @Test
     void forwardsRequestUnchangedAndReturnsResult() throws Exception {
@@ -33,7 +33,8 @@
                 Message answer = client.send(query(id, "submit", "4000m")).message();
                 assertEquals(200, answer.status());
                 assertEquals("r-" + id, answer.body());
-                Thread.sleep(150); // a link has to rest before it carries what must run once
+                Thread.sleep(150); // a reused connection must be idle a while before it carries a
+                // run-once request
             }
         }
         Message job = got.get("a").get(0);
@@ -41,10 +42,13 @@
         assertEquals("body", job.body());
         assertEquals("k-q1", job.field("Idempotency-Key"));
         assertTrue(Integer.parseInt(job.field("X-Time-Left").replace("u", "")) > 3_000_000);
-        assertEquals(1, servers.get(1).connections(), "the server link is kept");
+        assertEquals(1, servers.get(1).connections(), "the worker connection is reused");
     }
 
-    /** A link lost after the last byte may have had its effect: once is enough for 'submit'. */
+    /**
+     * A request whose connection is lost after its last byte may have run; 'submit' must run at
+     * most once, so it is not retried.
+     */
     @Test
     void retriesPossiblyExecutedRequestOnlyWhereClassIsRepeatable() throws Exception {
         start(worker("a", BREAK), worker("b", BREAK));
@@ -52,10 +56,13 @@
         assertEquals(502, answer.status());
         assertEquals(1, jobs("a", "b"), "sent once");
         ask(query("q2", "read", "1000m"));
-        assertTrue(jobs("a", "b") >= 3, "a repeatable one is tried again");
+        assertTrue(jobs("a", "b") >= 3, "a repeatable request is retried");
     }
 
-    /** Larger than any buffer on the way, in both directions, and two queries written at once. */
+    /**
+     * A body larger than any buffer on the way, in both directions, and two requests pipelined in
+     * one write.
+     */
     @Test
     void forwardsLargeBodiesAndAnswersPipelinedRequestsInOrder() throws Exception {
         String large = "x".repeat(60_000);
@@ -81,7 +88,10 @@
         }
     }
 
-    /** Without load reports nothing but the ends of jobs tells that their slots are free again. */
+    /**
+     * Without load reports only the ends of jobs free their slots. Guards against a worker that
+     * appears full for ever.
+     */
     @Test
     void keepsUsingWorkerThatNeverReportsLoad() throws Exception {
         start(
@@ -120,8 +130,7 @@
     }
 
     /**
-     * The module has given up: the answer must not wait for the deadline, and says when to come
-     * back.
+     * A request that the policy rejects is answered at once with Retry-After, not at its deadline.
      */
     @Test
     void rejectsAtOnceWithRetryAfterWhenOverloaded() throws Exception {
@@ -133,7 +142,8 @@
         long before = System.nanoTime();
         Message answer = ask(query("last", "read", "4000m"));
         assertEquals(503, answer.status());
-        assertTrue(System.nanoTime() - before < 2_000_000_000L, "long before its deadline");
+        assertTrue(
+                System.nanoTime() - before < 2_000_000_000L, "rejected long before its deadline");
         assertNotNull(answer.field("Retry-After"));
         assertTrue(Double.parseDouble(answer.field("Retry-After")) > 0);
         for (Peer client : clients) {
@@ -144,7 +154,7 @@
     @Test
     void answersByDeadlineWhenWorkerIsSilent() throws Exception {
         start(worker("a", SAY_NOTHING));
-        ask(query("q0", "submit", "300m")); // the first one loads classes
+        ask(query("q0", "submit", "300m")); // the first request loads classes
         long before = System.nanoTime();
         assertEquals(504, ask(query("q1", "submit", "600m")).status());
         long ms = (System.nanoTime() - before) / 1_000_000;
@@ -158,7 +168,7 @@
         Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
         client.close();
-        Program.await("its link is closed", () -> ended.equals(List.of(true)));
+        Program.await("the connection to the worker is closed", () -> ended.equals(List.of(true)));
     }
 
     @Test
@@ -178,8 +188,8 @@
     }
 
     /**
-     * The JVM would exit on SIGHUP, and a scheduler that kept to the old address would go on
-     * without news.
+     * Guards against a JVM that exits on SIGHUP, and against a scheduler that stays with the old
+     * discovery address and gets no further watch events.
      */
     @Test
     void sighupMovesWatchAndKeepsOpenExecutions() throws Exception {
@@ -205,8 +215,8 @@
         Program.await("a watch at the new address", () -> newWatches.size() == 1);
         assertTrue(
                 newWatches.get(0).contains("after=0"),
-                "the new list is asked for whole: " + newWatches);
-        assertEquals(1, watches.size(), "nothing more is asked of the old one, on port " + before);
+                "the complete list is requested: " + newWatches);
+        assertEquals(1, watches.size(), "no new watch at the old address, port " + before);
         assertEquals(200, ask(query("q2", "submit", "2000m")).status());
         assertEquals(1, jobs("b"));
         assertEquals("r-q1", earlyClient.message().body());
@@ -227,7 +237,8 @@
     }
 
     /**
-     * A worker closes a link at its idle limit; a job written to it then would count as a reset.
+     * A worker closes a connection at its idle limit; a job written to it at that moment would fail
+     * as a reset.
      */
     @Test
     void doesNotReuseWorkerConnectionNearIdleLimit() throws Exception {
@@ -239,8 +250,9 @@
     }
 
     /**
-     * Kept links may be dropped long before the limit and look open: a job written to one counts as
-     * having run.
+     * A reused connection may have been dropped long before its idle limit and still look open; a
+     * job written to it counts as possibly executed. Once reused connections have broken this way,
+     * run-once requests must avoid them.
      */
     @Test
     void sendsRunOnceRequestsOnNewConnectionsWhereReusedOnesBreak() throws Exception {
@@ -285,7 +297,7 @@
                 431,
                 ask("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n").status());
         assertEquals(
-                200, ask(query("q1", "read", "2000m")).status(), "others are served as before");
+                200, ask(query("q1", "read", "2000m")).status(), "other requests are still served");
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
@@ -299,8 +311,8 @@
 
     static Stream<Arguments> untrustworthyMessages() {
         return Stream.of(
-                // the second one would pass a front that goes by the length, and the first a front
-                // that goes by the chunks
+                // request smuggling: a proxy that goes by Content-Length and one that goes by the
+                // chunks would see different requests
                 arguments(
                         head("q", "Content-Length: 4~Transfer-Encoding: chunked~")
                                 + "0~~"
@@ -319,8 +331,8 @@
     }
 
     /**
-     * Each gets its error within three seconds, then the end of the connection, and no worker hears
-     * of it.
+     * Each message gets its error within three seconds, then its connection is closed, and no
+     * worker is sent anything.
      */
     @ParameterizedTest
     @MethodSource("messagesThatCannotBeTrusted")
@@ -337,8 +349,8 @@
     }
 
     /**
-     * What is behind a length that is too small may come only when the query is with a worker
-     * already.
+     * The bytes beyond a Content-Length that is too small may arrive only after the request was
+     * forwarded to a worker.
      */
     @Test
     void rejectsRequestLongerThanItsContentLength() throws Exception {
@@ -350,8 +362,8 @@
     }
 
     /**
-     * Ids belong to one query each: a stranger's repeat must neither run nor disturb the query
-     * whose id it is.
+     * An id belongs to one request: another client's request with the same id must neither run nor
+     * disturb the first.
      */
     @Test
     void rejectsReusedIdOfOpenOrFinishedRequest() throws Exception {
@@ -372,8 +384,8 @@
     }
 
     /**
-     * Connections that say nothing fill the room there is; usual clients still get in, and the
-     * silent ones go.
+     * Silent connections use up the descriptors for clients; ordinary clients must still be
+     * accepted, and the silent connections closed.
      */
     @Test
     void closesSilentConnectionsAndServesOrdinaryClients() throws Exception {
@@ -383,19 +395,19 @@
             silent.add(Peer.connect(port));
             if (i % 100 == 99) {
                 Thread.sleep(
-                        30); // what is only accepted, and not yet taken in or let go, fills room of
-                // its own
+                        30); // connections accepted but not yet admitted or closed have descriptors
+                // of their own
             }
         }
         long before = System.nanoTime();
         Program.await(
-                "a usual client gets in, at the latest once the newest have been sorted",
+                "an ordinary client is served, at the latest once the newest connections are"
+                        + " admitted or closed",
                 () -> {
                     try {
                         return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
                     } catch (IOException e) {
-                        return false; // so many are accepted and not yet sorted that there is no
-                        // room
+                        return false; // no descriptor left while so many connections are undecided
                     }
                 });
         for (Peer peer : silent) {
@@ -404,11 +416,14 @@
         assertTrue(System.nanoTime() - before < 3_500_000_000L);
     }
 
-    /** A flood behind a refusal is not read to its end: others would have to wait for it. */
+    /**
+     * The body of a rejected request is not read to its end. Guards against a client that floods
+     * the scheduler and delays all others.
+     */
     @Test
     void floodAfterRejectionDelaysNobody() throws Exception {
         start(worker("a", SERVE));
-        ask(query("q0", "read", "2000m")); // the first one loads classes
+        ask(query("q0", "read", "2000m")); // the first request loads classes
         AtomicInteger sent = new AtomicInteger();
         Thread flood =
                 new Thread(
@@ -423,7 +438,7 @@
                                     client.send(part);
                                 }
                             } catch (IOException e) {
-                                // its end
+                                // the scheduler closed the connection
                             }
                         });
         flood.start();
@@ -433,12 +448,12 @@
         }
         assertTrue(System.nanoTime() - before < 2_000_000_000L);
         flood.join(5_000);
-        assertTrue(sent.get() < 100, "it was cut off after " + sent.get() + " MB");
+        assertTrue(sent.get() < 100, "the flood was cut off after " + sent.get() + " MB");
     }
 
     /**
-     * After SIGTERM clients still come for a while; all get an answer, and only then the process
-     * ends.
+     * After SIGTERM clients still connect for a while; all of them get an answer before the process
+     * exits.
      */
     @Test
     void shutdownAnswersEverythingAndClosesConnections() throws Exception {
@@ -459,8 +474,8 @@
         assertEquals(200, duringShutdown.status());
         assertEquals("close", duringShutdown.field("Connection"));
         Thread.sleep(
-                100); // a connection that was kept serves once more, as long as the process may not
-        // be killed
+                100); // an open connection serves one more request while the process may not be
+        // killed yet
         Message last = kept.send(query("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
@@ -475,8 +490,8 @@
     }
 
     /**
-     * The process may be killed 3.7 s after SIGTERM: a query that runs for longer is told so
-     * before.
+     * The process may be killed 3.7 s after SIGTERM; a request that runs longer gets its error
+     * before that.
      */
     @Test
     void shutdownFailsRequestsThatOutlastIt() throws Exception {
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -15,21 +15,24 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Drains that come with a new configuration or by whole lists, under load. */
+/** Drains that arrive with a configuration reload or in complete lists, under load. */
 class ReloadsWithDrainsTest extends LoadedStage {
-    /** What the first call to a new discovery meets. */
+    /** How the new discovery handles the first call to it. */
     enum FirstCall {
         ANSWERS,
         BUSY,
         RESETS
     }
 
-    /** After SIGHUP a change counts as told so much later at the latest. */
+    /**
+     * The drain grace of a change in the new discovery's list begins this long after SIGHUP at the
+     * latest.
+     */
     private static final long RELOAD_NS = TimeUnit.SECONDS.toNanos(4);
 
     private final AtomicInteger calls = new AtomicInteger();
 
-    /** When the list of the new discovery was written. */
+    /** When the new discovery sent its list. */
     private final CompletableFuture<Long> listSentNs = new CompletableFuture<>();
 
     private void reloadTo(int to) throws Exception {
@@ -40,7 +43,10 @@
                                 "\"discovery\":\"127.0.0.1:" + to + "\""));
     }
 
-    /** Answers its first call as told, and all others with this list on an open watch. */
+    /**
+     * A new discovery that handles its first call as given, and answers all others with this list
+     * on an open watch.
+     */
     private Peer.Server newDiscovery(FirstCall first, String list) throws IOException {
         Peer.Server server =
                 new Peer.Server(
@@ -69,7 +75,10 @@
         return server;
     }
 
-    /** It was told in time, and from then on two of three workers get nothing. */
+    /**
+     * Checks that the list was fetched in time and that workers a and b get nothing after their
+     * grace.
+     */
     private void assertAppliedInTime(long reloadedNs) throws Exception {
         long sentNs = listSentNs.get(10, TimeUnit.SECONDS);
         assertTrue(
@@ -80,8 +89,8 @@
     }
 
     /**
-     * One drains in the first list of the new address, one is missing there; the old watch stays
-     * open and repeats them.
+     * In the first list of the new address one worker is draining and one is missing. The old watch
+     * stays open and announces one of them as ready; that must not count.
      */
     @ParameterizedTest
     @EnumSource(FirstCall.class)
@@ -97,8 +106,8 @@
     }
 
     /**
-     * The first one has not come up when the second moves on; coming up later, it takes nothing
-     * back.
+     * The connection to the first new address is not up yet when the second reload replaces it;
+     * when it comes up later, its list must not count.
      */
     @Test
     void secondReloadWinsWhenFirstAddressComesUpLater() throws Exception {
@@ -113,21 +122,21 @@
             program.awaitWord("reload: discovery is at 127.0.0.1:" + slow.port());
             long sighupNs = System.nanoTime();
             reloadTo(newDiscovery.port());
-            Program.await("the second is asked", () -> calls.get() == 1);
+            Program.await("the second address is called", () -> calls.get() == 1);
             slow.open(
                     peer -> {
                         peer.message();
                         peer.answerLines(list(9, true, a, b));
                     });
-            Program.await("the first has come up", () -> slow.connections() == 1);
-            Thread.sleep(200); // it would be asked, and its list would count, at once
+            Program.await("the first address has come up", () -> slow.connections() == 1);
+            Thread.sleep(200); // a stale list would be fetched and applied at once
             assertAppliedInTime(sighupNs);
         }
     }
 
     /**
-     * The call to the first address is under way, and its answer comes when the second has told its
-     * list.
+     * A call to the first new address is in progress at the second reload; its answer, which comes
+     * after the second address was called, must not count.
      */
     @Test
     void reloadDuringCallIgnoresThatCallsAnswer() throws Exception {
@@ -143,19 +152,22 @@
                         peer -> {
                             peer.message();
                             asked.incrementAndGet();
-                            Program.await("the second is asked", () -> calls.get() == 1);
+                            Program.await("the second address is called", () -> calls.get() == 1);
                             Thread.sleep(200);
                             peer.answerLines(list(9, true, a, b));
                         });
         servers.add(slow);
         reloadTo(slow.port());
-        Program.await("the first is asked", () -> asked.get() == 1);
+        Program.await("the first address is called", () -> asked.get() == 1);
         long sighupNs = System.nanoTime();
         reloadTo(newDiscovery.port());
         assertAppliedInTime(sighupNs);
     }
 
-    /** A new discovery that is too busy to answer: what it has to tell counts all the same. */
+    /**
+     * The new discovery is too busy to answer. The grace begins at the reload limit all the same,
+     * so after it nothing may be sent by the old list.
+     */
     @Test
     void sendsNothingByOldListWhileNewDiscoveryIsOverloaded() throws Exception {
         loaded(noting("a"), noting("b"));
@@ -169,8 +181,8 @@
     }
 
     /**
-     * Whole lists on an open watch: half are missing in one, and the next has a lower number and
-     * other ones missing.
+     * Complete lists on an open watch replace the known workers: half of them are missing in the
+     * first, and the second has a lower generation and misses the others.
      */
     @Test
     void appliesCompleteListsWhateverTheirGeneration() throws Exception {
@@ -189,6 +201,6 @@
         long third = System.nanoTime();
         news.add(list(5, false, draining(a), c));
         assertLeftAlone(third, "a");
-        assertEquals(1, watches.size(), "all on one watch");
+        assertEquals(1, watches.size(), "all lists on one watch");
     }
 }
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Messages that come in pieces, as the network or a slow writer cuts them. */
+/** Messages that arrive in pieces, as the network or a slow sender splits them. */
 class RequestsInPiecesTest extends PlatformStage {
     private static final int CLIENTS = 8;
 
-    /** Each piece is a write of its own, which is read before the next one comes. */
+    /** Long enough that each piece is read before the next is written. */
     private static final int PAUSE_MS = 3;
 
     private final ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Two requests written in two parts: the seam lies at each byte of the heads, the bodies and
-     * between them.
+     * Two pipelined requests written in two parts, split at each byte of the heads, the bodies and
+     * the gap between them.
      */
     @Test
     void servesRequestsSplitInTwoAtAnyByte() throws Exception {
@@ -79,7 +79,7 @@
         }
     }
 
-    /** Byte by byte in both directions, and the body of a request that is written slowly. */
+    /** Request heads, bodies and answers, sent one byte at a time in both directions. */
     @Test
     void readsRequestsAndAnswersThatArriveByteByByte() throws Exception {
         start(
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The real program that starts while the system has no socket to give (socket(2)). */
+/** The real program, started while the system cannot create sockets (socket(2)). */
 class ShortageAtStartTest extends FaultStage {
     private static final long SHORTAGE_MS = 1_500;
 
@@ -36,7 +36,7 @@
         program.awaitWord("listens on");
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
         Program.await(
-                "its second address listens",
+                "the management address listens",
                 () -> call(managementPort, "READY").startsWith("YES"),
                 program);
     }
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -7,10 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a start may not spend its part of a core on. */
+/** What a start must not spend its share of a core on. */
 class StartTest extends PlatformStage {
     /**
-     * Code that is made at run time cannot be archived, and costs a restarting scheduler's clients
+     * Guards against lambda comparators and Jetty's security classes being loaded at the start:
+     * code generated at run time cannot be archived, and it costs a restarting scheduler's clients
      * time.
      */
     @Test
@@ -27,7 +28,7 @@
         assertTrue(
                 loaded.stream()
                         .anyMatch(line -> line.contains(" damsonslip.policy.SchedulingPolicy ")),
-                "classes are told");
+                "loaded classes are logged");
         assertEquals(
                 List.of(),
                 loaded.stream()
--- a/src/test/java/damsonslip/platform/StopTest.java
+++ b/src/test/java/damsonslip/platform/StopTest.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A stop at moments that are not usual. */
+/** SIGTERM at unusual moments, and with short deadlines. */
 class StopTest extends PlatformStage {
     private static final int PIPE_BYTES = 64 * 1024;
 
     /**
-     * Where all deadlines are short the process may be killed sooner: 0.7 s after the longest of
-     * them.
+     * With short deadlines the process may be killed sooner, 0.7 s after the longest of them, so it
+     * has to answer by then.
      */
     @Test
     void shutdownTimeFollowsDeadlinesInSettings() throws Exception {
@@ -33,13 +33,15 @@
         Peer afterStop = Peer.connect(port).send(query("q2", "submit", "20000m"));
         assertEquals(502, beforeStop.message().status());
         assertTrue(afterStop.message().status() >= 500);
-        assertTrue(System.nanoTime() - before < 1_500_000_000L, "before it may be killed");
+        assertTrue(
+                System.nanoTime() - before < 1_500_000_000L,
+                "answered before the process may be killed");
         assertEquals(143, program.exit());
     }
 
     /**
-     * The door is open and the start is not over: its last word waits for room in a full pipe. A
-     * stop that comes then must find everything in place that answers what was taken.
+     * The program listens but its start is not finished, because its last log line blocks on a full
+     * pipe. A SIGTERM at that moment must still answer the requests that were accepted.
      */
     @Test
     void stopBetweenListeningAndEndOfStartAnswersAcceptedRequests() throws Exception {
@@ -73,7 +75,7 @@
     private Peer connectOnceListening() {
         Peer[] client = new Peer[1];
         Program.await(
-                "the door is open",
+                "the program listens",
                 () -> {
                     try {
                         client[0] = Peer.connect(port);
@@ -85,12 +87,15 @@
         return client[0];
     }
 
-    /** Before the door opens there is nothing to answer, and a stop ends the start. */
+    /** Before the program listens there is nothing to answer, so SIGTERM ends the start. */
     @Test
     void stopBeforeListeningEndsStart() throws Exception {
         Peer.Server agent =
                 new Peer.Server(
-                        0, peer -> Thread.sleep(30_000)); // lists are pushed there, and none comes
+                        0,
+                        peer ->
+                                Thread.sleep(
+                                        30_000)); // the source of pushed lists, which sends none
         servers.add(agent);
         Path file = config(list(7, true, worker("a", SERVE)));
         Files.writeString(
--- a/src/test/java/damsonslip/platform/ThreadShortageTest.java
+++ b/src/test/java/damsonslip/platform/ThreadShortageTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 
-/** The real program where the system starts no more threads (pthread_create(3)). */
+/** The real program while the system cannot start threads (pthread_create(3)). */
 class ThreadShortageTest extends FaultStage {
     private static final int EXIT_BY_SIGTERM = 143;
 
@@ -36,10 +36,13 @@
                 Files.readString(configuration)
                         .replace(oldAddress, "127.0.0.1:" + newDiscovery.port()));
         Program.await(
-                "it watches discovery where that is now", () -> !newWatches.isEmpty(), program);
+                "it watches discovery at the new address", () -> !newWatches.isEmpty(), program);
     }
 
-    /** The JVM starts a thread for each signal, and drops the signal where it cannot. */
+    /**
+     * The JVM starts a thread for each signal and drops the signal if it cannot. Guards against a
+     * process that then ignores SIGTERM.
+     */
     @Test
     void exitsOnSigtermWhenNoThreadCanBeStarted() throws Exception {
         startShortOfThreads();
