--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -24,12 +24,12 @@
  * without and with them alternate.
  */
 class SlowPeersMeasurement extends PlatformStage {
-    private static final int SLOW = 300;
-    private static final int USUAL = 12;
+    private static final int SLOW_CLIENTS = 300;
+    private static final int ORDINARY_CLIENTS = 12;
     private static final int ROUNDS = 3;
     private static final long ROUND_MS = 12_000;
-    private static final double AIM_MS = 500;
-    private static final String BIG = "x".repeat(250_000);
+    private static final double LATENCY_OBJECTIVE_MS = 500;
+    private static final String LARGE_RESULT = "x".repeat(250_000);
     private static final Work WORK =
             (peer, job) -> {
                 Thread.sleep(15);
@@ -40,16 +40,16 @@
                                 job,
                                 "done",
                                 ",\"result\":\""
-                                        + (id.startsWith("big") ? BIG : "r-" + id)
+                                        + (id.startsWith("big") ? LARGE_RESULT : "r-" + id)
                                         + "\",\"load\":{\"x0\":3}"));
             };
 
     /** What a slow client does on a connection until that ends. */
-    private interface Habit {
+    private interface Behaviour {
         void on(Socket socket, String id) throws IOException, InterruptedException;
     }
 
-    private static final List<Habit> HABITS =
+    private static final List<Behaviour> BEHAVIOURS =
             List.of(
                     (socket, id) -> socket.getInputStream().read(), // says nothing
                     (socket, id) ->
@@ -70,15 +70,15 @@
 
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger ids = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean stop;
 
     private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void trickle(Socket socket, String text, int last)
+    private static void trickle(Socket socket, String text, int lastBytes)
             throws IOException, InterruptedException {
-        int from = last == 0 ? 0 : text.length() - last;
+        int from = lastBytes == 0 ? 0 : text.length() - lastBytes;
         send(socket, text.substring(0, from));
         for (int i = from; i < text.length(); i++) {
             send(socket, text.substring(i, i + 1));
@@ -89,13 +89,13 @@
         }
     }
 
-    private void slow(Habit habit) {
-        while (!over) {
+    private void runSlowClient(Behaviour behaviour) {
+        while (!stop) {
             try (Socket socket = new Socket()) {
                 socket.setReceiveBufferSize(4096);
                 socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 sockets.add(socket);
-                habit.on(socket, "big" + ids.incrementAndGet());
+                behaviour.on(socket, "big" + ids.incrementAndGet());
             } catch (IOException e) {
                 // let go: the next one comes
             } catch (InterruptedException e) {
@@ -105,8 +105,8 @@
     }
 
     /** Milliseconds of each answer that was served; below nought if it was not. */
-    private void usual(ConcurrentLinkedQueue<Double> times) {
-        while (!over) {
+    private void runOrdinaryClient(ConcurrentLinkedQueue<Double> times) {
+        while (!stop) {
             long before = System.nanoTime();
             boolean served;
             try {
@@ -122,23 +122,23 @@
     }
 
     private String round(int slowPeers) throws Exception {
-        over = false;
+        stop = false;
         ConcurrentLinkedQueue<Double> times = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < slowPeers; i++) {
-            Habit habit = HABITS.get(i % HABITS.size());
-            threads.add(new Thread(() -> slow(habit)));
+            Behaviour behaviour = BEHAVIOURS.get(i % BEHAVIOURS.size());
+            threads.add(new Thread(() -> runSlowClient(behaviour)));
         }
         threads.forEach(Thread::start);
         Thread.sleep(slowPeers > 0 ? 3_000 : 500); // the slow ones are all there before it counts
         List<Thread> clients = new ArrayList<>();
-        for (int i = 0; i < USUAL; i++) {
-            clients.add(new Thread(() -> usual(times)));
+        for (int i = 0; i < ORDINARY_CLIENTS; i++) {
+            clients.add(new Thread(() -> runOrdinaryClient(times)));
         }
         clients.forEach(Thread::start);
         Thread.sleep(ROUND_MS);
-        String held = program.sockets() + " sockets, " + program.residentMb() + " MB";
-        over = true;
+        String resources = program.sockets() + " sockets, " + program.residentMb() + " MB";
+        stop = true;
         for (Thread each : clients) {
             each.join();
         }
@@ -156,7 +156,7 @@
                         .mapToDouble(time -> time)
                         .sorted()
                         .toArray();
-        long inTime = Arrays.stream(served).filter(time -> time <= AIM_MS).count();
+        long inTime = Arrays.stream(served).filter(time -> time <= LATENCY_OBJECTIVE_MS).count();
         return String.format(
                 "%3d slow: %5d queries, %.4f in time, median %.1f ms, 99%% %.1f ms; %s",
                 slowPeers,
@@ -164,11 +164,11 @@
                 (double) inTime / times.size(),
                 served[served.length / 2],
                 served[served.length * 99 / 100],
-                held);
+                resources);
     }
 
     @Test
-    void whatTheyCostUsualClients() throws Exception {
+    void measuresOrdinaryClientsBesideSlowOnes() throws Exception {
         Path file =
                 config(
                         list(
@@ -184,7 +184,7 @@
         round(0); // for the compiler
         for (int i = 0; i < ROUNDS; i++) {
             System.out.println(round(0));
-            System.out.println(round(SLOW));
+            System.out.println(round(SLOW_CLIENTS));
         }
         program.terminate();
         program.exit();
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -21,13 +21,13 @@
 /** Peers that read slowly, or not at all. */
 class SlowPeersTest extends PlatformStage {
     /** So little that a large message stays with its sender. */
-    private static final int SMALL = 4 * 1024;
+    private static final int SMALL_BUFFER = 4 * 1024;
 
     /** Clients that read nothing, at the most. */
-    private static final int MOST_SILENT = 1_000;
+    private static final int MAX_SILENT_CLIENTS = 1_000;
 
-    private static final int LARGE_REQUEST = 60_000;
-    private static final int LARGE_ANSWER = 250_000;
+    private static final int LARGE_REQUEST_BYTES = 60_000;
+    private static final int LARGE_ANSWER_BYTES = 250_000;
     private static final Work LARGE =
             (peer, job) ->
                     peer.answerLines(
@@ -35,21 +35,21 @@
                                     job,
                                     "done",
                                     ",\"result\":\""
-                                            + "x".repeat(LARGE_ANSWER)
+                                            + "x".repeat(LARGE_ANSWER_BYTES)
                                             + "\",\"load\":{\"x0\":3}"));
 
     /** The last byte never left, so that what must run once may go to another worker. */
     @Test
-    void aWorkerThatStandsStillInAnUploadCostsNobodyItsAnswer() throws Exception {
-        try (ServerSocket still = new ServerSocket()) {
-            still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    void workerThatStallsDuringUploadCostsNoAnswer() throws Exception {
+        try (ServerSocket stalled = new ServerSocket()) {
+            stalled.setReceiveBufferSize(SMALL_BUFFER);
+            stalled.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             start(
                     worker("a", SERVE),
-                    entry("b", still.getLocalPort(), "ready")); // the last one is the class's own
+                    entry("b", stalled.getLocalPort(), "ready")); // the last one is the class's own
             int i = 0;
             while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
-                assertEquals(200, ask(large("q" + i++, LARGE_REQUEST)).status());
+                assertEquals(200, ask(large("q" + i++, LARGE_REQUEST_BYTES)).status());
             }
             assertTrue(
                     program.said().contains("worker b takes a request too slowly"), program.said());
@@ -60,16 +60,16 @@
         assertTrue(program.said().contains(" uploads_given_up="), program.said());
     }
 
-    private Socket asking(String id) throws IOException {
+    private Socket connectAndAsk(String id) throws IOException {
         Socket client = new Socket();
-        client.setReceiveBufferSize(SMALL);
+        client.setReceiveBufferSize(SMALL_BUFFER);
         client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         client.setSoTimeout(10_000);
         client.getOutputStream().write(query(id, "read", "4000m").getBytes(StandardCharsets.UTF_8));
         return client;
     }
 
-    private long letGoForWhatTheyHold() {
+    private long closedForMemory() {
         return program.said()
                 .lines()
                 .filter(line -> line.contains("answers that are not read hold more"))
@@ -94,7 +94,7 @@
      * needs.
      */
     @Test
-    void clientsThatReadNothingDoNotFillTheHeap() throws Exception {
+    void clientsThatDoNotReadDoNotFillHeap() throws Exception {
         program =
                 new Program(
                                 config(list(7, true, worker("a", LARGE), worker("b", LARGE))),
@@ -105,8 +105,8 @@
         try {
             // on a busy machine many are turned away, and hold nothing: it goes on until enough
             // have been served
-            for (int i = 0; i < MOST_SILENT && letGoForWhatTheyHold() < 50; i++) {
-                silent.add(asking("q" + i));
+            for (int i = 0; i < MAX_SILENT_CLIENTS && closedForMemory() < 50; i++) {
+                silent.add(connectAndAsk("q" + i));
                 Thread.sleep(10);
                 if (i % 10 == 0) {
                     String id = "s" + i;
@@ -116,7 +116,7 @@
             }
             Program.await(
                     "they are let go for what they hold, not for their pace",
-                    () -> letGoForWhatTheyHold() >= 50);
+                    () -> closedForMemory() >= 50);
         } finally {
             for (Socket client : silent) {
                 client.close();
@@ -127,18 +127,18 @@
 
     /** Who is slow, at what, and how long it may go on: a client and a worker. */
     @Test
-    void theConsoleShowsTheSlowest() throws Exception {
+    void consoleShowsSlowestPeers() throws Exception {
         int console = Program.freePort();
-        try (ServerSocket still = new ServerSocket()) {
-            still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        try (ServerSocket stalled = new ServerSocket()) {
+            stalled.setReceiveBufferSize(SMALL_BUFFER);
+            stalled.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Path file =
                     config(
                             list(
                                     7,
                                     true,
                                     worker("a", LARGE),
-                                    entry("b", still.getLocalPort(), "ready")));
+                                    entry("b", stalled.getLocalPort(), "ready")));
             program =
                     new Program(
                                     file,
@@ -147,11 +147,11 @@
                                     "serve")
                             .awaitWord("listens on");
             awaitService();
-            try (Socket silent = asking("q1")) {
+            try (Socket silent = connectAndAsk("q1")) {
                 Program.await(
                         "the client is shown",
                         () ->
-                                slow(console)
+                                slowPeers(console)
                                         .matches(
                                                 "(?s)peer .*127.0.0.1:"
                                                         + silent.getLocalPort()
@@ -163,9 +163,12 @@
                         () -> {
                             try (Peer client =
                                     Peer.connect(port)
-                                            .send(large("u" + System.nanoTime(), LARGE_REQUEST))) {
+                                            .send(
+                                                    large(
+                                                            "u" + System.nanoTime(),
+                                                            LARGE_REQUEST_BYTES))) {
                                 Thread.sleep(100);
-                                return slow(console)
+                                return slowPeers(console)
                                         .matches(
                                                 "(?s).*\n"
                                                         + "b +takes a request +[1-9][0-9]+ +[0-9]+"
@@ -179,13 +182,13 @@
         }
     }
 
-    private static String slow(int console) {
+    private static String slowPeers(int console) {
         try (Peer peer = Peer.connect(console).send("slow\n")) {
-            StringBuilder told = new StringBuilder();
+            StringBuilder answer = new StringBuilder();
             for (String line = peer.line(); line != null && !line.equals("."); line = peer.line()) {
-                told.append(line).append('\n');
+                answer.append(line).append('\n');
             }
-            return told.toString();
+            return answer.toString();
         } catch (IOException e) {
             return e.toString();
         }
@@ -193,7 +196,7 @@
 
     /** What a kept connection wrote last must not stay with it: that was 16 KB a link. */
     @Test
-    void keptConnectionsDoNotFillTheHeap() throws Exception {
+    void idleConnectionsDoNotFillHeap() throws Exception {
         program =
                 new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
                         .awaitWord("listens on");
@@ -211,16 +214,19 @@
 
     /** One reads nothing and goes; one pauses once and gets all. */
     @Test
-    void aClientThatNeverReadsItsAnswerIsLetGo() throws Exception {
+    void closesClientThatNeverReadsItsAnswer() throws Exception {
         start(worker("a", LARGE));
         awaitService();
-        try (Socket silent = asking("q1");
-                Socket pausing = asking("q2")) {
+        try (Socket silent = connectAndAsk("q1");
+                Socket pausing = connectAndAsk("q2")) {
             Thread.sleep(3_000);
-            assertEquals(LARGE_ANSWER, pausing.getInputStream().readNBytes(LARGE_ANSWER).length);
+            assertEquals(
+                    LARGE_ANSWER_BYTES,
+                    pausing.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length);
             program.awaitWord("a client reads nothing of its answer");
             assertTrue(
-                    silent.getInputStream().readNBytes(LARGE_ANSWER).length < LARGE_ANSWER,
+                    silent.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length
+                            < LARGE_ANSWER_BYTES,
                     "its answer was cut off");
         }
         program.terminate();
@@ -233,13 +239,13 @@
      * and is let go.
      */
     @Test
-    void aConsoleThatReadsNothingHoldsOneAnswerAndIsLetGo() throws Exception {
+    void consoleThatDoesNotReadHoldsOneAnswerAndIsClosed() throws Exception {
         int console = Program.freePort();
-        List<String> known = new ArrayList<>();
+        List<String> entries = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            known.add(entry("worker-with-a-long-name-" + i, 9, "ready"));
+            entries.add(entry("worker-with-a-long-name-" + i, 9, "ready"));
         }
-        Path file = config(list(7, true, known.toArray(String[]::new)));
+        Path file = config(list(7, true, entries.toArray(String[]::new)));
         program =
                 new Program(
                                 file,
@@ -257,14 +263,14 @@
                     }
                 });
         try (Socket silent = new Socket()) {
-            silent.setReceiveBufferSize(SMALL);
+            silent.setReceiveBufferSize(SMALL_BUFFER);
             silent.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), console));
             silent.getOutputStream()
                     .write(
                             "workers\n"
                                     .repeat(900)
                                     .getBytes(StandardCharsets.UTF_8)); // 120 MB of answers
-            Program.await("it is shown", () -> slow(console).contains("reads the console"));
+            Program.await("it is shown", () -> slowPeers(console).contains("reads the console"));
             program.awaitWord("a console reads nothing of its answer and is let go");
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -19,10 +19,10 @@
 /** Requests that a worker takes slowly: their time counts from their last byte. */
 class SlowUploadsTest extends PlatformStage {
     private static final int SMALL_BUFFER = 4 * 1024;
-    private static final int BODY = 60_000;
+    private static final int BODY_BYTES = 60_000;
 
     /** 100 KB/s, so that the largest request takes over half a second. */
-    private static final int PART = 2 * 1024;
+    private static final int PART_BYTES = 2 * 1024;
 
     private static final int PART_MS = 20;
     private static final long CLIENT_MS = 4_000;
@@ -34,7 +34,7 @@
      * A request that has come whole: what its worker is told it has, and when the last byte had
      * come.
      */
-    private record Arrival(long toldMs, long atNs) {}
+    private record Arrival(long sentTimeLeftMs, long atNs) {}
 
     private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
     private Peer.Server slow;
@@ -44,25 +44,25 @@
         ServerSocket socket = new ServerSocket();
         socket.setReceiveBufferSize(SMALL_BUFFER);
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        slow = new Peer.Server(socket, this::take);
+        slow = new Peer.Server(socket, this::readSlowly);
         servers.add(slow);
     }
 
-    private void take(Peer peer) throws IOException, InterruptedException {
+    private void readSlowly(Peer peer) throws IOException, InterruptedException {
         StringBuilder got = new StringBuilder();
-        int whole = Integer.MAX_VALUE;
-        while (got.length() < whole) {
-            String part = peer.some(Math.min(PART, whole - got.length()));
+        int complete = Integer.MAX_VALUE;
+        while (got.length() < complete) {
+            String part = peer.some(Math.min(PART_BYTES, complete - got.length()));
             if (part.isEmpty()) {
                 throw new EOFException();
             }
             got.append(part);
             int headEnd = got.indexOf("\r\n\r\n");
-            whole = headEnd < 0 ? whole : headEnd + 4 + BODY;
+            complete = headEnd < 0 ? complete : headEnd + 4 + BODY_BYTES;
             Thread.sleep(PART_MS);
         }
-        String told = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
-        arrivals.add(new Arrival(Long.parseLong(told) / 1_000, System.nanoTime()));
+        String timeLeftUs = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
+        arrivals.add(new Arrival(Long.parseLong(timeLeftUs) / 1_000, System.nanoTime()));
         String id = got.toString().replaceAll("(?s).*X-Correlation-Id: (\\S+).*", "$1");
         peer.answerLines(
                 "{\"id\":\""
@@ -74,10 +74,10 @@
 
     /** What it is told goes by the time at which its last byte leaves, however long that takes. */
     @Test
-    void aWorkerThatTakesItsRequestSlowlyIsToldNoMoreThanIsLeft() throws Exception {
+    void slowWorkerGetsNoMoreTimeLeftThanRemains() throws Exception {
         start(entry("a", slow.port(), "ready"));
         long sentNs = System.nanoTime();
-        try (Peer client = Peer.connect(port).send(large("q1", BODY))) {
+        try (Peer client = Peer.connect(port).send(large("q1", BODY_BYTES))) {
             Message answer = client.message();
             assertEquals("200 r-q1", answer.status() + " " + answer.body());
         }
@@ -85,8 +85,8 @@
         for (Arrival arrival : arrivals) {
             long leftMs = CLIENT_MS - (arrival.atNs() - sentNs) / 1_000_000;
             assertTrue(
-                    arrival.toldMs() <= leftMs + SLACK_MS,
-                    arrival.toldMs() + " ms told, " + leftMs + " ms left");
+                    arrival.sentTimeLeftMs() <= leftMs + SLACK_MS,
+                    arrival.sentTimeLeftMs() + " ms told, " + leftMs + " ms left");
         }
         assertEquals(1, arrivals.size(), "it may run once only");
     }
--- a/src/test/java/damsonslip/platform/StrayAnswersTest.java
+++ b/src/test/java/damsonslip/platform/StrayAnswersTest.java
@@ -16,12 +16,12 @@
 
 /** What workers send that nobody asked for: a second answer, half a line, an answer without end. */
 class StrayAnswersTest extends PlatformStage {
-    private static final String TURNED_AWAY =
+    private static final String UNPROCESSED =
             "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
 
     private static final long LATE_NS = 90_000_000;
 
-    private final List<Message> ran = new CopyOnWriteArrayList<>();
+    private final List<Message> ranOnReusedConnection = new CopyOnWriteArrayList<>();
 
     /** An answer of this one line, whole, in as many bytes as one write takes. */
     private static String answer(String line) {
@@ -47,8 +47,8 @@
      * never be answered.
      */
     @Test
-    void aLinkOnWhichASecondAnswerCameServesNobodyAnyMore() throws Exception {
-        CountDownLatch both = new CountDownLatch(2);
+    void closesConnectionWithSecondAnswer() throws Exception {
+        CountDownLatch bothArrived = new CountDownLatch(2);
         start(
                 worker(
                         "a",
@@ -62,9 +62,9 @@
                                                                 "done",
                                                                 ",\"result\":\"again\"")));
                             } else {
-                                both.countDown();
+                                bothArrived.countDown();
                                 assertTrue(
-                                        both.await(3, TimeUnit.SECONDS),
+                                        bothArrived.await(3, TimeUnit.SECONDS),
                                         "each has a link of its own");
                                 peer.send(done(job));
                             }
@@ -81,32 +81,32 @@
 
     /** It would tell that the second query never ran, and have it run twice. */
     @Test
-    void aLateTurningAwayProvesNothingOfTheNextQuery() throws Exception {
-        start(worker("a", withALateTurningAway()), worker("b", withALateTurningAway()));
+    void lateRejectionDoesNotCountAsUnprocessedForNextRequest() throws Exception {
+        start(worker("a", withLateRejection()), worker("b", withLateRejection()));
         for (int i = 1; i < 12; i++) {
             assertEquals(
                     "r-q" + i,
                     ask(query("q" + i, "submit", "2000m")).body(),
                     "it is worth a link of its own");
         }
-        assertEquals(11, jobs("a", "b") + ran.size(), "each ran once");
+        assertEquals(11, jobs("a", "b") + ranOnReusedConnection.size(), "each ran once");
     }
 
     /** A class that may be repeated takes the kept link; what it hears there does it no harm. */
     @Test
-    void aLateTurningAwayCostsARepeatableQueryNothing() throws Exception {
-        start(worker("a", withALateTurningAway()), worker("b", withALateTurningAway()));
+    void lateRejectionDoesNoHarmToRepeatableRequest() throws Exception {
+        start(worker("a", withLateRejection()), worker("b", withLateRejection()));
         for (int i = 1; i < 8; i++) {
             assertEquals("r-q" + i, ask(query("q" + i, "read", "3000m")).body());
         }
-        assertTrue(!ran.isEmpty(), "links were used again");
+        assertTrue(!ranOnReusedConnection.isEmpty(), "links were used again");
     }
 
     /**
      * What comes on a connection soon after an answer is met by a second one, late by some
      * milliseconds, and runs.
      */
-    private Work withALateTurningAway() {
+    private Work withLateRejection() {
         return (peer, job) -> {
             Message next = job;
             long answered;
@@ -114,9 +114,9 @@
                 peer.send(done(next));
                 answered = System.nanoTime();
                 next = peer.message();
-                ran.add(next);
+                ranOnReusedConnection.add(next);
             } while (System.nanoTime() - answered > LATE_NS);
-            peer.send(TURNED_AWAY);
+            peer.send(UNPROCESSED);
             throw new IOException("the connection is over");
         };
     }
@@ -126,7 +126,7 @@
      * kept by the other.
      */
     @Test
-    void aLinkThatWasClosedOverALineIsNotKeptByTheAnswersEnd() throws Exception {
+    void doesNotReuseConnectionClosedForMalformedLine() throws Exception {
         start(
                 worker(
                         "a",
@@ -148,7 +148,7 @@
 
     /** Half a line on a resting link: the next query must not be answered with the rest of it. */
     @Test
-    void aLinkOnWhichHalfALineCameIsLeft() throws Exception {
+    void doesNotReuseConnectionWithPartialAnswer() throws Exception {
         CountDownLatch said = new CountDownLatch(1);
         start(
                 worker(
@@ -172,7 +172,7 @@
      * good.
      */
     @Test
-    void anAnswerWithoutEndIsLeftOnceItsLastLineHasCome() throws Exception {
+    void closesEndlessAnswerAfterItsLastLine() throws Exception {
         AtomicInteger ended = new AtomicInteger();
         start(
                 worker(
@@ -200,7 +200,7 @@
      * Interim answers are no answer: the one that counts comes behind them, and the link stands.
      */
     @Test
-    void interimAnswersAreReadOver() throws Exception {
+    void skipsInterimResponses() throws Exception {
         start(
                 worker(
                         "a",
@@ -222,7 +222,7 @@
      * meanwhile.
      */
     @Test
-    void interimAnswersWithoutEndAreGivenUpAtTheDeadline() throws Exception {
+    void endlessInterimResponsesTimeOutAtDeadline() throws Exception {
         String b = worker("b", SERVE);
         start(
                 worker(
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -36,20 +36,20 @@
         return start(mgmt, List.of(), 0, entries);
     }
 
-    private Program start(int mgmt, List<String> words, int mostKb, String... entries)
+    private Program start(int mgmt, List<String> jvmFlags, int dataLimitKb, String... entries)
             throws IOException {
         Program started =
                 new Program(
                         config(list(7, true, entries), mgmt(mgmt)),
                         Map.of(),
-                        words,
-                        mostKb,
+                        jvmFlags,
+                        dataLimitKb,
                         "serve");
         programs.add(started);
         return Program.await("it is ready", () -> call(mgmt, "READY").startsWith("YES"), started);
     }
 
-    private boolean marked(int number) {
+    private boolean markExists(int number) {
         return Files.exists(dir.resolve("damsonslip-mark-" + number));
     }
 
@@ -58,18 +58,22 @@
      * went wrong.
      */
     private Thread load(
-            List<String> wrong, AtomicInteger served, boolean keep, String name, boolean[] over) {
+            List<String> failures,
+            AtomicInteger served,
+            boolean keep,
+            String name,
+            boolean[] stop) {
         Thread thread =
                 new Thread(
                         () -> {
                             Peer client = null;
-                            for (int i = 0; !over[0]; i++) {
+                            for (int i = 0; !stop[0]; i++) {
                                 try {
                                     client = client == null ? Peer.connect(port) : client;
                                     Message answer =
                                             client.send(query(name + i, "read", "4000m")).message();
                                     if (answer.status() != 200) {
-                                        wrong.add(
+                                        failures.add(
                                                 name
                                                         + i
                                                         + ": "
@@ -84,7 +88,7 @@
                                     }
                                     Thread.sleep(5);
                                 } catch (IOException | InterruptedException e) {
-                                    wrong.add(name + i + ": " + e);
+                                    failures.add(name + i + ": " + e);
                                     client = null;
                                 }
                             }
@@ -94,7 +98,7 @@
     }
 
     @Test
-    void anUpgradeUnderLoadTurnsNobodyBack() throws Exception {
+    void upgradeUnderLoadRejectsNobody() throws Exception {
         upgradeUnderLoad(List.of(), 0);
     }
 
@@ -116,7 +120,7 @@
                 72 * 1024);
     }
 
-    private void upgradeUnderLoad(List<String> words, int mostKb) throws Exception {
+    private void upgradeUnderLoad(List<String> jvmFlags, int dataLimitKb) throws Exception {
         Work quick =
                 (peer, job) -> {
                     Thread.sleep(20);
@@ -125,19 +129,19 @@
         String[] workers = {
             worker("a", quick), worker("b", quick), worker("c", quick), worker("d", quick)
         };
-        Program old = start(first, words, mostKb, workers);
+        Program old = start(first, jvmFlags, dataLimitKb, workers);
         assertEquals(200, ask(query("first", "read", "4000m")).status(), "it has heard discovery");
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
+        List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
-        boolean[] over = new boolean[1];
+        boolean[] stop = new boolean[1];
         List<Thread> clients =
                 List.of(
-                        load(wrong, served, false, "new-", over),
-                        load(wrong, served, false, "more-", over),
-                        load(wrong, served, true, "kept-", over),
-                        load(wrong, served, true, "held-", over));
+                        load(failures, served, false, "new-", stop),
+                        load(failures, served, false, "more-", stop),
+                        load(failures, served, true, "kept-", stop),
+                        load(failures, served, true, "held-", stop));
         Thread.sleep(500);
-        Program next = start(second, words, mostKb, workers);
+        Program next = start(second, jvmFlags, dataLimitKb, workers);
         assertTrue(
                 call(first, "READY").startsWith("YES"),
                 "the old one serves until it is told to end");
@@ -145,11 +149,11 @@
         assertEquals(143, old.exit(4));
         assertTrue(old.said().contains("a successor serves"), old.said());
         Thread.sleep(300);
-        over[0] = true;
+        stop[0] = true;
         for (Thread client : clients) {
             client.join(5_000);
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
         assertTrue(served.get() > 100, served + " served");
         assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
@@ -162,7 +166,7 @@
      * its share.
      */
     @Test
-    void newOneTakesNobodyInBeforeItKnowsTheWorkers() throws Exception {
+    void newProcessAcceptsNobodyBeforeItKnowsTheWorkers() throws Exception {
         String[] workers = {
             worker("a", SERVE), worker("b", SERVE), worker("c", SERVE), worker("d", SERVE)
         };
@@ -188,21 +192,21 @@
                         .replace(
                                 "\"discovery\":\"127.0.0.1:" + discovery.port(),
                                 "\"discovery\":\"127.0.0.1:" + busyDiscovery.port()));
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
-        boolean[] over = new boolean[1];
+        List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
+        boolean[] stop = new boolean[1];
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(load(wrong, new AtomicInteger(), false, "c" + i + "-", over));
+            clients.add(load(failures, new AtomicInteger(), false, "c" + i + "-", stop));
         }
         Program next = new Program(file, "serve");
         programs.add(next);
         Program.await("it is ready", () -> call(second, "READY").startsWith("YES"), next);
         Thread.sleep(300);
-        over[0] = true;
+        stop[0] = true;
         for (Thread client : clients) {
             client.join(5_000);
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
     }
 
     /**
@@ -210,7 +214,7 @@
      * configuration gives.
      */
     @Test
-    void bothProcessesShareTheDescriptorsOfOne() throws Exception {
+    void bothProcessesShareTheDescriptorLimitOfOne() throws Exception {
         String a = worker("a", SERVE);
         Path file = config(list(7, true, a), mgmt(first));
         Files.writeString(
@@ -228,20 +232,23 @@
                 "the old one knows", () -> old.said().contains("processes of this scheduler: 2"));
         List<Peer> crowd = new ArrayList<>();
         try {
-            int most = 0;
+            int mostSockets = 0;
             for (int i = 0; i < 600; i++) {
                 crowd.add(Peer.connect(port));
-                most = i % 20 == 0 ? Math.max(most, old.sockets() + next.sockets()) : most;
+                mostSockets =
+                        i % 20 == 0
+                                ? Math.max(mostSockets, old.sockets() + next.sockets())
+                                : mostSockets;
             }
             // of 150 each, 64 are the program's and 18 the overflow's; clients have 34, however
             // fast they are sorted
             Program.await(
                     "the crowd fills the clients' part of both",
                     () -> old.sockets() + next.sockets() >= 2 * 34);
-            most = Math.max(most, old.sockets() + next.sockets());
+            mostSockets = Math.max(mostSockets, old.sockets() + next.sockets());
             // the overflow comes and goes with the pace of sorting; undivided, the clients' part
             // alone would be 2 x 100
-            assertTrue(most <= 2 * (34 + 18 + 24), most + " sockets in both");
+            assertTrue(mostSockets <= 2 * (34 + 18 + 24), mostSockets + " sockets in both");
             Program.await(
                     "a usual client gets in once the crowd has been sorted",
                     () -> {
@@ -264,7 +271,7 @@
      * its end is told.
      */
     @Test
-    void theOldOneLeavesAtOnceAndKeepsTheFrontSatisfied() throws Exception {
+    void oldProcessStopsListeningAtOnceAndStillAnswersHealthChecks() throws Exception {
         String a =
                 worker(
                         "a",
@@ -303,7 +310,7 @@
      * alone.
      */
     @Test
-    void aBanOutlivesAnUpgradeAndACallAtEitherHoldsInBoth() throws Exception {
+    void disabledWorkersSurviveUpgradeAndApplyToBothProcesses() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String c = worker("c", SERVE);
@@ -333,7 +340,7 @@
     }
 
     @Test
-    void aSuccessorThatFailsToStartChangesNothing() throws Exception {
+    void failedStartOfSuccessorChangesNothing() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         try (Program failing = new Program(config(list(7, true, a), mgmt(first)), "serve")) {
@@ -352,7 +359,7 @@
     }
 
     @Test
-    void whenTheOldOneIsKilledTheNewOneHasEverythingToItself() throws Exception {
+    void newProcessTakesOverWhenOldOneIsKilled() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next =
@@ -370,7 +377,7 @@
      * later as if alone.
      */
     @Test
-    void whenTheNewOneDiesTheOldOneServesOn() throws Exception {
+    void oldProcessTakesOverWhenNewOneDies() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next = start(second, a);
@@ -385,11 +392,11 @@
         old.terminate();
         assertEquals(143, old.exit(3));
         assertEquals(200, ask(query("last", "read", "2000m")).status());
-        assertFalse(marked(1), "no mark of it stays");
+        assertFalse(markExists(1), "no mark of it stays");
     }
 
     @Test
-    void twoUpgradesInARowAndAHangUpToBoth() throws Exception {
+    void servesAfterTwoUpgradesInARowAndSighupToBoth() throws Exception {
         String a = worker("a", SERVE);
         Program one = start(first, a);
         Program two = start(second, a);
@@ -407,7 +414,7 @@
     }
 
     @Test
-    void spoiltBansAreToldInOneLineAndTheStartGoesOn() throws Exception {
+    void logsCorruptBanFileInOneLineAndStarts() throws Exception {
         for (String text :
                 List.of(
                         "damsonslip bans 0\nout a\nend\n",
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -20,7 +20,7 @@
 class WallClockTest extends FaultStage {
     private static final long FIRST_SECONDS_MS = 2_000;
     private static final int CLIENTS_AT_ONCE = 12;
-    private static final String COLD =
+    private static final String SLOW_START =
             "\"cold_share\":0.1,\"cold_s\":20,\"fall_multiple\":3,\"fall_s\":2,";
 
     /** Long beside the delays of a busy machine, so that these hardly count as work. */
@@ -50,12 +50,13 @@
         workNs.addAndGet(System.nanoTime() - beginNs);
     }
 
-    private void startWithColdWorkers(Duration clockOffBy, String... entries) throws IOException {
+    private void startWithSlowStart(Duration clockOffBy, String... entries) throws IOException {
         faults.stepWallClock(clockOffBy);
         Path file = config(list(7, true, entries));
         Files.writeString(
                 file,
-                Files.readString(file).replace("\"drain_grace_s\"", COLD + "\"drain_grace_s\""));
+                Files.readString(file)
+                        .replace("\"drain_grace_s\"", SLOW_START + "\"drain_grace_s\""));
         program =
                 new Program(file, faults.environment(), List.of(), "serve").awaitWord("listens on");
     }
@@ -67,21 +68,21 @@
     private long workOfANewWorkerNs(Duration clockOffBy) throws Exception {
         got.clear();
         workNs.set(0);
-        startWithColdWorkers(clockOffBy, worker("a", WallClockTest::answerSlowly));
-        AtomicBoolean over = new AtomicBoolean();
+        startWithSlowStart(clockOffBy, worker("a", WallClockTest::answerSlowly));
+        AtomicBoolean stop = new AtomicBoolean();
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS_AT_ONCE; i++) {
             String name = "c" + i;
-            clients.add(new Thread(() -> askUntil(over, name)));
+            clients.add(new Thread(() -> askUntil(stop, name)));
         }
         clients.forEach(Thread::start);
         Thread.sleep(1_500);
-        String fresh =
+        String newWorker =
                 worker("b", this::answerMeasured)
                         .replace(
                                 "\"startedAtMs\":0",
                                 "\"startedAtMs\":" + System.currentTimeMillis());
-        news.add(list(8, false, fresh));
+        news.add(list(8, false, newWorker));
         Thread.sleep(FIRST_SECONDS_MS);
         long work = workNs.get();
         System.out.println(
@@ -92,7 +93,7 @@
                         + " jobs, "
                         + TimeUnit.NANOSECONDS.toMillis(work)
                         + " ms of work");
-        over.set(true);
+        stop.set(true);
         for (Thread client : clients) {
             client.join();
         }
@@ -100,9 +101,9 @@
         return work;
     }
 
-    private void askUntil(AtomicBoolean over, String name) {
+    private void askUntil(AtomicBoolean stop, String name) {
         try (Peer client = Peer.connect(port)) {
-            for (int i = 0; !over.get(); i++) {
+            for (int i = 0; !stop.get(); i++) {
                 client.send(query(name + "-" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
                         .message();
             }
@@ -116,24 +117,24 @@
      * to that.
      */
     @Test
-    void sparesAColdWorkerWhereTheClockIsAnHourOff() throws Exception {
+    void slowStartWorksWhenWallClockIsAnHourOff() throws Exception {
         long before = workOfANewWorkerNs(Duration.ZERO);
         long ahead = workOfANewWorkerNs(Duration.ofHours(1));
         long between = workOfANewWorkerNs(Duration.ZERO);
         long behind = workOfANewWorkerNs(Duration.ofHours(-1));
-        long right = Math.max(before, between);
-        assertTrue(right > 0, "it is used at all");
-        assertAlike(ahead, right);
-        assertAlike(behind, right);
+        long withRightClock = Math.max(before, between);
+        assertTrue(withRightClock > 0, "it is used at all");
+        assertSimilar(ahead, withRightClock);
+        assertSimilar(behind, withRightClock);
     }
 
-    private static void assertAlike(long off, long right) {
-        String told =
-                TimeUnit.NANOSECONDS.toMillis(off)
+    private static void assertSimilar(long withClockOff, long withRightClock) {
+        String summary =
+                TimeUnit.NANOSECONDS.toMillis(withClockOff)
                         + " ms of work where the clock is off, "
-                        + TimeUnit.NANOSECONDS.toMillis(right)
+                        + TimeUnit.NANOSECONDS.toMillis(withRightClock)
                         + " where it is right";
-        assertTrue(off <= 1.1 * right + SLACK_NS, told);
-        assertTrue(off >= 0.7 * right - SLACK_NS, told);
+        assertTrue(withClockOff <= 1.1 * withRightClock + SLACK_NS, summary);
+        assertTrue(withClockOff >= 0.7 * withRightClock - SLACK_NS, summary);
     }
 }
