--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What 300 slow clients of every kind cost usual ones: not a test (its name keeps it out of CI),
- * but {@code make bench-slow-peers}, two minutes on a machine that is otherwise idle. Rounds
- * without and with them alternate.
+ * Measures how 300 slow clients of every kind affect ordinary clients. Not a test (its name keeps
+ * it out of CI), but {@code make bench-slow-peers}, which takes two minutes on an otherwise idle
+ * machine. Rounds without and with slow clients alternate.
  */
 class SlowPeersMeasurement extends PlatformStage {
     private static final int SLOW_CLIENTS = 300;
@@ -51,16 +51,22 @@
 
     private static final List<Behaviour> BEHAVIOURS =
             List.of(
-                    (socket, id) -> socket.getInputStream().read(), // says nothing
+                    (socket, id) -> socket.getInputStream().read(), // sends nothing
                     (socket, id) ->
-                            trickle(socket, query(id, "read", "4000m"), 0), // its head by the byte
+                            trickle(
+                                    socket,
+                                    query(id, "read", "4000m"),
+                                    0), // sends its head byte by byte
                     (socket, id) ->
-                            trickle(socket, query(id, "read", "4000m"), 4), // its body by the byte
+                            trickle(
+                                    socket,
+                                    query(id, "read", "4000m"),
+                                    4), // sends its body byte by byte
                     (socket, id) -> { // reads nothing of a large answer
                         send(socket, query(id, "read", "4000m"));
                         Thread.sleep(60_000);
                     },
-                    (socket, id) -> { // reads 1 KB a second of it
+                    (socket, id) -> { // reads 1 KB a second of a large answer
                         send(socket, query(id, "read", "4000m"));
                         InputStream in = socket.getInputStream();
                         while (in.read(new byte[100]) >= 0) {
@@ -82,7 +88,7 @@
         send(socket, text.substring(0, from));
         for (int i = from; i < text.length(); i++) {
             send(socket, text.substring(i, i + 1));
-            Thread.sleep(900); // well within any limit on silence
+            Thread.sleep(900); // well within every idle timeout
         }
         while (socket.getInputStream().read(new byte[4096]) >= 0) {
             continue;
@@ -97,14 +103,16 @@
                 sockets.add(socket);
                 behaviour.on(socket, "big" + ids.incrementAndGet());
             } catch (IOException e) {
-                // let go: the next one comes
+                // closed by the scheduler: connect again
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Milliseconds of each answer that was served; below nought if it was not. */
+    /**
+     * Sends requests and records the latency of each in milliseconds, or -1 if it was not served.
+     */
     private void runOrdinaryClient(ConcurrentLinkedQueue<Double> times) {
         while (!stop) {
             long before = System.nanoTime();
@@ -130,7 +138,8 @@
             threads.add(new Thread(() -> runSlowClient(behaviour)));
         }
         threads.forEach(Thread::start);
-        Thread.sleep(slowPeers > 0 ? 3_000 : 500); // the slow ones are all there before it counts
+        Thread.sleep(
+                slowPeers > 0 ? 3_000 : 500); // all slow clients are connected before measuring
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < ORDINARY_CLIENTS; i++) {
             clients.add(new Thread(() -> runOrdinaryClient(times)));
@@ -181,7 +190,7 @@
         program =
                 new Program(file, Map.of(), List.of("-Xmx64m", "-Xss256k"), "serve")
                         .awaitWord("listens on");
-        round(0); // for the compiler
+        round(0); // warms up the JIT compiler
         for (int i = 0; i < ROUNDS; i++) {
             System.out.println(round(0));
             System.out.println(round(SLOW_CLIENTS));
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -18,12 +18,12 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Peers that read slowly, or not at all. */
+/** Clients, workers and consoles that read slowly or not at all. */
 class SlowPeersTest extends PlatformStage {
-    /** So little that a large message stays with its sender. */
+    /** A receive buffer so small that most of a large message stays with its sender. */
     private static final int SMALL_BUFFER = 4 * 1024;
 
-    /** Clients that read nothing, at the most. */
+    /** The most clients that read nothing. */
     private static final int MAX_SILENT_CLIENTS = 1_000;
 
     private static final int LARGE_REQUEST_BYTES = 60_000;
@@ -38,7 +38,10 @@
                                             + "x".repeat(LARGE_ANSWER_BYTES)
                                             + "\",\"load\":{\"x0\":3}"));
 
-    /** The last byte never left, so that what must run once may go to another worker. */
+    /**
+     * The last byte of the request was never sent, so the request cannot have run, and even a
+     * run-once request is retried on another worker.
+     */
     @Test
     void workerThatStallsDuringUploadCostsNoAnswer() throws Exception {
         try (ServerSocket stalled = new ServerSocket()) {
@@ -46,7 +49,11 @@
             stalled.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             start(
                     worker("a", SERVE),
-                    entry("b", stalled.getLocalPort(), "ready")); // the last one is the class's own
+                    entry(
+                            "b",
+                            stalled.getLocalPort(),
+                            "ready")); // the last worker, dealt to the pool of 'submit', never
+            // reads
             int i = 0;
             while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
                 assertEquals(200, ask(large("q" + i++, LARGE_REQUEST_BYTES)).status());
@@ -76,9 +83,9 @@
                 .count();
     }
 
-    /** A start on a busy machine may refuse until it has heard discovery. */
+    /** On a busy machine the program may reject requests until it has heard from discovery. */
     private void awaitService() {
-        Program.await("it serves", () -> served("first" + System.nanoTime()), program);
+        Program.await("the program serves", () -> served("first" + System.nanoTime()), program);
     }
 
     private boolean served(String id) {
@@ -90,8 +97,8 @@
     }
 
     /**
-     * A hundred answers of 250 KB would not fit into the smallest heap beside what the program
-     * needs.
+     * Guards against unread answers that fill the heap: a hundred of 250 KB would not fit into the
+     * smallest heap beside what the program needs.
      */
     @Test
     void clientsThatDoNotReadDoNotFillHeap() throws Exception {
@@ -103,7 +110,7 @@
                         .awaitWord("listens on");
         List<Socket> silent = new ArrayList<>();
         try {
-            // on a busy machine many are turned away, and hold nothing: it goes on until enough
+            // on a busy machine many are rejected and hold nothing, so this goes on until enough
             // have been served
             for (int i = 0; i < MAX_SILENT_CLIENTS && closedForMemory() < 50; i++) {
                 silent.add(connectAndAsk("q" + i));
@@ -111,11 +118,12 @@
                 if (i % 10 == 0) {
                     String id = "s" + i;
                     Program.await(
-                            "who reads is served as ever", () -> served(id + System.nanoTime()));
+                            "a client that reads is still served",
+                            () -> served(id + System.nanoTime()));
                 }
             }
             Program.await(
-                    "they are let go for what they hold, not for their pace",
+                    "clients are closed for the memory they hold, not for their pace",
                     () -> closedForMemory() >= 50);
         } finally {
             for (Socket client : silent) {
@@ -125,7 +133,10 @@
         assertFalse(program.said().contains("OutOfMemory"), program.said());
     }
 
-    /** Who is slow, at what, and how long it may go on: a client and a worker. */
+    /**
+     * The console lists a slow client and a slow worker, what each is slow at, and its remaining
+     * time.
+     */
     @Test
     void consoleShowsSlowestPeers() throws Exception {
         int console = Program.freePort();
@@ -194,7 +205,10 @@
         }
     }
 
-    /** What a kept connection wrote last must not stay with it: that was 16 KB a link. */
+    /**
+     * Guards against idle connections that keep their last write buffer, which was 16 KB per
+     * connection.
+     */
     @Test
     void idleConnectionsDoNotFillHeap() throws Exception {
         program =
@@ -212,7 +226,7 @@
         assertFalse(program.said().contains("OutOfMemory"), program.said());
     }
 
-    /** One reads nothing and goes; one pauses once and gets all. */
+    /** A client that reads nothing is closed; one that pauses once gets its complete answer. */
     @Test
     void closesClientThatNeverReadsItsAnswer() throws Exception {
         start(worker("a", LARGE));
@@ -235,8 +249,8 @@
     }
 
     /**
-     * Guards against a console that sends ahead and reads nothing: it holds one answer, is shown,
-     * and is let go.
+     * Guards against a console client that pipelines commands and reads nothing: at most one answer
+     * is buffered, the client is listed as slow, and it is closed.
      */
     @Test
     void consoleThatDoesNotReadHoldsOneAnswerAndIsClosed() throws Exception {
@@ -254,7 +268,7 @@
                                 "serve")
                         .awaitWord("listens on");
         Program.await(
-                "the console listens, a moment after the clients' door",
+                "the console listens, a moment after the port for clients",
                 () -> {
                     try (Peer asker = Peer.connect(console)) {
                         return true;
@@ -270,13 +284,15 @@
                             "workers\n"
                                     .repeat(900)
                                     .getBytes(StandardCharsets.UTF_8)); // 120 MB of answers
-            Program.await("it is shown", () -> slowPeers(console).contains("reads the console"));
+            Program.await(
+                    "the slow console is listed",
+                    () -> slowPeers(console).contains("reads the console"));
             program.awaitWord("a console reads nothing of its answer and is let go");
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
         try (Peer asker =
                 Peer.connect(console)
-                        .send("phase\nphase\n")) { // sent ahead, and read: each is answered
+                        .send("phase\nphase\n")) { // pipelined and read: each command is answered
             assertEquals(
                     List.of("serving", ".", "serving", "."),
                     List.of(asker.line(), asker.line(), asker.line(), asker.line()));
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that a worker takes slowly: their time counts from their last byte. */
+/**
+ * Requests that a worker reads slowly: the time left that it is sent has to hold when it has read
+ * the last byte.
+ */
 class SlowUploadsTest extends PlatformStage {
     private static final int SMALL_BUFFER = 4 * 1024;
     private static final int BODY_BYTES = 60_000;
@@ -27,12 +30,11 @@
     private static final int PART_MS = 20;
     private static final long CLIENT_MS = 4_000;
 
-    /** A worker may be told so much more than its client has left (STANDING). */
+    /** The time left sent to a worker may exceed the client's by this much (STANDING). */
     private static final long SLACK_MS = 150;
 
     /**
-     * A request that has come whole: what its worker is told it has, and when the last byte had
-     * come.
+     * A completely received request: the time left that it states, and when its last byte arrived.
      */
     private record Arrival(long sentTimeLeftMs, long atNs) {}
 
@@ -72,7 +74,10 @@
                         + "\"}");
     }
 
-    /** What it is told goes by the time at which its last byte leaves, however long that takes. */
+    /**
+     * Guards against a time left that is computed when the upload begins: a slow upload would leave
+     * the worker with more time than its client has.
+     */
     @Test
     void slowWorkerGetsNoMoreTimeLeftThanRemains() throws Exception {
         start(entry("a", slow.port(), "ready"));
@@ -86,8 +91,8 @@
             long leftMs = CLIENT_MS - (arrival.atNs() - sentNs) / 1_000_000;
             assertTrue(
                     arrival.sentTimeLeftMs() <= leftMs + SLACK_MS,
-                    arrival.sentTimeLeftMs() + " ms told, " + leftMs + " ms left");
+                    arrival.sentTimeLeftMs() + " ms sent, " + leftMs + " ms left");
         }
-        assertEquals(1, arrivals.size(), "it may run once only");
+        assertEquals(1, arrivals.size(), "a run-once request is sent once");
     }
 }
--- a/src/test/java/damsonslip/platform/StrayAnswersTest.java
+++ b/src/test/java/damsonslip/platform/StrayAnswersTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What workers send that nobody asked for: a second answer, half a line, an answer without end. */
+/** Unsolicited data from workers: a second answer, a partial line, an endless answer. */
 class StrayAnswersTest extends PlatformStage {
     private static final String UNPROCESSED =
             "HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n";
@@ -23,7 +23,7 @@
 
     private final List<Message> ranOnReusedConnection = new CopyOnWriteArrayList<>();
 
-    /** An answer of this one line, whole, in as many bytes as one write takes. */
+    /** A complete answer of this one line, for a single write. */
     private static String answer(String line) {
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 + Integer.toHexString(line.length() + 1)
@@ -43,8 +43,8 @@
     }
 
     /**
-     * With the link kept, and kept twice over, two queries would share it and one of them would
-     * never be answered.
+     * Guards against a connection that is returned to the pool once per answer: two requests would
+     * share it, and one of them would never be answered.
      */
     @Test
     void closesConnectionWithSecondAnswer() throws Exception {
@@ -65,7 +65,7 @@
                                 bothArrived.countDown();
                                 assertTrue(
                                         bothArrived.await(3, TimeUnit.SECONDS),
-                                        "each has a link of its own");
+                                        "each request has a connection of its own");
                                 peer.send(done(job));
                             }
                         }));
@@ -79,7 +79,10 @@
         assertEquals(3, jobs("a"));
     }
 
-    /** It would tell that the second query never ran, and have it run twice. */
+    /**
+     * A late "unprocessed" rejection for an earlier request would be read as the next one's. Guards
+     * against retrying that one although it ran.
+     */
     @Test
     void lateRejectionDoesNotCountAsUnprocessedForNextRequest() throws Exception {
         start(worker("a", withLateRejection()), worker("b", withLateRejection()));
@@ -87,24 +90,24 @@
             assertEquals(
                     "r-q" + i,
                     ask(query("q" + i, "submit", "2000m")).body(),
-                    "it is worth a link of its own");
+                    "a run-once request gets a connection of its own");
         }
         assertEquals(11, jobs("a", "b") + ranOnReusedConnection.size(), "each ran once");
     }
 
-    /** A class that may be repeated takes the kept link; what it hears there does it no harm. */
+    /** Repeatable requests reuse connections; a late rejection on one only causes a retry. */
     @Test
     void lateRejectionDoesNoHarmToRepeatableRequest() throws Exception {
         start(worker("a", withLateRejection()), worker("b", withLateRejection()));
         for (int i = 1; i < 8; i++) {
             assertEquals("r-q" + i, ask(query("q" + i, "read", "3000m")).body());
         }
-        assertTrue(!ranOnReusedConnection.isEmpty(), "links were used again");
+        assertTrue(!ranOnReusedConnection.isEmpty(), "connections were reused");
     }
 
     /**
-     * What comes on a connection soon after an answer is met by a second one, late by some
-     * milliseconds, and runs.
+     * Serves each job. A job that arrives on the same connection soon after an answer runs, but is
+     * met by a late rejection instead of its answer.
      */
     private Work withLateRejection() {
         return (peer, job) -> {
@@ -122,8 +125,8 @@
     }
 
     /**
-     * The line and the answer's end come in one read: closed over the one, the link must not be
-     * kept by the other.
+     * A malformed line and the end of its answer arrive in one read. Guards against closing the
+     * connection for the line and then keeping it for reuse at the end of the answer.
      */
     @Test
     void doesNotReuseConnectionClosedForMalformedLine() throws Exception {
@@ -137,7 +140,7 @@
                                                 : done(job))));
         for (int i = 0; i < 3; i++) {
             assertEquals(502, ask(query("bad" + i, "submit", "1500m")).status());
-            Thread.sleep(600); // until the worker's pause is over
+            Thread.sleep(600); // until the worker's backoff is over
             assertEquals(200, ask(query("good" + i, "submit", "1500m")).status());
         }
         assertTrue(program.said().contains("no job's state"), program.said());
@@ -146,7 +149,10 @@
         assertTrue(!program.said().contains("executions_timed_out"), program.said());
     }
 
-    /** Half a line on a resting link: the next query must not be answered with the rest of it. */
+    /**
+     * A partial answer arrives on an idle connection. Guards against reusing it, where the rest
+     * would be read as the next request's answer.
+     */
     @Test
     void doesNotReuseConnectionWithPartialAnswer() throws Exception {
         CountDownLatch said = new CountDownLatch(1);
@@ -168,8 +174,8 @@
     }
 
     /**
-     * The query is served by its last line; the rest would be read for ever, and fill a place for
-     * good.
+     * The request is served by the "done" line. Guards against reading the rest for ever, which
+     * would occupy a slot for good.
      */
     @Test
     void closesEndlessAnswerAfterItsLastLine() throws Exception {
@@ -197,7 +203,8 @@
     }
 
     /**
-     * Interim answers are no answer: the one that counts comes behind them, and the link stands.
+     * 1xx responses are skipped, with their headers; the final response counts, and the connection
+     * is reused.
      */
     @Test
     void skipsInterimResponses() throws Exception {
@@ -218,8 +225,8 @@
     }
 
     /**
-     * Nor are they without end: the query is answered by its deadline, and others are served
-     * meanwhile.
+     * With an endless stream of 1xx responses the request is answered at its deadline, and others
+     * are served meanwhile.
      */
     @Test
     void endlessInterimResponsesTimeOutAtDeadline() throws Exception {
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Clients that come and go and one that keeps its connection, until the flag is set; gives what
-     * went wrong.
+     * Starts a client that sends requests until the flag is set, with a connection per request or a
+     * reused one, and collects failures.
      */
     private Thread load(
             List<String> failures,
@@ -103,8 +103,8 @@
     }
 
     /**
-     * The smallest machine has 144 MB; each process gets half of it, and the limits on memory that
-     * `run` sets.
+     * The smallest machine has 144 MB; each process gets half of it, with the memory limits in the
+     * `run` line of the deployment file.
      */
     @Test
     void anUpgradeUnderLoadFitsOnTheSmallestMachine() throws Exception {
@@ -142,9 +142,7 @@
                         load(failures, served, true, "held-", stop));
         Thread.sleep(500);
         Program next = start(second, jvmFlags, dataLimitKb, workers);
-        assertTrue(
-                call(first, "READY").startsWith("YES"),
-                "the old one serves until it is told to end");
+        assertTrue(call(first, "READY").startsWith("YES"), "the old process serves until SIGTERM");
         old.terminate();
         assertEquals(143, old.exit(4));
         assertTrue(old.said().contains("a successor serves"), old.said());
@@ -157,13 +155,14 @@
         assertTrue(served.get() > 100, served + " served");
         assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
-                "the new one is alone",
+                "the new process is the only one",
                 () -> next.said().contains("processes of this scheduler: 1"));
     }
 
     /**
-     * A process that has not heard discovery yet can send nothing, and turns away what is beyond
-     * its share.
+     * A process that has not yet heard from discovery cannot forward requests and rejects what
+     * exceeds its quota. Guards against a new process that accepts clients in that state while the
+     * old one could serve them.
      */
     @Test
     void newProcessAcceptsNobodyBeforeItKnowsTheWorkers() throws Exception {
@@ -210,8 +209,8 @@
     }
 
     /**
-     * Two processes are one scheduler: a crowd gets no more descriptors from both than the
-     * configuration gives.
+     * During an upgrade two processes form one scheduler: a burst of connections gets no more
+     * descriptors from both together than the configuration allows.
      */
     @Test
     void bothProcessesShareTheDescriptorLimitOfOne() throws Exception {
@@ -227,9 +226,10 @@
                 other, Files.readString(other).replace("\"sockets\":1024", "\"sockets\":300"));
         Program next = new Program(other, "serve");
         programs.add(next);
-        Program.await("the second one is ready", () -> call(second, "READY").startsWith("YES"));
+        Program.await("the second process is ready", () -> call(second, "READY").startsWith("YES"));
         Program.await(
-                "the old one knows", () -> old.said().contains("processes of this scheduler: 2"));
+                "the old process knows of the second",
+                () -> old.said().contains("processes of this scheduler: 2"));
         List<Peer> crowd = new ArrayList<>();
         try {
             int mostSockets = 0;
@@ -240,17 +240,17 @@
                                 ? Math.max(mostSockets, old.sockets() + next.sockets())
                                 : mostSockets;
             }
-            // of 150 each, 64 are the program's and 18 the overflow's; clients have 34, however
-            // fast they are sorted
+            // of 150 each, 64 are for the program itself and 18 for the overflow; clients have 34,
+            // however fast connections are admitted or closed
             Program.await(
-                    "the crowd fills the clients' part of both",
+                    "the burst uses up the clients' descriptors of both",
                     () -> old.sockets() + next.sockets() >= 2 * 34);
             mostSockets = Math.max(mostSockets, old.sockets() + next.sockets());
-            // the overflow comes and goes with the pace of sorting; undivided, the clients' part
-            // alone would be 2 x 100
+            // the overflow varies with the pace at which connections are admitted or closed;
+            // undivided, the clients' part alone would be 2 x 100
             assertTrue(mostSockets <= 2 * (34 + 18 + 24), mostSockets + " sockets in both");
             Program.await(
-                    "a usual client gets in once the crowd has been sorted",
+                    "an ordinary client is served once the burst is admitted or closed",
                     () -> {
                         try {
                             return ask(query("q" + System.nanoTime(), "read", "2000m")).status()
@@ -267,8 +267,8 @@
     }
 
     /**
-     * While both live, an idle connection at the old one finds it healthy, and is ended soon after
-     * its end is told.
+     * While both processes run, the old one still answers health checks on open connections with
+     * 200, and it closes idle connections soon after SIGTERM.
      */
     @Test
     void oldProcessStopsListeningAtOnceAndStillAnswersHealthChecks() throws Exception {
@@ -288,17 +288,17 @@
         Program.await("it is sent", () -> jobs("a") == 1);
         start(second, a);
         old.terminate();
-        Program.await("it leaves", () -> call(first, "READY").startsWith("NO"));
+        Program.await(
+                "the old process is no longer ready", () -> call(first, "READY").startsWith("NO"));
         Message health = asking.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").message();
-        assertEquals(200, health.status(), "the address is served, if by another process");
+        assertEquals(200, health.status(), "the address is served, although by another process");
         assertEquals("close", health.field("Connection"));
         Thread.sleep(
-                200); // its door is shut with the call; without a successor it would stay open for
-        // 2.4 s
+                200); // it stops listening at SIGTERM; without a successor it would go on for 2.4 s
         for (int i = 0; i < 20; i++) {
             assertNull(
                     ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
-                    "the new one takes all");
+                    "the new process takes all new connections");
         }
         assertEquals("r-q1", busy.message().body());
         assertTrue(idle.closed());
@@ -306,8 +306,8 @@
     }
 
     /**
-     * The bans hold in both from the yes on, whichever process was called, and in the new one
-     * alone.
+     * A disabled worker is avoided by both processes from the YES on, whichever of them was called,
+     * and by the new one after the old one has ended.
      */
     @Test
     void disabledWorkersSurviveUpgradeAndApplyToBothProcesses() throws Exception {
@@ -319,7 +319,7 @@
         start(second, a, b, c);
         assertTrue(call(second, "DISABLE b").startsWith("YES"));
         Program.await(
-                "the old one has heard",
+                "the old process knows of the change",
                 () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
@@ -327,7 +327,7 @@
         assertEquals(0, jobs("a", "b"));
         assertTrue(call(first, "ENABLE b").startsWith("YES"));
         Program.await(
-                "the new one has heard",
+                "the new process knows of the change",
                 () -> call(second, "STATS").contains("router.targets_disabled:1|g"));
         old.terminate();
         old.exit(4);
@@ -336,7 +336,7 @@
             assertEquals(200, ask(query("r" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
-        assertTrue(jobs("b") > 0, "put back at the old one");
+        assertTrue(jobs("b") > 0, "b is enabled again by the call to the old process");
     }
 
     @Test
@@ -344,7 +344,7 @@
         String a = worker("a", SERVE);
         Program old = start(first, a);
         try (Program failing = new Program(config(list(7, true, a), mgmt(first)), "serve")) {
-            assertEquals(1, failing.exit(), "the second address is taken");
+            assertEquals(1, failing.exit(), "the management address is in use");
             assertEquals(1, failing.said().lines().count(), failing.said());
         }
         assertEquals(200, ask(query("q1", "read", "2000m")).status());
@@ -353,7 +353,7 @@
         assertEquals(
                 200,
                 ask(query("q2", "read", "2000m")).status(),
-                "without a successor the door stays open");
+                "without a successor the old process goes on listening");
         assertEquals(143, old.exit());
         assertFalse(old.said().contains("a successor serves"), old.said());
     }
@@ -366,15 +366,17 @@
                 start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
         old.awaitWord("processes of this scheduler: 2, this one is number 0, a successor serves");
         old.kill();
-        Program.await("it knows", () -> next.said().contains("processes of this scheduler: 1"));
+        Program.await(
+                "the new process knows that it is alone",
+                () -> next.said().contains("processes of this scheduler: 1"));
         for (int i = 0; i < 10; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
         }
     }
 
     /**
-     * The younger one dies after it has served: the older one takes all of it back, and leaves
-     * later as if alone.
+     * The new process dies after it has begun to serve: the old one serves everything again, and a
+     * later upgrade replaces it as usual.
      */
     @Test
     void oldProcessTakesOverWhenNewOneDies() throws Exception {
@@ -392,7 +394,7 @@
         old.terminate();
         assertEquals(143, old.exit(3));
         assertEquals(200, ask(query("last", "read", "2000m")).status());
-        assertFalse(markExists(1), "no mark of it stays");
+        assertFalse(markExists(1), "the mark file of the dead process is removed");
     }
 
     @Test
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -16,26 +16,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** The real program where the wall clock of its machine is off when it starts. */
+/** The real program, started on a machine whose wall clock is wrong. */
 class WallClockTest extends FaultStage {
     private static final long FIRST_SECONDS_MS = 2_000;
     private static final int CLIENTS_AT_ONCE = 12;
     private static final String SLOW_START =
             "\"cold_share\":0.1,\"cold_s\":20,\"fall_multiple\":3,\"fall_s\":2,";
 
-    /** Long beside the delays of a busy machine, so that these hardly count as work. */
+    /** Long compared with the delays of a busy machine, so that these hardly count as work. */
     private static final int JOB_MS = 60;
 
-    /** What counts run apart by whatever the clock says. */
+    /** How far results differ between runs, whatever the clock says. */
     private static final long SLACK_NS = TimeUnit.MILLISECONDS.toNanos(3 * JOB_MS);
 
     /**
-     * The time that the new worker has spent on its jobs: on a busy machine each takes longer, and
-     * it gets fewer.
+     * The time that the new worker spent on its jobs. Time is compared rather than the number of
+     * jobs, because on a busy machine each job takes longer and the worker gets fewer.
      */
     private final AtomicLong workNs = new AtomicLong();
 
-    /** Answers after a while, so that there is more to do than a cold worker may get. */
+    /** Answers after a while, so that there is more work than a worker in slow start may get. */
     private static void answerSlowly(Peer peer, Message job)
             throws IOException, InterruptedException {
         Thread.sleep(JOB_MS);
@@ -62,8 +62,8 @@
     }
 
     /**
-     * How much work a worker gets in its first seconds that discovery tells of as soon as it has
-     * started.
+     * How much work a worker that discovery announces right after its start gets in its first
+     * seconds.
      */
     private long workOfANewWorkerNs(Duration clockOffBy) throws Exception {
         got.clear();
@@ -113,8 +113,9 @@
     }
 
     /**
-     * A busy machine can only take from what the budget allows, so the larger of two runs is nearer
-     * to that.
+     * Guards against a slow start that compares the worker's start time with the wrong wall clock.
+     * A busy machine can only reduce the work below the budget, so the larger of the two runs with
+     * the right clock is nearer to it.
      */
     @Test
     void slowStartWorksWhenWallClockIsAnHourOff() throws Exception {
@@ -123,7 +124,7 @@
         long between = workOfANewWorkerNs(Duration.ZERO);
         long behind = workOfANewWorkerNs(Duration.ofHours(-1));
         long withRightClock = Math.max(before, between);
-        assertTrue(withRightClock > 0, "it is used at all");
+        assertTrue(withRightClock > 0, "the new worker gets work");
         assertSimilar(ahead, withRightClock);
         assertSimilar(behind, withRightClock);
     }
