--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -466,8 +466,8 @@
                         }));
         Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
-        Peer kept = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals(200, kept.message().status());
+        Peer openConnection = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals(200, openConnection.message().status());
         program.terminate();
         Thread.sleep(200);
         Message duringShutdown = ask(query("q2", "submit", "4000m"));
@@ -476,7 +476,7 @@
         Thread.sleep(
                 100); // an open connection serves one more request while the process may not be
         // killed yet
-        Message last = kept.send(query("q3", "submit", "4000m")).message();
+        Message last = openConnection.send(query("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
         Message answer = earlyClient.message();
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -214,13 +214,13 @@
         program =
                 new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
                         .awaitWord("listens on");
-        List<Peer> kept = new ArrayList<>();
+        List<Peer> idle = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            kept.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
-            assertEquals(200, kept.get(i).message().status());
+            idle.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
+            assertEquals(200, idle.get(i).message().status());
         }
         assertEquals(200, ask(query("q1", "submit", "4000m")).status(), program::said);
-        for (Peer each : kept) {
+        for (Peer each : idle) {
             each.close();
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -130,7 +130,8 @@
             worker("a", quick), worker("b", quick), worker("c", quick), worker("d", quick)
         };
         Program old = start(first, jvmFlags, dataLimitKb, workers);
-        assertEquals(200, ask(query("first", "read", "4000m")).status(), "it has heard discovery");
+        assertEquals(
+                200, ask(query("first", "read", "4000m")).status(), "it has heard from discovery");
         List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
         boolean[] stop = new boolean[1];
@@ -230,11 +231,11 @@
         Program.await(
                 "the old process knows of the second",
                 () -> old.said().contains("processes of this scheduler: 2"));
-        List<Peer> crowd = new ArrayList<>();
+        List<Peer> burst = new ArrayList<>();
         try {
             int mostSockets = 0;
             for (int i = 0; i < 600; i++) {
-                crowd.add(Peer.connect(port));
+                burst.add(Peer.connect(port));
                 mostSockets =
                         i % 20 == 0
                                 ? Math.max(mostSockets, old.sockets() + next.sockets())
@@ -260,7 +261,7 @@
                         }
                     });
         } finally {
-            for (Peer each : crowd) {
+            for (Peer each : burst) {
                 each.close();
             }
         }
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -86,7 +86,7 @@
         Thread.sleep(FIRST_SECONDS_MS);
         long work = workNs.get();
         System.out.println(
-                "first two seconds of a cold worker, clock off by "
+                "first two seconds of a worker in slow start, clock off by "
                         + clockOffBy
                         + ": "
                         + jobs("b")
