--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -9,10 +9,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What a client sent reaches its worker as it was, or the client is told that it cannot be sent.
+ * Targets and header values reach the worker byte for byte as the client sent them, or the client
+ * gets a 4xx answer and no worker is sent anything.
  */
 class PassedUnchangedTest extends PlatformStage {
-    private void unchangedOrRefused(String text, String field, String value) throws Exception {
+    private void assertForwardedUnchangedOrRejected(String text, String field, String value)
+            throws Exception {
         start(worker("a", SERVE), worker("b", SERVE));
         Message answer = ask(text);
         if (answer.status() == 200) {
@@ -24,10 +26,15 @@
                             .get(0);
             assertEquals(value, field == null ? job.first().split(" ", 0)[1] : job.field(field));
         } else {
-            assertTrue(answer.status() >= 400 && answer.status() < 500, "refused: " + answer);
+            assertTrue(
+                    answer.status() >= 400 && answer.status() < 500,
+                    "neither forwarded nor rejected: " + answer);
             assertEquals(0, jobs("a", "b"));
         }
-        assertEquals(200, ask(query("after", "read", "2000m")).status(), "others are served on");
+        assertEquals(
+                200,
+                ask(query("after", "read", "2000m")).status(),
+                "other requests are still served");
         assertTrue(!program.said().contains("ERROR"), program.said());
     }
 
@@ -47,8 +54,9 @@
                 "/api?x=a?b",
                 "/api?\u0001"
             })
-    void aTarget(String target) throws Exception {
-        unchangedOrRefused(query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+    void forwardsOrRejectsTarget(String target) throws Exception {
+        assertForwardedUnchangedOrRejected(
+                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 
     @ParameterizedTest
@@ -64,8 +72,8 @@
                 "a,b;c=d",
                 "x:y"
             })
-    void anId(String id) throws Exception {
-        unchangedOrRefused(
+    void forwardsOrRejectsCorrelationId(String id) throws Exception {
+        assertForwardedUnchangedOrRejected(
                 query(id, "read", "2000m")
                         .replace("Idempotency-Key: k-" + id, "Idempotency-Key: k"),
                 "X-Correlation-Id",
@@ -74,8 +82,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"plain-1", "a b", "a\tb", "é", "a\u0001b", "a\u007fb"})
-    void aKey(String key) throws Exception {
-        unchangedOrRefused(
+    void forwardsOrRejectsIdempotencyKey(String key) throws Exception {
+        assertForwardedUnchangedOrRejected(
                 query("q1", "read", "2000m")
                         .replace("Idempotency-Key: k-q1", "Idempotency-Key: " + key),
                 "Idempotency-Key",
@@ -83,8 +91,9 @@
     }
 
     @Test
-    void theLongestHeadThatIsTaken() throws Exception {
+    void forwardsOrRejectsNearlyLongestHead() throws Exception {
         String target = "/api?x=" + "y".repeat(7_500);
-        unchangedOrRefused(query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+        assertForwardedUnchangedOrRejected(
+                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 }
--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -23,17 +23,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The real program between clients, workers and discovery that this test plays. */
+/** Runs the real program; the test plays its clients, its workers and discovery. */
 class PlatformTest extends PlatformStage {
     @Test
-    void aQueryGoesToAWorkerUnchangedAndItsResultComesBack() throws Exception {
+    void forwardsRequestUnchangedAndReturnsResult() throws Exception {
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port)) {
             for (String id : List.of("q1", "q2")) {
                 Message answer = client.send(query(id, "submit", "4000m")).message();
                 assertEquals(200, answer.status());
                 assertEquals("r-" + id, answer.body());
-                Thread.sleep(150); // a link has to rest before it carries what must run once
+                Thread.sleep(150); // a reused connection must be idle a while before it carries a
+                // run-once request
             }
         }
         Message job = got.get("a").get(0);
@@ -41,23 +42,29 @@
         assertEquals("body", job.body());
         assertEquals("k-q1", job.field("Idempotency-Key"));
         assertTrue(Integer.parseInt(job.field("X-Time-Left").replace("u", "")) > 3_000_000);
-        assertEquals(1, servers.get(1).connections(), "the server link is kept");
+        assertEquals(1, servers.get(1).connections(), "the worker connection is reused");
     }
 
-    /** A link lost after the last byte may have had its effect: once is enough for 'submit'. */
+    /**
+     * A request whose connection is lost after its last byte may have run; 'submit' must run at
+     * most once, so it is not retried.
+     */
     @Test
-    void whatMayHaveRunIsSentAgainOnlyWhereItsClassAllows() throws Exception {
+    void retriesPossiblyExecutedRequestOnlyWhereClassIsRepeatable() throws Exception {
         start(worker("a", BREAK), worker("b", BREAK));
         Message answer = ask(query("q1", "submit", "1000m"));
         assertEquals(502, answer.status());
         assertEquals(1, jobs("a", "b"), "sent once");
         ask(query("q2", "read", "1000m"));
-        assertTrue(jobs("a", "b") >= 3, "a repeatable one is tried again");
+        assertTrue(jobs("a", "b") >= 3, "a repeatable request is retried");
     }
 
-    /** Larger than any buffer on the way, in both directions, and two queries written at once. */
+    /**
+     * A body larger than any buffer on the way, in both directions, and two requests pipelined in
+     * one write.
+     */
     @Test
-    void largeBodiesPassWholeAndQueriesWrittenAheadAreAnsweredInTurn() throws Exception {
+    void forwardsLargeBodiesAndAnswersPipelinedRequestsInOrder() throws Exception {
         String large = "x".repeat(60_000);
         start(
                 worker(
@@ -81,9 +88,12 @@
         }
     }
 
-    /** Without load reports nothing but the ends of jobs tells that their slots are free again. */
+    /**
+     * Without load reports only the ends of jobs free their slots. Guards against a worker that
+     * appears full for ever.
+     */
     @Test
-    void aWorkerThatNeverReportsItsLoadIsUsedOnAndOn() throws Exception {
+    void keepsUsingWorkerThatNeverReportsLoad() throws Exception {
         start(
                 worker(
                         "a",
@@ -94,7 +104,7 @@
     }
 
     @Test
-    void whatProvablyNeverRanIsSentElsewhere() throws Exception {
+    void retriesUnprocessedRequestOnOtherWorker() throws Exception {
         Peer.Server closed = new Peer.Server(0, peer -> {});
         closed.close();
         start(worker("a", TURN_AWAY), entry("b", closed.port(), "ready"), worker("c", SERVE));
@@ -113,18 +123,17 @@
                 "{\"id\":\"q1\",\"state\":\"jumping\"}",
                 "{\"id\":\"q1\",\"state\":\"done\"}"
             })
-    void aWorkersMalformedLineEndsItsExecutionAsAReset(String line) throws Exception {
+    void malformedWorkerLineFailsExecutionLikeReset(String line) throws Exception {
         start(worker("a", (peer, job) -> peer.answerLines(line)));
         assertEquals(502, ask(query("q1", "submit", "1000m")).status());
         assertEquals(1, jobs("a"));
     }
 
     /**
-     * The module has given up: the answer must not wait for the deadline, and says when to come
-     * back.
+     * A request that the policy rejects is answered at once with Retry-After, not at its deadline.
      */
     @Test
-    void aThrottleComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void rejectsAtOnceWithRetryAfterWhenOverloaded() throws Exception {
         start(worker("a", SAY_NOTHING));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
@@ -133,7 +142,8 @@
         long before = System.nanoTime();
         Message answer = ask(query("last", "read", "4000m"));
         assertEquals(503, answer.status());
-        assertTrue(System.nanoTime() - before < 2_000_000_000L, "long before its deadline");
+        assertTrue(
+                System.nanoTime() - before < 2_000_000_000L, "rejected long before its deadline");
         assertNotNull(answer.field("Retry-After"));
         assertTrue(Double.parseDouble(answer.field("Retry-After")) > 0);
         for (Peer client : clients) {
@@ -142,9 +152,9 @@
     }
 
     @Test
-    void aSilentWorkersQueryIsAnsweredByItsDeadline() throws Exception {
+    void answersByDeadlineWhenWorkerIsSilent() throws Exception {
         start(worker("a", SAY_NOTHING));
-        ask(query("q0", "submit", "300m")); // the first one loads classes
+        ask(query("q0", "submit", "300m")); // the first request loads classes
         long before = System.nanoTime();
         assertEquals(504, ask(query("q1", "submit", "600m")).status());
         long ms = (System.nanoTime() - before) / 1_000_000;
@@ -152,17 +162,17 @@
     }
 
     @Test
-    void aClientThatGoesTakesItsExecutionAlong() throws Exception {
+    void clientDisconnectCancelsItsExecution() throws Exception {
         List<Boolean> ended = new CopyOnWriteArrayList<>();
         start(worker("a", (peer, job) -> ended.add(peer.ended())));
         Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
         client.close();
-        Program.await("its link is closed", () -> ended.equals(List.of(true)));
+        Program.await("the connection to the worker is closed", () -> ended.equals(List.of(true)));
     }
 
     @Test
-    void nothingNewGoesToAWorkerThatIsToldToDrain() throws Exception {
+    void sendsNothingNewToDrainingWorker() throws Exception {
         String a = worker("a", SERVE);
         start(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
@@ -178,11 +188,11 @@
     }
 
     /**
-     * The JVM would exit on SIGHUP, and a scheduler that kept to the old address would go on
-     * without news.
+     * Guards against a JVM that exits on SIGHUP, and against a scheduler that stays with the old
+     * discovery address and gets no further watch events.
      */
     @Test
-    void aHangUpMovesTheWatchAndLeavesOpenExecutionsAlone() throws Exception {
+    void sighupMovesWatchAndKeepsOpenExecutions() throws Exception {
         String a =
                 worker(
                         "a",
@@ -192,44 +202,46 @@
                         });
         start(a);
         Program.await("a watch", () -> watches.size() == 1);
-        Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         program.reload("{\"listen\":").awaitWord("reload: config");
-        List<String> novelWatches = new CopyOnWriteArrayList<>();
+        List<String> newWatches = new CopyOnWriteArrayList<>();
         int before = discovery.port();
         discovery =
                 discovery(
                         List.of(list(3, true, a.replace("ready", "draining"), worker("b", SERVE))),
-                        novelWatches);
+                        newWatches);
         program.reload(Files.readString(config(list(7, true))));
-        Program.await("a watch at the new address", () -> novelWatches.size() == 1);
+        Program.await("a watch at the new address", () -> newWatches.size() == 1);
         assertTrue(
-                novelWatches.get(0).contains("after=0"),
-                "the new list is asked for whole: " + novelWatches);
-        assertEquals(1, watches.size(), "nothing more is asked of the old one, on port " + before);
+                newWatches.get(0).contains("after=0"),
+                "the complete list is requested: " + newWatches);
+        assertEquals(1, watches.size(), "no new watch at the old address, port " + before);
         assertEquals(200, ask(query("q2", "submit", "2000m")).status());
         assertEquals(1, jobs("b"));
-        assertEquals("r-q1", early.message().body());
+        assertEquals("r-q1", earlyClient.message().body());
     }
 
     @Test
-    void aBadLineFromDiscoveryIsToldPlainlyAndTheListAskedForAgain() throws Exception {
+    void logsBadDiscoveryLineAndRequestsListAgain() throws Exception {
         start(worker("a", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         news.add("{\"generation\":");
         Program.await("a second watch", () -> watches.size() >= 2);
-        String novel = entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
-        news.add(list(9, false, novel, worker("b", SERVE)));
+        String withUnknownZone =
+                entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
+        news.add(list(9, false, withUnknownZone, worker("b", SERVE)));
         program.awaitWord("moon");
         assertEquals(200, ask(query("q1", "read", "2000m")).status());
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
     /**
-     * A worker closes a link at its idle limit; a job written to it then would count as a reset.
+     * A worker closes a connection at its idle limit; a job written to it at that moment would fail
+     * as a reset.
      */
     @Test
-    void aServerLinkNearItsIdleLimitIsNotUsedAgain() throws Exception {
+    void doesNotReuseWorkerConnectionNearIdleLimit() throws Exception {
         start(worker("a", SERVE));
         ask(query("q1", "submit", "2000m"));
         Thread.sleep(1_200);
@@ -238,11 +250,12 @@
     }
 
     /**
-     * Kept links may be dropped long before the limit and look open: a job written to one counts as
-     * having run.
+     * A reused connection may have been dropped long before its idle limit and still look open; a
+     * job written to it counts as possibly executed. Once reused connections have broken this way,
+     * run-once requests must avoid them.
      */
     @Test
-    void aKindOfLinkThatBreaksUnderItsNextJobIsNotUsedForWhatMustRunOnce() throws Exception {
+    void sendsRunOnceRequestsOnNewConnectionsWhereReusedOnesBreak() throws Exception {
         start(
                 worker(
                         "a",
@@ -277,14 +290,14 @@
                 "nonsense~~|400",
                 "POST /api HTTP/1.1~Host: a~Content-Length: x~~|400"
             })
-    void badInputGetsAPlainRefusal(String text, int status) throws Exception {
+    void rejectsBadInputWithPlainStatus(String text, int status) throws Exception {
         start(worker("a", SERVE));
         assertEquals(status, ask(text.replace("~", "\r\n")).status());
         assertEquals(
                 431,
                 ask("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n").status());
         assertEquals(
-                200, ask(query("q1", "read", "2000m")).status(), "others are served as before");
+                200, ask(query("q1", "read", "2000m")).status(), "other requests are still served");
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
@@ -296,10 +309,10 @@
                 + "~";
     }
 
-    static Stream<Arguments> messagesThatCannotBeTrusted() {
+    static Stream<Arguments> untrustworthyMessages() {
         return Stream.of(
-                // the second one would pass a front that goes by the length, and the first a front
-                // that goes by the chunks
+                // request smuggling: a proxy that goes by Content-Length and one that goes by the
+                // chunks would see different requests
                 arguments(
                         head("q", "Content-Length: 4~Transfer-Encoding: chunked~")
                                 + "0~~"
@@ -318,13 +331,12 @@
     }
 
     /**
-     * Each gets its error within three seconds, then the end of the connection, and no worker hears
-     * of it.
+     * Each message gets its error within three seconds, then its connection is closed, and no
+     * worker is sent anything.
      */
     @ParameterizedTest
     @MethodSource("messagesThatCannotBeTrusted")
-    void whatCannotBeTrustedIsRefusedAndTheConnectionEnds(String text, int status)
-            throws Exception {
+    void rejectsUntrustworthyMessageAndClosesConnection(String text, int status) throws Exception {
         start(worker("a", SERVE));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.replace("~", "\r\n"))) {
@@ -337,11 +349,11 @@
     }
 
     /**
-     * What is behind a length that is too small may come only when the query is with a worker
-     * already.
+     * The bytes beyond a Content-Length that is too small may arrive only after the request was
+     * forwarded to a worker.
      */
     @Test
-    void aQueryThatTurnsOutLongerThanItSaysIsNotServed() throws Exception {
+    void rejectsRequestLongerThanItsContentLength() throws Exception {
         start(worker("a", SAY_NOTHING));
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
@@ -350,11 +362,11 @@
     }
 
     /**
-     * Ids belong to one query each: a stranger's repeat must neither run nor disturb the query
-     * whose id it is.
+     * An id belongs to one request: another client's request with the same id must neither run nor
+     * disturb the first.
      */
     @Test
-    void anIdThatWasUsedIsRefusedWhetherItsQueryIsOpenOrNot() throws Exception {
+    void rejectsReusedIdOfOpenOrFinishedRequest() throws Exception {
         start(
                 worker(
                         "a",
@@ -372,30 +384,30 @@
     }
 
     /**
-     * Connections that say nothing fill the room there is; usual clients still get in, and the
-     * silent ones go.
+     * Silent connections use up the descriptors for clients; ordinary clients must still be
+     * accepted, and the silent connections closed.
      */
     @Test
-    void silentConnectionsMakeWayForUsualClientsAndAreClosed() throws Exception {
+    void closesSilentConnectionsAndServesOrdinaryClients() throws Exception {
         start(worker("a", SERVE));
         List<Peer> silent = new ArrayList<>();
         for (int i = 0; i < 700; i++) {
             silent.add(Peer.connect(port));
             if (i % 100 == 99) {
                 Thread.sleep(
-                        30); // what is only accepted, and not yet taken in or let go, fills room of
-                // its own
+                        30); // connections accepted but not yet admitted or closed have descriptors
+                // of their own
             }
         }
         long before = System.nanoTime();
         Program.await(
-                "a usual client gets in, at the latest once the newest have been sorted",
+                "an ordinary client is served, at the latest once the newest connections are"
+                        + " admitted or closed",
                 () -> {
                     try {
                         return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
                     } catch (IOException e) {
-                        return false; // so many are accepted and not yet sorted that there is no
-                        // room
+                        return false; // no descriptor left while so many connections are undecided
                     }
                 });
         for (Peer peer : silent) {
@@ -404,11 +416,14 @@
         assertTrue(System.nanoTime() - before < 3_500_000_000L);
     }
 
-    /** A flood behind a refusal is not read to its end: others would have to wait for it. */
+    /**
+     * The body of a rejected request is not read to its end. Guards against a client that floods
+     * the scheduler and delays all others.
+     */
     @Test
-    void aFloodBehindARefusalKeepsNobodyWaiting() throws Exception {
+    void floodAfterRejectionDelaysNobody() throws Exception {
         start(worker("a", SERVE));
-        ask(query("q0", "read", "2000m")); // the first one loads classes
+        ask(query("q0", "read", "2000m")); // the first request loads classes
         AtomicInteger sent = new AtomicInteger();
         Thread flood =
                 new Thread(
@@ -423,7 +438,7 @@
                                     client.send(part);
                                 }
                             } catch (IOException e) {
-                                // its end
+                                // the scheduler closed the connection
                             }
                         });
         flood.start();
@@ -433,15 +448,15 @@
         }
         assertTrue(System.nanoTime() - before < 2_000_000_000L);
         flood.join(5_000);
-        assertTrue(sent.get() < 100, "it was cut off after " + sent.get() + " MB");
+        assertTrue(sent.get() < 100, "the flood was cut off after " + sent.get() + " MB");
     }
 
     /**
-     * After SIGTERM clients still come for a while; all get an answer, and only then the process
-     * ends.
+     * After SIGTERM clients still connect for a while; all of them get an answer before the process
+     * exits.
      */
     @Test
-    void aStopAnswersEverythingAndAsksClientsToGo() throws Exception {
+    void shutdownAnswersEverythingAndClosesConnections() throws Exception {
         start(
                 worker(
                         "a",
@@ -449,22 +464,22 @@
                             Thread.sleep(900);
                             SERVE.on(peer, job);
                         }));
-        Peer early = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
-        Peer kept = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        assertEquals(200, kept.message().status());
+        Peer openConnection = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+        assertEquals(200, openConnection.message().status());
         program.terminate();
         Thread.sleep(200);
-        Message late = ask(query("q2", "submit", "4000m"));
-        assertEquals(200, late.status());
-        assertEquals("close", late.field("Connection"));
+        Message duringShutdown = ask(query("q2", "submit", "4000m"));
+        assertEquals(200, duringShutdown.status());
+        assertEquals("close", duringShutdown.field("Connection"));
         Thread.sleep(
-                100); // a connection that was kept serves once more, as long as the process may not
-        // be killed
-        Message last = kept.send(query("q3", "submit", "4000m")).message();
+                100); // an open connection serves one more request while the process may not be
+        // killed yet
+        Message last = openConnection.send(query("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
-        Message answer = early.message();
+        Message answer = earlyClient.message();
         assertEquals("r-q1", answer.body());
         assertEquals("close", answer.field("Connection"));
         program.reload(null);
@@ -475,11 +490,11 @@
     }
 
     /**
-     * The process may be killed 3.7 s after SIGTERM: a query that runs for longer is told so
-     * before.
+     * The process may be killed 3.7 s after SIGTERM; a request that runs longer gets its error
+     * before that.
      */
     @Test
-    void aStopAnswersWhatCannotBeWaitedFor() throws Exception {
+    void shutdownFailsRequestsThatOutlastIt() throws Exception {
         start(worker("a", SAY_NOTHING));
         Peer client = Peer.connect(port).send(query("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
@@ -491,7 +506,7 @@
     }
 
     @Test
-    void badConfigurationEndsTheProgramWithOnePlainLine() throws Exception {
+    void badConfigurationExitsWithOneLine() throws Exception {
         for (String text :
                 List.of(
                         "{",
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Workers that die behind an accept, and requests in a crowd or written ahead: each has its end in
- * time.
+ * Workers that crash after accepting a connection, pipelined requests and bursts of mixed clients:
+ * every request ends in time.
  */
 class RareMomentsTest extends PlatformStage {
-    /** When a worker's process dies: its connections are reset. */
-    enum Dies {
+    /** The moment at which a worker crashes and its connections are reset. */
+    enum Crash {
         BEFORE_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
@@ -36,7 +36,7 @@
                 return null;
             }
         },
-        WITHIN_THE_REQUEST {
+        DURING_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
                 peer.line();
@@ -44,7 +44,7 @@
                 return null;
             }
         },
-        BEHIND_THE_REQUEST {
+        AFTER_THE_REQUEST {
             @Override
             Message on(Peer peer) throws IOException {
                 Message job = peer.message();
@@ -53,12 +53,15 @@
             }
         };
 
-        /** Gives the job that has come whole, if one has. */
+        /** Returns the job if it was received completely, else null. */
         abstract Message on(Peer peer) throws IOException;
     }
 
-    /** The rules allow half a second after the deadline; as much again for a busy machine. */
-    private static final long LATEST_NS = TimeUnit.MILLISECONDS.toNanos(1_000);
+    /**
+     * An answer may come half a second after the deadline; as much again is allowed for a busy
+     * machine.
+     */
+    private static final long LATENESS_LIMIT_NS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
     private final ExecutorService clients = Executors.newFixedThreadPool(40);
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
@@ -68,39 +71,42 @@
         clients.shutdownNow();
     }
 
-    private void ran(Message job) {
+    private void countRun(Message job) {
         runs.computeIfAbsent(job.field("X-Correlation-Id"), id -> new AtomicInteger())
                 .incrementAndGet();
     }
 
-    private String dying(String id, Dies when) throws IOException {
+    private String crashingWorker(String id, Crash crash) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
                         peer -> {
-                            Message job = when.on(peer);
+                            Message job = crash.on(peer);
                             if (job != null) {
-                                ran(job);
+                                countRun(job);
                             }
                         });
         servers.add(server);
         return entry(id, server.port(), "ready");
     }
 
-    /** What must not run twice runs once at the most; the other class is served elsewhere. */
+    /**
+     * A request that is not repeatable runs at most once; a repeatable one is retried on another
+     * worker.
+     */
     @ParameterizedTest
-    @EnumSource(Dies.class)
-    void aWorkerThatDiesBehindAnAcceptCostsNoSecondRunAndNoAnswer(Dies when) throws Exception {
+    @EnumSource(Crash.class)
+    void crashAfterAcceptCausesNoSecondRunAndNoMissingAnswer(Crash crash) throws Exception {
         Work serve =
                 (peer, job) -> {
-                    ran(job);
+                    countRun(job);
                     SERVE.on(peer, job);
                 };
         start(
-                dying("a", when),
+                crashingWorker("a", crash),
                 worker("b", serve),
                 worker("c", serve),
-                dying("d", when),
+                crashingWorker("d", crash),
                 worker("e", serve),
                 worker("f", serve));
         int served = 0;
@@ -110,43 +116,52 @@
             assertTrue(status == 200 || status == 502 || status == 503, "answered with " + status);
             served += status == 200 ? 1 : 0;
             assertEquals(
-                    200, ask(query("safe" + i, "read", "2000m")).status(), "it goes elsewhere");
+                    200,
+                    ask(query("safe" + i, "read", "2000m")).status(),
+                    "a repeatable request is retried elsewhere");
             assertTrue(
-                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATEST_NS,
-                    "in time");
+                    System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATENESS_LIMIT_NS,
+                    "answered in time");
         }
         assertTrue(
                 served >= 8,
-                served + " of 12 that run once: each dying worker is found out by its first ones");
+                served
+                        + " of 12 run-once requests served: crashing workers should be avoided"
+                        + " after the first failures");
         runs.forEach(
                 (id, count) ->
                         assertTrue(
                                 id.startsWith("safe") || count.get() == 1, id + " ran " + count));
     }
 
-    /** Their time counts from when they came, not from when the one before them was answered. */
+    /**
+     * The time of a pipelined request counts from its arrival. Guards against counting it from the
+     * answer to the request before it.
+     */
     @Test
-    void requestsWrittenAheadAreAllAnsweredByTheirDeadline() throws Exception {
+    void answersPipelinedRequestsByTheirDeadline() throws Exception {
         start(worker("a", SAY_NOTHING), worker("b", SAY_NOTHING), worker("c", SAY_NOTHING));
         ask(query("q0", "submit", "300m")); // the first one loads classes
-        int ahead = 5;
+        int pipelined = 5;
         StringBuilder text = new StringBuilder();
-        IntStream.range(0, ahead).forEach(i -> text.append(query("p" + i, "submit", "800m")));
+        IntStream.range(0, pipelined).forEach(i -> text.append(query("p" + i, "submit", "800m")));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.toString())) {
-            for (int i = 0; i < ahead; i++) {
+            for (int i = 0; i < pipelined; i++) {
                 assertTrue(client.message().status() >= 500);
             }
         }
         long took = System.nanoTime() - before;
-        assertTrue(took < TimeUnit.MILLISECONDS.toNanos(800) + LATEST_NS, took / 1_000_000 + " ms");
+        assertTrue(
+                took < TimeUnit.MILLISECONDS.toNanos(800) + LATENESS_LIMIT_NS,
+                took / 1_000_000 + " ms");
     }
 
     /**
-     * Sends a text and waits for so many answers; what ends the connection counts as the end of the
-     * rest.
+     * Sends a text and waits for this many answers; a closed connection counts as the end of all
+     * the remaining ones. Returns the time taken.
      */
-    private static long endNs(int port, String text, int answers) throws IOException {
+    private static long timeToEndNs(int port, String text, int answers) throws IOException {
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text)) {
             for (int i = 0; i < answers; i++) {
@@ -155,17 +170,17 @@
         } catch (SocketTimeoutException e) {
             throw new AssertionError("no answer and no end: " + text, e);
         } catch (IOException e) {
-            // its connection's end
+            // the connection was closed, which ends the remaining requests
         }
         return System.nanoTime() - before;
     }
 
     /**
-     * Usual clients, some that reset, some with half a request, some that write ahead; workers of
-     * all kinds.
+     * A burst of ordinary clients, clients that reset, that send half a request or that pipeline,
+     * with workers that serve, stall and reset.
      */
     @Test
-    void inACrowdEveryRequestHasItsEndInTime() throws Exception {
+    void endsEveryRequestInTimeUnderMixedLoad() throws Exception {
         AtomicInteger turn = new AtomicInteger();
         Work mixed =
                 (peer, job) -> {
@@ -190,21 +205,24 @@
                                             yield 0L;
                                         }
                                         case '5', '6' ->
-                                                endNs(port, one.substring(0, one.length() / 2), 1);
+                                                timeToEndNs(
+                                                        port,
+                                                        one.substring(0, one.length() / 2),
+                                                        1);
                                         case '7', '8' ->
-                                                endNs(
+                                                timeToEndNs(
                                                         port,
                                                         one
                                                                 + query(id + "a", lane, "1500m")
                                                                 + query(id + "b", lane, "1500m"),
                                                         3);
-                                        default -> endNs(port, one, 1);
+                                        default -> timeToEndNs(port, one, 1);
                                     }));
         }
-        for (Future<Long> one : all) { // half a request has two seconds
+        for (Future<Long> one : all) { // an incomplete request times out after two seconds
             long took = one.get(20, TimeUnit.SECONDS);
             assertTrue(
-                    took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATEST_NS,
+                    took < TimeUnit.MILLISECONDS.toNanos(2_000) + LATENESS_LIMIT_NS,
                     took / 1_000_000 + " ms");
         }
         program.terminate();
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Messages that come in pieces, as the network or a slow writer cuts them. */
+/** Messages that arrive in pieces, as the network or a slow sender splits them. */
 class RequestsInPiecesTest extends PlatformStage {
     private static final int CLIENTS = 8;
 
-    /** Each piece is a write of its own, which is read before the next one comes. */
+    /** Long enough that each piece is read before the next is written. */
     private static final int PAUSE_MS = 3;
 
     private final ExecutorService clients = Executors.newFixedThreadPool(CLIENTS);
@@ -29,26 +29,26 @@
         clients.shutdownNow();
     }
 
-    private void bothAnswered(String text, int at, String first, String second)
+    private void assertBothAnswered(String text, int split, String first, String second)
             throws IOException, InterruptedException {
         try (Peer client = Peer.connect(port)) {
-            client.send(text.substring(0, at));
+            client.send(text.substring(0, split));
             Thread.sleep(PAUSE_MS);
-            client.send(text.substring(at));
+            client.send(text.substring(split));
             for (String id : List.of(first, second)) {
                 Message answer = client.message();
                 assertEquals(
-                        "200 r-" + id, answer.status() + " " + answer.body(), "split at " + at);
+                        "200 r-" + id, answer.status() + " " + answer.body(), "split at " + split);
             }
         }
     }
 
     /**
-     * Two requests written in two parts: the seam lies at each byte of the heads, the bodies and
-     * between them.
+     * Two pipelined requests written in two parts, split at each byte of the heads, the bodies and
+     * the gap between them.
      */
     @Test
-    void requestsInTwoPiecesAreServedWhereverTheSeamLies() throws Exception {
+    void servesRequestsSplitInTwoAtAnyByte() throws Exception {
         startCounting(worker("a", SERVE), worker("b", SERVE), worker("c", SERVE));
         awaitDiscovery();
         int length =
@@ -60,16 +60,16 @@
             all.add(
                     clients.submit(
                             () -> {
-                                for (int at = next.getAndIncrement();
-                                        at < length;
-                                        at = next.getAndIncrement()) {
-                                    String first = "x" + (100 + at);
-                                    String second = "y" + (100 + at);
+                                for (int split = next.getAndIncrement();
+                                        split < length;
+                                        split = next.getAndIncrement()) {
+                                    String first = "x" + (100 + split);
+                                    String second = "y" + (100 + split);
                                     String text =
                                             query(first, "read", "4000m")
                                                     + "\r\n"
                                                     + query(second, "submit", "4000m");
-                                    bothAnswered(text, at, first, second);
+                                    assertBothAnswered(text, split, first, second);
                                 }
                                 return null;
                             }));
@@ -79,9 +79,9 @@
         }
     }
 
-    /** Byte by byte in both directions, and the body of a request that is written slowly. */
+    /** Request heads, bodies and answers, sent one byte at a time in both directions. */
     @Test
-    void whatComesByteByByteIsReadLikeAnyOther() throws Exception {
+    void readsRequestsAndAnswersThatArriveByteByByte() throws Exception {
         start(
                 worker(
                         "a",
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The real program that starts while the system has no socket to give (socket(2)). */
+/** The real program, started while the system cannot create sockets (socket(2)). */
 class ShortageAtStartTest extends FaultStage {
     private static final long SHORTAGE_MS = 1_500;
 
@@ -20,13 +20,13 @@
     @EnumSource(
             value = Errno.class,
             names = {"ENOMEM", "ENOBUFS", "ENFILE", "EMFILE"})
-    void startsOnceThereAreSocketsAgain(Errno error) throws Exception {
+    void startsOnceSocketsAreAvailableAgain(Errno error) throws Exception {
         Map<String, String> environment = new HashMap<>(faults.environment());
-        int second = Program.freePort();
+        int managementPort = Program.freePort();
         faults.fail(SystemCall.SOCKET, error, 1);
         program =
                 new Program(
-                        config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                        config(list(7, true, worker("a", SERVE)), mgmt(managementPort)),
                         environment,
                         List.of(),
                         "serve");
@@ -36,8 +36,8 @@
         program.awaitWord("listens on");
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
         Program.await(
-                "its second address listens",
-                () -> call(second, "READY").startsWith("YES"),
+                "the management address listens",
+                () -> call(managementPort, "READY").startsWith("YES"),
                 program);
     }
 }
--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -19,17 +19,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What 300 slow clients of every kind cost usual ones: not a test (its name keeps it out of CI),
- * but {@code make bench-slow-peers}, two minutes on a machine that is otherwise idle. Rounds
- * without and with them alternate.
+ * Measures how 300 slow clients of every kind affect ordinary clients. Not a test (its name keeps
+ * it out of CI), but {@code make bench-slow-peers}, which takes two minutes on an otherwise idle
+ * machine. Rounds without and with slow clients alternate.
  */
 class SlowPeersMeasurement extends PlatformStage {
-    private static final int SLOW = 300;
-    private static final int USUAL = 12;
+    private static final int SLOW_CLIENTS = 300;
+    private static final int ORDINARY_CLIENTS = 12;
     private static final int ROUNDS = 3;
     private static final long ROUND_MS = 12_000;
-    private static final double AIM_MS = 500;
-    private static final String BIG = "x".repeat(250_000);
+    private static final double LATENCY_OBJECTIVE_MS = 500;
+    private static final String LARGE_RESULT = "x".repeat(250_000);
     private static final Work WORK =
             (peer, job) -> {
                 Thread.sleep(15);
@@ -40,27 +40,33 @@
                                 job,
                                 "done",
                                 ",\"result\":\""
-                                        + (id.startsWith("big") ? BIG : "r-" + id)
+                                        + (id.startsWith("big") ? LARGE_RESULT : "r-" + id)
                                         + "\",\"load\":{\"x0\":3}"));
             };
 
     /** What a slow client does on a connection until that ends. */
-    private interface Habit {
+    private interface Behaviour {
         void on(Socket socket, String id) throws IOException, InterruptedException;
     }
 
-    private static final List<Habit> HABITS =
+    private static final List<Behaviour> BEHAVIOURS =
             List.of(
-                    (socket, id) -> socket.getInputStream().read(), // says nothing
+                    (socket, id) -> socket.getInputStream().read(), // sends nothing
                     (socket, id) ->
-                            trickle(socket, query(id, "read", "4000m"), 0), // its head by the byte
+                            trickle(
+                                    socket,
+                                    query(id, "read", "4000m"),
+                                    0), // sends its head byte by byte
                     (socket, id) ->
-                            trickle(socket, query(id, "read", "4000m"), 4), // its body by the byte
+                            trickle(
+                                    socket,
+                                    query(id, "read", "4000m"),
+                                    4), // sends its body byte by byte
                     (socket, id) -> { // reads nothing of a large answer
                         send(socket, query(id, "read", "4000m"));
                         Thread.sleep(60_000);
                     },
-                    (socket, id) -> { // reads 1 KB a second of it
+                    (socket, id) -> { // reads 1 KB a second of a large answer
                         send(socket, query(id, "read", "4000m"));
                         InputStream in = socket.getInputStream();
                         while (in.read(new byte[100]) >= 0) {
@@ -70,43 +76,45 @@
 
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private final AtomicInteger ids = new AtomicInteger();
-    private volatile boolean over;
+    private volatile boolean stop;
 
     private static void send(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static void trickle(Socket socket, String text, int last)
+    private static void trickle(Socket socket, String text, int lastBytes)
             throws IOException, InterruptedException {
-        int from = last == 0 ? 0 : text.length() - last;
+        int from = lastBytes == 0 ? 0 : text.length() - lastBytes;
         send(socket, text.substring(0, from));
         for (int i = from; i < text.length(); i++) {
             send(socket, text.substring(i, i + 1));
-            Thread.sleep(900); // well within any limit on silence
+            Thread.sleep(900); // well within every idle timeout
         }
         while (socket.getInputStream().read(new byte[4096]) >= 0) {
             continue;
         }
     }
 
-    private void slow(Habit habit) {
-        while (!over) {
+    private void runSlowClient(Behaviour behaviour) {
+        while (!stop) {
             try (Socket socket = new Socket()) {
                 socket.setReceiveBufferSize(4096);
                 socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 sockets.add(socket);
-                habit.on(socket, "big" + ids.incrementAndGet());
+                behaviour.on(socket, "big" + ids.incrementAndGet());
             } catch (IOException e) {
-                // let go: the next one comes
+                // closed by the scheduler: connect again
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    /** Milliseconds of each answer that was served; below nought if it was not. */
-    private void usual(ConcurrentLinkedQueue<Double> times) {
-        while (!over) {
+    /**
+     * Sends requests and records the latency of each in milliseconds, or -1 if it was not served.
+     */
+    private void runOrdinaryClient(ConcurrentLinkedQueue<Double> times) {
+        while (!stop) {
             long before = System.nanoTime();
             boolean served;
             try {
@@ -122,23 +130,24 @@
     }
 
     private String round(int slowPeers) throws Exception {
-        over = false;
+        stop = false;
         ConcurrentLinkedQueue<Double> times = new ConcurrentLinkedQueue<>();
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < slowPeers; i++) {
-            Habit habit = HABITS.get(i % HABITS.size());
-            threads.add(new Thread(() -> slow(habit)));
+            Behaviour behaviour = BEHAVIOURS.get(i % BEHAVIOURS.size());
+            threads.add(new Thread(() -> runSlowClient(behaviour)));
         }
         threads.forEach(Thread::start);
-        Thread.sleep(slowPeers > 0 ? 3_000 : 500); // the slow ones are all there before it counts
+        Thread.sleep(
+                slowPeers > 0 ? 3_000 : 500); // all slow clients are connected before measuring
         List<Thread> clients = new ArrayList<>();
-        for (int i = 0; i < USUAL; i++) {
-            clients.add(new Thread(() -> usual(times)));
+        for (int i = 0; i < ORDINARY_CLIENTS; i++) {
+            clients.add(new Thread(() -> runOrdinaryClient(times)));
         }
         clients.forEach(Thread::start);
         Thread.sleep(ROUND_MS);
-        String held = program.sockets() + " sockets, " + program.residentMb() + " MB";
-        over = true;
+        String resources = program.sockets() + " sockets, " + program.residentMb() + " MB";
+        stop = true;
         for (Thread each : clients) {
             each.join();
         }
@@ -156,7 +165,7 @@
                         .mapToDouble(time -> time)
                         .sorted()
                         .toArray();
-        long inTime = Arrays.stream(served).filter(time -> time <= AIM_MS).count();
+        long inTime = Arrays.stream(served).filter(time -> time <= LATENCY_OBJECTIVE_MS).count();
         return String.format(
                 "%3d slow: %5d queries, %.4f in time, median %.1f ms, 99%% %.1f ms; %s",
                 slowPeers,
@@ -164,11 +173,11 @@
                 (double) inTime / times.size(),
                 served[served.length / 2],
                 served[served.length * 99 / 100],
-                held);
+                resources);
     }
 
     @Test
-    void whatTheyCostUsualClients() throws Exception {
+    void measuresOrdinaryClientsBesideSlowOnes() throws Exception {
         Path file =
                 config(
                         list(
@@ -181,10 +190,10 @@
         program =
                 new Program(file, Map.of(), List.of("-Xmx64m", "-Xss256k"), "serve")
                         .awaitWord("listens on");
-        round(0); // for the compiler
+        round(0); // warms up the JIT compiler
         for (int i = 0; i < ROUNDS; i++) {
             System.out.println(round(0));
-            System.out.println(round(SLOW));
+            System.out.println(round(SLOW_CLIENTS));
         }
         program.terminate();
         program.exit();
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -18,16 +18,16 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Peers that read slowly, or not at all. */
+/** Clients, workers and consoles that read slowly or not at all. */
 class SlowPeersTest extends PlatformStage {
-    /** So little that a large message stays with its sender. */
-    private static final int SMALL = 4 * 1024;
+    /** A receive buffer so small that most of a large message stays with its sender. */
+    private static final int SMALL_BUFFER = 4 * 1024;
 
-    /** Clients that read nothing, at the most. */
-    private static final int MOST_SILENT = 1_000;
+    /** The most clients that read nothing. */
+    private static final int MAX_SILENT_CLIENTS = 1_000;
 
-    private static final int LARGE_REQUEST = 60_000;
-    private static final int LARGE_ANSWER = 250_000;
+    private static final int LARGE_REQUEST_BYTES = 60_000;
+    private static final int LARGE_ANSWER_BYTES = 250_000;
     private static final Work LARGE =
             (peer, job) ->
                     peer.answerLines(
@@ -35,21 +35,28 @@
                                     job,
                                     "done",
                                     ",\"result\":\""
-                                            + "x".repeat(LARGE_ANSWER)
+                                            + "x".repeat(LARGE_ANSWER_BYTES)
                                             + "\",\"load\":{\"x0\":3}"));
 
-    /** The last byte never left, so that what must run once may go to another worker. */
+    /**
+     * The last byte of the request was never sent, so the request cannot have run, and even a
+     * run-once request is retried on another worker.
+     */
     @Test
-    void aWorkerThatStandsStillInAnUploadCostsNobodyItsAnswer() throws Exception {
-        try (ServerSocket still = new ServerSocket()) {
-            still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    void workerThatStallsDuringUploadCostsNoAnswer() throws Exception {
+        try (ServerSocket stalled = new ServerSocket()) {
+            stalled.setReceiveBufferSize(SMALL_BUFFER);
+            stalled.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             start(
                     worker("a", SERVE),
-                    entry("b", still.getLocalPort(), "ready")); // the last one is the class's own
+                    entry(
+                            "b",
+                            stalled.getLocalPort(),
+                            "ready")); // the last worker, dealt to the pool of 'submit', never
+            // reads
             int i = 0;
             while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
-                assertEquals(200, ask(large("q" + i++, LARGE_REQUEST)).status());
+                assertEquals(200, ask(large("q" + i++, LARGE_REQUEST_BYTES)).status());
             }
             assertTrue(
                     program.said().contains("worker b takes a request too slowly"), program.said());
@@ -60,25 +67,25 @@
         assertTrue(program.said().contains(" uploads_given_up="), program.said());
     }
 
-    private Socket asking(String id) throws IOException {
+    private Socket connectAndAsk(String id) throws IOException {
         Socket client = new Socket();
-        client.setReceiveBufferSize(SMALL);
+        client.setReceiveBufferSize(SMALL_BUFFER);
         client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         client.setSoTimeout(10_000);
         client.getOutputStream().write(query(id, "read", "4000m").getBytes(StandardCharsets.UTF_8));
         return client;
     }
 
-    private long letGoForWhatTheyHold() {
+    private long closedForMemory() {
         return program.said()
                 .lines()
                 .filter(line -> line.contains("answers that are not read hold more"))
                 .count();
     }
 
-    /** A start on a busy machine may refuse until it has heard discovery. */
+    /** On a busy machine the program may reject requests until it has heard from discovery. */
     private void awaitService() {
-        Program.await("it serves", () -> served("first" + System.nanoTime()), program);
+        Program.await("the program serves", () -> served("first" + System.nanoTime()), program);
     }
 
     private boolean served(String id) {
@@ -90,11 +97,11 @@
     }
 
     /**
-     * A hundred answers of 250 KB would not fit into the smallest heap beside what the program
-     * needs.
+     * Guards against unread answers that fill the heap: a hundred of 250 KB would not fit into the
+     * smallest heap beside what the program needs.
      */
     @Test
-    void clientsThatReadNothingDoNotFillTheHeap() throws Exception {
+    void clientsThatDoNotReadDoNotFillHeap() throws Exception {
         program =
                 new Program(
                                 config(list(7, true, worker("a", LARGE), worker("b", LARGE))),
@@ -103,20 +110,21 @@
                         .awaitWord("listens on");
         List<Socket> silent = new ArrayList<>();
         try {
-            // on a busy machine many are turned away, and hold nothing: it goes on until enough
+            // on a busy machine many are rejected and hold nothing, so this goes on until enough
             // have been served
-            for (int i = 0; i < MOST_SILENT && letGoForWhatTheyHold() < 50; i++) {
-                silent.add(asking("q" + i));
+            for (int i = 0; i < MAX_SILENT_CLIENTS && closedForMemory() < 50; i++) {
+                silent.add(connectAndAsk("q" + i));
                 Thread.sleep(10);
                 if (i % 10 == 0) {
                     String id = "s" + i;
                     Program.await(
-                            "who reads is served as ever", () -> served(id + System.nanoTime()));
+                            "a client that reads is still served",
+                            () -> served(id + System.nanoTime()));
                 }
             }
             Program.await(
-                    "they are let go for what they hold, not for their pace",
-                    () -> letGoForWhatTheyHold() >= 50);
+                    "clients are closed for the memory they hold, not for their pace",
+                    () -> closedForMemory() >= 50);
         } finally {
             for (Socket client : silent) {
                 client.close();
@@ -125,20 +133,23 @@
         assertFalse(program.said().contains("OutOfMemory"), program.said());
     }
 
-    /** Who is slow, at what, and how long it may go on: a client and a worker. */
+    /**
+     * The console lists a slow client and a slow worker, what each is slow at, and its remaining
+     * time.
+     */
     @Test
-    void theConsoleShowsTheSlowest() throws Exception {
+    void consoleShowsSlowestPeers() throws Exception {
         int console = Program.freePort();
-        try (ServerSocket still = new ServerSocket()) {
-            still.setReceiveBufferSize(SMALL);
-            still.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        try (ServerSocket stalled = new ServerSocket()) {
+            stalled.setReceiveBufferSize(SMALL_BUFFER);
+            stalled.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             Path file =
                     config(
                             list(
                                     7,
                                     true,
                                     worker("a", LARGE),
-                                    entry("b", still.getLocalPort(), "ready")));
+                                    entry("b", stalled.getLocalPort(), "ready")));
             program =
                     new Program(
                                     file,
@@ -147,11 +158,11 @@
                                     "serve")
                             .awaitWord("listens on");
             awaitService();
-            try (Socket silent = asking("q1")) {
+            try (Socket silent = connectAndAsk("q1")) {
                 Program.await(
                         "the client is shown",
                         () ->
-                                slow(console)
+                                slowPeers(console)
                                         .matches(
                                                 "(?s)peer .*127.0.0.1:"
                                                         + silent.getLocalPort()
@@ -163,9 +174,12 @@
                         () -> {
                             try (Peer client =
                                     Peer.connect(port)
-                                            .send(large("u" + System.nanoTime(), LARGE_REQUEST))) {
+                                            .send(
+                                                    large(
+                                                            "u" + System.nanoTime(),
+                                                            LARGE_REQUEST_BYTES))) {
                                 Thread.sleep(100);
-                                return slow(console)
+                                return slowPeers(console)
                                         .matches(
                                                 "(?s).*\n"
                                                         + "b +takes a request +[1-9][0-9]+ +[0-9]+"
@@ -179,48 +193,54 @@
         }
     }
 
-    private static String slow(int console) {
+    private static String slowPeers(int console) {
         try (Peer peer = Peer.connect(console).send("slow\n")) {
-            StringBuilder told = new StringBuilder();
+            StringBuilder answer = new StringBuilder();
             for (String line = peer.line(); line != null && !line.equals("."); line = peer.line()) {
-                told.append(line).append('\n');
+                answer.append(line).append('\n');
             }
-            return told.toString();
+            return answer.toString();
         } catch (IOException e) {
             return e.toString();
         }
     }
 
-    /** What a kept connection wrote last must not stay with it: that was 16 KB a link. */
+    /**
+     * Guards against idle connections that keep their last write buffer, which was 16 KB per
+     * connection.
+     */
     @Test
-    void keptConnectionsDoNotFillTheHeap() throws Exception {
+    void idleConnectionsDoNotFillHeap() throws Exception {
         program =
                 new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
                         .awaitWord("listens on");
-        List<Peer> kept = new ArrayList<>();
+        List<Peer> idle = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
-            kept.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
-            assertEquals(200, kept.get(i).message().status());
+            idle.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
+            assertEquals(200, idle.get(i).message().status());
         }
         assertEquals(200, ask(query("q1", "submit", "4000m")).status(), program::said);
-        for (Peer each : kept) {
+        for (Peer each : idle) {
             each.close();
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
     }
 
-    /** One reads nothing and goes; one pauses once and gets all. */
+    /** A client that reads nothing is closed; one that pauses once gets its complete answer. */
     @Test
-    void aClientThatNeverReadsItsAnswerIsLetGo() throws Exception {
+    void closesClientThatNeverReadsItsAnswer() throws Exception {
         start(worker("a", LARGE));
         awaitService();
-        try (Socket silent = asking("q1");
-                Socket pausing = asking("q2")) {
+        try (Socket silent = connectAndAsk("q1");
+                Socket pausing = connectAndAsk("q2")) {
             Thread.sleep(3_000);
-            assertEquals(LARGE_ANSWER, pausing.getInputStream().readNBytes(LARGE_ANSWER).length);
+            assertEquals(
+                    LARGE_ANSWER_BYTES,
+                    pausing.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length);
             program.awaitWord("a client reads nothing of its answer");
             assertTrue(
-                    silent.getInputStream().readNBytes(LARGE_ANSWER).length < LARGE_ANSWER,
+                    silent.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length
+                            < LARGE_ANSWER_BYTES,
                     "its answer was cut off");
         }
         program.terminate();
@@ -229,17 +249,17 @@
     }
 
     /**
-     * Guards against a console that sends ahead and reads nothing: it holds one answer, is shown,
-     * and is let go.
+     * Guards against a console client that pipelines commands and reads nothing: at most one answer
+     * is buffered, the client is listed as slow, and it is closed.
      */
     @Test
-    void aConsoleThatReadsNothingHoldsOneAnswerAndIsLetGo() throws Exception {
+    void consoleThatDoesNotReadHoldsOneAnswerAndIsClosed() throws Exception {
         int console = Program.freePort();
-        List<String> known = new ArrayList<>();
+        List<String> entries = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            known.add(entry("worker-with-a-long-name-" + i, 9, "ready"));
+            entries.add(entry("worker-with-a-long-name-" + i, 9, "ready"));
         }
-        Path file = config(list(7, true, known.toArray(String[]::new)));
+        Path file = config(list(7, true, entries.toArray(String[]::new)));
         program =
                 new Program(
                                 file,
@@ -248,7 +268,7 @@
                                 "serve")
                         .awaitWord("listens on");
         Program.await(
-                "the console listens, a moment after the clients' door",
+                "the console listens, a moment after the port for clients",
                 () -> {
                     try (Peer asker = Peer.connect(console)) {
                         return true;
@@ -257,20 +277,22 @@
                     }
                 });
         try (Socket silent = new Socket()) {
-            silent.setReceiveBufferSize(SMALL);
+            silent.setReceiveBufferSize(SMALL_BUFFER);
             silent.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), console));
             silent.getOutputStream()
                     .write(
                             "workers\n"
                                     .repeat(900)
                                     .getBytes(StandardCharsets.UTF_8)); // 120 MB of answers
-            Program.await("it is shown", () -> slow(console).contains("reads the console"));
+            Program.await(
+                    "the slow console is listed",
+                    () -> slowPeers(console).contains("reads the console"));
             program.awaitWord("a console reads nothing of its answer and is let go");
         }
         assertFalse(program.said().contains("OutOfMemory"), program.said());
         try (Peer asker =
                 Peer.connect(console)
-                        .send("phase\nphase\n")) { // sent ahead, and read: each is answered
+                        .send("phase\nphase\n")) { // pipelined and read: each command is answered
             assertEquals(
                     List.of("serving", ".", "serving", "."),
                     List.of(asker.line(), asker.line(), asker.line(), asker.line()));
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -16,25 +16,27 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests that a worker takes slowly: their time counts from their last byte. */
+/**
+ * Requests that a worker reads slowly: the time left that it is sent has to hold when it has read
+ * the last byte.
+ */
 class SlowUploadsTest extends PlatformStage {
     private static final int SMALL_BUFFER = 4 * 1024;
-    private static final int BODY = 60_000;
+    private static final int BODY_BYTES = 60_000;
 
     /** 100 KB/s, so that the largest request takes over half a second. */
-    private static final int PART = 2 * 1024;
+    private static final int PART_BYTES = 2 * 1024;
 
     private static final int PART_MS = 20;
     private static final long CLIENT_MS = 4_000;
 
-    /** A worker may be told so much more than its client has left (STANDING). */
+    /** The time left sent to a worker may exceed the client's by this much (STANDING). */
     private static final long SLACK_MS = 150;
 
     /**
-     * A request that has come whole: what its worker is told it has, and when the last byte had
-     * come.
+     * A completely received request: the time left that it states, and when its last byte arrived.
      */
-    private record Arrival(long toldMs, long atNs) {}
+    private record Arrival(long sentTimeLeftMs, long atNs) {}
 
     private final List<Arrival> arrivals = new CopyOnWriteArrayList<>();
     private Peer.Server slow;
@@ -44,25 +46,25 @@
         ServerSocket socket = new ServerSocket();
         socket.setReceiveBufferSize(SMALL_BUFFER);
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        slow = new Peer.Server(socket, this::take);
+        slow = new Peer.Server(socket, this::readSlowly);
         servers.add(slow);
     }
 
-    private void take(Peer peer) throws IOException, InterruptedException {
+    private void readSlowly(Peer peer) throws IOException, InterruptedException {
         StringBuilder got = new StringBuilder();
-        int whole = Integer.MAX_VALUE;
-        while (got.length() < whole) {
-            String part = peer.some(Math.min(PART, whole - got.length()));
+        int complete = Integer.MAX_VALUE;
+        while (got.length() < complete) {
+            String part = peer.some(Math.min(PART_BYTES, complete - got.length()));
             if (part.isEmpty()) {
                 throw new EOFException();
             }
             got.append(part);
             int headEnd = got.indexOf("\r\n\r\n");
-            whole = headEnd < 0 ? whole : headEnd + 4 + BODY;
+            complete = headEnd < 0 ? complete : headEnd + 4 + BODY_BYTES;
             Thread.sleep(PART_MS);
         }
-        String told = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
-        arrivals.add(new Arrival(Long.parseLong(told) / 1_000, System.nanoTime()));
+        String timeLeftUs = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
+        arrivals.add(new Arrival(Long.parseLong(timeLeftUs) / 1_000, System.nanoTime()));
         String id = got.toString().replaceAll("(?s).*X-Correlation-Id: (\\S+).*", "$1");
         peer.answerLines(
                 "{\"id\":\""
@@ -72,12 +74,15 @@
                         + "\"}");
     }
 
-    /** What it is told goes by the time at which its last byte leaves, however long that takes. */
+    /**
+     * Guards against a time left that is computed when the upload begins: a slow upload would leave
+     * the worker with more time than its client has.
+     */
     @Test
-    void aWorkerThatTakesItsRequestSlowlyIsToldNoMoreThanIsLeft() throws Exception {
+    void slowWorkerGetsNoMoreTimeLeftThanRemains() throws Exception {
         start(entry("a", slow.port(), "ready"));
         long sentNs = System.nanoTime();
-        try (Peer client = Peer.connect(port).send(large("q1", BODY))) {
+        try (Peer client = Peer.connect(port).send(large("q1", BODY_BYTES))) {
             Message answer = client.message();
             assertEquals("200 r-q1", answer.status() + " " + answer.body());
         }
@@ -85,9 +90,9 @@
         for (Arrival arrival : arrivals) {
             long leftMs = CLIENT_MS - (arrival.atNs() - sentNs) / 1_000_000;
             assertTrue(
-                    arrival.toldMs() <= leftMs + SLACK_MS,
-                    arrival.toldMs() + " ms told, " + leftMs + " ms left");
+                    arrival.sentTimeLeftMs() <= leftMs + SLACK_MS,
+                    arrival.sentTimeLeftMs() + " ms sent, " + leftMs + " ms left");
         }
-        assertEquals(1, arrivals.size(), "it may run once only");
+        assertEquals(1, arrivals.size(), "a run-once request is sent once");
     }
 }
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -7,27 +7,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a start may not spend its part of a core on. */
+/** What a start must not spend its share of a core on. */
 class StartTest extends PlatformStage {
     /**
-     * Code that is made at run time cannot be archived, and costs a restarting scheduler's clients
+     * Guards against lambda comparators and Jetty's security classes being loaded at the start:
+     * code generated at run time cannot be archived, and it costs a restarting scheduler's clients
      * time.
      */
     @Test
-    void neitherThreadsNorOrdersNeedCodeMadeAtRunTime() throws Exception {
-        int second = Program.freePort();
+    void startGeneratesNoCodeForThreadPoolsOrComparators() throws Exception {
+        int managementPort = Program.freePort();
         program =
                 new Program(
-                                config(list(7, true, worker("a", SERVE)), mgmt(second)),
+                                config(list(7, true, worker("a", SERVE)), mgmt(managementPort)),
                                 List.of("-Xlog:class+load:stdout"),
                                 "serve")
                         .awaitWord("listens on");
-        Program.await("ready", () -> call(second, "READY").startsWith("YES"));
+        Program.await("ready", () -> call(managementPort, "READY").startsWith("YES"));
         List<String> loaded = program.said().lines().toList();
         assertTrue(
                 loaded.stream()
                         .anyMatch(line -> line.contains(" damsonslip.policy.SchedulingPolicy ")),
-                "classes are told");
+                "loaded classes are logged");
         assertEquals(
                 List.of(),
                 loaded.stream()
--- a/src/test/java/damsonslip/platform/ThreadShortageTest.java
+++ b/src/test/java/damsonslip/platform/ThreadShortageTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 
-/** The real program where the system starts no more threads (pthread_create(3)). */
+/** The real program while the system cannot start threads (pthread_create(3)). */
 class ThreadShortageTest extends FaultStage {
     private static final int EXIT_BY_SIGTERM = 143;
 
@@ -21,26 +21,30 @@
     }
 
     @Test
-    void answersAllWhereNoThreadCanBeStarted() throws Exception {
+    void answersAllWhenNoThreadCanBeStarted() throws Exception {
         startShortOfThreads();
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
     }
 
     @Test
-    void followsDiscoveryOnSighupWhereNoThreadCanBeStarted() throws Exception {
+    void movesWatchOnSighupWhenNoThreadCanBeStarted() throws Exception {
         List<String> newWatches = new CopyOnWriteArrayList<>();
-        Peer.Server moved = discovery(new CopyOnWriteArrayList<>(), newWatches);
+        Peer.Server newDiscovery = discovery(new CopyOnWriteArrayList<>(), newWatches);
         startShortOfThreads();
-        String before = "127.0.0.1:" + discovery.port();
+        String oldAddress = "127.0.0.1:" + discovery.port();
         program.reload(
-                Files.readString(configuration).replace(before, "127.0.0.1:" + moved.port()));
+                Files.readString(configuration)
+                        .replace(oldAddress, "127.0.0.1:" + newDiscovery.port()));
         Program.await(
-                "it watches discovery where that is now", () -> !newWatches.isEmpty(), program);
+                "it watches discovery at the new address", () -> !newWatches.isEmpty(), program);
     }
 
-    /** The JVM starts a thread for each signal, and drops the signal where it cannot. */
+    /**
+     * The JVM starts a thread for each signal and drops the signal if it cannot. Guards against a
+     * process that then ignores SIGTERM.
+     */
     @Test
-    void endsOnSigtermWhereNoThreadCanBeStarted() throws Exception {
+    void exitsOnSigtermWhenNoThreadCanBeStarted() throws Exception {
         startShortOfThreads();
         program.terminate();
         assertEquals(EXIT_BY_SIGTERM, program.exit());
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -36,40 +36,44 @@
         return start(mgmt, List.of(), 0, entries);
     }
 
-    private Program start(int mgmt, List<String> words, int mostKb, String... entries)
+    private Program start(int mgmt, List<String> jvmFlags, int dataLimitKb, String... entries)
             throws IOException {
         Program started =
                 new Program(
                         config(list(7, true, entries), mgmt(mgmt)),
                         Map.of(),
-                        words,
-                        mostKb,
+                        jvmFlags,
+                        dataLimitKb,
                         "serve");
         programs.add(started);
         return Program.await("it is ready", () -> call(mgmt, "READY").startsWith("YES"), started);
     }
 
-    private boolean marked(int number) {
+    private boolean markExists(int number) {
         return Files.exists(dir.resolve("damsonslip-mark-" + number));
     }
 
     /**
-     * Clients that come and go and one that keeps its connection, until the flag is set; gives what
-     * went wrong.
+     * Starts a client that sends requests until the flag is set, with a connection per request or a
+     * reused one, and collects failures.
      */
     private Thread load(
-            List<String> wrong, AtomicInteger served, boolean keep, String name, boolean[] over) {
+            List<String> failures,
+            AtomicInteger served,
+            boolean keep,
+            String name,
+            boolean[] stop) {
         Thread thread =
                 new Thread(
                         () -> {
                             Peer client = null;
-                            for (int i = 0; !over[0]; i++) {
+                            for (int i = 0; !stop[0]; i++) {
                                 try {
                                     client = client == null ? Peer.connect(port) : client;
                                     Message answer =
                                             client.send(query(name + i, "read", "4000m")).message();
                                     if (answer.status() != 200) {
-                                        wrong.add(
+                                        failures.add(
                                                 name
                                                         + i
                                                         + ": "
@@ -84,7 +88,7 @@
                                     }
                                     Thread.sleep(5);
                                 } catch (IOException | InterruptedException e) {
-                                    wrong.add(name + i + ": " + e);
+                                    failures.add(name + i + ": " + e);
                                     client = null;
                                 }
                             }
@@ -94,13 +98,13 @@
     }
 
     @Test
-    void anUpgradeUnderLoadTurnsNobodyBack() throws Exception {
+    void upgradeUnderLoadRejectsNobody() throws Exception {
         upgradeUnderLoad(List.of(), 0);
     }
 
     /**
-     * The smallest machine has 144 MB; each process gets half of it, and the limits on memory that
-     * `run` sets.
+     * The smallest machine has 144 MB; each process gets half of it, with the memory limits in the
+     * `run` line of the deployment file.
      */
     @Test
     void anUpgradeUnderLoadFitsOnTheSmallestMachine() throws Exception {
@@ -116,7 +120,7 @@
                 72 * 1024);
     }
 
-    private void upgradeUnderLoad(List<String> words, int mostKb) throws Exception {
+    private void upgradeUnderLoad(List<String> jvmFlags, int dataLimitKb) throws Exception {
         Work quick =
                 (peer, job) -> {
                     Thread.sleep(20);
@@ -125,44 +129,44 @@
         String[] workers = {
             worker("a", quick), worker("b", quick), worker("c", quick), worker("d", quick)
         };
-        Program old = start(first, words, mostKb, workers);
-        assertEquals(200, ask(query("first", "read", "4000m")).status(), "it has heard discovery");
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
+        Program old = start(first, jvmFlags, dataLimitKb, workers);
+        assertEquals(
+                200, ask(query("first", "read", "4000m")).status(), "it has heard from discovery");
+        List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
-        boolean[] over = new boolean[1];
+        boolean[] stop = new boolean[1];
         List<Thread> clients =
                 List.of(
-                        load(wrong, served, false, "new-", over),
-                        load(wrong, served, false, "more-", over),
-                        load(wrong, served, true, "kept-", over),
-                        load(wrong, served, true, "held-", over));
+                        load(failures, served, false, "new-", stop),
+                        load(failures, served, false, "more-", stop),
+                        load(failures, served, true, "kept-", stop),
+                        load(failures, served, true, "held-", stop));
         Thread.sleep(500);
-        Program next = start(second, words, mostKb, workers);
-        assertTrue(
-                call(first, "READY").startsWith("YES"),
-                "the old one serves until it is told to end");
+        Program next = start(second, jvmFlags, dataLimitKb, workers);
+        assertTrue(call(first, "READY").startsWith("YES"), "the old process serves until SIGTERM");
         old.terminate();
         assertEquals(143, old.exit(4));
         assertTrue(old.said().contains("a successor serves"), old.said());
         Thread.sleep(300);
-        over[0] = true;
+        stop[0] = true;
         for (Thread client : clients) {
             client.join(5_000);
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
         assertTrue(served.get() > 100, served + " served");
         assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
-                "the new one is alone",
+                "the new process is the only one",
                 () -> next.said().contains("processes of this scheduler: 1"));
     }
 
     /**
-     * A process that has not heard discovery yet can send nothing, and turns away what is beyond
-     * its share.
+     * A process that has not yet heard from discovery cannot forward requests and rejects what
+     * exceeds its quota. Guards against a new process that accepts clients in that state while the
+     * old one could serve them.
      */
     @Test
-    void newOneTakesNobodyInBeforeItKnowsTheWorkers() throws Exception {
+    void newProcessAcceptsNobodyBeforeItKnowsTheWorkers() throws Exception {
         String[] workers = {
             worker("a", SERVE), worker("b", SERVE), worker("c", SERVE), worker("d", SERVE)
         };
@@ -188,29 +192,29 @@
                         .replace(
                                 "\"discovery\":\"127.0.0.1:" + discovery.port(),
                                 "\"discovery\":\"127.0.0.1:" + busyDiscovery.port()));
-        List<String> wrong = new java.util.concurrent.CopyOnWriteArrayList<>();
-        boolean[] over = new boolean[1];
+        List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
+        boolean[] stop = new boolean[1];
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(load(wrong, new AtomicInteger(), false, "c" + i + "-", over));
+            clients.add(load(failures, new AtomicInteger(), false, "c" + i + "-", stop));
         }
         Program next = new Program(file, "serve");
         programs.add(next);
         Program.await("it is ready", () -> call(second, "READY").startsWith("YES"), next);
         Thread.sleep(300);
-        over[0] = true;
+        stop[0] = true;
         for (Thread client : clients) {
             client.join(5_000);
         }
-        assertEquals(List.of(), wrong);
+        assertEquals(List.of(), failures);
     }
 
     /**
-     * Two processes are one scheduler: a crowd gets no more descriptors from both than the
-     * configuration gives.
+     * During an upgrade two processes form one scheduler: a burst of connections gets no more
+     * descriptors from both together than the configuration allows.
      */
     @Test
-    void bothProcessesShareTheDescriptorsOfOne() throws Exception {
+    void bothProcessesShareTheDescriptorLimitOfOne() throws Exception {
         String a = worker("a", SERVE);
         Path file = config(list(7, true, a), mgmt(first));
         Files.writeString(
@@ -223,27 +227,31 @@
                 other, Files.readString(other).replace("\"sockets\":1024", "\"sockets\":300"));
         Program next = new Program(other, "serve");
         programs.add(next);
-        Program.await("the second one is ready", () -> call(second, "READY").startsWith("YES"));
+        Program.await("the second process is ready", () -> call(second, "READY").startsWith("YES"));
         Program.await(
-                "the old one knows", () -> old.said().contains("processes of this scheduler: 2"));
-        List<Peer> crowd = new ArrayList<>();
+                "the old process knows of the second",
+                () -> old.said().contains("processes of this scheduler: 2"));
+        List<Peer> burst = new ArrayList<>();
         try {
-            int most = 0;
+            int mostSockets = 0;
             for (int i = 0; i < 600; i++) {
-                crowd.add(Peer.connect(port));
-                most = i % 20 == 0 ? Math.max(most, old.sockets() + next.sockets()) : most;
+                burst.add(Peer.connect(port));
+                mostSockets =
+                        i % 20 == 0
+                                ? Math.max(mostSockets, old.sockets() + next.sockets())
+                                : mostSockets;
             }
-            // of 150 each, 64 are the program's and 18 the overflow's; clients have 34, however
-            // fast they are sorted
+            // of 150 each, 64 are for the program itself and 18 for the overflow; clients have 34,
+            // however fast connections are admitted or closed
             Program.await(
-                    "the crowd fills the clients' part of both",
+                    "the burst uses up the clients' descriptors of both",
                     () -> old.sockets() + next.sockets() >= 2 * 34);
-            most = Math.max(most, old.sockets() + next.sockets());
-            // the overflow comes and goes with the pace of sorting; undivided, the clients' part
-            // alone would be 2 x 100
-            assertTrue(most <= 2 * (34 + 18 + 24), most + " sockets in both");
+            mostSockets = Math.max(mostSockets, old.sockets() + next.sockets());
+            // the overflow varies with the pace at which connections are admitted or closed;
+            // undivided, the clients' part alone would be 2 x 100
+            assertTrue(mostSockets <= 2 * (34 + 18 + 24), mostSockets + " sockets in both");
             Program.await(
-                    "a usual client gets in once the crowd has been sorted",
+                    "an ordinary client is served once the burst is admitted or closed",
                     () -> {
                         try {
                             return ask(query("q" + System.nanoTime(), "read", "2000m")).status()
@@ -253,18 +261,18 @@
                         }
                     });
         } finally {
-            for (Peer each : crowd) {
+            for (Peer each : burst) {
                 each.close();
             }
         }
     }
 
     /**
-     * While both live, an idle connection at the old one finds it healthy, and is ended soon after
-     * its end is told.
+     * While both processes run, the old one still answers health checks on open connections with
+     * 200, and it closes idle connections soon after SIGTERM.
      */
     @Test
-    void theOldOneLeavesAtOnceAndKeepsTheFrontSatisfied() throws Exception {
+    void oldProcessStopsListeningAtOnceAndStillAnswersHealthChecks() throws Exception {
         String a =
                 worker(
                         "a",
@@ -281,17 +289,17 @@
         Program.await("it is sent", () -> jobs("a") == 1);
         start(second, a);
         old.terminate();
-        Program.await("it leaves", () -> call(first, "READY").startsWith("NO"));
+        Program.await(
+                "the old process is no longer ready", () -> call(first, "READY").startsWith("NO"));
         Message health = asking.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").message();
-        assertEquals(200, health.status(), "the address is served, if by another process");
+        assertEquals(200, health.status(), "the address is served, although by another process");
         assertEquals("close", health.field("Connection"));
         Thread.sleep(
-                200); // its door is shut with the call; without a successor it would stay open for
-        // 2.4 s
+                200); // it stops listening at SIGTERM; without a successor it would go on for 2.4 s
         for (int i = 0; i < 20; i++) {
             assertNull(
                     ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
-                    "the new one takes all");
+                    "the new process takes all new connections");
         }
         assertEquals("r-q1", busy.message().body());
         assertTrue(idle.closed());
@@ -299,11 +307,11 @@
     }
 
     /**
-     * The bans hold in both from the yes on, whichever process was called, and in the new one
-     * alone.
+     * A disabled worker is avoided by both processes from the YES on, whichever of them was called,
+     * and by the new one after the old one has ended.
      */
     @Test
-    void aBanOutlivesAnUpgradeAndACallAtEitherHoldsInBoth() throws Exception {
+    void disabledWorkersSurviveUpgradeAndApplyToBothProcesses() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String c = worker("c", SERVE);
@@ -312,7 +320,7 @@
         start(second, a, b, c);
         assertTrue(call(second, "DISABLE b").startsWith("YES"));
         Program.await(
-                "the old one has heard",
+                "the old process knows of the change",
                 () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
@@ -320,7 +328,7 @@
         assertEquals(0, jobs("a", "b"));
         assertTrue(call(first, "ENABLE b").startsWith("YES"));
         Program.await(
-                "the new one has heard",
+                "the new process knows of the change",
                 () -> call(second, "STATS").contains("router.targets_disabled:1|g"));
         old.terminate();
         old.exit(4);
@@ -329,15 +337,15 @@
             assertEquals(200, ask(query("r" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
-        assertTrue(jobs("b") > 0, "put back at the old one");
+        assertTrue(jobs("b") > 0, "b is enabled again by the call to the old process");
     }
 
     @Test
-    void aSuccessorThatFailsToStartChangesNothing() throws Exception {
+    void failedStartOfSuccessorChangesNothing() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         try (Program failing = new Program(config(list(7, true, a), mgmt(first)), "serve")) {
-            assertEquals(1, failing.exit(), "the second address is taken");
+            assertEquals(1, failing.exit(), "the management address is in use");
             assertEquals(1, failing.said().lines().count(), failing.said());
         }
         assertEquals(200, ask(query("q1", "read", "2000m")).status());
@@ -346,31 +354,33 @@
         assertEquals(
                 200,
                 ask(query("q2", "read", "2000m")).status(),
-                "without a successor the door stays open");
+                "without a successor the old process goes on listening");
         assertEquals(143, old.exit());
         assertFalse(old.said().contains("a successor serves"), old.said());
     }
 
     @Test
-    void whenTheOldOneIsKilledTheNewOneHasEverythingToItself() throws Exception {
+    void newProcessTakesOverWhenOldOneIsKilled() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next =
                 start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
         old.awaitWord("processes of this scheduler: 2, this one is number 0, a successor serves");
         old.kill();
-        Program.await("it knows", () -> next.said().contains("processes of this scheduler: 1"));
+        Program.await(
+                "the new process knows that it is alone",
+                () -> next.said().contains("processes of this scheduler: 1"));
         for (int i = 0; i < 10; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
         }
     }
 
     /**
-     * The younger one dies after it has served: the older one takes all of it back, and leaves
-     * later as if alone.
+     * The new process dies after it has begun to serve: the old one serves everything again, and a
+     * later upgrade replaces it as usual.
      */
     @Test
-    void whenTheNewOneDiesTheOldOneServesOn() throws Exception {
+    void oldProcessTakesOverWhenNewOneDies() throws Exception {
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next = start(second, a);
@@ -385,11 +395,11 @@
         old.terminate();
         assertEquals(143, old.exit(3));
         assertEquals(200, ask(query("last", "read", "2000m")).status());
-        assertFalse(marked(1), "no mark of it stays");
+        assertFalse(markExists(1), "the mark file of the dead process is removed");
     }
 
     @Test
-    void twoUpgradesInARowAndAHangUpToBoth() throws Exception {
+    void servesAfterTwoUpgradesInARowAndSighupToBoth() throws Exception {
         String a = worker("a", SERVE);
         Program one = start(first, a);
         Program two = start(second, a);
@@ -407,7 +417,7 @@
     }
 
     @Test
-    void spoiltBansAreToldInOneLineAndTheStartGoesOn() throws Exception {
+    void logsCorruptBanFileInOneLineAndStarts() throws Exception {
         for (String text :
                 List.of(
                         "damsonslip bans 0\nout a\nend\n",
