--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -134,7 +134,7 @@
             assertTrue(calls < FLEET * 5 / 4, calls + " calls, where one for each would do");
             int jobs = jobs("a");
             for (int i = 0; i < 10; i++) {
-                assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+                assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
             }
             assertEquals(jobs, jobs("a"), "none goes to who drains");
         }
@@ -166,7 +166,7 @@
         while (millis(silent) < TOLD_MS - 500) {
             assertEquals(
                     200,
-                    ask(query("q" + System.nanoTime(), "submit", "2000m")).status(),
+                    exchange(requestText("q" + System.nanoTime(), "submit", "2000m")).status(),
                     "the list still holds");
             Thread.sleep(100);
         }
@@ -174,7 +174,7 @@
         int before = jobs("a");
         for (int i = 0; i < 5; i++) {
             long asked = System.nanoTime();
-            Message answer = ask(query("r" + i, "submit", "2000m"));
+            Message answer = exchange(requestText("r" + i, "submit", "2000m"));
             assertEquals(503, answer.status());
             assertNotNull(answer.field("Retry-After"));
             assertTrue(millis(asked) < 500, "at once");
--- a/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
+++ b/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
@@ -148,7 +148,7 @@
                         do {
                             Message answer =
                                     client.send(
-                                                    query(
+                                                    requestText(
                                                             "q" + ids.incrementAndGet(),
                                                             "submit",
                                                             "2000m"))
@@ -261,7 +261,7 @@
         List<Peer> resting = new ArrayList<>();
         int crossed = 0;
         for (int i = 0; i < 4 * SOCKETS; i++) {
-            Peer client = Peer.connect(port).send(query("first" + i, "read", "2000m"));
+            Peer client = Peer.connect(port).send(requestText("first" + i, "read", "2000m"));
             resting.add(client);
             assertEquals(200, client.message().status());
             if (i < REST) {
@@ -277,18 +277,19 @@
     private boolean answered(Peer client, String id) throws IOException {
         Message answer = null;
         try (client) {
-            client.send(query(id, "submit", "2000m"));
+            client.send(requestText(id, "submit", "2000m"));
             answer = client.message();
         } catch (EOFException | SocketException e) {
             // its connection was ended; a reset where it was ended for good half a second ago
         }
-        long got = got("a").filter(job -> job.field("X-Correlation-Id").equals(id)).count();
-        assertEquals(answer == null ? 0 : 1, got, id);
+        long timesReceived =
+                receivedJobs("a").filter(job -> job.field("X-Correlation-Id").equals(id)).count();
+        assertEquals(answer == null ? 0 : 1, timesReceived, id);
         return answer != null;
     }
 
-    private Stream<Message> got(String worker) {
-        return got.get(worker).stream();
+    private Stream<Message> receivedJobs(String worker) {
+        return receivedJobs.get(worker).stream();
     }
 
     /**
@@ -314,7 +315,11 @@
                         () -> {
                             try (Peer client = Peer.connect(port)) {
                                 while (!over.get()) {
-                                    client.send(query("q" + ids.incrementAndGet(), "read", "600m"))
+                                    client.send(
+                                                    requestText(
+                                                            "q" + ids.incrementAndGet(),
+                                                            "read",
+                                                            "600m"))
                                             .message();
                                     Thread.sleep(20);
                                 }
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -68,18 +68,18 @@
 
     @Test
     void figuresTellWhatHappenedByClass() throws Exception {
-        startWithMgmt(worker("a", SERVE), worker("b", SLOW), worker("c", BREAK));
+        startWithMgmt(worker("a", SERVE), worker("b", SLOW), worker("c", CLOSE_CONNECTION));
         call("DISABLE b");
         call("DISABLE c");
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         call("DISABLE a");
         call("ENABLE c");
-        assertEquals(502, ask(query("s1", "submit", "2000m")).status());
+        assertEquals(502, exchange(requestText("s1", "submit", "2000m")).status());
         call("DISABLE c");
         call("ENABLE b");
-        try (Peer client = Peer.connect(port).send(query("r1", "read", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("r1", "read", "4000m"))) {
             Program.await("it is sent", () -> jobs("b") == 1);
             Map<String, String> figures = figures();
             assertEquals(
@@ -111,10 +111,10 @@
      */
     @Test
     void refusalsAndClientsThatHaveGoneAreToldApart() throws Exception {
-        startWithMgmt(worker("a", SAY_NOTHING));
+        startWithMgmt(worker("a", NO_RESPONSE));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(Peer.connect(port).send(query("q" + i, "read", "4000m")));
+            clients.add(Peer.connect(port).send(requestText("q" + i, "read", "4000m")));
         }
         Program.await("some are refused", () -> !figures().get("overload.read").equals("0|c"));
         Map<String, String> figures = figures();
@@ -193,13 +193,13 @@
         startWithMgmt(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, ask(query("w" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("w" + i, "read", "2000m")).status());
         }
         assertTrue(jobs("a") > 0, "it was in use");
         assertTrue(call("DISABLE a").startsWith("YES"));
         int before = jobs("a");
         assertTrue(call("DISABLE a").startsWith("YES"));
-        news.add(
+        listUpdates.add(
                 list(
                         8,
                         true,
@@ -207,16 +207,16 @@
                                 "\"startedAtMs\":0",
                                 "\"startedAtMs\":" + System.currentTimeMillis())));
         Thread.sleep(100);
-        news.add(list(9, false, worker("b", SERVE)));
+        listUpdates.add(list(9, false, worker("b", SERVE)));
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(before, jobs("a"));
         assertEquals("1|g", figures().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
         assertEquals("0|g", figures().get("targets_disabled"));
         call("DISABLE b");
-        assertEquals(200, ask(query("last", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("last", "read", "2000m")).status());
         assertTrue(jobs("a") > before, "one call back is enough");
     }
 
@@ -228,11 +228,11 @@
                         "a",
                         (peer, job) -> {
                             Thread.sleep(300);
-                            TURN_AWAY.on(peer, job);
+                            REJECT.on(peer, job);
                         }),
                 worker("b", SERVE));
         call("DISABLE b");
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             call("DISABLE a");
             call("ENABLE b");
@@ -258,14 +258,16 @@
         Program.await("a watch at the new address", () -> novelWatches.size() == 1);
         Thread.sleep(200); // its list has come
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
         assertEquals("1|g", figures().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
         call("DISABLE b");
         assertEquals(
-                200, ask(query("last", "read", "2000m")).status(), "and the new list holds it");
+                200,
+                exchange(requestText("last", "read", "2000m")).status(),
+                "and the new list holds it");
         assertEquals(1, jobs("a"));
     }
 
@@ -290,7 +292,7 @@
             program = new Program(file, "serve").awaitWord("listens on");
             Program.await("it is ready", () -> call("READY").startsWith("YES"));
             call("DISABLE b");
-            try (Peer client = Peer.connect(port).send(query("q1", "submit", "5000m"))) {
+            try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "5000m"))) {
                 Thread.sleep(300);
                 assertTrue(call("DISABLE a").startsWith("YES"));
                 call("ENABLE b");
@@ -358,7 +360,7 @@
         Thread.sleep(300); // whatever was on its way has come
         int before = jobs("a");
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         Thread.sleep(800);
         assertEquals(before, jobs("a"), "neither a job nor a probe");
@@ -383,9 +385,9 @@
         long drained = System.nanoTime();
         assertTrue(call("DRAIN").startsWith("YES"), "twice is as once");
         assertTrue(call("READY").startsWith("NO drained"));
-        assertEquals(503, ask(HEALTH).status());
-        half.send(query("q3", "read", "4000m").substring(0, 40));
-        Message fresh = ask(query("q1", "read", "4000m"));
+        assertEquals(503, exchange(HEALTH).status());
+        half.send(requestText("q3", "read", "4000m").substring(0, 40));
+        Message fresh = exchange(requestText("q1", "read", "4000m"));
         assertEquals(200, fresh.status(), "new connections still come for a moment");
         assertEquals("close", fresh.field("Connection"));
         assertTrue(idle.closed());
@@ -400,7 +402,7 @@
             Thread.sleep(700);
             assertEquals(
                     200,
-                    client.send(query("q4", "read", "4000m")).message().status(),
+                    client.send(requestText("q4", "read", "4000m")).message().status(),
                     "connections are kept again");
         }
     }
@@ -421,7 +423,7 @@
         assertTrue(call("DRAIN").startsWith("YES"));
         assertTrue(idle.get(0).closed(), "closing has begun");
         try (Peer late = Peer.connect(port);
-                Peer busy = Peer.connect(port).send(query("q1", "read", "4000m"))) {
+                Peer busy = Peer.connect(port).send(requestText("q1", "read", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             assertTrue(call("UNDRAIN").startsWith("YES"));
             assertTrue(call("READY").startsWith("YES"));
@@ -431,7 +433,7 @@
             Thread.sleep(
                     800); // an idle one would have been closed after 0.3 s, and all of them 1.6 s
             // after the first call
-            assertEquals(200, late.send(query("q2", "read", "4000m")).message().status());
+            assertEquals(200, late.send(requestText("q2", "read", "4000m")).message().status());
             assertEquals(200, busy.send(HEALTH).message().status());
             long again = System.nanoTime();
             assertTrue(call("DRAIN").startsWith("YES"));
@@ -445,7 +447,7 @@
     @Test
     void aStopWhileDrainedAnswersEverything() throws Exception {
         startWithMgmt(worker("a", SLOW));
-        Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
+        Peer client = Peer.connect(port).send(requestText("q1", "read", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         call("DRAIN");
         program.terminate();
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -23,7 +23,7 @@
  */
 class DeparturesBeforeAnAttemptTest extends PlatformStage {
     /** The bytes of a request of which much stays here while its worker reads nothing. */
-    private static final int LARGE = 60_000;
+    private static final int LARGE_BODY_BYTES = 60_000;
 
     /**
      * The first attempt is turned away, and no worker is left for a second one until after the
@@ -38,12 +38,12 @@
                         "a",
                         (peer, job) -> {
                             drains.await();
-                            TURN_AWAY.on(peer, job);
+                            REJECT.on(peer, job);
                         });
-        startCounting(first);
-        Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        startWithConsole(first);
+        Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
-        news.add(list(8, false, first.replace("ready", "draining")));
+        listUpdates.add(list(8, false, first.replace("ready", "draining")));
         Program.await(
                 "the list is in",
                 () -> counts("list_updates", 2)); // the watch's first object, and this
@@ -55,7 +55,7 @@
             client.close();
         }
         Program.await("it has gone", () -> counts("queries_gone", 1));
-        news.add(list(9, false, worker("b", SERVE)));
+        listUpdates.add(list(9, false, worker("b", SERVE)));
         assertServedBy("b");
         assertEquals(1, jobs("a"));
     }
@@ -65,14 +65,15 @@
                 worker + " serves",
                 () -> {
                     try {
-                        return ask(query("n" + System.nanoTime(), "submit", "2000m")).status()
+                        return exchange(requestText("n" + System.nanoTime(), "submit", "2000m"))
+                                        .status()
                                 == 200;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         assertTrue(
-                got.get(worker).stream()
+                receivedJobs.get(worker).stream()
                         .allMatch(job -> job.field("X-Correlation-Id").startsWith("n")),
                 "only that");
     }
@@ -83,12 +84,12 @@
      */
     @Test
     void whoLeavesBeforeAMoveIsNotMoved() throws Exception {
-        startCounting(worker("a", SAY_NOTHING));
-        Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
+        startWithConsole(worker("a", NO_RESPONSE));
+        Peer client = Peer.connect(port).send(requestText("q1", "read", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         client.close();
         Program.await("it has gone", () -> counts("queries_gone", 1));
-        news.add(list(8, false, worker("b", SERVE)));
+        listUpdates.add(list(8, false, worker("b", SERVE)));
         Thread.sleep(500); // a move is looked at each 0.1 s
         assertServedBy("b");
         assertEquals(1, jobs("a"));
@@ -97,11 +98,11 @@
     /** It is gone from the hold when there is room. */
     @ParameterizedTest
     @EnumSource
-    void whoLeavesTheHoldIsNotSentOn(Leaving leaving) throws Exception {
-        for (Peer client : startHolding(ahead("more", 40))) {
+    void whoLeavesTheHoldIsNotSentOn(Disconnect leaving) throws Exception {
+        for (Peer client : startWithWaitingRequests(pipelinedRequests("more", 40))) {
             leaving.by(client);
         }
-        Program.await("they have gone", () -> counts("queries_gone", HELD));
+        Program.await("they have gone", () -> counts("queries_gone", WAITING_REQUESTS));
         assertNoneIsSentOn();
     }
 
@@ -111,18 +112,18 @@
      */
     @Test
     void whoFillsItsBufferWhileItWaitsIsRefusedAndNotSentOn() throws Exception {
-        for (Peer client : startHolding("")) {
-            client.send(ahead("more", 600));
+        for (Peer client : startWithWaitingRequests("")) {
+            client.send(pipelinedRequests("more", 600));
         }
-        Program.await("all are refused", () -> counts("queries_bad", HELD));
+        Program.await("all are refused", () -> counts("queries_bad", WAITING_REQUESTS));
         assertNoneIsSentOn();
     }
 
     private void assertNoneIsSentOn() throws Exception {
-        room.countDown();
-        Program.await("there is room", () -> counts("executions_served", KEPT + 1));
-        assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
-        assertEquals(List.of(), heldAndSent());
+        memoryFreed.countDown();
+        Program.await("there is room", () -> counts("executions_served", IDLE_CONNECTIONS + 1));
+        assertEquals("r-last", exchange(requestText("last", "submit", "2000m")).body());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /**
@@ -136,10 +137,10 @@
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
                     entry("a", slow.getLocalPort(), "ready"));
-            Peer client = Peer.connect(port).send(large("q1", LARGE));
+            Peer client = Peer.connect(port).send(largeRequest("q1", LARGE_BODY_BYTES));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "it has begun");
                 client.close();
@@ -147,7 +148,7 @@
                 worker.setSoTimeout(5_000);
                 int came =
                         worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(came < LARGE, "it did not come whole: " + came);
+                assertTrue(came < LARGE_BODY_BYTES, "it did not come whole: " + came);
             }
         }
     }
--- a/src/test/java/damsonslip/platform/DeparturesTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesTest.java
@@ -28,7 +28,7 @@
                                 ended.add(System.nanoTime());
                             }
                         }));
-        Peer client = Peer.connect(port).send(ahead("q1", ahead));
+        Peer client = Peer.connect(port).send(pipelinedRequests("q1", ahead));
         Program.await("the job is sent", () -> jobs("a") == 1);
         Thread.sleep(100);
         long left = System.nanoTime();
@@ -53,7 +53,7 @@
                         }));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            clients.add(Peer.connect(port).send(ahead("q" + i, ahead)));
+            clients.add(Peer.connect(port).send(pipelinedRequests("q" + i, ahead)));
         }
         Program.await("some are sent", () -> jobs("a") > 0);
         Thread.sleep(150);
@@ -66,14 +66,14 @@
         free.countDown();
         Thread.sleep(500);
         assertEquals(sent, jobs("a"));
-        assertEquals(200, ask(query("last", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("last", "read", "2000m")).status());
     }
 
     /** Whoever sends further ahead than one can keep an eye on is told so. */
     @Test
     void whoSendsFarAheadOfItsAnswerIsRefused() throws Exception {
-        start(worker("a", SAY_NOTHING));
-        try (Peer client = Peer.connect(port).send(ahead("q1", 600))) {
+        start(worker("a", NO_RESPONSE));
+        try (Peer client = Peer.connect(port).send(pipelinedRequests("q1", 600))) {
             assertEquals(400, client.message().status());
             assertTrue(client.ended());
         }
@@ -86,11 +86,11 @@
     @Test
     void whatCrossesTheEndOfAConnectionNeitherResetsItNorIsServed() throws Exception {
         start(worker("a", SERVE));
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "2000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "2000m"))) {
             assertEquals("r-q1", client.message().body());
             program.terminate();
             assertTrue(client.ended(), "it is asked to go");
-            client.send(query("q2", "submit", "2000m"));
+            client.send(requestText("q2", "submit", "2000m"));
             Thread.sleep(150);
             client.send("and more");
             assertTrue(client.ended(), "no reset");
@@ -105,7 +105,7 @@
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port)) {
             assertTrue(client.ended(), "after two seconds");
-            client.send(query("q1", "submit", "2000m"));
+            client.send(requestText("q1", "submit", "2000m"));
             Thread.sleep(150);
             client.send("and more");
             assertTrue(client.ended(), "no reset");
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -94,11 +94,11 @@
         String b = worker("b", SERVE);
         troubled(trouble, list(9, true, b));
         start(a);
-        assertEquals("r-q1", ask(query("q1", "submit", "2000m")).body());
+        assertEquals("r-q1", exchange(requestText("q1", "submit", "2000m")).body());
         Thread.sleep(1_800);
         assertTrue(calls.get() >= 1 && calls.get() <= 5, calls + " calls in two seconds");
         assertEquals(1, mostOpen.get(), "one call at a time");
-        assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body());
+        assertEquals("r-q2", exchange(requestText("q2", "submit", "2000m")).body());
         assertEquals(2, jobs("a"));
         List<String> told = new ArrayList<>();
         discovery = discovery(List.of(list(9, true, b)), told);
@@ -113,7 +113,8 @@
     private boolean served(String worker) {
         try {
             String id = "n" + System.nanoTime();
-            return ask(query(id, "submit", "2000m")).status() == 200 && got.get(worker).size() > 0;
+            return exchange(requestText(id, "submit", "2000m")).status() == 200
+                    && receivedJobs.get(worker).size() > 0;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -134,7 +135,7 @@
                         });
         troubled(trouble, "");
         start(a);
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "3000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "3000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             program.terminate();
             assertEquals("r-q1", client.message().body());
@@ -149,11 +150,11 @@
     void anEmptyListTurnsQueriesAwayAtOnceUntilSomebodyIsKnown() throws Exception {
         start();
         long before = System.nanoTime();
-        Message answer = ask(query("q1", "submit", "1500m"));
+        Message answer = exchange(requestText("q1", "submit", "1500m"));
         assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "answered by its deadline");
         assertEquals(503, answer.status());
         assertNotNull(answer.field("Retry-After"));
-        news.add(list(8, true, worker("a", SERVE)));
+        listUpdates.add(list(8, true, worker("a", SERVE)));
         Program.await("the list counts", () -> served("a"));
     }
 
@@ -166,14 +167,14 @@
         }
         start(old.toArray(String[]::new));
         long before = System.nanoTime();
-        int status = ask(query("q1", "read", "1500m")).status();
+        int status = exchange(requestText("q1", "read", "1500m")).status();
         assertTrue(status == 503 || status == 502 || status == 504, "answered with " + status);
         assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "by its deadline");
-        news.add(list(99, true, worker("a", SERVE)));
+        listUpdates.add(list(99, true, worker("a", SERVE)));
         Program.await("the list counts", () -> served("a"));
         int had = jobs("a");
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "submit", "2000m")).status());
         }
         assertEquals(had + 10, jobs("a"));
     }
@@ -193,14 +194,14 @@
         start(all.toArray(String[]::new));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
         }
         assertTrue(jobs("goes") > 0 && jobs("stays") > 0, "both halves are used");
-        news.add(list(8, true, half.toArray(String[]::new)));
+        listUpdates.add(list(8, true, half.toArray(String[]::new)));
         Thread.sleep(600);
         int before = jobs("goes");
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "submit", "2000m")).status());
         }
         assertEquals(before, jobs("goes"), "none of them has gone to who is told as gone");
     }
@@ -213,7 +214,7 @@
     void aListThatTricklesIsGivenUpAndAskedForAnew() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
-        String news = list(9, true, b);
+        String listUpdate = list(9, true, b);
         discovery =
                 new Peer.Server(
                         0,
@@ -221,19 +222,22 @@
                             peer.message();
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                             if (calls.incrementAndGet() > 1) {
-                                peer.chunk(news);
+                                peer.chunk(listUpdate);
                                 Thread.sleep(30_000);
                             }
                             for (int i = 0;
-                                    i < news.length();
+                                    i < listUpdate.length();
                                     i++) { // as one who would need minutes
-                                peer.send("1\r\n" + news.charAt(i) + "\r\n");
+                                peer.send("1\r\n" + listUpdate.charAt(i) + "\r\n");
                                 Thread.sleep(300);
                             }
                         });
         servers.add(discovery);
         start(a);
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status(), "nobody waits for it");
+        assertEquals(
+                200,
+                exchange(requestText("q1", "submit", "2000m")).status(),
+                "nobody waits for it");
         program.awaitWord("it trickles");
         Program.await("the next call brings the news", () -> served("b"));
     }
@@ -287,11 +291,11 @@
             Thread.sleep(4_000);
             program.signal("CONT");
         }
-        ask(
-                query(
+        exchange(
+                requestText(
                         "q0", "submit",
                         "2000m")); // may have waited for all of the 4 s, for all that is known
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
         Thread.sleep(1_000);
         assertEquals(1, watches.size(), "it is the same one");
         assertTrue(!program.said().contains("it is silent"), program.said());
@@ -355,7 +359,7 @@
         Files.writeString(file, Files.readString(file).replace("on_request", "pushed"));
         program = new Program(file, "serve").awaitWord("listens on");
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
         }
         Program.await("changes are pushed as well", () -> served("c"));
         assertEquals(0, jobs("a"));
--- a/src/test/java/damsonslip/platform/EarlyAnswersTest.java
+++ b/src/test/java/damsonslip/platform/EarlyAnswersTest.java
@@ -60,17 +60,17 @@
                                 }
                             });
             early.start();
-            startCounting(entry("a", socket.getLocalPort(), "ready"));
+            startWithConsole(entry("a", socket.getLocalPort(), "ready"));
             Program.await(
                     "it hears that nothing has changed", () -> counts("list_updates", 1), program);
             String text =
-                    query("q1", "submit", "3000m")
+                    requestText("q1", "submit", "3000m")
                             .replace(
                                     "Content-Length: 4\r\n\r\nbody",
                                     "Content-Length: " + BODY + "\r\n\r\n" + "b".repeat(BODY));
             try (Peer client = Peer.connect(port).send(text)) {
                 assertTrue(dialled.await(10, TimeUnit.SECONDS), "it goes to the only worker");
-                news.add(list(8, false, worker("b", SERVE)));
+                listUpdates.add(list(8, false, worker("b", SERVE)));
                 Program.await("another worker is listed", () -> counts("list_updates", 2), program);
                 otherListed.countDown();
                 Message answer = client.message();
--- a/src/test/java/damsonslip/platform/FailingAcceptsTest.java
+++ b/src/test/java/damsonslip/platform/FailingAcceptsTest.java
@@ -33,7 +33,7 @@
     void restsBetweenAcceptsThatFailAndAnswersWhoWaited() throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.ACCEPT, Errno.ENFILE, 1);
-        try (Peer waiting = Peer.connect(port).send(query("w", "read", "5000m"))) {
+        try (Peer waiting = Peer.connect(port).send(requestText("w", "read", "5000m"))) {
             long before = faults.calls(SystemCall.ACCEPT);
             Thread.sleep(1_000);
             long calls = faults.calls(SystemCall.ACCEPT) - before;
@@ -52,7 +52,7 @@
         faults.fail(SystemCall.ACCEPT, Errno.ENOBUFS, 1);
         List<Peer> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            waiting.add(Peer.connect(port).send(query("s" + i, "read", "900m")));
+            waiting.add(Peer.connect(port).send(requestText("s" + i, "read", "900m")));
         }
         Thread.sleep(600);
         faults.restore(SystemCall.ACCEPT);
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -43,13 +43,13 @@
         configuration = config(list(7, true, entries));
         program =
                 new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
-        Program.await("the console tells of a list", () -> countsAny("list_updates"), program);
+        Program.await("the console tells of a list", () -> hasCounter("list_updates"), program);
     }
 
     /** The status that a new connection's only request gets, or what went wrong. */
     private String outcome(String id) {
         try {
-            return Integer.toString(ask(query(id, "read", "4000m")).status());
+            return Integer.toString(exchange(requestText(id, "read", "4000m")).status());
         } catch (IOException | RuntimeException e) {
             return e.toString();
         }
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -125,8 +125,8 @@
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                             int told = 0;
                             for (int i = 0; true; i++) {
-                                if (news.size() > told) {
-                                    peer.chunk(news.get(told++));
+                                if (listUpdates.size() > told) {
+                                    peer.chunk(listUpdates.get(told++));
                                     toldNs.compareAndSet(number, 0, System.nanoTime());
                                 }
                                 if (i % 25 == 0) {
@@ -256,7 +256,10 @@
             int status;
             try (Peer peer = Peer.connect(ports.get(number))) {
                 String lane = i % 2 == 0 ? "read" : "submit";
-                status = peer.send(query("c" + number + "-" + i, lane, "2000m")).message().status();
+                status =
+                        peer.send(requestText("c" + number + "-" + i, lane, "2000m"))
+                                .message()
+                                .status();
             } catch (IOException e) {
                 status = 0;
             }
@@ -286,7 +289,7 @@
         }
         clients.forEach(Thread::start);
         Thread.sleep(LOAD_MS / 2);
-        news.add(list(8, false, drained().toArray(String[]::new)));
+        listUpdates.add(list(8, false, drained().toArray(String[]::new)));
         Thread.sleep(LOAD_MS / 2);
         over = true;
         for (Thread each : clients) {
--- a/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
+++ b/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
@@ -18,7 +18,7 @@
     @Test
     void requestThatHasPartlyComeIsAnsweredWhereItsConnectionMakesWay() throws Exception {
         startWithFewDescriptors();
-        String whole = query("q1", "read", "4000m");
+        String whole = requestText("q1", "read", "4000m");
         Peer slow = Peer.connect(port).send(whole.substring(0, whole.length() / 2));
         Thread.sleep(100);
         List<Peer> crowd = new ArrayList<>();
@@ -49,7 +49,7 @@
     }
 
     private void startWithFewDescriptors() throws IOException {
-        startCounting(
+        startWithConsole(
                 file -> file.replace("\"sockets\":1024", "\"sockets\":" + SOCKETS),
                 worker("a", SERVE));
     }
--- a/src/test/java/damsonslip/platform/HeldUpCallsTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpCallsTest.java
@@ -50,15 +50,15 @@
                             SERVE.on(peer, job);
                         }));
         warm();
-        Peer kept = Peer.connect(port).send(query("kept", "read", TIME_LEFT_MS + "m"));
+        Peer kept = Peer.connect(port).send(requestText("kept", "read", TIME_LEFT_MS + "m"));
         assertEquals(200, kept.message().status());
         faults.hold(held, holdMs);
         Thread.sleep(
                 held == SystemCall.EPOLL_WAIT ? 2L * holdMs : 0); // until a wait is being held up
         sentNs.put("new", System.nanoTime());
-        Peer.connect(port).send(query("new", "read", TIME_LEFT_MS + "m"));
+        Peer.connect(port).send(requestText("new", "read", TIME_LEFT_MS + "m"));
         sentNs.put("again", System.nanoTime());
-        kept.send(query("again", "read", TIME_LEFT_MS + "m"));
+        kept.send(requestText("again", "read", TIME_LEFT_MS + "m"));
         Thread.sleep(holdMs / 2);
         faults.restore(held);
         Program.await("all were sent on", () -> tooMuch.size() == sentNs.size());
@@ -68,7 +68,8 @@
     /** A cold program's own slowness is another matter. */
     private void warm() throws IOException {
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("warm" + i, "read", TIME_LEFT_MS + "m")).status());
+            assertEquals(
+                    200, exchange(requestText("warm" + i, "read", TIME_LEFT_MS + "m")).status());
         }
     }
 
@@ -95,17 +96,23 @@
     void tellsNearlyAllThatIsLeftInQuietTimes() throws Exception {
         startWithFaults(worker("a", SERVE));
         warm();
-        got.get("a").clear();
+        receivedJobs.get("a").clear();
         Thread.sleep(1_500);
         try (Peer client = Peer.connect(port)) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         200,
-                        client.send(query("q" + i, "read", TIME_LEFT_MS + "m")).message().status());
+                        client.send(requestText("q" + i, "read", TIME_LEFT_MS + "m"))
+                                .message()
+                                .status());
                 Thread.sleep(300);
             }
         }
-        long least = got.get("a").stream().mapToLong(HeldUpCallsTest::millis).min().orElseThrow();
+        long least =
+                receivedJobs.get("a").stream()
+                        .mapToLong(HeldUpCallsTest::millis)
+                        .min()
+                        .orElseThrow();
         assertTrue(least >= TIME_LEFT_MS - 100, "told " + least + " ms of " + TIME_LEFT_MS);
     }
 
@@ -115,7 +122,7 @@
         faults.fail(SystemCall.SOCKET_READ, Errno.EINTR, 3);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(SystemCall.SOCKET_READ);
-        assertFalse(countsAny("executions_reset"), "no answer of a worker was taken for its end");
+        assertFalse(hasCounter("executions_reset"), "no answer of a worker was taken for its end");
     }
 
     @Test
@@ -143,8 +150,8 @@
         faults.fail(call, error, 4);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(call);
-        assertFalse(countsAny("executions_reset"), "no connection to a worker was given up");
-        assertFalse(countsAny("queries_gone"), "no client was taken to have left");
+        assertFalse(hasCounter("executions_reset"), "no connection to a worker was given up");
+        assertFalse(hasCounter("queries_gone"), "no client was taken to have left");
     }
 
     /**
@@ -163,7 +170,7 @@
             try (Peer kept = Peer.connect(port)) {
                 for (int k = 0; k < 5; k++) {
                     int status =
-                            kept.send(query("k" + i + "-" + k, "read", TIME_LEFT_MS + "m"))
+                            kept.send(requestText("k" + i + "-" + k, "read", TIME_LEFT_MS + "m"))
                                     .message()
                                     .status();
                     assertTrue(status == 200 || status == 503, "status " + status);
--- a/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
@@ -48,7 +48,7 @@
      * The bytes of a request of which a part stays here that could leave in one go once the worker
      * takes some.
      */
-    private static final int LARGE = 50_000;
+    private static final int LARGE_BODY_BYTES = 50_000;
 
     /** What is sent while the loop stands still has reached it in its order by then. */
     private static final long ARRIVES_MS = 60;
@@ -56,7 +56,8 @@
     /** Holds the loop in the turn that takes in a list. */
     private void holdUp() {
         program.readUntil("left out an entry");
-        news.add(list(8, false, Collections.nCopies(BAD_ENTRIES, "{}").toArray(String[]::new)));
+        listUpdates.add(
+                list(8, false, Collections.nCopies(BAD_ENTRIES, "{}").toArray(String[]::new)));
         Program.await("the loop is in the middle of it", program::isUnread);
     }
 
@@ -69,7 +70,7 @@
     /** Waits until all is done that came before this call. */
     private void resume() throws Exception {
         program.readOn();
-        assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+        assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Thread.sleep(SENT_MS);
     }
 
@@ -78,43 +79,43 @@
      * moment it is decided.
      */
     private void startKeeping(String... entries) throws IOException {
-        startCounting(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
+        startWithConsole(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
     }
 
     private List<Peer> send(int count) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            clients.add(Peer.connect(port).send(query("q" + i, "read", "4500m")));
+            clients.add(Peer.connect(port).send(requestText("q" + i, "read", "4500m")));
         }
         return clients;
     }
 
     private void assertServedAsEver() throws IOException {
-        assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
+        assertEquals("r-last", exchange(requestText("last", "submit", "2000m")).body());
     }
 
     /** A burst of leavers; there is room for all of them before the first close. */
     @ParameterizedTest
     @EnumSource
-    void whoLeftTheHoldDuringATurnGetsNoAttemptFromIt(Leaving leaving) throws Exception {
-        List<Peer> clients = startHolding("");
+    void whoLeftTheHoldDuringATurnGetsNoAttemptFromIt(Disconnect leaving) throws Exception {
+        List<Peer> clients = startWithWaitingRequests("");
         holdUp();
-        room.countDown();
+        memoryFreed.countDown();
         Thread.sleep(ARRIVES_MS);
         for (Peer client : clients) {
             leaving.by(client);
         }
         goOn();
         assertServedAsEver();
-        assertEquals(List.of(), heldAndSent());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /** The query and the close are there together. */
     @ParameterizedTest
     @EnumSource
-    void whoCameAndLeftDuringATurnGetsNoAttempt(Leaving leaving) throws Exception {
+    void whoCameAndLeftDuringATurnGetsNoAttempt(Disconnect leaving) throws Exception {
         startKeeping(worker("a", SERVE));
-        assertEquals(200, ask(query("first", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("first", "read", "2000m")).status());
         holdUp();
         for (Peer client : send(5)) {
             leaving.by(client);
@@ -129,7 +130,7 @@
     void aDialThatCameUpDuringATurnIsNotUsedForWhoHasLeft() throws Exception {
         List<Message> late = new CopyOnWriteArrayList<>();
         try (LateServer worker = new LateServer()) {
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
             List<Peer> clients = send(1);
@@ -167,8 +168,8 @@
                 "both have a link",
                 () -> {
                     try {
-                        ask(query("r" + System.nanoTime(), "read", "2000m"));
-                        ask(query("s" + System.nanoTime(), "submit", "2000m"));
+                        exchange(requestText("r" + System.nanoTime(), "read", "2000m"));
+                        exchange(requestText("s" + System.nanoTime(), "submit", "2000m"));
                         return jobs("a") > 0 && jobs("b") > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
@@ -191,9 +192,9 @@
         startTwo(
                 (peer, job) -> {
                     held.await();
-                    TURN_AWAY.on(peer, job);
+                    REJECT.on(peer, job);
                 });
-        Peer client = Peer.connect(port).send(query("q0", "submit", "4500m"));
+        Peer client = Peer.connect(port).send(requestText("q0", "submit", "4500m"));
         Program.await("it is sent", () -> sentOn() == 1);
         holdUp();
         held.countDown();
@@ -210,7 +211,7 @@
      */
     @Test
     void whoLeftDuringATurnIsNotMoved() throws Exception {
-        startTwo(SAY_NOTHING);
+        startTwo(NO_RESPONSE);
         Peer client = send(1).get(0);
         Program.await("it is sent", () -> sentOn() == 1);
         holdUp();
@@ -235,7 +236,7 @@
                 (peer, message) -> {
                     if (waits.get()) {
                         asked.countDown();
-                        room.await();
+                        memoryFreed.await();
                     }
                     peer.send(
                             "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=8, x1="
@@ -243,9 +244,9 @@
                                     + "\r\nContent-Length: 0\r\n\r\n");
                     probes.incrementAndGet();
                 };
-        startCounting(
+        startWithConsole(
                 file ->
-                        holding(file)
+                        longQueueWaits(file)
                                 .replace(
                                         "\"may_cancel\":true",
                                         "\"may_cancel\":true,\"may_probe\":true")
@@ -255,27 +256,27 @@
                 worker(
                         "a",
                         (peer, message) ->
-                                (message.first().startsWith("GET") ? probed : shortOfMemory)
+                                (message.first().startsWith("GET") ? probed : memoryLimited)
                                         .on(peer, message)));
         Program.await("it has told that it has no memory", () -> probes.get() > 1);
         awaitDiscovery();
-        keepLinks();
-        Peer client = hold(1, "").get(0);
+        openIdleConnections();
+        Peer client = sendWaitingRequests(1, "").get(0);
         waits.set(true);
         assertTrue(asked.await(5, TimeUnit.SECONDS), "a probe is under way");
         if (duringTurn) {
             holdUp();
-            room.countDown();
+            memoryFreed.countDown();
             Thread.sleep(ARRIVES_MS);
             client.close();
             goOn();
         } else {
             client.close();
             Program.await("it has gone", () -> counts("queries_gone", 1));
-            room.countDown();
+            memoryFreed.countDown();
         }
         assertServedAsEver();
-        assertEquals(List.of(), heldAndSent());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /**
@@ -290,10 +291,10 @@
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
                     entry("a", slow.getLocalPort(), "ready"));
-            Peer client = Peer.connect(port).send(large("q0", LARGE));
+            Peer client = Peer.connect(port).send(largeRequest("q0", LARGE_BODY_BYTES));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "it has begun");
                 holdUp();
@@ -302,7 +303,7 @@
                 Thread.sleep(ARRIVES_MS + longerMs);
                 resume(); // at once, or the request would be given up for standing still
                 came += worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(came < LARGE, "it did not come whole: " + came);
+                assertTrue(came < LARGE_BODY_BYTES, "it did not come whole: " + came);
             }
         }
     }
--- a/src/test/java/damsonslip/platform/HeldUpStartTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpStartTest.java
@@ -55,7 +55,7 @@
         Thread.sleep(HELD_UP_MS);
         program.signal("CONT");
         program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
     }
 
     /**
@@ -70,7 +70,7 @@
         long leftMs = COUNTS_AND_GRACE_MS - (System.nanoTime() - begunNs) / 1_000_000;
         Thread.sleep(Math.max(0, leftMs)); // what listens later has to refuse as well
         for (int i = 0; i < 20; i++) {
-            assertEquals(503, ask(query("late" + i, "read", "1000m")).status());
+            assertEquals(503, exchange(requestText("late" + i, "read", "1000m")).status());
             Thread.sleep(100);
         }
         assertEquals(0, jobs("a"));
@@ -94,7 +94,7 @@
                         });
         servers.add(discovery);
         startWithLateConfiguration(TOO_LATE_CONFIGURATION_MS);
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
     }
 
     /** Its configuration comes so late; gives when the program had begun at the latest. */
--- a/src/test/java/damsonslip/platform/LargeListTest.java
+++ b/src/test/java/damsonslip/platform/LargeListTest.java
@@ -107,7 +107,7 @@
 
     private void serve(String lane, int count, String name) throws IOException {
         for (int i = 0; i < count; i++) {
-            assertEquals(200, ask(query(name + i, lane, "4000m")).status(), name + i);
+            assertEquals(200, exchange(requestText(name + i, lane, "4000m")).status(), name + i);
         }
     }
 
@@ -160,14 +160,14 @@
     void elevenHundredWorkersAreKnownServedFromAndDrained() throws Exception {
         startWithLimits(FLEET);
         serve("read", 20, "kept");
-        news.add(whole(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
+        listUpdates.add(whole(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
         awaitTargets(WORKERS + 1);
         serve("submit", 20, "whole");
         serve("special", 20, "before");
         assertTrue(
                 jobs("goes") > 0 && jobs("stays") > 0, "both take the class that is bound to them");
         assertEquals(WORKERS + 2, console("workers").size(), "a line for each, and the head");
-        news.add(
+        listUpdates.add(
                 FleetConfig.indentedList(
                         9,
                         false,
@@ -192,7 +192,7 @@
         startWithLimits(FLEET);
         Program.await("the watch's first object", () -> counter("list_updates") == 1);
         for (int i = 0; i < WHOLE_LISTS; i++) {
-            news.add(i % 2 == 0 ? whole(8 + i, goes) : whole(8 + i, goes, stays));
+            listUpdates.add(i % 2 == 0 ? whole(8 + i, goes) : whole(8 + i, goes, stays));
             serve("submit", 2, "list" + i + "-");
         }
         Program.await("all lists are taken", () -> counter("list_updates") == WHOLE_LISTS + 1);
--- a/src/test/java/damsonslip/platform/LastingFolderTest.java
+++ b/src/test/java/damsonslip/platform/LastingFolderTest.java
@@ -38,7 +38,7 @@
         faults.fail(call, error, 1);
         startManaged(worker("a", SERVE));
         program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         assertTrue(call(mgmt, "READY").startsWith("YES"), "the operators' tools get on");
         assertTrue(call(mgmt, "DISABLE a").startsWith("NO"), "nothing is kept yet");
         faults.restore(call);
@@ -58,7 +58,7 @@
         faults.fail(call, error, 1);
         String answer = call(mgmt, "DISABLE a");
         assertTrue(answer.startsWith("NO"), answer);
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         faults.restore(call);
         answer = call(mgmt, "DISABLE a");
         assertTrue(answer.startsWith("YES"), answer);
@@ -100,7 +100,7 @@
         startManaged(worker("a", SERVE), worker("b", SERVE));
         program.awaitWord("listens on");
         Program.await("it takes commands", () -> call(mgmt, "READY").startsWith("YES"));
-        assertEquals(200, ask(query("q0", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q0", "read", "4000m")).status());
         faults.hold(SystemCall.FILE_SYNC, SLOW_SYNC_MS);
         long syncs = faults.calls(SystemCall.FILE_SYNC);
         try (Peer operator = Peer.connect(mgmt).send("DISABLE a\n")) {
@@ -109,7 +109,7 @@
                     () -> faults.calls(SystemCall.FILE_SYNC) > syncs,
                     program);
             long askedNs = System.nanoTime();
-            assertEquals(200, ask(query("q1", "read", "4000m")).status());
+            assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
             long tookMs = (System.nanoTime() - askedNs) / 1_000_000;
             assertTrue(tookMs < SLOW_SYNC_MS / 2, "answered after " + tookMs + " ms");
             assertTrue(operator.line().startsWith("NO"), "it is not kept yet");
--- a/src/test/java/damsonslip/platform/LateDialsTest.java
+++ b/src/test/java/damsonslip/platform/LateDialsTest.java
@@ -51,12 +51,12 @@
     @Test
     void aQueryWhoseClientLeavesDuringTheDialIsNotSent() throws Exception {
         try (LateServer worker = new LateServer()) {
-            startCounting(
+            startWithConsole(
                     file ->
                             file.replace("\"may_cancel\":true", "\"may_cancel\":false")
                                     .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
-            Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
+            Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
             Program.await("it is dialled for", () -> counts("executions_sent", 1));
             client.close();
             Program.await("it has gone", () -> counts("queries_gone", 1));
@@ -65,7 +65,9 @@
             Thread.sleep(200);
             assertEquals(List.of(), late);
             assertEquals(
-                    "r-q2", ask(query("q2", "submit", "2000m")).body(), "what came up is of use");
+                    "r-q2",
+                    exchange(requestText("q2", "submit", "2000m")).body(),
+                    "what came up is of use");
         }
     }
 
@@ -91,7 +93,7 @@
                     "\"semantics\":\"once\"",
                     "\"semantics\":\"by_key\",\"dedup_scope\":\"all\",\"window_s\":1.0");
             program = new Program(file, "serve").awaitWord("listens on");
-            try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+            try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
                 assertTrue(held.await(5, TimeUnit.SECONDS));
                 Thread.sleep(700); // it is dialled anew within 0.4 s
                 serve(worker);
@@ -154,7 +156,7 @@
             Program.await("a watch", () -> watches.size() == 1);
             program.reload(moved(next.port()));
             program.awaitWord("reload: discovery is at");
-            news.add(list(50, false, worker("c", SERVE)));
+            listUpdates.add(list(50, false, worker("c", SERVE)));
             Program.await("the old one still counts", () -> served("c"));
             next.open(
                     peer -> {
@@ -172,7 +174,9 @@
     private boolean served(String worker) {
         try {
             for (String lane : List.of("read", "submit")) { // each class has a worker of its own
-                assertEquals(200, ask(query("n" + System.nanoTime(), lane, "2000m")).status());
+                assertEquals(
+                        200,
+                        exchange(requestText("n" + System.nanoTime(), lane, "2000m")).status());
             }
             return jobs(worker) > 0;
         } catch (IOException e) {
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -54,8 +54,8 @@
                                 while (!over.get()) {
                                     try {
                                         int id = ids.incrementAndGet();
-                                        ask(
-                                                query(
+                                        exchange(
+                                                requestText(
                                                         "q" + id,
                                                         id % 2 == 0 ? "read" : "submit",
                                                         "2000m"));
--- a/src/test/java/damsonslip/platform/LocalFailuresTest.java
+++ b/src/test/java/damsonslip/platform/LocalFailuresTest.java
@@ -52,7 +52,7 @@
     @Test
     void sendsNothingOnAnOldListWhereItsOwnSocketsFail() throws Exception {
         startWithFaults(worker("a", SERVE));
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         faults.fail(SystemCall.SOCKET, Errno.ENFILE, 1);
         discovery.endConnections(); // the watch ends, and a new one cannot be opened here, though
         // discovery is well
@@ -69,7 +69,7 @@
         AtomicBoolean busy = new AtomicBoolean();
         discovery = discoveryFailingWhile(busy::get);
         startWithFaults(worker("a", SERVE));
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         busy.set(true);
         faults.fail(SystemCall.EPOLL_CTL, Errno.ENOMEM, 1);
         long lostNs = System.nanoTime();
@@ -120,7 +120,8 @@
 
     private boolean isServed() {
         try {
-            return ask(query("again" + System.nanoTime(), "read", "1000m")).status() == 200;
+            return exchange(requestText("again" + System.nanoTime(), "read", "1000m")).status()
+                    == 200;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -130,14 +131,14 @@
     private void askFor(long fromNs, long ms) throws IOException, InterruptedException {
         int before = jobs("a");
         while (System.nanoTime() - fromNs < ms * 1_000_000) {
-            ask(query("k" + System.nanoTime(), "read", "1000m"));
+            exchange(requestText("k" + System.nanoTime(), "read", "1000m"));
             Thread.sleep(200);
         }
         assertTrue(jobs("a") > before, "its worker was used until then");
     }
 
     private void assertNothingIsSent() throws IOException {
-        assertEquals(503, ask(query("late", "read", "1000m")).status());
+        assertEquals(503, exchange(requestText("late", "read", "1000m")).status());
         assertFalse(ids("a").contains("late"));
     }
 }
--- a/src/test/java/damsonslip/platform/OtherSettingsTest.java
+++ b/src/test/java/damsonslip/platform/OtherSettingsTest.java
@@ -27,7 +27,7 @@
     }
 
     private static String queryOfTenant(String tenant, String id) {
-        return query(id, "read", "4000m")
+        return requestText(id, "read", "4000m")
                 .replace("X-Time-Left", "X-Account: " + tenant + "\r\nX-Time-Left");
     }
 
@@ -48,8 +48,8 @@
                                     .chunk(state(job, "started", ""));
                             Thread.sleep(30_000); // without "started" it would count as full
                         }));
-        assertEquals(400, ask(query("q1", "read", "4000m")).status());
-        assertEquals(400, ask(queryOfTenant("nobody", "q2")).status());
+        assertEquals(400, exchange(requestText("q1", "read", "4000m")).status());
+        assertEquals(400, exchange(queryOfTenant("nobody", "q2")).status());
         Thread.sleep(1_100); // the quotas refill
         String wholeWorker =
                 queryOfTenant("large", "l0")
@@ -60,7 +60,7 @@
             waiting.send(queryOfTenant("small", "s0"));
             assertTrue(waiting.silent(100), "a request within its tenant's quota waits");
             long before = System.nanoTime();
-            assertEquals(503, ask(queryOfTenant("small", "s1")).status());
+            assertEquals(503, exchange(queryOfTenant("small", "s1")).status());
             assertTrue(System.nanoTime() - before < 1_000_000_000L, "rejected at once");
             try (Peer large = Peer.connect(port).send(queryOfTenant("large", "l9"))) {
                 assertTrue(large.silent(300), "a request within its tenant's quota waits");
@@ -78,12 +78,14 @@
         String a = worker("a", SERVE);
         startWith("\"drain_grace_s\":0.5", "\"drain_grace_s\":" + grace, a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
-        news.add(list(8, false, a.replace("ready", "draining")));
+        listUpdates.add(list(8, false, a.replace("ready", "draining")));
         Thread.sleep((long) (grace * 1000));
         int before = jobs("a");
         for (int i = 0; i < 8; i++) {
             assertEquals(
-                    200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
+                    200,
+                    exchange(requestText("q" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
+                            .status());
         }
         assertEquals(before, jobs("a"));
     }
@@ -96,9 +98,9 @@
         startWith(
                 "\"hard_limit_s\":5,\"semantics\":\"repeatable\"",
                 "\"hard_limit_s\":5,\"semantics\":\"once\"",
-                worker("a", BREAK),
-                worker("b", BREAK));
-        assertEquals(502, ask(query("q1", "read", "1000m")).status());
+                worker("a", CLOSE_CONNECTION),
+                worker("b", CLOSE_CONNECTION));
+        assertEquals(502, exchange(requestText("q1", "read", "1000m")).status());
         assertEquals(1, jobs("a", "b"));
     }
 
@@ -117,10 +119,10 @@
     @Test
     void sendsRetryAfterOnlyWhereSettingsAllowIt() throws Exception {
         start();
-        Message rejection = ask(query("q1", "read", "1000m"));
+        Message rejection = exchange(requestText("q1", "read", "1000m"));
         assertNotNull(rejection.field("Retry-After"));
         program.close();
         startWith("\"may_cancel\"", "\"retry_after\":false,\"may_cancel\"");
-        assertNull(ask(query("q1", "read", "1000m")).field("Retry-After"));
+        assertNull(exchange(requestText("q1", "read", "1000m")).field("Retry-After"));
     }
 }
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -16,10 +16,10 @@
     private void assertForwardedUnchangedOrRejected(String text, String field, String value)
             throws Exception {
         start(worker("a", SERVE), worker("b", SERVE));
-        Message answer = ask(text);
+        Message answer = exchange(text);
         if (answer.status() == 200) {
             Message job =
-                    got.values().stream()
+                    receivedJobs.values().stream()
                             .filter(jobs -> !jobs.isEmpty())
                             .findFirst()
                             .orElseThrow()
@@ -33,7 +33,7 @@
         }
         assertEquals(
                 200,
-                ask(query("after", "read", "2000m")).status(),
+                exchange(requestText("after", "read", "2000m")).status(),
                 "other requests are still served");
         assertTrue(!program.said().contains("ERROR"), program.said());
     }
@@ -56,7 +56,7 @@
             })
     void forwardsOrRejectsTarget(String target) throws Exception {
         assertForwardedUnchangedOrRejected(
-                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+                requestText("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 
     @ParameterizedTest
@@ -74,7 +74,7 @@
             })
     void forwardsOrRejectsCorrelationId(String id) throws Exception {
         assertForwardedUnchangedOrRejected(
-                query(id, "read", "2000m")
+                requestText(id, "read", "2000m")
                         .replace("Idempotency-Key: k-" + id, "Idempotency-Key: k"),
                 "X-Correlation-Id",
                 id);
@@ -84,7 +84,7 @@
     @ValueSource(strings = {"plain-1", "a b", "a\tb", "é", "a\u0001b", "a\u007fb"})
     void forwardsOrRejectsIdempotencyKey(String key) throws Exception {
         assertForwardedUnchangedOrRejected(
-                query("q1", "read", "2000m")
+                requestText("q1", "read", "2000m")
                         .replace("Idempotency-Key: k-q1", "Idempotency-Key: " + key),
                 "Idempotency-Key",
                 key);
@@ -94,6 +94,6 @@
     void forwardsOrRejectsNearlyLongestHead() throws Exception {
         String target = "/api?x=" + "y".repeat(7_500);
         assertForwardedUnchangedOrRejected(
-                query("q1", "read", "2000m").replace("/api?x=1", target), null, target);
+                requestText("q1", "read", "2000m").replace("/api?x=1", target), null, target);
     }
 }
--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -43,25 +43,25 @@
                                     ",\"result\":\"r-"
                                             + job.field("X-Correlation-Id")
                                             + "\",\"load\":{\"x0\":3}"));
-    static final Work TURN_AWAY =
+    static final Work REJECT =
             (peer, job) ->
                     peer.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    static final Work BREAK = (peer, job) -> peer.close();
-    static final Work SAY_NOTHING = (peer, job) -> Thread.sleep(30_000);
+    static final Work CLOSE_CONNECTION = (peer, job) -> peer.close();
+    static final Work NO_RESPONSE = (peer, job) -> Thread.sleep(30_000);
 
-    /** The bytes of a {@link #large} body. */
-    static final int LARGE = 44_000;
+    /** The bytes of a {@link #largeRequest} body. */
+    static final int LARGE_BODY_BYTES = 44_000;
 
     /**
-     * Links that {@link #keepLinks} keeps: fewer than a worker is sent at once of which nothing is
-     * known.
+     * Links that {@link #openIdleConnections} keeps: fewer than a worker is sent at once of which
+     * nothing is known.
      */
-    static final int KEPT = 3;
+    static final int IDLE_CONNECTIONS = 3;
 
-    static final int HELD = 4;
+    static final int WAITING_REQUESTS = 4;
 
     /** The ways in which a client leaves. */
-    enum Leaving {
+    enum Disconnect {
         CLOSE {
             @Override
             void by(Peer client) throws IOException {
@@ -85,21 +85,21 @@
     }
 
     @TempDir Path dir;
-    final Map<String, List<Message>> got = new ConcurrentHashMap<>();
+    final Map<String, List<Message>> receivedJobs = new ConcurrentHashMap<>();
     final List<Peer.Server> servers = new ArrayList<>();
-    final List<String> news = new CopyOnWriteArrayList<>();
+    final List<String> listUpdates = new CopyOnWriteArrayList<>();
     final List<String> watches = new CopyOnWriteArrayList<>();
     final int port = Program.freePort();
     final int console = Program.freePort();
     private final List<Socket> dead = new ArrayList<>();
 
-    /** From then on a worker that is {@link #shortOfMemory} has some. */
-    final CountDownLatch room = new CountDownLatch(1);
+    /** From then on a worker that is {@link #memoryLimited} has some. */
+    final CountDownLatch memoryFreed = new CountDownLatch(1);
 
-    private final CountDownLatch together = new CountDownLatch(KEPT);
+    private final CountDownLatch together = new CountDownLatch(IDLE_CONNECTIONS);
 
     /** Tells with its answers how much memory is free. */
-    final Work shortOfMemory =
+    final Work memoryLimited =
             (peer, job) -> {
                 String id = job.field("X-Correlation-Id");
                 peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -108,7 +108,7 @@
                     together.countDown();
                     together.await();
                 } else if (id.equals("gate")) {
-                    room.await();
+                    memoryFreed.await();
                 }
                 peer.chunk(
                                 state(
@@ -137,26 +137,26 @@
 
     @BeforeEach
     void discovery() throws IOException {
-        discovery = discovery(news, watches);
+        discovery = discovery(listUpdates, watches);
     }
 
-    Peer.Server discovery(List<String> news, List<String> watches) throws IOException {
+    Peer.Server discovery(List<String> listUpdates, List<String> watches) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
                         peer -> {
                             Message asked = peer.message();
-                            int told = watches.isEmpty() ? 0 : news.size();
+                            int told = watches.isEmpty() ? 0 : listUpdates.size();
                             watches.add(asked.first());
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            if (told == news.size()) {
+                            if (told == listUpdates.size()) {
                                 peer.chunk(
                                         list(7, false)); // the first object holds what has changed,
                                 // be it nothing
                             }
                             for (int i = 1; true; i++) {
-                                while (news.size() > told) {
-                                    peer.chunk(news.get(told++));
+                                while (listUpdates.size() > told) {
+                                    peer.chunk(listUpdates.get(told++));
                                 }
                                 if (i % 50 == 0) {
                                     peer.chunk("");
@@ -227,7 +227,7 @@
 
     /** A worker; gives its entry in discovery's list. */
     String worker(String id, Work work) throws IOException {
-        List<Message> jobs = got.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
+        List<Message> jobs = receivedJobs.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
         Peer.Server server =
                 new Peer.Server(
                         0,
@@ -268,12 +268,12 @@
     }
 
     /** The same with a console that tells its counters. */
-    void startCounting(String... entries) throws IOException {
-        startCounting(UnaryOperator.identity(), entries);
+    void startWithConsole(String... entries) throws IOException {
+        startWithConsole(UnaryOperator.identity(), entries);
     }
 
     /** The same with other settings. */
-    void startCounting(UnaryOperator<String> settings, String... entries) throws IOException {
+    void startWithConsole(UnaryOperator<String> settings, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
         Files.writeString(file, settings.apply(Files.readString(file)));
         program =
@@ -285,13 +285,13 @@
                         .awaitWord("listens on");
     }
 
-    /** Whether a counter stands at this figure; only after {@link #startCounting}. */
+    /** Whether a counter stands at this figure; only after {@link #startWithConsole}. */
     boolean counts(String name, int figure) {
         return countsAs(name + " +" + figure);
     }
 
     /** Whether anything was counted under this name. */
-    boolean countsAny(String name) {
+    boolean hasCounter(String name) {
         return countsAs(name + " +[0-9]+");
     }
 
@@ -344,7 +344,7 @@
                 + "\",\"value\":1}";
     }
 
-    static String query(String id, String lane, String timeLeft) {
+    static String requestText(String id, String lane, String timeLeft) {
         return "POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Service-Class: "
@@ -357,8 +357,8 @@
     }
 
     /** A query that must run once, with so many bytes of a body. */
-    static String large(String id, int bytes) {
-        return query(id, "submit", "4000m")
+    static String largeRequest(String id, int bytes) {
+        return requestText(id, "submit", "4000m")
                 .replace(
                         "Content-Length: 4\r\n\r\nbody",
                         "Content-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
@@ -368,14 +368,14 @@
      * Settings by which nobody is turned away from the hold for being late, and links are kept
      * throughout a test.
      */
-    static String holding(String file) {
+    static String longQueueWaits(String file) {
         return file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20")
                 .replace("\"aim_s\":0.5", "\"aim_s\":5")
                 .replace("\"once\"", "\"repeatable\"");
     }
 
     int freeMemory() {
-        return room.getCount() == 0 ? 99 : 0;
+        return memoryFreed.getCount() == 0 ? 99 : 0;
     }
 
     /**
@@ -383,14 +383,14 @@
      * #startCounting}.
      */
     void awaitDiscovery() {
-        Program.await("it has heard discovery", () -> countsAny("list_updates"), program);
+        Program.await("it has heard discovery", () -> hasCounter("list_updates"), program);
     }
 
     /** Has links kept to the worker, on which an attempt begins in the moment it is decided. */
-    void keepLinks() throws IOException {
+    void openIdleConnections() throws IOException {
         List<Peer> others = new ArrayList<>();
-        for (int i = 0; i < KEPT; i++) {
-            others.add(Peer.connect(port).send(query("w" + i, "submit", "2000m")));
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+            others.add(Peer.connect(port).send(requestText("w" + i, "submit", "2000m")));
         }
         for (Peer other : others) {
             assertEquals(200, other.message().status());
@@ -398,11 +398,11 @@
     }
 
     /** Clients whose queries wait for a worker's memory, and have sent this ahead. */
-    List<Peer> hold(int count, String ahead) throws IOException {
+    List<Peer> sendWaitingRequests(int count, String ahead) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String needy =
-                    query("q" + i, "submit", "4500m")
+                    requestText("q" + i, "submit", "4500m")
                             .replace("Host:", "X-Facts: memory=5\r\nHost:");
             clients.add(Peer.connect(port).send(needy + ahead));
         }
@@ -416,41 +416,43 @@
      * The same, and the answer to a query that is out tells of memory as soon as there is {@link
      * #room}.
      */
-    List<Peer> startHolding(String ahead) throws IOException {
-        startCounting(PlatformStage::holding, worker("a", shortOfMemory));
+    List<Peer> startWithWaitingRequests(String ahead) throws IOException {
+        startWithConsole(PlatformStage::longQueueWaits, worker("a", memoryLimited));
         awaitDiscovery();
-        keepLinks();
-        Peer.connect(port).send(query("gate", "submit", "4500m"));
-        Program.await("one is out", () -> jobs("a") == KEPT + 1);
-        return hold(HELD, ahead);
+        openIdleConnections();
+        Peer.connect(port).send(requestText("gate", "submit", "4500m"));
+        Program.await("one is out", () -> jobs("a") == IDLE_CONNECTIONS + 1);
+        return sendWaitingRequests(WAITING_REQUESTS, ahead);
     }
 
     /** Those of them that the worker was sent. */
-    List<String> heldAndSent() {
+    List<String> forwardedWaitingIds() {
         return ids("a").stream().filter(id -> id != null && id.startsWith("q")).toList();
     }
 
     List<String> ids(String worker) {
-        return got.get(worker).stream().map(message -> message.field("X-Correlation-Id")).toList();
+        return receivedJobs.get(worker).stream()
+                .map(message -> message.field("X-Correlation-Id"))
+                .toList();
     }
 
     /** Queries sent ahead: none, about one buffer of them, and several. */
-    static String ahead(String id, int count) {
-        StringBuilder text = new StringBuilder(query(id, "read", "4000m"));
+    static String pipelinedRequests(String id, int count) {
+        StringBuilder text = new StringBuilder(requestText(id, "read", "4000m"));
         for (int i = 0; i < count; i++) {
-            text.append(query(id + "-" + i, "read", "4000m"));
+            text.append(requestText(id + "-" + i, "read", "4000m"));
         }
         return text.toString();
     }
 
-    Message ask(String text) throws IOException {
+    Message exchange(String text) throws IOException {
         try (Peer client = Peer.connect(port)) {
             return client.send(text).message();
         }
     }
 
     int jobs(String... workers) {
-        return List.of(workers).stream().mapToInt(w -> got.get(w).size()).sum();
+        return List.of(workers).stream().mapToInt(w -> receivedJobs.get(w).size()).sum();
     }
 
     static String mgmt(int port) {
--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -30,14 +30,14 @@
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port)) {
             for (String id : List.of("q1", "q2")) {
-                Message answer = client.send(query(id, "submit", "4000m")).message();
+                Message answer = client.send(requestText(id, "submit", "4000m")).message();
                 assertEquals(200, answer.status());
                 assertEquals("r-" + id, answer.body());
                 Thread.sleep(150); // a reused connection must be idle a while before it carries a
                 // run-once request
             }
         }
-        Message job = got.get("a").get(0);
+        Message job = receivedJobs.get("a").get(0);
         assertEquals("POST /api?x=1 HTTP/1.1", job.first());
         assertEquals("body", job.body());
         assertEquals("k-q1", job.field("Idempotency-Key"));
@@ -51,11 +51,11 @@
      */
     @Test
     void retriesPossiblyExecutedRequestOnlyWhereClassIsRepeatable() throws Exception {
-        start(worker("a", BREAK), worker("b", BREAK));
-        Message answer = ask(query("q1", "submit", "1000m"));
+        start(worker("a", CLOSE_CONNECTION), worker("b", CLOSE_CONNECTION));
+        Message answer = exchange(requestText("q1", "submit", "1000m"));
         assertEquals(502, answer.status());
         assertEquals(1, jobs("a", "b"), "sent once");
-        ask(query("q2", "read", "1000m"));
+        exchange(requestText("q2", "read", "1000m"));
         assertTrue(jobs("a", "b") >= 3, "a repeatable request is retried");
     }
 
@@ -78,11 +78,11 @@
                                                         + job.body()
                                                         + "\",\"load\":{\"x0\":3}"))));
         String first =
-                query("q1", "read", "4000m")
+                requestText("q1", "read", "4000m")
                         .replace(
                                 "Content-Length: 4\r\n\r\nbody",
                                 "Content-Length: 60000\r\n\r\n" + large);
-        try (Peer client = Peer.connect(port).send(first + query("q2", "read", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(first + requestText("q2", "read", "4000m"))) {
             assertEquals(large, client.message().body());
             assertEquals("body", client.message().body());
         }
@@ -99,7 +99,7 @@
                         "a",
                         (peer, job) -> peer.answerLines(state(job, "done", ",\"result\":\"r\""))));
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "1000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "1000m")).status());
         }
     }
 
@@ -107,9 +107,9 @@
     void retriesUnprocessedRequestOnOtherWorker() throws Exception {
         Peer.Server closed = new Peer.Server(0, peer -> {});
         closed.close();
-        start(worker("a", TURN_AWAY), entry("b", closed.port(), "ready"), worker("c", SERVE));
+        start(worker("a", REJECT), entry("b", closed.port(), "ready"), worker("c", SERVE));
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "3000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "3000m")).status());
         }
         assertEquals(6, jobs("c"));
     }
@@ -125,7 +125,7 @@
             })
     void malformedWorkerLineFailsExecutionLikeReset(String line) throws Exception {
         start(worker("a", (peer, job) -> peer.answerLines(line)));
-        assertEquals(502, ask(query("q1", "submit", "1000m")).status());
+        assertEquals(502, exchange(requestText("q1", "submit", "1000m")).status());
         assertEquals(1, jobs("a"));
     }
 
@@ -134,13 +134,13 @@
      */
     @Test
     void rejectsAtOnceWithRetryAfterWhenOverloaded() throws Exception {
-        start(worker("a", SAY_NOTHING));
+        start(worker("a", NO_RESPONSE));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            clients.add(Peer.connect(port).send(query("q" + i, "read", "4000m")));
+            clients.add(Peer.connect(port).send(requestText("q" + i, "read", "4000m")));
         }
         long before = System.nanoTime();
-        Message answer = ask(query("last", "read", "4000m"));
+        Message answer = exchange(requestText("last", "read", "4000m"));
         assertEquals(503, answer.status());
         assertTrue(
                 System.nanoTime() - before < 2_000_000_000L, "rejected long before its deadline");
@@ -153,10 +153,10 @@
 
     @Test
     void answersByDeadlineWhenWorkerIsSilent() throws Exception {
-        start(worker("a", SAY_NOTHING));
-        ask(query("q0", "submit", "300m")); // the first request loads classes
+        start(worker("a", NO_RESPONSE));
+        exchange(requestText("q0", "submit", "300m")); // the first request loads classes
         long before = System.nanoTime();
-        assertEquals(504, ask(query("q1", "submit", "600m")).status());
+        assertEquals(504, exchange(requestText("q1", "submit", "600m")).status());
         long ms = (System.nanoTime() - before) / 1_000_000;
         assertTrue(ms > 500 && ms < 1_000, ms + " ms");
     }
@@ -165,7 +165,7 @@
     void clientDisconnectCancelsItsExecution() throws Exception {
         List<Boolean> ended = new CopyOnWriteArrayList<>();
         start(worker("a", (peer, job) -> ended.add(peer.ended())));
-        Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
+        Peer client = Peer.connect(port).send(requestText("q1", "read", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
         client.close();
         Program.await("the connection to the worker is closed", () -> ended.equals(List.of(true)));
@@ -177,11 +177,11 @@
         start(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         assertTrue(watches.get(0).contains("watch=1&after=7"), watches.get(0));
-        news.add(list(8, false, a.replace("ready", "draining")));
+        listUpdates.add(list(8, false, a.replace("ready", "draining")));
         Thread.sleep(600);
         int before = jobs("a");
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(before, jobs("a"));
         assertEquals(8, jobs("b"));
@@ -202,7 +202,7 @@
                         });
         start(a);
         Program.await("a watch", () -> watches.size() == 1);
-        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         program.reload("{\"listen\":").awaitWord("reload: config");
         List<String> newWatches = new CopyOnWriteArrayList<>();
@@ -217,7 +217,7 @@
                 newWatches.get(0).contains("after=0"),
                 "the complete list is requested: " + newWatches);
         assertEquals(1, watches.size(), "no new watch at the old address, port " + before);
-        assertEquals(200, ask(query("q2", "submit", "2000m")).status());
+        assertEquals(200, exchange(requestText("q2", "submit", "2000m")).status());
         assertEquals(1, jobs("b"));
         assertEquals("r-q1", earlyClient.message().body());
     }
@@ -226,13 +226,13 @@
     void logsBadDiscoveryLineAndRequestsListAgain() throws Exception {
         start(worker("a", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
-        news.add("{\"generation\":");
+        listUpdates.add("{\"generation\":");
         Program.await("a second watch", () -> watches.size() >= 2);
         String withUnknownZone =
                 entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
-        news.add(list(9, false, withUnknownZone, worker("b", SERVE)));
+        listUpdates.add(list(9, false, withUnknownZone, worker("b", SERVE)));
         program.awaitWord("moon");
-        assertEquals(200, ask(query("q1", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "2000m")).status());
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
@@ -243,9 +243,9 @@
     @Test
     void doesNotReuseWorkerConnectionNearIdleLimit() throws Exception {
         start(worker("a", SERVE));
-        ask(query("q1", "submit", "2000m"));
+        exchange(requestText("q1", "submit", "2000m"));
         Thread.sleep(1_200);
-        ask(query("q2", "submit", "2000m"));
+        exchange(requestText("q2", "submit", "2000m"));
         assertEquals(2, servers.get(1).connections());
     }
 
@@ -265,11 +265,11 @@
                             peer.close();
                         }));
         for (int i = 0; i < 4; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "4000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "4000m")).status());
             Thread.sleep(60);
         }
         for (int i = 0; i < 6; i++) {
-            assertEquals(200, ask(query("s" + i, "submit", "4000m")).status());
+            assertEquals(200, exchange(requestText("s" + i, "submit", "4000m")).status());
             Thread.sleep(60);
         }
     }
@@ -292,12 +292,15 @@
             })
     void rejectsBadInputWithPlainStatus(String text, int status) throws Exception {
         start(worker("a", SERVE));
-        assertEquals(status, ask(text.replace("~", "\r\n")).status());
+        assertEquals(status, exchange(text.replace("~", "\r\n")).status());
         assertEquals(
                 431,
-                ask("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n").status());
+                exchange("GET / HTTP/1.1\r\nHost: a\r\nX: " + "y".repeat(20_000) + "\r\n\r\n")
+                        .status());
         assertEquals(
-                200, ask(query("q1", "read", "2000m")).status(), "other requests are still served");
+                200,
+                exchange(requestText("q1", "read", "2000m")).status(),
+                "other requests are still served");
         assertFalse(program.said().contains("Exception"), program.said());
     }
 
@@ -354,8 +357,8 @@
      */
     @Test
     void rejectsRequestLongerThanItsContentLength() throws Exception {
-        start(worker("a", SAY_NOTHING));
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+        start(worker("a", NO_RESPONSE));
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
             assertEquals(400, client.send("body that goes on").message().status());
         }
@@ -374,12 +377,12 @@
                             Thread.sleep(500);
                             SERVE.on(peer, job);
                         }));
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
-            assertEquals(409, ask(query("q1", "submit", "4000m")).status());
+            assertEquals(409, exchange(requestText("q1", "submit", "4000m")).status());
             assertEquals("r-q1", client.message().body());
         }
-        assertEquals(409, ask(query("q1", "submit", "4000m")).status());
+        assertEquals(409, exchange(requestText("q1", "submit", "4000m")).status());
         assertEquals(1, jobs("a"));
     }
 
@@ -405,7 +408,9 @@
                         + " admitted or closed",
                 () -> {
                     try {
-                        return ask(query("q" + System.nanoTime(), "read", "2000m")).status() == 200;
+                        return exchange(requestText("q" + System.nanoTime(), "read", "2000m"))
+                                        .status()
+                                == 200;
                     } catch (IOException e) {
                         return false; // no descriptor left while so many connections are undecided
                     }
@@ -423,7 +428,7 @@
     @Test
     void floodAfterRejectionDelaysNobody() throws Exception {
         start(worker("a", SERVE));
-        ask(query("q0", "read", "2000m")); // the first request loads classes
+        exchange(requestText("q0", "read", "2000m")); // the first request loads classes
         AtomicInteger sent = new AtomicInteger();
         Thread flood =
                 new Thread(
@@ -444,7 +449,7 @@
         flood.start();
         long before = System.nanoTime();
         for (int i = 1; i <= 20; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertTrue(System.nanoTime() - before < 2_000_000_000L);
         flood.join(5_000);
@@ -464,19 +469,19 @@
                             Thread.sleep(900);
                             SERVE.on(peer, job);
                         }));
-        Peer earlyClient = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer earlyClient = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         Peer openConnection = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, openConnection.message().status());
         program.terminate();
         Thread.sleep(200);
-        Message duringShutdown = ask(query("q2", "submit", "4000m"));
+        Message duringShutdown = exchange(requestText("q2", "submit", "4000m"));
         assertEquals(200, duringShutdown.status());
         assertEquals("close", duringShutdown.field("Connection"));
         Thread.sleep(
                 100); // an open connection serves one more request while the process may not be
         // killed yet
-        Message last = openConnection.send(query("q3", "submit", "4000m")).message();
+        Message last = openConnection.send(requestText("q3", "submit", "4000m")).message();
         assertEquals("r-q3", last.body(), program::said);
         assertEquals("close", last.field("Connection"));
         Message answer = earlyClient.message();
@@ -495,8 +500,8 @@
      */
     @Test
     void shutdownFailsRequestsThatOutlastIt() throws Exception {
-        start(worker("a", SAY_NOTHING));
-        Peer client = Peer.connect(port).send(query("q1", "submit", "20000m"));
+        start(worker("a", NO_RESPONSE));
+        Peer client = Peer.connect(port).send(requestText("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         program.terminate();
         long before = System.nanoTime();
--- a/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
+++ b/src/test/java/damsonslip/platform/ProbedWorkersServeTest.java
@@ -47,7 +47,7 @@
 
     private void startAndLetListExpire(String worker) throws Exception {
         discovery = discoveryFailingWhile(failing::get);
-        startCounting(
+        startWithConsole(
                 file ->
                         file.replace(
                                         "\"may_cancel\":true",
@@ -55,24 +55,24 @@
                                 .replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"),
                 worker);
         awaitDiscovery();
-        assertEquals(200, ask()); // leaves an open connection to the worker
+        assertEquals(200, exchange()); // leaves an open connection to the worker
         Thread.sleep(DISCOVERY_UP_MS); // so that discovery is heard from after the start, too
         failing.set(true);
         discovery.endConnections();
         Thread.sleep(LIST_EXPIRES_MS);
     }
 
-    private int ask() throws IOException {
-        return ask(query("q" + ids.incrementAndGet(), "read", "1000m")).status();
+    private int exchange() throws IOException {
+        return exchange(requestText("q" + ids.incrementAndGet(), "read", "1000m")).status();
     }
 
     @Test
     void servesByWorkersThatPassProbesWhenListHasExpired() throws Exception {
         startAndLetListExpire(worker("a", servesAndPassesProbes));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask());
+            assertEquals(200, exchange());
         }
-        assertTrue(countsAny("list_failures"));
+        assertTrue(hasCounter("list_failures"));
     }
 
     /**
@@ -81,11 +81,11 @@
     @Test
     void sendsNothingToWorkerThatFailsProbesWhenListHasExpired() throws Exception {
         startAndLetListExpire(worker("a", failsProbesWhileDraining));
-        assertEquals(200, ask());
+        assertEquals(200, exchange());
         draining.set(true);
         long drainingNs = System.nanoTime();
         while (System.nanoTime() - drainingNs < ASKING_NS) {
-            ask();
+            exchange();
         }
         assertTrue(
                 lastSentNs - drainingNs < GRACE_NS,
@@ -95,7 +95,7 @@
 
     private boolean isRejected() {
         try {
-            return ask() == 503;
+            return exchange() == 503;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -112,12 +112,12 @@
         int served = 0;
         for (int i = 0; i < 12; i++) {
             long before = System.nanoTime();
-            int status = ask(query("once" + i, "submit", "1000m")).status();
+            int status = exchange(requestText("once" + i, "submit", "1000m")).status();
             assertTrue(status == 200 || status == 502 || status == 503, "answered with " + status);
             served += status == 200 ? 1 : 0;
             assertEquals(
                     200,
-                    ask(query("safe" + i, "read", "2000m")).status(),
+                    exchange(requestText("safe" + i, "read", "2000m")).status(),
                     "a repeatable request is retried elsewhere");
             assertTrue(
                     System.nanoTime() - before < TimeUnit.SECONDS.toNanos(3) + LATENESS_LIMIT_NS,
@@ -140,11 +140,12 @@
      */
     @Test
     void answersPipelinedRequestsByTheirDeadline() throws Exception {
-        start(worker("a", SAY_NOTHING), worker("b", SAY_NOTHING), worker("c", SAY_NOTHING));
-        ask(query("q0", "submit", "300m")); // the first one loads classes
+        start(worker("a", NO_RESPONSE), worker("b", NO_RESPONSE), worker("c", NO_RESPONSE));
+        exchange(requestText("q0", "submit", "300m")); // the first one loads classes
         int pipelined = 5;
         StringBuilder text = new StringBuilder();
-        IntStream.range(0, pipelined).forEach(i -> text.append(query("p" + i, "submit", "800m")));
+        IntStream.range(0, pipelined)
+                .forEach(i -> text.append(requestText("p" + i, "submit", "800m")));
         long before = System.nanoTime();
         try (Peer client = Peer.connect(port).send(text.toString())) {
             for (int i = 0; i < pipelined; i++) {
@@ -195,7 +196,7 @@
         for (int i = 0; i < 120; i++) {
             String id = "q" + i;
             String lane = i % 2 == 0 ? "read" : "submit";
-            String one = query(id, lane, "1500m");
+            String one = requestText(id, lane, "1500m");
             all.add(
                     clients.submit(
                             () ->
@@ -213,8 +214,10 @@
                                                 timeToEndNs(
                                                         port,
                                                         one
-                                                                + query(id + "a", lane, "1500m")
-                                                                + query(id + "b", lane, "1500m"),
+                                                                + requestText(
+                                                                        id + "a", lane, "1500m")
+                                                                + requestText(
+                                                                        id + "b", lane, "1500m"),
                                                         3);
                                         default -> timeToEndNs(port, one, 1);
                                     }));
--- a/src/test/java/damsonslip/platform/ReadyInTimeTest.java
+++ b/src/test/java/damsonslip/platform/ReadyInTimeTest.java
@@ -58,7 +58,7 @@
                 return deadPort();
             }
             case NEVER_ANSWERS -> {
-                return server(SAY_NOTHING);
+                return server(NO_RESPONSE);
             }
             case FAILS_LATE -> {
                 return server(
@@ -118,7 +118,9 @@
         assertTrue(took < READY_NS, "ready after " + took / 1_000_000 + " ms");
         for (int i = 0; i < 5; i++) {
             assertEquals(
-                    200, ask(query("q" + i, i % 2 == 0 ? "read" : "submit", "2000m")).status());
+                    200,
+                    exchange(requestText("q" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
+                            .status());
         }
     }
 }
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -101,7 +101,7 @@
         Peer.Server newDiscovery = newDiscovery(first, list(3, true, draining(a), c));
         long sighupNs = System.nanoTime();
         reloadTo(newDiscovery.port());
-        news.add(list(8, false, a));
+        listUpdates.add(list(8, false, a));
         assertAppliedInTime(sighupNs);
     }
 
@@ -192,14 +192,14 @@
         String d = noting("d");
         loaded(a, b, c, d);
         long first = System.nanoTime();
-        news.add(list(9, true, c, d));
+        listUpdates.add(list(9, true, c, d));
         assertLeftAlone(first, "a", "b");
         long second = System.nanoTime();
-        news.add(list(4, true, a, b));
+        listUpdates.add(list(4, true, a, b));
         assertLeftAlone(second, "c", "d");
         assertUsed("a");
         long third = System.nanoTime();
-        news.add(list(5, false, draining(a), c));
+        listUpdates.add(list(5, false, draining(a), c));
         assertLeftAlone(third, "a");
         assertEquals(1, watches.size(), "all lists on one watch");
     }
--- a/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
+++ b/src/test/java/damsonslip/platform/RequestsInPiecesTest.java
@@ -49,10 +49,12 @@
      */
     @Test
     void servesRequestsSplitInTwoAtAnyByte() throws Exception {
-        startCounting(worker("a", SERVE), worker("b", SERVE), worker("c", SERVE));
+        startWithConsole(worker("a", SERVE), worker("b", SERVE), worker("c", SERVE));
         awaitDiscovery();
         int length =
-                (query("x100", "read", "4000m") + "\r\n" + query("y100", "submit", "4000m"))
+                (requestText("x100", "read", "4000m")
+                                + "\r\n"
+                                + requestText("y100", "submit", "4000m"))
                         .length();
         List<Future<?>> all = new ArrayList<>();
         AtomicInteger next = new AtomicInteger(1);
@@ -66,9 +68,9 @@
                                     String first = "x" + (100 + split);
                                     String second = "y" + (100 + split);
                                     String text =
-                                            query(first, "read", "4000m")
+                                            requestText(first, "read", "4000m")
                                                     + "\r\n"
-                                                    + query(second, "submit", "4000m");
+                                                    + requestText(second, "submit", "4000m");
                                     assertBothAnswered(text, split, first, second);
                                 }
                                 return null;
@@ -107,7 +109,7 @@
                         }));
         try (Peer client = Peer.connect(port)) {
             for (String id : List.of("q1", "q2")) {
-                for (char one : query(id, "submit", "4000m").toCharArray()) {
+                for (char one : requestText(id, "submit", "4000m").toCharArray()) {
                     client.send(String.valueOf(one));
                     Thread.sleep(PAUSE_MS);
                 }
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -34,7 +34,7 @@
         assertTrue(program.isAlive(), program.said());
         faults.restore(SystemCall.SOCKET);
         program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         Program.await(
                 "the management address listens",
                 () -> call(managementPort, "READY").startsWith("YES"),
--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -55,19 +55,19 @@
                     (socket, id) ->
                             trickle(
                                     socket,
-                                    query(id, "read", "4000m"),
+                                    requestText(id, "read", "4000m"),
                                     0), // sends its head byte by byte
                     (socket, id) ->
                             trickle(
                                     socket,
-                                    query(id, "read", "4000m"),
+                                    requestText(id, "read", "4000m"),
                                     4), // sends its body byte by byte
                     (socket, id) -> { // reads nothing of a large answer
-                        send(socket, query(id, "read", "4000m"));
+                        send(socket, requestText(id, "read", "4000m"));
                         Thread.sleep(60_000);
                     },
                     (socket, id) -> { // reads 1 KB a second of a large answer
-                        send(socket, query(id, "read", "4000m"));
+                        send(socket, requestText(id, "read", "4000m"));
                         InputStream in = socket.getInputStream();
                         while (in.read(new byte[100]) >= 0) {
                             Thread.sleep(100);
@@ -120,7 +120,8 @@
             try {
                 String id = "u" + ids.incrementAndGet();
                 served =
-                        ask(query(id, ids.get() % 2 == 0 ? "read" : "submit", "2000m")).status()
+                        exchange(requestText(id, ids.get() % 2 == 0 ? "read" : "submit", "2000m"))
+                                        .status()
                                 == 200;
             } catch (IOException e) {
                 served = false;
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -28,7 +28,7 @@
 
     private static final int LARGE_REQUEST_BYTES = 60_000;
     private static final int LARGE_ANSWER_BYTES = 250_000;
-    private static final Work LARGE =
+    private static final Work LARGE_BODY_BYTES =
             (peer, job) ->
                     peer.answerLines(
                             state(
@@ -56,7 +56,7 @@
             // reads
             int i = 0;
             while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
-                assertEquals(200, ask(large("q" + i++, LARGE_REQUEST_BYTES)).status());
+                assertEquals(200, exchange(largeRequest("q" + i++, LARGE_REQUEST_BYTES)).status());
             }
             assertTrue(
                     program.said().contains("worker b takes a request too slowly"), program.said());
@@ -72,7 +72,8 @@
         client.setReceiveBufferSize(SMALL_BUFFER);
         client.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         client.setSoTimeout(10_000);
-        client.getOutputStream().write(query(id, "read", "4000m").getBytes(StandardCharsets.UTF_8));
+        client.getOutputStream()
+                .write(requestText(id, "read", "4000m").getBytes(StandardCharsets.UTF_8));
         return client;
     }
 
@@ -90,7 +91,7 @@
 
     private boolean served(String id) {
         try {
-            return ask(query(id, "submit", "4000m")).status() == 200;
+            return exchange(requestText(id, "submit", "4000m")).status() == 200;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -104,7 +105,12 @@
     void clientsThatDoNotReadDoNotFillHeap() throws Exception {
         program =
                 new Program(
-                                config(list(7, true, worker("a", LARGE), worker("b", LARGE))),
+                                config(
+                                        list(
+                                                7,
+                                                true,
+                                                worker("a", LARGE_BODY_BYTES),
+                                                worker("b", LARGE_BODY_BYTES))),
                                 List.of("-Xmx32m"),
                                 "serve")
                         .awaitWord("listens on");
@@ -148,7 +154,7 @@
                             list(
                                     7,
                                     true,
-                                    worker("a", LARGE),
+                                    worker("a", LARGE_BODY_BYTES),
                                     entry("b", stalled.getLocalPort(), "ready")));
             program =
                     new Program(
@@ -175,7 +181,7 @@
                             try (Peer client =
                                     Peer.connect(port)
                                             .send(
-                                                    large(
+                                                    largeRequest(
                                                             "u" + System.nanoTime(),
                                                             LARGE_REQUEST_BYTES))) {
                                 Thread.sleep(100);
@@ -219,7 +225,7 @@
             idle.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
             assertEquals(200, idle.get(i).message().status());
         }
-        assertEquals(200, ask(query("q1", "submit", "4000m")).status(), program::said);
+        assertEquals(200, exchange(requestText("q1", "submit", "4000m")).status(), program::said);
         for (Peer each : idle) {
             each.close();
         }
@@ -229,7 +235,7 @@
     /** A client that reads nothing is closed; one that pauses once gets its complete answer. */
     @Test
     void closesClientThatNeverReadsItsAnswer() throws Exception {
-        start(worker("a", LARGE));
+        start(worker("a", LARGE_BODY_BYTES));
         awaitService();
         try (Socket silent = connectAndAsk("q1");
                 Socket pausing = connectAndAsk("q2")) {
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -51,21 +51,21 @@
     }
 
     private void readSlowly(Peer peer) throws IOException, InterruptedException {
-        StringBuilder got = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         int complete = Integer.MAX_VALUE;
-        while (got.length() < complete) {
-            String part = peer.some(Math.min(PART_BYTES, complete - got.length()));
+        while (received.length() < complete) {
+            String part = peer.some(Math.min(PART_BYTES, complete - received.length()));
             if (part.isEmpty()) {
                 throw new EOFException();
             }
-            got.append(part);
-            int headEnd = got.indexOf("\r\n\r\n");
+            received.append(part);
+            int headEnd = received.indexOf("\r\n\r\n");
             complete = headEnd < 0 ? complete : headEnd + 4 + BODY_BYTES;
             Thread.sleep(PART_MS);
         }
-        String timeLeftUs = got.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
+        String timeLeftUs = received.toString().replaceAll("(?s).*X-Time-Left: ([0-9]+)u.*", "$1");
         arrivals.add(new Arrival(Long.parseLong(timeLeftUs) / 1_000, System.nanoTime()));
-        String id = got.toString().replaceAll("(?s).*X-Correlation-Id: (\\S+).*", "$1");
+        String id = received.toString().replaceAll("(?s).*X-Correlation-Id: (\\S+).*", "$1");
         peer.answerLines(
                 "{\"id\":\""
                         + id
@@ -82,7 +82,7 @@
     void slowWorkerGetsNoMoreTimeLeftThanRemains() throws Exception {
         start(entry("a", slow.port(), "ready"));
         long sentNs = System.nanoTime();
-        try (Peer client = Peer.connect(port).send(large("q1", BODY_BYTES))) {
+        try (Peer client = Peer.connect(port).send(largeRequest("q1", BODY_BYTES))) {
             Message answer = client.message();
             assertEquals("200 r-q1", answer.status() + " " + answer.body());
         }
--- a/src/test/java/damsonslip/platform/StopTest.java
+++ b/src/test/java/damsonslip/platform/StopTest.java
@@ -21,16 +21,16 @@
      */
     @Test
     void shutdownTimeFollowsDeadlinesInSettings() throws Exception {
-        Path file = config(list(7, true, worker("a", SAY_NOTHING)));
+        Path file = config(list(7, true, worker("a", NO_RESPONSE)));
         Files.writeString(
                 file, Files.readString(file).replace("\"hard_limit_s\":5", "\"hard_limit_s\":0.8"));
         program = new Program(file, "serve").awaitWord("listens on");
-        Peer beforeStop = Peer.connect(port).send(query("q1", "submit", "20000m"));
+        Peer beforeStop = Peer.connect(port).send(requestText("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         long before = System.nanoTime();
         program.terminate();
         Thread.sleep(400);
-        Peer afterStop = Peer.connect(port).send(query("q2", "submit", "20000m"));
+        Peer afterStop = Peer.connect(port).send(requestText("q2", "submit", "20000m"));
         assertEquals(502, beforeStop.message().status());
         assertTrue(afterStop.message().status() >= 500);
         assertTrue(
@@ -63,7 +63,7 @@
             program =
                     new Program(file, List.of("-Dorg.slf4j.simpleLogger.logFile=" + pipe), "serve");
             Peer client = connectOnceListening();
-            client.send(query("q1", "submit", "4000m"));
+            client.send(requestText("q1", "submit", "4000m"));
             Program.await("it is sent", () -> jobs("a") == 1);
             program.terminate();
             assertEquals("r-q1", client.message().body());
--- a/src/test/java/damsonslip/platform/StrayAnswersTest.java
+++ b/src/test/java/damsonslip/platform/StrayAnswersTest.java
@@ -69,9 +69,9 @@
                                 peer.send(done(job));
                             }
                         }));
-        assertEquals("r-q1", ask(query("q1", "read", "2000m")).body());
-        try (Peer one = Peer.connect(port).send(query("q2", "read", "4000m"));
-                Peer other = Peer.connect(port).send(query("q3", "read", "4000m"))) {
+        assertEquals("r-q1", exchange(requestText("q1", "read", "2000m")).body());
+        try (Peer one = Peer.connect(port).send(requestText("q2", "read", "4000m"));
+                Peer other = Peer.connect(port).send(requestText("q3", "read", "4000m"))) {
             assertEquals("r-q2", one.message().body());
             assertEquals("r-q3", other.message().body());
         }
@@ -89,7 +89,7 @@
         for (int i = 1; i < 12; i++) {
             assertEquals(
                     "r-q" + i,
-                    ask(query("q" + i, "submit", "2000m")).body(),
+                    exchange(requestText("q" + i, "submit", "2000m")).body(),
                     "a run-once request gets a connection of its own");
         }
         assertEquals(11, jobs("a", "b") + ranOnReusedConnection.size(), "each ran once");
@@ -100,7 +100,7 @@
     void lateRejectionDoesNoHarmToRepeatableRequest() throws Exception {
         start(worker("a", withLateRejection()), worker("b", withLateRejection()));
         for (int i = 1; i < 8; i++) {
-            assertEquals("r-q" + i, ask(query("q" + i, "read", "3000m")).body());
+            assertEquals("r-q" + i, exchange(requestText("q" + i, "read", "3000m")).body());
         }
         assertTrue(!ranOnReusedConnection.isEmpty(), "connections were reused");
     }
@@ -139,9 +139,9 @@
                                                 ? answer("nonsense")
                                                 : done(job))));
         for (int i = 0; i < 3; i++) {
-            assertEquals(502, ask(query("bad" + i, "submit", "1500m")).status());
+            assertEquals(502, exchange(requestText("bad" + i, "submit", "1500m")).status());
             Thread.sleep(600); // until the worker's backoff is over
-            assertEquals(200, ask(query("good" + i, "submit", "1500m")).status());
+            assertEquals(200, exchange(requestText("good" + i, "submit", "1500m")).status());
         }
         assertTrue(program.said().contains("no job's state"), program.said());
         program.terminate();
@@ -167,9 +167,9 @@
                                 said.countDown();
                             }
                         }));
-        assertEquals("r-q1", ask(query("q1", "submit", "2000m")).body());
+        assertEquals("r-q1", exchange(requestText("q1", "submit", "2000m")).body());
         assertTrue(said.await(5, TimeUnit.SECONDS));
-        assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body());
+        assertEquals("r-q2", exchange(requestText("q2", "submit", "2000m")).body());
         assertEquals(2, jobs("a"));
     }
 
@@ -197,7 +197,7 @@
                             }
                         }));
         for (String id : List.of("q1", "q2")) {
-            assertEquals("r", ask(query(id, "submit", "2000m")).body());
+            assertEquals("r", exchange(requestText(id, "submit", "2000m")).body());
         }
         Program.await("both connections are ended", () -> ended.get() == 2);
     }
@@ -218,7 +218,7 @@
                                                 + "X-Unprocessed: 1\r\n\r\n"
                                                 + done(job))));
         for (int i = 0; i < 3; i++) {
-            assertEquals("r-q" + i, ask(query("q" + i, "submit", "2000m")).body());
+            assertEquals("r-q" + i, exchange(requestText("q" + i, "submit", "2000m")).body());
             Thread.sleep(150);
         }
         assertEquals(1, servers.get(1).connections());
@@ -240,14 +240,15 @@
                             }
                         }));
         long before = System.nanoTime();
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "1500m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "1500m"))) {
             Program.await("it is sent", () -> jobs("a") == 1);
-            news.add(list(8, false, b));
+            listUpdates.add(list(8, false, b));
             Program.await(
                     "others are served",
                     () -> {
                         try {
-                            return ask(query("n" + System.nanoTime(), "read", "2000m")).status()
+                            return exchange(requestText("n" + System.nanoTime(), "read", "2000m"))
+                                            .status()
                                     == 200;
                         } catch (IOException e) {
                             throw new AssertionError(e);
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -71,7 +71,8 @@
                                 try {
                                     client = client == null ? Peer.connect(port) : client;
                                     Message answer =
-                                            client.send(query(name + i, "read", "4000m")).message();
+                                            client.send(requestText(name + i, "read", "4000m"))
+                                                    .message();
                                     if (answer.status() != 200) {
                                         failures.add(
                                                 name
@@ -131,7 +132,9 @@
         };
         Program old = start(first, jvmFlags, dataLimitKb, workers);
         assertEquals(
-                200, ask(query("first", "read", "4000m")).status(), "it has heard from discovery");
+                200,
+                exchange(requestText("first", "read", "4000m")).status(),
+                "it has heard from discovery");
         List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
         boolean[] stop = new boolean[1];
@@ -154,7 +157,7 @@
         }
         assertEquals(List.of(), failures);
         assertTrue(served.get() > 100, served + " served");
-        assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+        assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
                 "the new process is the only one",
                 () -> next.said().contains("processes of this scheduler: 1"));
@@ -183,7 +186,7 @@
                         });
         servers.add(busyDiscovery);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("warm" + i, "read", "4000m")).status());
+            assertEquals(200, exchange(requestText("warm" + i, "read", "4000m")).status());
         }
         Path file = config(list(7, true, workers), mgmt(second));
         Files.writeString(
@@ -254,7 +257,8 @@
                     "an ordinary client is served once the burst is admitted or closed",
                     () -> {
                         try {
-                            return ask(query("q" + System.nanoTime(), "read", "2000m")).status()
+                            return exchange(requestText("q" + System.nanoTime(), "read", "2000m"))
+                                            .status()
                                     == 200;
                         } catch (IOException e) {
                             return false;
@@ -285,7 +289,7 @@
         assertEquals(200, idle.message().status());
         Peer asking = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, asking.message().status());
-        Peer busy = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer busy = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         start(second, a);
         old.terminate();
@@ -298,7 +302,7 @@
                 200); // it stops listening at SIGTERM; without a successor it would go on for 2.4 s
         for (int i = 0; i < 20; i++) {
             assertNull(
-                    ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
+                    exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
                     "the new process takes all new connections");
         }
         assertEquals("r-q1", busy.message().body());
@@ -323,7 +327,7 @@
                 "the old process knows of the change",
                 () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a", "b"));
         assertTrue(call(first, "ENABLE b").startsWith("YES"));
@@ -334,7 +338,7 @@
         old.exit(4);
         assertTrue(call(second, "DISABLE c").startsWith("YES"));
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("r" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
         assertTrue(jobs("b") > 0, "b is enabled again by the call to the old process");
@@ -348,12 +352,12 @@
             assertEquals(1, failing.exit(), "the management address is in use");
             assertEquals(1, failing.said().lines().count(), failing.said());
         }
-        assertEquals(200, ask(query("q1", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "2000m")).status());
         old.terminate();
         Thread.sleep(300);
         assertEquals(
                 200,
-                ask(query("q2", "read", "2000m")).status(),
+                exchange(requestText("q2", "read", "2000m")).status(),
                 "without a successor the old process goes on listening");
         assertEquals(143, old.exit());
         assertFalse(old.said().contains("a successor serves"), old.said());
@@ -371,7 +375,7 @@
                 "the new process knows that it is alone",
                 () -> next.said().contains("processes of this scheduler: 1"));
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
     }
 
@@ -388,13 +392,13 @@
         next.kill();
         old.awaitWord("processes of this scheduler: 1");
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         int third = Program.freePort();
         start(third, a);
         old.terminate();
         assertEquals(143, old.exit(3));
-        assertEquals(200, ask(query("last", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("last", "read", "2000m")).status());
         assertFalse(markExists(1), "the mark file of the dead process is removed");
     }
 
@@ -412,7 +416,7 @@
         assertEquals(143, one.exit(4));
         assertEquals(143, two.exit(4));
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
     }
 
@@ -432,7 +436,9 @@
                                 .filter(line -> line.contains("bans cannot be used"))
                                 .count(),
                         started.said());
-                assertEquals(200, ask(query("q" + text.hashCode(), "read", "2000m")).status());
+                assertEquals(
+                        200,
+                        exchange(requestText("q" + text.hashCode(), "read", "2000m")).status());
             }
         }
         try (Stream<Path> files = Files.list(dir)) {
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -66,7 +66,7 @@
      * seconds.
      */
     private long workOfANewWorkerNs(Duration clockOffBy) throws Exception {
-        got.clear();
+        receivedJobs.clear();
         workNs.set(0);
         startWithSlowStart(clockOffBy, worker("a", WallClockTest::answerSlowly));
         AtomicBoolean stop = new AtomicBoolean();
@@ -82,7 +82,7 @@
                         .replace(
                                 "\"startedAtMs\":0",
                                 "\"startedAtMs\":" + System.currentTimeMillis());
-        news.add(list(8, false, newWorker));
+        listUpdates.add(list(8, false, newWorker));
         Thread.sleep(FIRST_SECONDS_MS);
         long work = workNs.get();
         System.out.println(
@@ -104,7 +104,7 @@
     private void askUntil(AtomicBoolean stop, String name) {
         try (Peer client = Peer.connect(port)) {
             for (int i = 0; !stop.get(); i++) {
-                client.send(query(name + "-" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
+                client.send(requestText(name + "-" + i, i % 2 == 0 ? "read" : "submit", "2000m"))
                         .message();
             }
         } catch (IOException e) {
