--- a/src/test/java/damsonslip/admin/console/ConsoleTest.java
+++ b/src/test/java/damsonslip/admin/console/ConsoleTest.java
@@ -27,7 +27,7 @@
         System.arraycopy(command, 0, arguments, 2, command.length);
         try (Program program = new Program(null, arguments)) {
             program.exit();
-            return program.said();
+            return program.output();
         }
     }
 
@@ -51,7 +51,7 @@
                         "cold_share = 0.9");
         try (Program program =
                         new Program(null, "serve", Program.file(dir, file).toString())
-                                .awaitWord("taken up from the store");
+                                .awaitOutput("taken up from the store");
                 FaktoryPeer worker = new FaktoryPeer(port, "w1", "");
                 FaktoryPeer producer = new FaktoryPeer(port, "", "")) {
             producer.push("job-00001", "apply-submit", 30, "");
--- a/src/test/java/damsonslip/cli/RehearsalTest.java
+++ b/src/test/java/damsonslip/cli/RehearsalTest.java
@@ -14,14 +14,14 @@
     @Test
     void servesItsOwnRequestsAndExits() throws Exception {
         try (Program program = new Program(null, "rehearse")) {
-            assertEquals(0, program.exit(), program.said());
-            assertTrue(program.said().contains("rehearsal listens on"), program.said());
+            assertEquals(0, program.exit(), program.output());
+            assertTrue(program.output().contains("rehearsal listens on"), program.output());
             assertTrue(
-                    program.said().contains("reload: discovery is at"),
+                    program.output().contains("reload: discovery is at"),
                     "classes for a reload are archived as well");
             assertTrue(
-                    program.said().contains("counters queries_taken=3 "),
-                    "classes for a shutdown are archived as well: " + program.said());
+                    program.output().contains("counters queries_taken=3 "),
+                    "classes for a shutdown are archived as well: " + program.output());
         }
     }
 }
--- a/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
+++ b/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
@@ -68,7 +68,7 @@
         try (program) {
             int code = program.exit();
             String messages =
-                    program.said()
+                    program.output()
                             .lines()
                             .filter(line -> !LOG_LINE.matcher(line).find())
                             .map(line -> line + "\n")
--- a/src/test/java/damsonslip/compatibility/ManagementWireTest.java
+++ b/src/test/java/damsonslip/compatibility/ManagementWireTest.java
@@ -167,7 +167,7 @@
     void writesItsCountersLast() throws Exception {
         platform.program().terminate();
         assertEquals(143, platform.program().exit());
-        String said = platform.program().said();
+        String said = platform.program().output();
         String last = said.substring(said.lastIndexOf('\n', said.length() - 2) + 1);
         new Recording("last-line").add("the last line", last).verify();
     }
@@ -185,7 +185,7 @@
                     {"console", "nowhere", "phase"}
                 }) {
             try (Program console = new Program(null, arguments)) {
-                recording.add(arguments[2], "exit " + console.exit() + "\n" + console.said());
+                recording.add(arguments[2], "exit " + console.exit() + "\n" + console.output());
             }
         }
         recording.verify();
--- a/src/test/java/damsonslip/compatibility/PlatformProgram.java
+++ b/src/test/java/damsonslip/compatibility/PlatformProgram.java
@@ -135,7 +135,7 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 List.of(),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await("the management port answers", () -> manage("READY").startsWith("YES"));
         return this;
     }
--- a/src/test/java/damsonslip/compatibility/SavedDirectory.java
+++ b/src/test/java/damsonslip/compatibility/SavedDirectory.java
@@ -41,7 +41,7 @@
 
     /** Starts the program with the saved list of workers and waits until it serves. */
     Program startServing() throws IOException {
-        return start(discovery(true)).awaitWord("listens on");
+        return start(discovery(true)).awaitOutput("listens on");
     }
 
     /** Starts the program with a discovery that accepts connections and never replies. */
--- a/src/test/java/damsonslip/compatibility/StoredFilesTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredFilesTest.java
@@ -165,9 +165,9 @@
     void marksThatItStarts() throws Exception {
         try (FileChannel other = lockSavedMark(1, "damsonslip-mark-serving")) {
             Program program = directory.startWithoutDiscovery();
-            program.awaitWord("processes of this scheduler: 2");
+            program.awaitOutput("processes of this scheduler: 2");
             assertTrue(other.isOpen());
-            assertFalse(program.said().contains("listens on"), program.said());
+            assertFalse(program.output().contains("listens on"), program.output());
             assertWritten("damsonslip-mark-starting", MARK + 2);
         }
     }
@@ -178,18 +178,18 @@
         try (FileChannel successor = lockSavedMark(2, "damsonslip-mark-starting")) {
             Thread.sleep(SEVERAL_POLLS_MS);
             assertFalse(
-                    program.said().contains("processes of this scheduler"),
-                    "one that starts is no successor: " + program.said());
+                    program.output().contains("processes of this scheduler"),
+                    "one that starts is no successor: " + program.output());
             successor.position(0);
             successor.write(
                     ByteBuffer.wrap(
                             Files.readAllBytes(
                                     SavedDirectory.SAVED.resolve("damsonslip-mark-serving"))));
-            program.awaitWord(
+            program.awaitOutput(
                     "processes of this scheduler: 2, this one is number 0, "
                             + "a successor serves");
         }
-        program.awaitWord("processes of this scheduler: 1");
+        program.awaitOutput("processes of this scheduler: 1");
     }
 
     @Test
--- a/src/test/java/damsonslip/compatibility/StoredJobsTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsTest.java
@@ -71,7 +71,7 @@
     @Test
     void recoversEveryOpenJob() {
         long open = saved.stream().filter(entry -> entry.get(0).equals(TYPE_MEMBER)).count();
-        String said = server.program().said();
+        String said = server.program().output();
         assertTrue(said.contains(" " + open + " jobs taken up from the store"), said);
     }
 
--- a/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
+++ b/src/test/java/damsonslip/faktory/BatchRecoveryTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import damsonslip.testkit.FaktoryPeer;
-import damsonslip.testkit.RedisStandIn.Then;
+import damsonslip.testkit.RedisStandIn.TrapAction;
 import java.io.IOException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -45,11 +45,11 @@
         assertEquals("+OK", producer.call("BATCH COMMIT " + bid));
         assertEquals("job-00001", worker.fetch("q", 2_000));
         CountDownLatch held =
-                redis.trap(
+                redis.trapNext(
                         words ->
                                 words.get(0).equalsIgnoreCase("SET")
                                         && words.get(1).contains(bid + "-complete"),
-                        Then.HOLD_UNDONE);
+                        TrapAction.IGNORE_AND_HANG);
         worker.peer().send("FAIL {\"jid\":\"job-00001\",\"errtype\":\"E\",\"message\":\"m\"}\r\n");
         assertTrue(held.await(5, TimeUnit.SECONDS));
         server.killAndStart();
--- a/src/test/java/damsonslip/faktory/FaultScenarioTest.java
+++ b/src/test/java/damsonslip/faktory/FaultScenarioTest.java
@@ -119,7 +119,7 @@
                         "cold_share = 1.0",
                         "cold_share = 0.13");
         return new Program(null, "serve", Program.file(dir, file).toString())
-                .awaitWord("taken up from the store");
+                .awaitOutput("taken up from the store");
     }
 
     @Test
--- a/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
+++ b/src/test/java/damsonslip/faktory/KilledSchedulerTest.java
@@ -7,7 +7,7 @@
 import damsonslip.testkit.FaktoryPeer;
 import damsonslip.testkit.FaktoryServer;
 import damsonslip.testkit.Program;
-import damsonslip.testkit.RedisStandIn.Then;
+import damsonslip.testkit.RedisStandIn.TrapAction;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -36,7 +36,8 @@
     @Test
     void runsJobIfKilledBeforeReservationIsRecorded() throws Exception {
         FaktoryPeer producer = producer();
-        CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.HOLD_UNDONE);
+        CountDownLatch trapped =
+                redis.trapNext(KilledSchedulerTest::isReserving, TrapAction.IGNORE_AND_HANG);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
         peer("w1").peer().send("FETCH q\r\n");
         assertTrue(trapped.await(5, TimeUnit.SECONDS));
@@ -54,7 +55,8 @@
     @Test
     void doesNotRepeatJobIfKilledAfterReservationIsRecorded() throws Exception {
         FaktoryPeer producer = producer();
-        CountDownLatch trapped = redis.trap(KilledSchedulerTest::isReserving, Then.DO_AND_HOLD);
+        CountDownLatch trapped =
+                redis.trapNext(KilledSchedulerTest::isReserving, TrapAction.EXECUTE_AND_HANG);
         assertEquals("+OK", producer.plain("job-once1", NOT_IDEMPOTENT));
         peer("w1").peer().send("FETCH q\r\n");
         assertTrue(trapped.await(5, TimeUnit.SECONDS));
@@ -106,7 +108,7 @@
         }
         second.kill();
         second.exit();
-        assertTrue(server.start(otherPort, "other-desk").said().contains("0 jobs taken up"));
+        assertTrue(server.start(otherPort, "other-desk").output().contains("0 jobs taken up"));
         try (FaktoryPeer worker = new FaktoryPeer(otherPort, "w9", "")) {
             assertNull(worker.fetch("q", 0));
         }
@@ -122,8 +124,10 @@
                 "damsonslip:job:job-00001",
                 "school-desk\n{\"id\":\"job-00001\",\"state\":\"QUEUED\",\"job\":\"{}\"}");
         server.killAndStart();
-        assertTrue(server.program().said().contains("1 jobs taken up"), server.program().said());
-        assertTrue(server.program().said().contains("left in the store"), server.program().said());
+        assertTrue(
+                server.program().output().contains("1 jobs taken up"), server.program().output());
+        assertTrue(
+                server.program().output().contains("left in the store"), server.program().output());
         assertEquals("job-00002", peer("w1").fetch("q", 2_000));
     }
 }
--- a/src/test/java/damsonslip/faktory/PersistenceTest.java
+++ b/src/test/java/damsonslip/faktory/PersistenceTest.java
@@ -75,7 +75,8 @@
         Thread.sleep(600);
         worker.ack("job-00001");
         assertEquals(143, server.program().exit());
-        assertTrue(server.program().said().contains("answers_served=1"), server.program().said());
+        assertTrue(
+                server.program().output().contains("answers_served=1"), server.program().output());
         server.start();
         assertEquals("success", producer().state("job-00001"));
     }
--- a/src/test/java/damsonslip/faktory/SlowPeersTest.java
+++ b/src/test/java/damsonslip/faktory/SlowPeersTest.java
@@ -88,9 +88,9 @@
         assertEquals(1, peer().info().path("counters").path("slow_senders_let_go").asInt());
         assertTrue(
                 server.program()
-                        .said()
+                        .output()
                         .contains("is disconnected for its low data rate: it sends a command at"),
-                server.program().said());
+                server.program().output());
     }
 
     private static void trickle(FaktoryPeer peer) {
--- a/src/test/java/damsonslip/faktory/StoreFailureTest.java
+++ b/src/test/java/damsonslip/faktory/StoreFailureTest.java
@@ -6,7 +6,7 @@
 
 import damsonslip.testkit.FaktoryPeer;
 import damsonslip.testkit.FaktoryServer;
-import damsonslip.testkit.RedisStandIn.Then;
+import damsonslip.testkit.RedisStandIn.TrapAction;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
@@ -103,11 +103,11 @@
     void runsJobOnlyIfPushedAgainAfterLostReply(boolean again) throws Exception {
         FaktoryPeer producer = producer();
         CountDownLatch replyDropped =
-                redis.trap(
+                redis.trapNext(
                         words ->
                                 words.get(0).equalsIgnoreCase("GET")
                                         && words.get(1).endsWith("job:job-00001"),
-                        Then.DO_AND_HANG_UP);
+                        TrapAction.EXECUTE_AND_CLOSE);
         assertTrue(
                 producer.plain("job-00001", NOT_IDEMPOTENT).startsWith("-ERR the store is down"));
         assertTrue(replyDropped.await(1, TimeUnit.SECONDS));
--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -46,7 +46,7 @@
                                 "\"instances\":1",
                                 "\"instances\":" + fleet + ",\"slot_no\":" + number)
                         .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + discoveryPort));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
     }
 
     /** A scheduler that does nothing but watch the list, by the same rule as the real ones. */
--- a/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
+++ b/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
@@ -213,7 +213,7 @@
         int at = discovery.port();
         program =
                 Program.withDescriptors(fewDescriptors("0.25", a), SOCKETS + FURTHER_FILES, "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         crowd();
         crowd();
         Program.await("the crowd fills what there is", () -> program.sockets() > SOCKETS / 3);
@@ -245,7 +245,7 @@
                 "known clients are served on",
                 () -> returning.served.get() > before + KNOWN_CLIENTS,
                 program);
-        assertFalse(program.said().contains("Too many open files"), program.said());
+        assertFalse(program.output().contains("Too many open files"), program.output());
     }
 
     /**
@@ -257,7 +257,7 @@
     void aRequestThatCrossesTheEndOfARestingConnectionIsAnsweredOrNeverSentOn() throws Exception {
         program =
                 new Program(fewDescriptors("0.25", worker("a", SERVE)), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         List<Peer> resting = new ArrayList<>();
         int crossed = 0;
         for (int i = 0; i < 4 * SOCKETS; i++) {
@@ -308,7 +308,7 @@
             entries.add(worker("a", SERVE));
             program =
                     new Program(fewDescriptors("5", entries.toArray(String[]::new)), "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             int clients = 40;
             for (int i = 0; i < clients; i++) {
                 repeat(
@@ -336,7 +336,7 @@
             over.set(true);
             program.terminate();
             assertEquals(143, program.exit());
-            assertTrue(program.said().contains("server_dials_given_up="), program.said());
+            assertTrue(program.output().contains("server_dials_given_up="), program.output());
         } finally {
             for (LateServer server : late) {
                 server.close();
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -37,7 +37,7 @@
     private void startWithMgmt(String... entries) throws IOException {
         program =
                 new Program(config(list(7, true, entries), mgmt(mgmt)), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await("it is ready", () -> call("READY").startsWith("YES"));
     }
 
@@ -100,7 +100,7 @@
             assertEquals(200, client.message().status());
         }
         assertEquals("4|c", figures().get("success.read"));
-        program.reload("{").awaitWord("reload: config");
+        program.reload("{").awaitOutput("reload: config");
         Program.await(
                 "a failed reload is counted", () -> figures().get("reload_failure").equals("1|c"));
     }
@@ -289,7 +289,7 @@
                     file,
                     Files.readString(file)
                             .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
-            program = new Program(file, "serve").awaitWord("listens on");
+            program = new Program(file, "serve").awaitOutput("listens on");
             Program.await("it is ready", () -> call("READY").startsWith("YES"));
             call("DISABLE b");
             try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "5000m"))) {
@@ -353,7 +353,7 @@
                         .replace(
                                 "\"limits\":{\"send_cap\"",
                                 "\"reporting\":{\"how\":\"pull\"},\"limits\":{\"may_probe\":true,\"send_cap\""));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         Program.await("a probe is under way", () -> probes.get() > 0);
         assertTrue(call("DISABLE a").startsWith("YES"));
         out.countDown();
@@ -465,10 +465,10 @@
                         new Program(
                                 config(list(7, true), "\"mgmt\":\"" + address + "\","), "serve")) {
                     assertEquals(1, failing.exit(), address);
-                    assertEquals(1, failing.said().lines().count(), failing.said());
+                    assertEquals(1, failing.output().lines().count(), failing.output());
                     assertTrue(
-                            failing.said().startsWith("damsonslip: config: mgmt: "),
-                            failing.said());
+                            failing.output().startsWith("damsonslip: config: mgmt: "),
+                            failing.output());
                 }
             }
         }
--- a/src/test/java/damsonslip/platform/DeparturesTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesTest.java
@@ -111,6 +111,6 @@
             assertTrue(client.ended(), "no reset");
         }
         assertEquals(0, jobs("a"));
-        assertFalse(program.said().contains("Exception"), program.said());
+        assertFalse(program.output().contains("Exception"), program.output());
     }
 }
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -103,7 +103,7 @@
         List<String> told = new ArrayList<>();
         discovery = discovery(List.of(list(9, true, b)), told);
         program.reload(Files.readString(config(list(7, true, a))))
-                .awaitWord("reload: discovery is at");
+                .awaitOutput("reload: discovery is at");
         Program.await("the news count", () -> served("b"));
         int before = calls.get();
         Thread.sleep(1_000);
@@ -238,7 +238,7 @@
                 200,
                 exchange(requestText("q1", "submit", "2000m")).status(),
                 "nobody waits for it");
-        program.awaitWord("it trickles");
+        program.awaitOutput("it trickles");
         Program.await("the next call brings the news", () -> served("b"));
     }
 
@@ -274,7 +274,7 @@
         start(worker("a", SERVE));
         Program.await("the list counts", () -> served("b"));
         assertEquals(1, calls.get());
-        assertTrue(!program.said().contains("is over"), program.said());
+        assertTrue(!program.output().contains("is over"), program.output());
     }
 
     /**
@@ -298,7 +298,7 @@
         assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
         Thread.sleep(1_000);
         assertEquals(1, watches.size(), "it is the same one");
-        assertTrue(!program.said().contains("it is silent"), program.said());
+        assertTrue(!program.output().contains("it is silent"), program.output());
     }
 
     /**
@@ -357,7 +357,7 @@
         servers.add(discovery);
         Path file = config(list(7, true, a));
         Files.writeString(file, Files.readString(file).replace("on_request", "pushed"));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         for (int i = 0; i < 5; i++) {
             assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
         }
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -42,7 +42,8 @@
         environment.put("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console);
         configuration = config(list(7, true, entries));
         program =
-                new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
+                new Program(configuration, environment, List.of(), "serve")
+                        .awaitOutput("listens on");
         Program.await("the console tells of a list", () -> hasCounter("list_updates"), program);
     }
 
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -189,7 +189,7 @@
         int left = count;
         while (left > 0 && System.nanoTime() - before < GIVEN_UP_NS) {
             for (int i = 0; i < count; i++) {
-                if (ready[i] == 0 && programs.get(i).said().contains("listens on")) {
+                if (ready[i] == 0 && programs.get(i).output().contains("listens on")) {
                     ready[i] = (System.nanoTime() - before) / 1e9;
                     left--;
                 }
@@ -199,7 +199,7 @@
         for (int i = 0; i < count && left > 0; i++) {
             if (ready[i] == 0) {
                 ready[i] = Double.POSITIVE_INFINITY;
-                System.out.println("never ready: " + programs.get(i).said());
+                System.out.println("never ready: " + programs.get(i).output());
             }
         }
         Arrays.sort(ready);
@@ -213,7 +213,7 @@
         int sockets = 0;
         Duration cpu = Duration.ZERO;
         for (Program each : programs.stream().filter(Program::isAlive).toList()) {
-            most = Math.max(most, each.mostResidentMb());
+            most = Math.max(most, each.peakResidentMb());
             sum += each.residentMb();
             threads = Math.max(threads, each.threads());
             sockets = Math.max(sockets, each.sockets());
--- a/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
@@ -55,10 +55,10 @@
 
     /** Holds the loop in the turn that takes in a list. */
     private void holdUp() {
-        program.readUntil("left out an entry");
+        program.pauseReadingAfter("left out an entry");
         listUpdates.add(
                 list(8, false, Collections.nCopies(BAD_ENTRIES, "{}").toArray(String[]::new)));
-        Program.await("the loop is in the middle of it", program::isUnread);
+        Program.await("the loop is in the middle of it", program::isReadingPaused);
     }
 
     /** The turn goes on, so late that no attempt may begin any more. */
@@ -69,7 +69,7 @@
 
     /** Waits until all is done that came before this call. */
     private void resume() throws Exception {
-        program.readOn();
+        program.resumeReading();
         assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Thread.sleep(SENT_MS);
     }
--- a/src/test/java/damsonslip/platform/HeldUpStartTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpStartTest.java
@@ -54,7 +54,7 @@
         program.signal("STOP");
         Thread.sleep(HELD_UP_MS);
         program.signal("CONT");
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
     }
 
@@ -110,7 +110,7 @@
             Thread.sleep(lateMs);
             configuration.write(text.getBytes(StandardCharsets.UTF_8));
         }
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         return begunNs;
     }
 }
--- a/src/test/java/damsonslip/platform/LargeListTest.java
+++ b/src/test/java/damsonslip/platform/LargeListTest.java
@@ -145,10 +145,10 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 DeployFile.jvmFlags(),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         long took = System.nanoTime() - before;
         assertTrue(took < READY_NS, "ready after " + took / 1_000_000 + " ms");
-        assertTrue(program.said().contains(WORKERS + " workers known"), program.said());
+        assertTrue(program.output().contains(WORKERS + " workers known"), program.output());
         Program.await("a watch", () -> watches.size() == 1);
     }
 
@@ -197,8 +197,8 @@
         }
         Program.await("all lists are taken", () -> counter("list_updates") == WHOLE_LISTS + 1);
         awaitTargets(WORKERS);
-        assertFalse(program.said().contains("OutOfMemoryError"), program.said());
-        assertTrue(program.mostResidentMb() < MACHINE_MB, program.mostResidentMb() + " MB");
+        assertFalse(program.output().contains("OutOfMemoryError"), program.output());
+        assertTrue(program.peakResidentMb() < MACHINE_MB, program.peakResidentMb() + " MB");
         assertTrue(program.threads() < MOST_THREADS, program.threads() + " threads");
     }
 
--- a/src/test/java/damsonslip/platform/LastingFolderTest.java
+++ b/src/test/java/damsonslip/platform/LastingFolderTest.java
@@ -37,7 +37,7 @@
             throws Exception {
         faults.fail(call, error, 1);
         startManaged(worker("a", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         assertTrue(call(mgmt, "READY").startsWith("YES"), "the operators' tools get on");
         assertTrue(call(mgmt, "DISABLE a").startsWith("NO"), "nothing is kept yet");
@@ -53,7 +53,7 @@
     void tellsTheOperatorOfAChangeThatCouldNotBeKept(SystemCall call, Errno error)
             throws Exception {
         startManaged(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("it takes commands", () -> call(mgmt, "READY").startsWith("YES"));
         faults.fail(call, error, 1);
         String answer = call(mgmt, "DISABLE a");
@@ -65,7 +65,7 @@
         program.kill();
         program.exit();
         startManaged(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("took over the operators' bans");
+        program.awaitOutput("took over the operators' bans");
     }
 
     /**
@@ -75,7 +75,7 @@
     @Test
     void takesOverWhatAnotherProcessHasKeptThoughItCannotBeReadAtOnce() throws Exception {
         startManaged(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("it takes commands", () -> call(mgmt, "READY").startsWith("YES"));
         assertTrue(call(mgmt, "DISABLE a").startsWith("YES"));
         Path kept = dir.resolve("damsonslip-bans");
@@ -86,7 +86,7 @@
         Path written = Files.writeString(dir.resolve("of-another-process"), disabled);
         Files.move(
                 written, kept, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        program.awaitWord("cannot be read");
+        program.awaitOutput("cannot be read");
         faults.restore(SystemCall.FILE_READ_OPEN);
         Program.await(
                 "it has heard",
@@ -98,7 +98,7 @@
     @Test
     void servesWhileTheDiskTakesItsTime() throws Exception {
         startManaged(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("it takes commands", () -> call(mgmt, "READY").startsWith("YES"));
         assertEquals(200, exchange(requestText("q0", "read", "4000m")).status());
         faults.hold(SystemCall.FILE_SYNC, SLOW_SYNC_MS);
--- a/src/test/java/damsonslip/platform/LateDialsTest.java
+++ b/src/test/java/damsonslip/platform/LateDialsTest.java
@@ -92,7 +92,7 @@
                     file,
                     "\"semantics\":\"once\"",
                     "\"semantics\":\"by_key\",\"dedup_scope\":\"all\",\"window_s\":1.0");
-            program = new Program(file, "serve").awaitWord("listens on");
+            program = new Program(file, "serve").awaitOutput("listens on");
             try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
                 assertTrue(held.await(5, TimeUnit.SECONDS));
                 Thread.sleep(700); // it is dialled anew within 0.4 s
@@ -115,12 +115,12 @@
         try (LateServer next = new LateServer()) {
             program =
                     new Program(patient(list(7, true, worker("a", SERVE))), "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             discovery.close();
-            program.awaitWord("the watch on discovery is over");
+            program.awaitOutput("the watch on discovery is over");
             program.reload(moved(next.port()));
-            program.awaitWord("reload: discovery is at");
+            program.awaitOutput("reload: discovery is at");
             Thread.sleep(800); // the module asks within 0.6 s
             next.open(
                     peer -> {
@@ -152,10 +152,10 @@
         try (LateServer next = new LateServer()) {
             program =
                     new Program(patient(list(7, true, worker("a", SERVE))), "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             program.reload(moved(next.port()));
-            program.awaitWord("reload: discovery is at");
+            program.awaitOutput("reload: discovery is at");
             listUpdates.add(list(50, false, worker("c", SERVE)));
             Program.await("the old one still counts", () -> served("c"));
             next.open(
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -79,7 +79,7 @@
     }
 
     void loaded(String... entries) throws Exception {
-        program = new Program(patient(list(7, true, entries)), "serve").awaitWord("listens on");
+        program = new Program(patient(list(7, true, entries)), "serve").awaitOutput("listens on");
         Program.await("a watch", () -> watches.size() == 1);
         load();
         Program.await("all are used", () -> last.size() == entries.length);
--- a/src/test/java/damsonslip/platform/LocalFailuresTest.java
+++ b/src/test/java/damsonslip/platform/LocalFailuresTest.java
@@ -97,7 +97,7 @@
         program.reload(text);
         askFor(signalNs, 2_500);
         faults.restore(SystemCall.FILE_READ_OPEN);
-        program.awaitWord("reload: discovery is at 127.0.0.1:" + busy.port());
+        program.awaitOutput("reload: discovery is at 127.0.0.1:" + busy.port());
         askFor(signalNs, MOVED_AND_GRACE_MS);
         assertNothingIsSent();
     }
--- a/src/test/java/damsonslip/platform/OtherSettingsTest.java
+++ b/src/test/java/damsonslip/platform/OtherSettingsTest.java
@@ -23,7 +23,7 @@
     private void startWith(String one, String other, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
         Files.writeString(file, Files.readString(file).replace(one, other));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
     }
 
     private static String queryOfTenant(String tenant, String id) {
@@ -111,7 +111,8 @@
         Files.writeString(file, Files.readString(file).replace("on_request", "gossip"));
         try (Program failing = new Program(file, "serve")) {
             assertEquals(1, failing.exit());
-            assertEquals("damsonslip: settings: registry_mode: \"gossip\"", failing.said().strip());
+            assertEquals(
+                    "damsonslip: settings: registry_mode: \"gossip\"", failing.output().strip());
         }
     }
 
--- a/src/test/java/damsonslip/platform/PassedUnchangedTest.java
+++ b/src/test/java/damsonslip/platform/PassedUnchangedTest.java
@@ -35,7 +35,7 @@
                 200,
                 exchange(requestText("after", "read", "2000m")).status(),
                 "other requests are still served");
-        assertTrue(!program.said().contains("ERROR"), program.said());
+        assertTrue(!program.output().contains("ERROR"), program.output());
     }
 
     @ParameterizedTest
--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -264,7 +264,7 @@
     }
 
     void start(String... entries) throws IOException {
-        program = new Program(config(list(7, true, entries)), "serve").awaitWord("listens on");
+        program = new Program(config(list(7, true, entries)), "serve").awaitOutput("listens on");
     }
 
     /** The same with a console that tells its counters. */
@@ -282,7 +282,7 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 List.of(),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
     }
 
     /** Whether a counter stands at this figure; only after {@link #startWithConsole}. */
--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -204,7 +204,7 @@
         Program.await("a watch", () -> watches.size() == 1);
         Peer earlyClient = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
-        program.reload("{\"listen\":").awaitWord("reload: config");
+        program.reload("{\"listen\":").awaitOutput("reload: config");
         List<String> newWatches = new CopyOnWriteArrayList<>();
         int before = discovery.port();
         discovery =
@@ -231,9 +231,9 @@
         String withUnknownZone =
                 entry("n", 1, "ready").replace("\"zone\":\"z\"", "\"zone\":\"moon\"");
         listUpdates.add(list(9, false, withUnknownZone, worker("b", SERVE)));
-        program.awaitWord("moon");
+        program.awaitOutput("moon");
         assertEquals(200, exchange(requestText("q1", "read", "2000m")).status());
-        assertFalse(program.said().contains("Exception"), program.said());
+        assertFalse(program.output().contains("Exception"), program.output());
     }
 
     /**
@@ -301,7 +301,7 @@
                 200,
                 exchange(requestText("q1", "read", "2000m")).status(),
                 "other requests are still served");
-        assertFalse(program.said().contains("Exception"), program.said());
+        assertFalse(program.output().contains("Exception"), program.output());
     }
 
     static String head(String id, String more) {
@@ -482,7 +482,7 @@
                 100); // an open connection serves one more request while the process may not be
         // killed yet
         Message last = openConnection.send(requestText("q3", "submit", "4000m")).message();
-        assertEquals("r-q3", last.body(), program::said);
+        assertEquals("r-q3", last.body(), program::output);
         assertEquals("close", last.field("Connection"));
         Message answer = earlyClient.message();
         assertEquals("r-q1", answer.body());
@@ -490,8 +490,8 @@
         program.reload(null);
         assertEquals(143, program.exit());
         assertTrue(
-                program.said().contains("queries_taken=3 answers_served=3 executions_sent=3"),
-                program.said());
+                program.output().contains("queries_taken=3 answers_served=3 executions_sent=3"),
+                program.output());
     }
 
     /**
@@ -521,12 +521,12 @@
                         "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":{\"lanes\":[]}}")) {
             try (Program failing = new Program(Program.file(dir, text), "serve")) {
                 assertEquals(1, failing.exit(), text);
-                assertEquals(1, failing.said().lines().count(), failing.said());
-                assertTrue(failing.said().startsWith("damsonslip: "), failing.said());
+                assertEquals(1, failing.output().lines().count(), failing.output());
+                assertTrue(failing.output().startsWith("damsonslip: "), failing.output());
                 assertEquals(
                         text.contains("lanes"),
-                        failing.said().contains("instances, the number"),
-                        failing.said());
+                        failing.output().contains("instances, the number"),
+                        failing.output());
             }
         }
         assertNull(program);
--- a/src/test/java/damsonslip/platform/ProbesTest.java
+++ b/src/test/java/damsonslip/platform/ProbesTest.java
@@ -38,7 +38,7 @@
                         .replace(
                                 "\"lanes\"",
                                 "\"reporting\":{\"how\":\"pull\",\"fields\":[\"x0\"]},\"lanes\""));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         return server;
     }
 
--- a/src/test/java/damsonslip/platform/RareMomentsTest.java
+++ b/src/test/java/damsonslip/platform/RareMomentsTest.java
@@ -230,6 +230,6 @@
         }
         program.terminate();
         assertEquals(143, program.exit());
-        assertTrue(!program.said().contains("Exception"), program.said());
+        assertTrue(!program.output().contains("Exception"), program.output());
     }
 }
--- a/src/test/java/damsonslip/platform/ReadyInTimeTest.java
+++ b/src/test/java/damsonslip/platform/ReadyInTimeTest.java
@@ -113,7 +113,7 @@
         long before = System.nanoTime();
         program =
                 new Program(config, Map.of(), DeployFile.jvmFlags(), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         long took = System.nanoTime() - before;
         assertTrue(took < READY_NS, "ready after " + took / 1_000_000 + " ms");
         for (int i = 0; i < 5; i++) {
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -119,7 +119,7 @@
             Peer.Server newDiscovery =
                     newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
             reloadTo(slow.port());
-            program.awaitWord("reload: discovery is at 127.0.0.1:" + slow.port());
+            program.awaitOutput("reload: discovery is at 127.0.0.1:" + slow.port());
             long sighupNs = System.nanoTime();
             reloadTo(newDiscovery.port());
             Program.await("the second address is called", () -> calls.get() == 1);
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -31,9 +31,9 @@
                         List.of(),
                         "serve");
         Thread.sleep(SHORTAGE_MS);
-        assertTrue(program.isAlive(), program.said());
+        assertTrue(program.isAlive(), program.output());
         faults.restore(SystemCall.SOCKET);
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         Program.await(
                 "the management address listens",
--- a/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
+++ b/src/test/java/damsonslip/platform/SlowPeersMeasurement.java
@@ -190,7 +190,7 @@
                                 worker("d", WORK)));
         program =
                 new Program(file, Map.of(), List.of("-Xmx64m", "-Xss256k"), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         round(0); // warms up the JIT compiler
         for (int i = 0; i < ROUNDS; i++) {
             System.out.println(round(0));
@@ -198,7 +198,7 @@
         }
         program.terminate();
         program.exit();
-        program.said()
+        program.output()
                 .lines()
                 .filter(line -> line.startsWith("counters"))
                 .forEach(System.out::println);
--- a/src/test/java/damsonslip/platform/SlowPeersTest.java
+++ b/src/test/java/damsonslip/platform/SlowPeersTest.java
@@ -55,16 +55,17 @@
                             "ready")); // the last worker, dealt to the pool of 'submit', never
             // reads
             int i = 0;
-            while (!program.said().contains("worker b takes a request too slowly") && i < 12) {
+            while (!program.output().contains("worker b takes a request too slowly") && i < 12) {
                 assertEquals(200, exchange(largeRequest("q" + i++, LARGE_REQUEST_BYTES)).status());
             }
             assertTrue(
-                    program.said().contains("worker b takes a request too slowly"), program.said());
+                    program.output().contains("worker b takes a request too slowly"),
+                    program.output());
             assertEquals(i, jobs("a"));
         }
         program.terminate();
         assertEquals(143, program.exit());
-        assertTrue(program.said().contains(" uploads_given_up="), program.said());
+        assertTrue(program.output().contains(" uploads_given_up="), program.output());
     }
 
     private Socket connectAndAsk(String id) throws IOException {
@@ -78,7 +79,7 @@
     }
 
     private long closedForMemory() {
-        return program.said()
+        return program.output()
                 .lines()
                 .filter(line -> line.contains("answers that are not read hold more"))
                 .count();
@@ -113,7 +114,7 @@
                                                 worker("b", LARGE_BODY_BYTES))),
                                 List.of("-Xmx32m"),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         List<Socket> silent = new ArrayList<>();
         try {
             // on a busy machine many are rejected and hold nothing, so this goes on until enough
@@ -136,7 +137,7 @@
                 client.close();
             }
         }
-        assertFalse(program.said().contains("OutOfMemory"), program.said());
+        assertFalse(program.output().contains("OutOfMemory"), program.output());
     }
 
     /**
@@ -162,7 +163,7 @@
                                     Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                     List.of(),
                                     "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             awaitService();
             try (Socket silent = connectAndAsk("q1")) {
                 Program.await(
@@ -219,17 +220,17 @@
     void idleConnectionsDoNotFillHeap() throws Exception {
         program =
                 new Program(config(list(7, true, worker("a", SERVE))), List.of("-Xmx12m"), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         List<Peer> idle = new ArrayList<>();
         for (int i = 0; i < 400; i++) {
             idle.add(Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
             assertEquals(200, idle.get(i).message().status());
         }
-        assertEquals(200, exchange(requestText("q1", "submit", "4000m")).status(), program::said);
+        assertEquals(200, exchange(requestText("q1", "submit", "4000m")).status(), program::output);
         for (Peer each : idle) {
             each.close();
         }
-        assertFalse(program.said().contains("OutOfMemory"), program.said());
+        assertFalse(program.output().contains("OutOfMemory"), program.output());
     }
 
     /** A client that reads nothing is closed; one that pauses once gets its complete answer. */
@@ -243,7 +244,7 @@
             assertEquals(
                     LARGE_ANSWER_BYTES,
                     pausing.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length);
-            program.awaitWord("a client reads nothing of its answer");
+            program.awaitOutput("a client reads nothing of its answer");
             assertTrue(
                     silent.getInputStream().readNBytes(LARGE_ANSWER_BYTES).length
                             < LARGE_ANSWER_BYTES,
@@ -251,7 +252,7 @@
         }
         program.terminate();
         assertEquals(143, program.exit());
-        assertTrue(program.said().contains(" slow_readers_let_go=1"), program.said());
+        assertTrue(program.output().contains(" slow_readers_let_go=1"), program.output());
     }
 
     /**
@@ -272,7 +273,7 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 List.of("-Xmx32m"),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await(
                 "the console listens, a moment after the port for clients",
                 () -> {
@@ -293,9 +294,9 @@
             Program.await(
                     "the slow console is listed",
                     () -> slowPeers(console).contains("reads the console"));
-            program.awaitWord("a console reads nothing of its answer and is let go");
+            program.awaitOutput("a console reads nothing of its answer and is let go");
         }
-        assertFalse(program.said().contains("OutOfMemory"), program.said());
+        assertFalse(program.output().contains("OutOfMemory"), program.output());
         try (Peer asker =
                 Peer.connect(console)
                         .send("phase\nphase\n")) { // pipelined and read: each command is answered
--- a/src/test/java/damsonslip/platform/SlowUploadsTest.java
+++ b/src/test/java/damsonslip/platform/SlowUploadsTest.java
@@ -54,7 +54,7 @@
         StringBuilder received = new StringBuilder();
         int complete = Integer.MAX_VALUE;
         while (received.length() < complete) {
-            String part = peer.some(Math.min(PART_BYTES, complete - received.length()));
+            String part = peer.readAvailable(Math.min(PART_BYTES, complete - received.length()));
             if (part.isEmpty()) {
                 throw new EOFException();
             }
--- a/src/test/java/damsonslip/platform/StartTest.java
+++ b/src/test/java/damsonslip/platform/StartTest.java
@@ -22,9 +22,9 @@
                                 config(list(7, true, worker("a", SERVE)), mgmt(managementPort)),
                                 List.of("-Xlog:class+load:stdout"),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await("ready", () -> call(managementPort, "READY").startsWith("YES"));
-        List<String> loaded = program.said().lines().toList();
+        List<String> loaded = program.output().lines().toList();
         assertTrue(
                 loaded.stream()
                         .anyMatch(line -> line.contains(" damsonslip.policy.SchedulingPolicy ")),
--- a/src/test/java/damsonslip/platform/StopTest.java
+++ b/src/test/java/damsonslip/platform/StopTest.java
@@ -24,7 +24,7 @@
         Path file = config(list(7, true, worker("a", NO_RESPONSE)));
         Files.writeString(
                 file, Files.readString(file).replace("\"hard_limit_s\":5", "\"hard_limit_s\":0.8"));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         Peer beforeStop = Peer.connect(port).send(requestText("q1", "submit", "20000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         long before = System.nanoTime();
@@ -107,6 +107,6 @@
         Program.await("the start waits for a list", () -> agent.connections() == 1);
         program.terminate();
         assertEquals(143, program.exit());
-        assertTrue(!program.said().contains("Exception"), program.said());
+        assertTrue(!program.output().contains("Exception"), program.output());
     }
 }
--- a/src/test/java/damsonslip/platform/StrayAnswersTest.java
+++ b/src/test/java/damsonslip/platform/StrayAnswersTest.java
@@ -143,10 +143,10 @@
             Thread.sleep(600); // until the worker's backoff is over
             assertEquals(200, exchange(requestText("good" + i, "submit", "1500m")).status());
         }
-        assertTrue(program.said().contains("no job's state"), program.said());
+        assertTrue(program.output().contains("no job's state"), program.output());
         program.terminate();
         program.exit();
-        assertTrue(!program.said().contains("executions_timed_out"), program.said());
+        assertTrue(!program.output().contains("executions_timed_out"), program.output());
     }
 
     /**
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -149,7 +149,7 @@
         assertTrue(call(first, "READY").startsWith("YES"), "the old process serves until SIGTERM");
         old.terminate();
         assertEquals(143, old.exit(4));
-        assertTrue(old.said().contains("a successor serves"), old.said());
+        assertTrue(old.output().contains("a successor serves"), old.output());
         Thread.sleep(300);
         stop[0] = true;
         for (Thread client : clients) {
@@ -160,7 +160,7 @@
         assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
                 "the new process is the only one",
-                () -> next.said().contains("processes of this scheduler: 1"));
+                () -> next.output().contains("processes of this scheduler: 1"));
     }
 
     /**
@@ -233,7 +233,7 @@
         Program.await("the second process is ready", () -> call(second, "READY").startsWith("YES"));
         Program.await(
                 "the old process knows of the second",
-                () -> old.said().contains("processes of this scheduler: 2"));
+                () -> old.output().contains("processes of this scheduler: 2"));
         List<Peer> burst = new ArrayList<>();
         try {
             int mostSockets = 0;
@@ -350,7 +350,7 @@
         Program old = start(first, a);
         try (Program failing = new Program(config(list(7, true, a), mgmt(first)), "serve")) {
             assertEquals(1, failing.exit(), "the management address is in use");
-            assertEquals(1, failing.said().lines().count(), failing.said());
+            assertEquals(1, failing.output().lines().count(), failing.output());
         }
         assertEquals(200, exchange(requestText("q1", "read", "2000m")).status());
         old.terminate();
@@ -360,7 +360,7 @@
                 exchange(requestText("q2", "read", "2000m")).status(),
                 "without a successor the old process goes on listening");
         assertEquals(143, old.exit());
-        assertFalse(old.said().contains("a successor serves"), old.said());
+        assertFalse(old.output().contains("a successor serves"), old.output());
     }
 
     @Test
@@ -368,12 +368,13 @@
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next =
-                start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
-        old.awaitWord("processes of this scheduler: 2, this one is number 0, a successor serves");
+                start(second, a)
+                        .awaitOutput("processes of this scheduler: 2, this one is number 1");
+        old.awaitOutput("processes of this scheduler: 2, this one is number 0, a successor serves");
         old.kill();
         Program.await(
                 "the new process knows that it is alone",
-                () -> next.said().contains("processes of this scheduler: 1"));
+                () -> next.output().contains("processes of this scheduler: 1"));
         for (int i = 0; i < 10; i++) {
             assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
@@ -388,9 +389,9 @@
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next = start(second, a);
-        old.awaitWord("a successor serves");
+        old.awaitOutput("a successor serves");
         next.kill();
-        old.awaitWord("processes of this scheduler: 1");
+        old.awaitOutput("processes of this scheduler: 1");
         for (int i = 0; i < 10; i++) {
             assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
@@ -407,8 +408,8 @@
         String a = worker("a", SERVE);
         Program one = start(first, a);
         Program two = start(second, a);
-        one.reload(null).awaitWord("reload: discovery is at");
-        two.reload(null).awaitWord("reload: discovery is at");
+        one.reload(null).awaitOutput("reload: discovery is at");
+        two.reload(null).awaitOutput("reload: discovery is at");
         one.terminate();
         int third = Program.freePort();
         start(third, a);
@@ -431,11 +432,11 @@
             try (Program started = start(Program.freePort(), worker("a", SERVE))) {
                 assertEquals(
                         1,
-                        started.said()
+                        started.output()
                                 .lines()
                                 .filter(line -> line.contains("bans cannot be used"))
                                 .count(),
-                        started.said());
+                        started.output());
                 assertEquals(
                         200,
                         exchange(requestText("q" + text.hashCode(), "read", "2000m")).status());
--- a/src/test/java/damsonslip/platform/WallClockTest.java
+++ b/src/test/java/damsonslip/platform/WallClockTest.java
@@ -58,7 +58,8 @@
                 Files.readString(file)
                         .replace("\"drain_grace_s\"", SLOW_START + "\"drain_grace_s\""));
         program =
-                new Program(file, faults.environment(), List.of(), "serve").awaitWord("listens on");
+                new Program(file, faults.environment(), List.of(), "serve")
+                        .awaitOutput("listens on");
     }
 
     /**
--- a/src/test/java/damsonslip/testkit/FaktoryServer.java
+++ b/src/test/java/damsonslip/testkit/FaktoryServer.java
@@ -87,7 +87,7 @@
                         "\"" + name + "\"");
         Program started =
                 new Program(null, "serve", Program.file(dir, text).toString())
-                        .awaitWord("taken up from the store");
+                        .awaitOutput("taken up from the store");
         return closing(started);
     }
 
--- a/src/test/java/damsonslip/testkit/Peer.java
+++ b/src/test/java/damsonslip/testkit/Peer.java
@@ -21,7 +21,7 @@
  * One side of a connection, on blocking sockets, with just enough HTTP to be a client or a server.
  */
 public final class Peer implements Closeable {
-    /** A message as it came. */
+    /** A received HTTP message. */
     public record Message(String first, Map<String, String> fields, String body) {
         public int status() {
             return Integer.parseInt(first.split(" ", 0)[1]);
@@ -37,7 +37,7 @@
         void handle(Peer peer) throws IOException, InterruptedException;
     }
 
-    /** A server on loopback, a thread for each connection. */
+    /** A server on the loopback interface with one thread per connection. */
     public static final class Server implements Closeable {
         private final ServerSocket socket;
         private final List<Peer> peers = new CopyOnWriteArrayList<>();
@@ -46,7 +46,7 @@
             this(new ServerSocket(port, 100, InetAddress.getLoopbackAddress()), handler);
         }
 
-        /** A server on a socket with options of its own. */
+        /** Serves connections of an already configured listening socket. */
         public Server(ServerSocket listening, Handler handler) {
             socket = listening;
             daemon(
@@ -72,7 +72,7 @@
             return peers.size();
         }
 
-        /** Ends the connections that are open now; new ones are taken. */
+        /** Closes the open connections; new ones are still accepted. */
         public void endConnections() throws IOException {
             for (Peer peer : peers) {
                 peer.close();
@@ -99,7 +99,7 @@
                             try {
                                 task.run();
                             } catch (IOException | InterruptedException e) {
-                                // the other side has gone, or the test is over
+                                // the peer has disconnected, or the test is over
                             }
                         });
         thread.setDaemon(true);
@@ -157,11 +157,11 @@
     }
 
     /**
-     * What is there to read, so many bytes at the most, once there is any; empty at the end of the
-     * stream.
+     * Waits for input and returns what is available, up to {@code maxBytes}; empty at the end of
+     * the stream.
      */
-    public String some(int most) throws IOException {
-        byte[] part = new byte[most];
+    public String readAvailable(int maxBytes) throws IOException {
+        byte[] part = new byte[maxBytes];
         int count = socket.getInputStream().read(part);
         return new String(part, 0, Math.max(0, count), StandardCharsets.US_ASCII);
     }
@@ -170,12 +170,12 @@
         return new String(in.readNBytes(count), StandardCharsets.UTF_8);
     }
 
-    /** Whether the other side has ended the connection. */
+    /** Whether the stream has ended; fails on a reset. */
     public boolean ended() throws IOException {
         return in.read() < 0;
     }
 
-    /** The same, and a reset counts as well. */
+    /** Whether the stream has ended or the connection was reset. */
     public boolean closed() {
         try {
             return ended();
@@ -186,7 +186,7 @@
         }
     }
 
-    /** Whether nothing comes for so long. */
+    /** Whether no byte arrives within this time. */
     public boolean silent(int millis) throws IOException {
         socket.setSoTimeout(millis);
         try {
@@ -213,18 +213,18 @@
         return send(Integer.toHexString(length) + "\r\n" + line + "\n\r\n");
     }
 
-    /** Ends the own side, and could go on reading. */
+    /** Half-closes the connection: no more output, but input can still be read. */
     public void endOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** Ends the connection with a reset. */
+    /** Closes the connection with a TCP reset. */
     public void reset() throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
     }
 
-    /** Ends the connection at once, without a word. */
+    /** Closes the connection at once, without sending anything. */
     @Override
     public void close() throws IOException {
         socket.close();
--- a/src/test/java/damsonslip/testkit/Program.java
+++ b/src/test/java/damsonslip/testkit/Program.java
@@ -15,56 +15,58 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Stream;
 
-/** The real program as a process of its own, started as an operator would start it. */
+/** Runs the program in a separate process, started as an operator would start it. */
 public final class Program implements AutoCloseable {
-    /** The system tells sizes in KB. */
+    /** {@code /proc} reports memory sizes in KB. */
     private static final int KB = 1_024;
 
-    private static final long AWAIT_NS = TimeUnit.SECONDS.toNanos(10);
-    private static final long LOOK_MS = 5;
+    private static final long AWAIT_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(10);
+    private static final long POLL_INTERVAL_MS = 5;
 
-    /** Within this time a JVM has written what its threads do. */
-    private static final long THREADS_MS = 500;
+    /** Time that the JVM is given to write its thread dump. */
+    private static final long THREAD_DUMP_MS = 500;
 
     private final Path config;
     private final Process process;
-    private final StringBuilder said = new StringBuilder();
+    private final StringBuilder output = new StringBuilder();
     private final Thread reader;
-    private String lastWord;
-    private boolean standing;
+    private String pauseMarker;
+    private boolean readingPaused;
 
     public Program(Path config, String... args) throws IOException {
         this(config, List.of(), args);
     }
 
-    /** The same with more words for the JVM. */
-    public Program(Path config, List<String> more, String... args) throws IOException {
-        this(config, Map.of(), more, args);
+    /** Starts the program with additional JVM options. */
+    public Program(Path config, List<String> jvmOptions, String... args) throws IOException {
+        this(config, Map.of(), jvmOptions, args);
     }
 
-    /** The same with more in its environment. */
-    public Program(Path config, Map<String, String> environment, List<String> more, String... args)
+    /** Starts the program with additional JVM options and environment variables. */
+    public Program(
+            Path config, Map<String, String> environment, List<String> jvmOptions, String... args)
             throws IOException {
-        this(config, environment, more, 0, args);
+        this(config, environment, jvmOptions, 0, args);
     }
 
-    /**
-     * The same where the system gives it so many KB of memory of its own at the most; 0: no limit.
-     */
+    /** Starts the program with its data segment limited to {@code maxDataKb}; 0 means no limit. */
     public Program(
             Path config,
             Map<String, String> environment,
-            List<String> more,
-            int mostKb,
+            List<String> jvmOptions,
+            int maxDataKb,
             String... args)
             throws IOException {
-        this(config, environment, command(more, mostKb > 0 ? "-d " + mostKb : "", args));
+        this(
+                config,
+                environment,
+                command(jvmOptions, maxDataKb > 0 ? "-d " + maxDataKb : "", args));
     }
 
-    /** The program where the system lets it hold so many file descriptors at the most. */
-    public static Program withDescriptors(Path config, int most, String... args)
+    /** Starts the program with a limit on its open file descriptors. */
+    public static Program withDescriptors(Path config, int maxDescriptors, String... args)
             throws IOException {
-        return new Program(config, Map.of(), command(List.of(), "-n " + most, args));
+        return new Program(config, Map.of(), command(List.of(), "-n " + maxDescriptors, args));
     }
 
     private Program(Path config, Map<String, String> environment, List<String> command)
@@ -77,7 +79,7 @@
         }
         builder.environment().putAll(environment);
         process = builder.start();
-        reader = new Thread(this::read, "program's words");
+        reader = new Thread(this::read, "program output");
         reader.start();
     }
 
@@ -94,7 +96,7 @@
      * The program's command line under a limit of the shell's {@code ulimit}, or none if that is
      * empty.
      */
-    private static List<String> command(List<String> more, String limit, String... args) {
+    private static List<String> command(List<String> jvmOptions, String limit, String... args) {
         List<String> command =
                 new ArrayList<>(
                         List.of(
@@ -108,7 +110,7 @@
                                         "surefire.test.class.path",
                                         System.getProperty("java.class.path")),
                                 "damsonslip.cli.Main"));
-        command.addAll(1, more);
+        command.addAll(1, jvmOptions);
         command.addAll(List.of(args));
         if (!limit.isEmpty()) {
             command.addAll(0, List.of("sh", "-c", "ulimit " + limit + "; exec \"$@\"", "sh"));
@@ -121,11 +123,11 @@
                 new BufferedReader(
                         new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
-                synchronized (said) {
-                    said.append(line).append('\n');
-                    standing = lastWord != null && line.contains(lastWord);
-                    while (lastWord != null && standing) {
-                        said.wait();
+                synchronized (output) {
+                    output.append(line).append('\n');
+                    readingPaused = pauseMarker != null && line.contains(pauseMarker);
+                    while (pauseMarker != null && readingPaused) {
+                        output.wait();
                     }
                 }
             }
@@ -137,81 +139,82 @@
     }
 
     /**
-     * Reads what it says up to this word, until {@link #readOn}: its thread that goes on to say
-     * more than a pipe holds stands still, in the middle of whatever it does.
+     * Stops reading the output at the first line that contains this text, until {@link
+     * #resumeReading}. A thread of the program that writes more than the pipe holds then blocks
+     * wherever it is.
      */
-    public void readUntil(String word) {
-        synchronized (said) {
-            lastWord = word;
+    public void pauseReadingAfter(String text) {
+        synchronized (output) {
+            pauseMarker = text;
         }
     }
 
-    /** Whether it has said that word, and nothing is read. */
-    public boolean isUnread() {
-        synchronized (said) {
-            return standing;
+    /** Whether the text was found and reading is paused. */
+    public boolean isReadingPaused() {
+        synchronized (output) {
+            return readingPaused;
         }
     }
 
-    public void readOn() {
-        synchronized (said) {
-            lastWord = null;
-            standing = false;
-            said.notifyAll();
+    public void resumeReading() {
+        synchronized (output) {
+            pauseMarker = null;
+            readingPaused = false;
+            output.notifyAll();
         }
     }
 
-    public String said() {
-        synchronized (said) {
-            return said.toString();
+    public String output() {
+        synchronized (output) {
+            return output.toString();
         }
     }
 
     /**
-     * Waits until it has said this; one that ends without it, or says it too late, fails with all
-     * that it has said.
+     * Waits until the output contains this text; fails with the whole output if the program exits
+     * first or the wait times out.
      */
-    public Program awaitWord(String word) {
-        return await("it says '" + word + "'", () -> said().contains(word), this);
+    public Program awaitOutput(String text) {
+        return await("it says '" + text + "'", () -> output().contains(text), this);
     }
 
-    /** Waits for something that this program has to bring about. */
-    public static Program await(String what, BooleanSupplier holds, Program program) {
-        long end = System.nanoTime() + AWAIT_NS;
-        while (!holds.getAsBoolean()) {
-            if (program.hasEnded() && !holds.getAsBoolean()) {
+    /** Waits for a condition that this program has to bring about; fails early if it exits. */
+    public static Program await(String what, BooleanSupplier condition, Program program) {
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT_NS;
+        while (!condition.getAsBoolean()) {
+            if (program.hasEnded() && !condition.getAsBoolean()) {
                 throw new AssertionError(
-                        "the program ended before " + what + ": " + program.said());
+                        "the program ended before " + what + ": " + program.output());
             }
-            if (System.nanoTime() > end) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError(
                         "did not come about: "
                                 + what
                                 + "; the program: "
-                                + program.saidWithThreads());
+                                + program.outputWithThreads());
             }
             pause();
         }
         return program;
     }
 
-    /** Whether it has ended and all that it said is read. */
+    /** Whether the process has exited and all its output is read. */
     private boolean hasEnded() {
         return !process.isAlive() && !reader.isAlive();
     }
 
-    /** What it has said, and behind that what each of its threads does. */
-    private String saidWithThreads() {
+    /** The output, followed by a thread dump. */
+    private String outputWithThreads() {
         try {
             signal("QUIT"); // the JVM answers with the stacks of its threads
-            Thread.sleep(THREADS_MS);
+            Thread.sleep(THREAD_DUMP_MS);
         } catch (IOException | InterruptedException e) {
-            return said() + e;
+            return output() + e;
         }
-        return said();
+        return output();
     }
 
-    /** Replaces its configuration, where a text is given, and has it read again. */
+    /** Replaces the configuration file, unless the text is null, and triggers a reload. */
     public Program reload(String text) throws IOException, InterruptedException {
         if (text != null) {
             Files.writeString(config, text);
@@ -224,7 +227,7 @@
         return this;
     }
 
-    /** Asks it to end, as a planned restart does, and goes on. */
+    /** Sends SIGTERM, as a planned restart does, without waiting for the exit. */
     public void terminate() {
         process.toHandle().destroy(); // Process.destroy would close its output as well
     }
@@ -233,7 +236,7 @@
         process.destroyForcibly();
     }
 
-    /** How many sockets it has open, as the system counts them. */
+    /** The number of open sockets, from {@code /proc}. */
     public int sockets() {
         try (Stream<Path> open = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             return (int) open.filter(Program::isSocket).count();
@@ -242,17 +245,17 @@
         }
     }
 
-    /** What it has in memory. */
+    /** The resident set size. */
     public long residentMb() throws IOException {
         return status("VmRSS:") / KB;
     }
 
-    /** The most that it has had in memory. */
-    public long mostResidentMb() throws IOException {
+    /** The peak resident set size. */
+    public long peakResidentMb() throws IOException {
         return status("VmHWM:") / KB;
     }
 
-    /** How many threads it has now. */
+    /** The current number of threads. */
     public long threads() throws IOException {
         return status("Threads:");
     }
@@ -265,7 +268,7 @@
                 .orElse(0);
     }
 
-    /** Processor time that it has used. */
+    /** The CPU time used so far. */
     public Duration cpuTime() {
         return process.info().totalCpuDuration().orElse(Duration.ZERO);
     }
@@ -274,7 +277,7 @@
         try {
             return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
         } catch (IOException e) {
-            return false; // closed meanwhile
+            return false; // closed in the meantime
         }
     }
 
@@ -282,14 +285,14 @@
         return process.isAlive();
     }
 
-    /** Waits for its exit. */
+    /** Waits up to 20 seconds for the process to exit and returns its exit code. */
     public int exit() throws InterruptedException {
         return exit(20);
     }
 
     public int exit(long seconds) throws InterruptedException {
         if (!process.waitFor(seconds, TimeUnit.SECONDS)) {
-            throw new AssertionError("still running: " + said());
+            throw new AssertionError("still running: " + output());
         }
         reader.join();
         return process.exitValue();
@@ -297,17 +300,17 @@
 
     @Override
     public void close() {
-        readOn();
+        resumeReading();
         process.destroyForcibly();
         for (String fault :
                 List.of("event=invariant_violated", "event=action_failed", "event=task_failed")) {
-            if (said().contains(fault)) {
-                throw new AssertionError("a fault of the program: " + said());
+            if (output().contains(fault)) {
+                throw new AssertionError("a fault of the program: " + output());
             }
         }
     }
 
-    /** A port where nobody listens, and that nobody else is given. */
+    /** A port that is not in use and is not handed out again. */
     public static int freePort() {
         return Ports.next();
     }
@@ -316,11 +319,11 @@
         return Files.writeString(Files.createTempFile(dir, "config", ".txt"), text);
     }
 
-    /** Waits for something that has to come about within ten seconds. */
-    public static void await(String what, BooleanSupplier holds) {
-        long end = System.nanoTime() + AWAIT_NS;
-        while (!holds.getAsBoolean()) {
-            if (System.nanoTime() > end) {
+    /** Waits up to ten seconds for a condition. */
+    public static void await(String what, BooleanSupplier condition) {
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT_NS;
+        while (!condition.getAsBoolean()) {
+            if (System.nanoTime() > deadline) {
                 throw new AssertionError("did not come about: " + what);
             }
             pause();
@@ -329,7 +332,7 @@
 
     private static void pause() {
         try {
-            Thread.sleep(LOOK_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         } catch (InterruptedException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/damsonslip/testkit/ProgramTest.java
+++ b/src/test/java/damsonslip/testkit/ProgramTest.java
@@ -47,7 +47,7 @@
             long from = System.nanoTime();
             try (Program program = new Program(null, "serve", config.toString())) {
                 AssertionError failed =
-                        assertThrows(AssertionError.class, () -> program.awaitWord("listens on"));
+                        assertThrows(AssertionError.class, () -> program.awaitOutput("listens on"));
                 assertTrue(
                         failed.getMessage().contains("Address already in use"),
                         failed.getMessage());
--- a/src/test/java/damsonslip/testkit/RedisStandIn.java
+++ b/src/test/java/damsonslip/testkit/RedisStandIn.java
@@ -12,9 +12,9 @@
 import java.util.function.Predicate;
 
 /**
- * As much of a Redis server as the store uses, from the public protocol. It can be taken down and
- * brought back, stall, answer errors, and be set a trap: what happens to the next command that
- * fits.
+ * A fake Redis server with the commands that the store uses, written from the public protocol. It
+ * can be stopped and restarted, stall, answer errors, and apply a {@link TrapAction} to the next
+ * command that matches a predicate.
  */
 public final class RedisStandIn implements AutoCloseable {
     private static final String TEXT = "text";
@@ -22,7 +22,7 @@
     private static final String FIELD = "field";
 
     public final int port;
-    private final Map<String, String> texts = new TreeMap<>();
+    private final Map<String, String> strings = new TreeMap<>();
     private final Map<String, Set<String>> sets = new TreeMap<>();
     private final Map<String, Map<String, String>> hashes = new TreeMap<>();
     private Peer.Server server;
@@ -31,36 +31,37 @@
     private volatile long stalledUntil;
 
     /**
-     * What a trap does with the command that it catches; the first two leave the peer without an
-     * answer.
+     * What happens to a trapped command. No action sends a reply: the first two keep the connection
+     * open for a minute, the last closes it.
      */
-    public enum Then {
-        HOLD_UNDONE,
-        DO_AND_HOLD,
-        DO_AND_HANG_UP
+    public enum TrapAction {
+        IGNORE_AND_HANG,
+        EXECUTE_AND_HANG,
+        EXECUTE_AND_CLOSE
     }
 
-    private record Trap(Predicate<List<String>> fits, Then then, CountDownLatch sprung) {}
+    private record Trap(
+            Predicate<List<String>> matches, TrapAction action, CountDownLatch triggered) {}
 
-    /** Sets a trap; the latch tells when it was sprung. */
-    public CountDownLatch trap(Predicate<List<String>> fits, Then then) {
-        CountDownLatch sprung = new CountDownLatch(1);
-        trap = new Trap(fits, then, sprung);
-        return sprung;
+    /** Applies the action to the next matching command; the latch opens once that has happened. */
+    public CountDownLatch trapNext(Predicate<List<String>> matches, TrapAction action) {
+        CountDownLatch triggered = new CountDownLatch(1);
+        trap = new Trap(matches, action, triggered);
+        return triggered;
     }
 
-    /** Puts a text there, past the protocol. */
+    /** Stores a string directly, without a protocol command. */
     public synchronized void put(String key, String text) {
-        texts.put(key, text);
+        strings.put(key, text);
     }
 
     /**
-     * Everything in the store, an entry a list: its type, its key and its value, or the member of a
-     * set, or the field of a hash and its value.
+     * All stored entries, each as a list: the type, the key, and the value of a string, the member
+     * of a set, or the field and value of a hash.
      */
     public synchronized List<List<String>> entries() {
         List<List<String>> entries = new ArrayList<>();
-        texts.forEach((key, value) -> entries.add(List.of(TEXT, key, value)));
+        strings.forEach((key, value) -> entries.add(List.of(TEXT, key, value)));
         sets.forEach(
                 (key, members) ->
                         members.forEach(member -> entries.add(List.of(MEMBER, key, member))));
@@ -71,12 +72,12 @@
         return entries;
     }
 
-    /** Adds entries that {@link #entries} has returned, past the protocol. */
+    /** Adds entries returned by {@link #entries} directly, without protocol commands. */
     public synchronized void addEntries(List<List<String>> entries) {
         for (List<String> entry : entries) {
             String key = entry.get(1);
             switch (entry.get(0)) {
-                case TEXT -> texts.put(key, entry.get(2));
+                case TEXT -> strings.put(key, entry.get(2));
                 case MEMBER -> sets.computeIfAbsent(key, k -> new TreeSet<>()).add(entry.get(2));
                 case FIELD ->
                         hashes.computeIfAbsent(key, k -> new TreeMap<>())
@@ -86,30 +87,30 @@
         }
     }
 
-    /** From now on every command is answered with an error, or no longer. */
+    /** Turns error replies to every command on or off. */
     public void errors(boolean on) {
         errors = on;
     }
 
-    /** Nothing is done or answered for this long. */
+    /** Delays the execution of all commands for this long. */
     public void stall(long ms) {
         stalledUntil = System.nanoTime() + ms * 1_000_000;
     }
 
-    private boolean caught(List<String> words) throws IOException, InterruptedException {
+    private boolean handledByTrap(List<String> words) throws IOException, InterruptedException {
         while (System.nanoTime() < stalledUntil) {
             Thread.sleep(10);
         }
         Trap set = trap;
-        if (set == null || !set.fits().test(words)) {
+        if (set == null || !set.matches().test(words)) {
             return false;
         }
         trap = null;
-        if (set.then() != Then.HOLD_UNDONE) {
+        if (set.action() != TrapAction.IGNORE_AND_HANG) {
             answer(words);
         }
-        set.sprung().countDown();
-        if (set.then() != Then.DO_AND_HANG_UP) {
+        set.triggered().countDown();
+        if (set.action() != TrapAction.EXECUTE_AND_CLOSE) {
             Thread.sleep(60_000);
         }
         return true;
@@ -140,7 +141,7 @@
                                             peer.bytes(Integer.parseInt(peer.line().substring(1))));
                                     peer.line();
                                 }
-                                if (caught(words)) {
+                                if (handledByTrap(words)) {
                                     return;
                                 }
                                 peer.send(
@@ -161,18 +162,19 @@
         return switch (words.get(0).toUpperCase(java.util.Locale.ROOT)) {
             case "SET" -> {
                 boolean taken = words.contains("NX") || words.contains("nx");
-                if (taken && texts.containsKey(key)) {
+                if (taken && strings.containsKey(key)) {
                     yield "$-1\r\n";
                 }
-                texts.put(key, words.get(2));
+                strings.put(key, words.get(2));
                 yield "+OK\r\n";
             }
-            case "GET" -> orNothing(texts.get(key));
-            case "MGET" -> array(words.subList(1, words.size()).stream().map(texts::get).toList());
+            case "GET" -> bulkOrNull(strings.get(key));
+            case "MGET" ->
+                    array(words.subList(1, words.size()).stream().map(strings::get).toList());
             case "DEL" ->
                     number(
                             words.subList(1, words.size()).stream()
-                                    .filter(k -> texts.remove(k) != null)
+                                    .filter(k -> strings.remove(k) != null)
                                     .count());
             case "SADD" ->
                     number(
@@ -220,13 +222,13 @@
         return ":" + n + "\r\n";
     }
 
-    private static String orNothing(String text) {
+    private static String bulkOrNull(String text) {
         return text == null ? "$-1\r\n" : bulk(text);
     }
 
-    private static String array(List<String> texts) {
-        StringBuilder all = new StringBuilder("*" + texts.size() + "\r\n");
-        texts.forEach(text -> all.append(orNothing(text)));
+    private static String array(List<String> strings) {
+        StringBuilder all = new StringBuilder("*" + strings.size() + "\r\n");
+        strings.forEach(text -> all.append(bulkOrNull(text)));
         return all.toString();
     }
 
@@ -239,7 +241,7 @@
         server.close();
     }
 
-    /** Stands there by itself for measurements, on the port given, for so many seconds. */
+    /** Runs as a separate process for measurements; arguments: port, seconds (at most 600). */
     public static void main(String[] args) throws IOException, InterruptedException {
         try (RedisStandIn redis = new RedisStandIn(Integer.parseInt(args[0]))) {
             Thread.sleep(1_000L * Math.min(600, Integer.parseInt(args[1])));
--- a/src/test/java/damsonslip/tools/conformance/ConformanceTest.java
+++ b/src/test/java/damsonslip/tools/conformance/ConformanceTest.java
@@ -28,8 +28,8 @@
         arguments[1] = "127.0.0.1:" + port;
         System.arraycopy(more, 0, arguments, 2, more.length);
         try (Program suite = new Program(null, arguments)) {
-            assertEquals(code, suite.exit(90), suite.said());
-            return suite.said();
+            assertEquals(code, suite.exit(90), suite.output());
+            return suite.output();
         }
     }
 
@@ -49,11 +49,11 @@
                             "password = \"open sesame\"  ");
             try (Program program =
                     new Program(null, "serve", Program.file(dir, file).toString())
-                            .awaitWord("taken up from the store")) {
+                            .awaitOutput("taken up from the store")) {
                 String told = play(port, 0, "--password", "open sesame", "--flush");
                 assertFalse(told.contains("FAULT"), told);
                 assertTrue(told.matches("(?s).*all +6[0-9] +0\\s*"), told);
-                assertFalse(program.said().contains("ERROR"), program.said());
+                assertFalse(program.output().contains("ERROR"), program.output());
             }
         }
     }
