--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program between clients, workers and discovery that this test plays. */
+/** Base class of tests that run the program and play its clients, workers and discovery. */
 abstract class PlatformStage {
-    /** What a worker does with a job that has come in whole. */
+    /** How a worker handles a completely received job. */
     interface Work {
         void on(Peer peer, Message job) throws IOException, InterruptedException;
     }
@@ -49,18 +49,18 @@
     static final Work CLOSE_CONNECTION = (peer, job) -> peer.close();
     static final Work NO_RESPONSE = (peer, job) -> Thread.sleep(30_000);
 
-    /** The bytes of a {@link #largeRequest} body. */
+    /** The body size of a {@link #largeRequest} in bytes. */
     static final int LARGE_BODY_BYTES = 44_000;
 
     /**
-     * Links that {@link #openIdleConnections} keeps: fewer than a worker is sent at once of which
-     * nothing is known.
+     * Connections that {@link #openIdleConnections} opens: fewer than the jobs sent at once to a
+     * worker whose capacity is unknown.
      */
     static final int IDLE_CONNECTIONS = 3;
 
     static final int WAITING_REQUESTS = 4;
 
-    /** The ways in which a client leaves. */
+    /** The ways in which a client disconnects. */
     enum Disconnect {
         CLOSE {
             @Override
@@ -93,18 +93,18 @@
     final int console = Program.freePort();
     private final List<Socket> dead = new ArrayList<>();
 
-    /** From then on a worker that is {@link #memoryLimited} has some. */
+    /** Once open, a {@link #memoryLimited} worker reports free memory. */
     final CountDownLatch memoryFreed = new CountDownLatch(1);
 
     private final CountDownLatch together = new CountDownLatch(IDLE_CONNECTIONS);
 
-    /** Tells with its answers how much memory is free. */
+    /** Reports in its answers how much memory is free. */
     final Work memoryLimited =
             (peer, job) -> {
                 String id = job.field("X-Correlation-Id");
                 peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                         .chunk(state(job, "started", ""));
-                if (id.startsWith("w")) { // each on a link of its own
+                if (id.startsWith("w")) { // each on its own connection
                     together.countDown();
                     together.await();
                 } else if (id.equals("gate")) {
@@ -168,7 +168,7 @@
         return server;
     }
 
-    /** Discovery that has no news, and fails all calls while this holds. */
+    /** Discovery without list updates that fails all calls while the condition holds. */
     Peer.Server discoveryFailingWhile(BooleanSupplier failing) throws IOException {
         Peer.Server server =
                 new Peer.Server(
@@ -190,7 +190,7 @@
         return server;
     }
 
-    /** What discovery does with a call that it does not get round to. */
+    /** How an overloaded discovery fails a call: 503 after two seconds. */
     static void failBusy(Peer peer) throws IOException, InterruptedException {
         peer.message();
         failCall(peer);
@@ -215,8 +215,8 @@
     }
 
     /**
-     * A port where nobody listens, nor will while the test runs: one that was free a moment ago may
-     * be taken.
+     * A port that refuses connections for the whole test. It stays bound, because a port that is
+     * merely free may be taken by another process.
      */
     int deadPort() throws IOException {
         Socket socket = new Socket();
@@ -225,7 +225,7 @@
         return socket.getLocalPort();
     }
 
-    /** A worker; gives its entry in discovery's list. */
+    /** Starts a worker and returns its entry for the endpoint list. */
     String worker(String id, Work work) throws IOException {
         List<Message> jobs = receivedJobs.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
         Peer.Server server =
@@ -267,12 +267,12 @@
         program = new Program(config(list(7, true, entries)), "serve").awaitOutput("listens on");
     }
 
-    /** The same with a console that tells its counters. */
+    /** Starts the program with a console that reports its counters. */
     void startWithConsole(String... entries) throws IOException {
         startWithConsole(UnaryOperator.identity(), entries);
     }
 
-    /** The same with other settings. */
+    /** Starts the program with a console and modified settings. */
     void startWithConsole(UnaryOperator<String> settings, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
         Files.writeString(file, settings.apply(Files.readString(file)));
@@ -285,7 +285,7 @@
                         .awaitOutput("listens on");
     }
 
-    /** Whether a counter stands at this figure; only after {@link #startWithConsole}. */
+    /** Whether a counter has this value; only after {@link #startWithConsole}. */
     boolean counts(String name, int figure) {
         return countsAs(name + " +" + figure);
     }
@@ -306,7 +306,7 @@
             }
             return false;
         } catch (IOException e) {
-            return false; // it listens a moment after the clients' door
+            return false; // the console starts to listen shortly after the client port
         }
     }
 
@@ -314,7 +314,7 @@
         return config(known, "");
     }
 
-    /** A configuration with more keys in front. */
+    /** A configuration with additional leading keys. */
     Path config(String known, String more) throws IOException {
         return Program.file(
                 dir,
@@ -356,7 +356,7 @@
                 + "\r\nContent-Length: 4\r\n\r\nbody";
     }
 
-    /** A query that must run once, with so many bytes of a body. */
+    /** A non-idempotent request with a body of this many bytes. */
     static String largeRequest(String id, int bytes) {
         return requestText(id, "submit", "4000m")
                 .replace(
@@ -365,8 +365,8 @@
     }
 
     /**
-     * Settings by which nobody is turned away from the hold for being late, and links are kept
-     * throughout a test.
+     * Settings under which no waiting request is rejected as late and idle connections stay open
+     * for a whole test.
      */
     static String longQueueWaits(String file) {
         return file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20")
@@ -386,7 +386,9 @@
         Program.await("it has heard discovery", () -> hasCounter("list_updates"), program);
     }
 
-    /** Has links kept to the worker, on which an attempt begins in the moment it is decided. */
+    /**
+     * Opens idle connections to the worker, on which an attempt starts as soon as it is decided.
+     */
     void openIdleConnections() throws IOException {
         List<Peer> others = new ArrayList<>();
         for (int i = 0; i < IDLE_CONNECTIONS; i++) {
@@ -397,7 +399,10 @@
         }
     }
 
-    /** Clients whose queries wait for a worker's memory, and have sent this ahead. */
+    /**
+     * Connects clients whose requests wait for a worker's memory and are followed by these
+     * pipelined requests.
+     */
     List<Peer> sendWaitingRequests(int count, String ahead) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -425,7 +430,7 @@
         return sendWaitingRequests(WAITING_REQUESTS, ahead);
     }
 
-    /** Those of them that the worker was sent. */
+    /** The ids of the waiting requests that were forwarded to the worker. */
     List<String> forwardedWaitingIds() {
         return ids("a").stream().filter(id -> id != null && id.startsWith("q")).toList();
     }
@@ -436,7 +441,7 @@
                 .toList();
     }
 
-    /** Queries sent ahead: none, about one buffer of them, and several. */
+    /** Pipelined requests: one, followed by this many more. */
     static String pipelinedRequests(String id, int count) {
         StringBuilder text = new StringBuilder(requestText(id, "read", "4000m"));
         for (int i = 0; i < count; i++) {
@@ -459,7 +464,7 @@
         return "\"mgmt\":\"127.0.0.1:" + port + "\",";
     }
 
-    /** The whole answer, which has to come within a second. */
+    /** Sends a line and returns the complete answer, which has to arrive within a second. */
     static String call(int port, String line) {
         long before = System.nanoTime();
         try (Peer caller = Peer.connect(port).send(line + "\n")) {
--- a/src/test/java/damsonslip/testkit/BusyDiscovery.java
+++ b/src/test/java/damsonslip/testkit/BusyDiscovery.java
@@ -22,7 +22,10 @@
     private boolean down;
     private long busyUntil = System.nanoTime();
 
-    /** Serves this list; each call costs so much, and waits at most so long. */
+    /**
+     * Serves this list; each call takes {@code costMillis} and waits at most {@code
+     * mostWaitMillis}.
+     */
     public BusyDiscovery(String list, long costMillis, long mostWaitMillis) throws IOException {
         this.list = list;
         this.costNanos = TimeUnit.MILLISECONDS.toNanos(costMillis);
@@ -34,7 +37,7 @@
         return server.port();
     }
 
-    /** How many calls have come in all. */
+    /** The total number of calls received. */
     public int calls() {
         return calls.size();
     }
@@ -58,7 +61,7 @@
         }
     }
 
-    /** How long a call that comes now takes, or -1 if it fails. */
+    /** The duration of a call that arrives now, or -1 if it fails. */
     private synchronized long turn() {
         long now = System.nanoTime();
         if (down) {
@@ -69,12 +72,12 @@
         return wait > mostWaitNanos ? -1 : wait + costNanos;
     }
 
-    /** Open watches. */
+    /** The number of open watches. */
     public synchronized int open() {
         return watches.size();
     }
 
-    /** Goes down: watches are reset. */
+    /** Fails all calls from now on and closes the watches. */
     public synchronized void fail() throws IOException {
         down = true;
         for (Peer watch : watches) {
@@ -83,7 +86,7 @@
         watches.clear();
     }
 
-    /** Comes back with this list. */
+    /** Resumes service with this list. */
     public synchronized void comeBack(String newList) {
         list = newList;
         busyUntil = System.nanoTime();
--- a/src/test/java/damsonslip/testkit/LateServer.java
+++ b/src/test/java/damsonslip/testkit/LateServer.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A server to which connections come up late: as long as its queue is full the system answers no
- * dial, and who dials asks again a second later, and two more seconds after that.
+ * A server whose connections are established late: while its accept queue is full the system drops
+ * connection attempts, and the client retransmits after one second and again two seconds later.
  */
 public final class LateServer implements Closeable {
     private static final int PROBE_MS = 150;
@@ -29,7 +29,7 @@
         hold();
     }
 
-    /** Fills the queue: whoever dials from now on has to wait. */
+    /** Fills the accept queue, so that further connection attempts have to wait. */
     public void hold() throws IOException {
         while (fill()) {
             Thread.onSpinWait();
@@ -52,12 +52,12 @@
         return socket.getLocalPort();
     }
 
-    /** Lets dials come up from now on: those under way at their next try. */
+    /** Accepts connections from now on; pending attempts succeed at their next retransmission. */
     public void open(Peer.Handler handler) throws IOException {
         open(Integer.MAX_VALUE, handler);
     }
 
-    /** The same for so many connections. */
+    /** Accepts at most this many connections. */
     public void open(int most, Peer.Handler handler) throws IOException {
         for (Socket filler : fillers) {
             socket.accept().close();
@@ -91,14 +91,14 @@
                             try (peer) {
                                 handler.handle(peer);
                             } catch (IOException | InterruptedException e) {
-                                // the other side has gone
+                                // the peer has disconnected
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** How many have come up. */
+    /** The number of accepted connections. */
     public int connections() {
         return connections.get();
     }
