--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -379,8 +379,8 @@
     }
 
     /**
-     * A start turns away what is beyond its share until it has heard discovery; only after {@link
-     * #startCounting}.
+     * Waits for the first endpoint list update: until then the program rejects requests beyond its
+     * quota. Only after {@link #startWithConsole}.
      */
     void awaitDiscovery() {
         Program.await("it has heard discovery", () -> hasCounter("list_updates"), program);
@@ -403,13 +403,13 @@
      * Connects clients whose requests wait for a worker's memory and are followed by these
      * pipelined requests.
      */
-    List<Peer> sendWaitingRequests(int count, String ahead) throws IOException {
+    List<Peer> sendWaitingRequests(int count, String pipelined) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String needy =
+            String request =
                     requestText("q" + i, "submit", "4500m")
                             .replace("Host:", "X-Facts: memory=5\r\nHost:");
-            clients.add(Peer.connect(port).send(needy + ahead));
+            clients.add(Peer.connect(port).send(request + pipelined));
         }
         int before = (int) ids("a").stream().filter(Objects::nonNull).count(); // probes have none
         Program.await("all are taken", () -> counts("queries_taken", before + count));
@@ -418,16 +418,16 @@
     }
 
     /**
-     * The same, and the answer to a query that is out tells of memory as soon as there is {@link
-     * #room}.
+     * Starts the program with waiting requests and one request in flight, whose answer reports free
+     * memory once {@link #memoryFreed} opens.
      */
-    List<Peer> startWithWaitingRequests(String ahead) throws IOException {
+    List<Peer> startWithWaitingRequests(String pipelined) throws IOException {
         startWithConsole(PlatformStage::longQueueWaits, worker("a", memoryLimited));
         awaitDiscovery();
         openIdleConnections();
         Peer.connect(port).send(requestText("gate", "submit", "4500m"));
         Program.await("one is out", () -> jobs("a") == IDLE_CONNECTIONS + 1);
-        return sendWaitingRequests(WAITING_REQUESTS, ahead);
+        return sendWaitingRequests(WAITING_REQUESTS, pipelined);
     }
 
     /** The ids of the waiting requests that were forwarded to the worker. */
