--- a/src/test/java/damsonslip/platform/LateSilenceTest.java
+++ b/src/test/java/damsonslip/platform/LateSilenceTest.java
@@ -30,7 +30,7 @@
         List<String> halfDrains = new ArrayList<>();
         List<String> drained = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            String entry = noting("w" + i);
+            String entry = recordingWorker("w" + i);
             all.add(entry);
             halfDrains.add(i < 4 ? draining(entry) : entry);
             if (i < 4) {
@@ -59,14 +59,14 @@
                         });
         servers.add(discovery);
         start(all.toArray(String[]::new));
-        load();
+        startLoad();
         Program.await("a watch", () -> calls.get() == 1);
         Thread.sleep(LATE_SILENCE_MS - 3_000);
         Program.await("the watch falls silent", () -> !silentSince.isEmpty());
         long toldNs = told.get(10, TimeUnit.SECONDS);
         long took = toldNs - silentSince.get(0);
         assertTrue(took < SILENT_NS, took / 1_000_000 + " ms after the silence began");
-        assertLeftAlone(toldNs, drained.toArray(String[]::new));
+        assertNoLongerUsed(toldNs, drained.toArray(String[]::new));
         assertUsed("w8");
     }
 }
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -32,7 +32,7 @@
         over.set(true);
     }
 
-    String noting(String id) throws IOException {
+    String recordingWorker(String id) throws IOException {
         return worker(
                 id,
                 (peer, job) -> {
@@ -46,7 +46,7 @@
     }
 
     /** Four clients that ask all the time. */
-    void load() {
+    void startLoad() {
         for (int i = 0; i < 4; i++) {
             Thread thread =
                     new Thread(
@@ -71,17 +71,19 @@
     }
 
     /** A configuration whose dials may come up late. */
-    Path patient(String known) throws IOException {
+    Path configWithLongDialTimeout(String known) throws IOException {
         Path file = config(known);
         return Files.writeString(
                 file,
                 Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
     }
 
-    void loaded(String... entries) throws Exception {
-        program = new Program(patient(list(7, true, entries)), "serve").awaitWord("listens on");
+    void startUnderLoad(String... entries) throws Exception {
+        program =
+                new Program(configWithLongDialTimeout(list(7, true, entries)), "serve")
+                        .awaitWord("listens on");
         Program.await("a watch", () -> watches.size() == 1);
-        load();
+        startLoad();
         Program.await("all are used", () -> last.size() == entries.length);
     }
 
@@ -89,7 +91,7 @@
      * None of them gets anything once the grace has passed since the news, though the load goes on
      * for a while.
      */
-    void assertLeftAlone(long toldNs, String... workers) throws InterruptedException {
+    void assertNoLongerUsed(long toldNs, String... workers) throws InterruptedException {
         long until = toldNs + GRACE_NS;
         Thread.sleep(
                 Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + LOOK_ON_MS);
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -34,7 +34,7 @@
 
     private void reloadTo(int to) throws Exception {
         program.reload(
-                Files.readString(patient(list(7, true)))
+                Files.readString(configWithLongDialTimeout(list(7, true)))
                         .replace(
                                 "\"discovery\":\"127.0.0.1:" + discovery.port() + "\"",
                                 "\"discovery\":\"127.0.0.1:" + to + "\""));
@@ -75,7 +75,7 @@
         assertTrue(
                 toldNs - hungUpNs < RELOAD_NS,
                 (toldNs - hungUpNs) / 1_000_000 + " ms after SIGHUP");
-        assertLeftAlone(toldNs, "a", "b");
+        assertNoLongerUsed(toldNs, "a", "b");
         assertUsed("c");
     }
 
@@ -86,9 +86,9 @@
     @ParameterizedTest
     @EnumSource(First.class)
     void drainsInTheFirstListOfANewAddressAreToldInTime(First first) throws Exception {
-        String a = noting("a");
-        String c = noting("c");
-        loaded(a, noting("b"), c);
+        String a = recordingWorker("a");
+        String c = recordingWorker("c");
+        startUnderLoad(a, recordingWorker("b"), c);
         Peer.Server next = next(first, list(3, true, draining(a), c));
         long hungUp = System.nanoTime();
         reloadTo(next.port());
@@ -102,11 +102,11 @@
      */
     @Test
     void ofTwoReloadsInARowTheSecondCountsThoughTheFirstAddressComesUpLater() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
         try (LateServer slow = new LateServer()) {
-            loaded(a, b, c);
+            startUnderLoad(a, b, c);
             Peer.Server next = next(First.ANSWERS, list(3, true, draining(a), c));
             reloadTo(slow.port());
             program.awaitWord("reload: discovery is at 127.0.0.1:" + slow.port());
@@ -130,10 +130,10 @@
      */
     @Test
     void aReloadDuringACallLeavesThatCallsAnswerAside() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
-        loaded(a, b, c);
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
+        startUnderLoad(a, b, c);
         AtomicInteger asked = new AtomicInteger();
         Peer.Server next = next(First.ANSWERS, list(3, true, draining(a), c));
         Peer.Server slow =
@@ -157,14 +157,14 @@
     /** A new discovery that is too busy to answer: what it has to tell counts all the same. */
     @Test
     void nothingIsSentOnTheOldListWhereTheNewDiscoveryDoesNotGetRoundToTelling() throws Exception {
-        loaded(noting("a"), noting("b"));
+        startUnderLoad(recordingWorker("a"), recordingWorker("b"));
         Peer.Server busy = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(busy);
         long hungUp = System.nanoTime();
         reloadTo(busy.port());
         Thread.sleep(1_500);
         discovery.close(); // as the old one does, by LATER
-        assertLeftAlone(hungUp + RELOAD_NS, "a", "b");
+        assertNoLongerUsed(hungUp + RELOAD_NS, "a", "b");
     }
 
     /**
@@ -173,21 +173,21 @@
      */
     @Test
     void wholeListsOnAnOpenWatchCountWhateverTheirNumbers() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
-        String d = noting("d");
-        loaded(a, b, c, d);
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
+        String d = recordingWorker("d");
+        startUnderLoad(a, b, c, d);
         long first = System.nanoTime();
         news.add(list(9, true, c, d));
-        assertLeftAlone(first, "a", "b");
+        assertNoLongerUsed(first, "a", "b");
         long second = System.nanoTime();
         news.add(list(4, true, a, b));
-        assertLeftAlone(second, "c", "d");
+        assertNoLongerUsed(second, "c", "d");
         assertUsed("a");
         long third = System.nanoTime();
         news.add(list(5, false, draining(a), c));
-        assertLeftAlone(third, "a");
+        assertNoLongerUsed(third, "a");
         assertEquals(1, watches.size(), "all on one watch");
     }
 }
