--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What operators do with a running scheduler, over its second address. */
+/** Operator commands on the management address of a running scheduler. */
 class DailyRunningTest extends PlatformStage {
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
     private static final Work SLOW =
@@ -34,11 +34,11 @@
             };
     private final int mgmt = Program.freePort();
 
-    private void startWithMgmt(String... entries) throws IOException {
+    private void startWithManagement(String... entries) throws IOException {
         program =
                 new Program(config(list(7, true, entries), mgmt(mgmt)), "serve")
                         .awaitWord("listens on");
-        Program.await("it is ready", () -> call("READY").startsWith("YES"));
+        Program.await("the scheduler is ready", () -> call("READY").startsWith("YES"));
     }
 
     private void assertReady(String when) {
@@ -50,25 +50,25 @@
         return call(mgmt, line);
     }
 
-    private Map<String, String> figures() {
+    private Map<String, String> stats() {
         String text = call("STATS");
         assertTrue(text.endsWith("\nEND\n"), text);
-        Map<String, String> figures = new TreeMap<>();
+        Map<String, String> stats = new TreeMap<>();
         text.lines()
                 .filter(line -> !line.equals("END"))
                 .forEach(
                         line -> {
                             assertTrue(line.matches("router\\.[a-z._-]+:[0-9]+\\|[cg]"), line);
-                            figures.put(
+                            stats.put(
                                     line.substring("router.".length(), line.indexOf(':')),
                                     line.substring(line.indexOf(':') + 1));
                         });
-        return figures;
+        return stats;
     }
 
     @Test
-    void figuresTellWhatHappenedByClass() throws Exception {
-        startWithMgmt(worker("a", SERVE), worker("b", SLOW), worker("c", BREAK));
+    void reportsOutcomesByJobClass() throws Exception {
+        startWithManagement(worker("a", SERVE), worker("b", SLOW), worker("c", BREAK));
         call("DISABLE b");
         call("DISABLE c");
         for (int i = 0; i < 3; i++) {
@@ -80,8 +80,8 @@
         call("DISABLE c");
         call("ENABLE b");
         try (Peer client = Peer.connect(port).send(query("r1", "read", "4000m"))) {
-            Program.await("it is sent", () -> jobs("b") == 1);
-            Map<String, String> figures = figures();
+            Program.await("the job is sent", () -> jobs("b") == 1);
+            Map<String, String> stats = stats();
             assertEquals(
                     Map.ofEntries(
                             Map.entry("success.read", "3|c"),
@@ -96,41 +96,41 @@
                             Map.entry("targets_disabled", "2|g"),
                             Map.entry("reload_success", "0|c"),
                             Map.entry("reload_failure", "0|c")),
-                    figures);
+                    stats);
             assertEquals(200, client.message().status());
         }
-        assertEquals("4|c", figures().get("success.read"));
+        assertEquals("4|c", stats().get("success.read"));
         program.reload("{").awaitWord("reload: config");
         Program.await(
-                "a failed reload is counted", () -> figures().get("reload_failure").equals("1|c"));
+                "a failed reload is counted", () -> stats().get("reload_failure").equals("1|c"));
     }
 
     /**
-     * Refusals count as overload, and a query whose client has gone under nothing but not as open
-     * for ever.
+     * Rejections count as overload. A query whose client has disconnected counts under no outcome
+     * and does not stay in the gauge of concurrent queries.
      */
     @Test
-    void refusalsAndClientsThatHaveGoneAreToldApart() throws Exception {
-        startWithMgmt(worker("a", SAY_NOTHING));
+    void countsRejectionsAsOverloadAndIgnoresDisconnectedClients() throws Exception {
+        startWithManagement(worker("a", SAY_NOTHING));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             clients.add(Peer.connect(port).send(query("q" + i, "read", "4000m")));
         }
-        Program.await("some are refused", () -> !figures().get("overload.read").equals("0|c"));
-        Map<String, String> figures = figures();
-        long refused = Long.parseLong(figures.get("overload.read").replace("|c", ""));
-        assertEquals(60 - refused + "|g", figures.get("concurrent"));
+        Program.await("some are rejected", () -> !stats().get("overload.read").equals("0|c"));
+        Map<String, String> stats = stats();
+        long rejected = Long.parseLong(stats.get("overload.read").replace("|c", ""));
+        assertEquals(60 - rejected + "|g", stats.get("concurrent"));
         for (Peer client : clients) {
             client.close();
         }
-        Program.await("nothing is open", () -> figures().get("concurrent").equals("0|g"));
-        assertEquals("0|c", figures().get("error.read"));
-        assertEquals("0|c", figures().get("success.read"));
+        Program.await("no query is in flight", () -> stats().get("concurrent").equals("0|g"));
+        assertEquals("0|c", stats().get("error.read"));
+        assertEquals("0|c", stats().get("success.read"));
     }
 
     @Test
-    void whatIsNoCallGetsANoAndHoldersKeepNobodyWaiting() throws Exception {
-        startWithMgmt(worker("a", SERVE));
+    void rejectsInvalidCommandsAndServesOperatorsBesideIdleConnections() throws Exception {
+        startWithManagement(worker("a", SERVE));
         for (String line :
                 List.of(
                         "HELLO",
@@ -141,20 +141,20 @@
                         "x".repeat(2_000))) {
             assertTrue(call(line).matches("NO [A-Za-z ]+.*\n"), line + ": " + call(line));
         }
-        List<Peer> holders = new ArrayList<>();
+        List<Peer> idleConnections = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            holders.add(Peer.connect(mgmt).send(i % 2 == 0 ? "" : "REA"));
+            idleConnections.add(Peer.connect(mgmt).send(i % 2 == 0 ? "" : "REA"));
             if (i % 10 == 0) {
-                assertReady("with " + holders.size() + " holders");
+                assertReady("with " + idleConnections.size() + " idle connections");
             }
         }
         for (int i = 0; i < 700; i++) {
-            holders.add(Peer.connect(port));
+            idleConnections.add(Peer.connect(port));
         }
-        assertReady("when clients have taken all the room they get");
+        assertReady("when clients have taken all the connections that they may");
         assertTrue(call("STATS").endsWith("END\n"));
-        for (Peer holder : holders) {
-            holder.close();
+        for (Peer connection : idleConnections) {
+            connection.close();
         }
         try (Peer silent = Peer.connect(mgmt).send("READ")) {
             assertEquals("NO no whole call came", silent.line());
@@ -163,39 +163,40 @@
     }
 
     /**
-     * A crowd comes while the process is held up, and the operator behind it: accepted at one go,
-     * they pass all room.
+     * Guards against a stopped process that, once resumed, accepts a burst of management
+     * connections in one go, exceeds its connection limit and rejects the operator that connected
+     * last.
      */
     @Test
-    void aCrowdThatCameDuringAHoldUpDoesNotTurnTheOperatorAway() throws Exception {
-        startWithMgmt(worker("a", SERVE));
+    void answersOperatorBehindABurstOfConnectionsAfterAStall() throws Exception {
+        startWithManagement(worker("a", SERVE));
         program.signal("STOP");
-        List<Peer> holders = new ArrayList<>();
+        List<Peer> idleConnections = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            holders.add(Peer.connect(mgmt).send("REA"));
+            idleConnections.add(Peer.connect(mgmt).send("REA"));
         }
         try (Peer operator = Peer.connect(mgmt).send("READY\n")) {
             program.signal("CONT");
             assertTrue(operator.line().startsWith("YES"));
         }
-        for (Peer holder : holders) {
-            holder.close();
+        for (Peer connection : idleConnections) {
+            connection.close();
         }
     }
 
     /**
-     * Two bans, one call back; a list that says 'ready' does not lift it, and neither does a new
-     * start.
+     * Disabling twice is undone by a single ENABLE. Neither a list that says {@code ready} nor a
+     * restart of the worker enables it again.
      */
     @Test
-    void aWorkerTakenOutGetsNothingUntilItIsPutBack() throws Exception {
+    void sendsNothingToADisabledWorkerUntilItIsEnabled() throws Exception {
         String a = worker("a", SERVE);
-        startWithMgmt(a, worker("b", SERVE));
+        startWithManagement(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 8; i++) {
             assertEquals(200, ask(query("w" + i, "read", "2000m")).status());
         }
-        assertTrue(jobs("a") > 0, "it was in use");
+        assertTrue(jobs("a") > 0, "worker a was used before");
         assertTrue(call("DISABLE a").startsWith("YES"));
         int before = jobs("a");
         assertTrue(call("DISABLE a").startsWith("YES"));
@@ -212,18 +213,21 @@
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
         }
         assertEquals(before, jobs("a"));
-        assertEquals("1|g", figures().get("targets_disabled"));
+        assertEquals("1|g", stats().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
-        assertEquals("0|g", figures().get("targets_disabled"));
+        assertEquals("0|g", stats().get("targets_disabled"));
         call("DISABLE b");
         assertEquals(200, ask(query("last", "read", "2000m")).status());
-        assertTrue(jobs("a") > before, "one call back is enough");
+        assertTrue(jobs("a") > before, "one ENABLE is enough");
     }
 
-    /** What a worker that is out hands back goes to another one, and is not repeated there. */
+    /**
+     * A job that a disabled worker rejects is retried on another worker and not on the disabled
+     * one.
+     */
     @Test
-    void aJobThatAWorkerHandsBackIsNotRepeatedThereOnceItIsOut() throws Exception {
-        startWithMgmt(
+    void retriesElsewhereWhenADisabledWorkerRejectsAJob() throws Exception {
+        startWithManagement(
                 worker(
                         "a",
                         (peer, job) -> {
@@ -233,52 +237,54 @@
                 worker("b", SERVE));
         call("DISABLE b");
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
-            Program.await("it is sent", () -> jobs("a") == 1);
+            Program.await("the job is sent", () -> jobs("a") == 1);
             call("DISABLE a");
             call("ENABLE b");
-            assertEquals(200, client.message().status(), "handed back, and sent elsewhere");
+            assertEquals(200, client.message().status(), "rejected, and retried on another worker");
         }
         assertEquals(1, jobs("a"));
         assertEquals(1, jobs("b"));
     }
 
     /**
-     * A new configuration moves discovery, whose whole list names the worker as ready: it stays
-     * out.
+     * Guards against a reload that moves discovery and enables a disabled worker, because the
+     * complete list from the new address names it as ready.
      */
     @Test
-    void aBanOutlivesAReload() throws Exception {
+    void keepsWorkerDisabledAcrossReload() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
-        startWithMgmt(a, b);
+        startWithManagement(a, b);
         assertTrue(call("DISABLE a").startsWith("YES"));
-        List<String> novelWatches = new CopyOnWriteArrayList<>();
-        discovery = discovery(List.of(list(9, true, a, b)), novelWatches);
+        List<String> newWatches = new CopyOnWriteArrayList<>();
+        discovery = discovery(List.of(list(9, true, a, b)), newWatches);
         program.reload(Files.readString(config(list(7, true, a, b), mgmt(mgmt))));
-        Program.await("a watch at the new address", () -> novelWatches.size() == 1);
-        Thread.sleep(200); // its list has come
+        Program.await("a watch at the new address", () -> newWatches.size() == 1);
+        Thread.sleep(200); // until its list has arrived
         for (int i = 0; i < 12; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
-        assertEquals("1|g", figures().get("targets_disabled"));
+        assertEquals("1|g", stats().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
         call("DISABLE b");
         assertEquals(
-                200, ask(query("last", "read", "2000m")).status(), "and the new list holds it");
+                200,
+                ask(query("last", "read", "2000m")).status(),
+                "the new list contains worker a");
         assertEquals(1, jobs("a"));
     }
 
     /**
-     * The link to a worker comes up only after it was taken out: what it was opened for goes
-     * elsewhere, unsent.
+     * The worker is disabled while a connection to it is being opened: the job that it was opened
+     * for goes to another worker and nothing is written to it.
      */
     @Test
-    void aBanThatMeetsALinkBeingOpenedHoldsForIt() throws Exception {
-        List<Socket> fill = new ArrayList<>();
+    void sendsNothingOnAConnectionThatOpensAfterItsWorkerIsDisabled() throws Exception {
+        List<Socket> backlog = new ArrayList<>();
         try (ServerSocket busy = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            while (connects(busy, fill)) {
-                assertTrue(fill.size() < 20, "its queue of connections is soon full");
+            while (connects(busy, backlog)) {
+                assertTrue(backlog.size() < 20, "the accept queue fills up soon");
             }
             String known =
                     list(7, true, entry("a", busy.getLocalPort(), "ready"), worker("b", SERVE));
@@ -288,49 +294,54 @@
                     Files.readString(file)
                             .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
             program = new Program(file, "serve").awaitWord("listens on");
-            Program.await("it is ready", () -> call("READY").startsWith("YES"));
+            Program.await("the scheduler is ready", () -> call("READY").startsWith("YES"));
             call("DISABLE b");
             try (Peer client = Peer.connect(port).send(query("q1", "submit", "5000m"))) {
                 Thread.sleep(300);
                 assertTrue(call("DISABLE a").startsWith("YES"));
                 call("ENABLE b");
                 int bytes = 0;
-                for (int i = 0; i <= fill.size(); i++) { // the last one is the program's
+                for (int i = 0;
+                        i <= backlog.size();
+                        i++) { // the last connection is the scheduler's
                     try (Socket taken = busy.accept()) {
-                        taken.setSoTimeout(i < fill.size() ? 1 : 1_000);
+                        taken.setSoTimeout(i < backlog.size() ? 1 : 1_000);
                         bytes += taken.getInputStream().read() >= 0 ? 1 : 0;
                     } catch (SocketTimeoutException e) {
                         // nothing is written to it
                     }
                 }
                 assertEquals(
-                        0, bytes, "a worker that is out got a job on a link that came up late");
+                        0, bytes, "a disabled worker got a job on a connection that opened late");
                 assertEquals("r-q1", client.message().body());
             }
         } finally {
-            for (Socket socket : fill) {
+            for (Socket socket : backlog) {
                 socket.close();
             }
         }
     }
 
-    private static boolean connects(ServerSocket server, List<Socket> fill) throws IOException {
+    private static boolean connects(ServerSocket server, List<Socket> backlog) throws IOException {
         Socket socket = new Socket();
-        fill.add(socket);
+        backlog.add(socket);
         try {
             socket.connect(server.getLocalSocketAddress(), 200);
             return true;
         } catch (SocketTimeoutException e) {
-            fill.remove(socket);
+            backlog.remove(socket);
             socket.close();
             return false;
         }
     }
 
-    /** A probe that was under way tells of room; it opens no door, and no further one is sent. */
+    /**
+     * The worker is disabled while a probe is in flight, and its answer reports capacity: the
+     * worker stays disabled and gets no further probe.
+     */
     @Test
-    void aBanThatMeetsAProbeStands() throws Exception {
-        CountDownLatch out = new CountDownLatch(1);
+    void keepsWorkerDisabledWhenAProbeInFlightReportsCapacity() throws Exception {
+        CountDownLatch disabled = new CountDownLatch(1);
         AtomicInteger probes = new AtomicInteger();
         Work probed =
                 (peer, job) -> {
@@ -339,9 +350,8 @@
                         return;
                     }
                     probes.incrementAndGet();
-                    out.await(
-                            200,
-                            TimeUnit.MILLISECONDS); // its answer comes after the ban, and in time
+                    disabled.await(
+                            200, TimeUnit.MILLISECONDS); // it answers after DISABLE, and in time
                     peer.send("HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\n{\"x0\":9}");
                 };
         Path file = config(list(7, true, worker("a", probed), worker("b", SERVE)), mgmt(mgmt));
@@ -352,10 +362,10 @@
                                 "\"limits\":{\"send_cap\"",
                                 "\"reporting\":{\"how\":\"pull\"},\"limits\":{\"may_probe\":true,\"send_cap\""));
         program = new Program(file, "serve").awaitWord("listens on");
-        Program.await("a probe is under way", () -> probes.get() > 0);
+        Program.await("a probe is in flight", () -> probes.get() > 0);
         assertTrue(call("DISABLE a").startsWith("YES"));
-        out.countDown();
-        Thread.sleep(300); // whatever was on its way has come
+        disabled.countDown();
+        Thread.sleep(300); // until everything in flight has arrived
         int before = jobs("a");
         for (int i = 0; i < 12; i++) {
             assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
@@ -363,16 +373,17 @@
         Thread.sleep(800);
         assertEquals(before, jobs("a"), "neither a job nor a probe");
         call("ENABLE a");
-        Program.await("it is probed again", () -> jobs("a") > before);
+        Program.await("worker a is probed again", () -> jobs("a") > before);
     }
 
     /**
-     * The front hears no at once; who comes meanwhile is served; and nothing is held 4 s after the
-     * call.
+     * On DRAIN the health check fails at once and new clients are still served for a moment; a
+     * partial request is rejected and all connections are closed within 2.5 s, of the 4 s that are
+     * allowed. UNDRAIN restores normal service.
      */
     @Test
-    void aDrainSendsClientsAwayAndCanBeTakenBack() throws Exception {
-        startWithMgmt(worker("a", SLOW));
+    void drainClosesConnectionsAndUndrainRestoresService() throws Exception {
+        startWithManagement(worker("a", SLOW));
         Peer idle = Peer.connect(port).send(HEALTH);
         assertEquals(200, idle.message().status());
         Peer used = Peer.connect(port).send(HEALTH);
@@ -381,37 +392,37 @@
         half.message();
         assertTrue(call("DRAIN").startsWith("YES"));
         long drained = System.nanoTime();
-        assertTrue(call("DRAIN").startsWith("YES"), "twice is as once");
+        assertTrue(call("DRAIN").startsWith("YES"), "a second DRAIN changes nothing");
         assertTrue(call("READY").startsWith("NO drained"));
         assertEquals(503, ask(HEALTH).status());
         half.send(query("q3", "read", "4000m").substring(0, 40));
         Message fresh = ask(query("q1", "read", "4000m"));
-        assertEquals(200, fresh.status(), "new connections still come for a moment");
+        assertEquals(200, fresh.status(), "new connections are still served for a moment");
         assertEquals("close", fresh.field("Connection"));
         assertTrue(idle.closed());
-        assertEquals(503, half.message().status(), "half a query is refused in time");
+        assertEquals(503, half.message().status(), "a partial request is rejected in time");
         assertTrue(used.closed());
         assertTrue(System.nanoTime() - drained < TimeUnit.MILLISECONDS.toNanos(2_500));
         assertTrue(call("UNDRAIN").startsWith("YES"));
         assertTrue(call("READY").startsWith("YES"));
-        assertTrue(call("UNDRAIN").startsWith("YES"), "without a drain it changes nothing");
+        assertTrue(call("UNDRAIN").startsWith("YES"), "UNDRAIN without a drain changes nothing");
         try (Peer client = Peer.connect(port).send(HEALTH)) {
             assertEquals(200, client.message().status());
             Thread.sleep(700);
             assertEquals(
                     200,
                     client.send(query("q4", "read", "4000m")).message().status(),
-                    "connections are kept again");
+                    "connections are kept open again");
         }
     }
 
     /**
-     * The ones that are left stay from then on, with what they asked for; and a further drain
-     * counts from its own call.
+     * UNDRAIN while connections are being closed: those still open stay open, with their requests.
+     * A further DRAIN starts its own settling time.
      */
     @Test
-    void anUndrainWhileConnectionsAreBeingClosedKeepsTheRest() throws Exception {
-        startWithMgmt(worker("a", SLOW));
+    void undrainKeepsTheConnectionsThatAreStillOpen() throws Exception {
+        startWithManagement(worker("a", SLOW));
         List<Peer> idle = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             Peer each = Peer.connect(port).send(HEALTH);
@@ -419,15 +430,15 @@
             idle.add(each);
         }
         assertTrue(call("DRAIN").startsWith("YES"));
-        assertTrue(idle.get(0).closed(), "closing has begun");
+        assertTrue(idle.get(0).closed(), "connections are being closed");
         try (Peer late = Peer.connect(port);
                 Peer busy = Peer.connect(port).send(query("q1", "read", "4000m"))) {
-            Program.await("it is sent", () -> jobs("a") == 1);
+            Program.await("the job is sent", () -> jobs("a") == 1);
             assertTrue(call("UNDRAIN").startsWith("YES"));
             assertTrue(call("READY").startsWith("YES"));
             Message answer = busy.message();
             assertEquals(200, answer.status());
-            assertNull(answer.field("Connection"), "it may stay");
+            assertNull(answer.field("Connection"), "the connection is kept open");
             Thread.sleep(
                     800); // an idle one would have been closed after 0.3 s, and all of them 1.6 s
             // after the first call
@@ -438,24 +449,24 @@
             assertTrue(busy.closed() && late.closed());
             assertTrue(
                     System.nanoTime() - again > TimeUnit.MILLISECONDS.toNanos(450),
-                    "it settles anew");
+                    "the second drain has its own settling time");
         }
     }
 
     @Test
-    void aStopWhileDrainedAnswersEverything() throws Exception {
-        startWithMgmt(worker("a", SLOW));
+    void answersPendingRequestsWhenStoppedWhileDrained() throws Exception {
+        startWithManagement(worker("a", SLOW));
         Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
-        Program.await("it is sent", () -> jobs("a") == 1);
+        Program.await("the job is sent", () -> jobs("a") == 1);
         call("DRAIN");
         program.terminate();
-        Program.await("it leaves", () -> call("UNDRAIN").startsWith("NO"));
+        Program.await("the scheduler is shutting down", () -> call("UNDRAIN").startsWith("NO"));
         assertEquals(200, client.message().status());
         assertEquals(143, program.exit());
     }
 
     @Test
-    void aBadOrTakenSecondAddressEndsTheProgramWithOnePlainLine() throws Exception {
+    void exitsWithOneErrorLineWhenManagementAddressIsUnusable() throws Exception {
         try (ServerSocket taken = new ServerSocket(0)) {
             for (String address :
                     List.of("nowhere", "127.0.0.1:" + taken.getLocalPort(), "127.0.0.1:99999")) {
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -18,43 +18,45 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that leave before an attempt begins for them, or while it is being written: it does not
- * begin, or end.
+ * Clients that disconnect before an attempt begins or while its request is being written: the
+ * attempt is not begun, or is aborted.
  */
 class DeparturesBeforeAnAttemptTest extends PlatformStage {
-    /** The bytes of a request of which much stays here while its worker reads nothing. */
+    /**
+     * Size in bytes of a request that mostly stays in the scheduler while its worker reads nothing.
+     */
     private static final int LARGE = 60_000;
 
     /**
-     * The first attempt is turned away, and no worker is left for a second one until after the
-     * client has gone.
+     * The first attempt is rejected, and no worker is available for a retry until after the client
+     * has disconnected.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whoLeavesBetweenTwoAttemptsGetsNoSecondOne(boolean halfClose) throws Exception {
-        CountDownLatch drains = new CountDownLatch(1);
+    void doesNotRetryAfterClientDisconnects(boolean halfClose) throws Exception {
+        CountDownLatch workerIsDraining = new CountDownLatch(1);
         String first =
                 worker(
                         "a",
                         (peer, job) -> {
-                            drains.await();
+                            workerIsDraining.await();
                             TURN_AWAY.on(peer, job);
                         });
         startCounting(first);
         Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
-        Program.await("it is sent", () -> jobs("a") == 1);
+        Program.await("the job is sent", () -> jobs("a") == 1);
         news.add(list(8, false, first.replace("ready", "draining")));
         Program.await(
-                "the list is in",
-                () -> counts("list_updates", 2)); // the watch's first object, and this
-        drains.countDown();
-        Program.await("it is turned away", () -> counts("executions_full", 1));
+                "the list has arrived",
+                () -> counts("list_updates", 2)); // the watch's first update, and this one
+        workerIsDraining.countDown();
+        Program.await("the first attempt is rejected", () -> counts("executions_full", 1));
         if (halfClose) {
             client.endOutput();
         } else {
             client.close();
         }
-        Program.await("it has gone", () -> counts("queries_gone", 1));
+        Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
         news.add(list(9, false, worker("b", SERVE)));
         assertServedBy("b");
         assertEquals(1, jobs("a"));
@@ -74,65 +76,68 @@
         assertTrue(
                 got.get(worker).stream()
                         .allMatch(job -> job.field("X-Correlation-Id").startsWith("n")),
-                "only that");
+                "no other job");
     }
 
     /**
-     * It does not start where it is, and would move to a worker that comes after its client has
-     * gone.
+     * The job does not start on its worker and would migrate to another worker, which is listed
+     * only after the client has disconnected.
      */
     @Test
-    void whoLeavesBeforeAMoveIsNotMoved() throws Exception {
+    void doesNotMigrateJobOfDisconnectedClient() throws Exception {
         startCounting(worker("a", SAY_NOTHING));
         Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
-        Program.await("it is sent", () -> jobs("a") == 1);
+        Program.await("the job is sent", () -> jobs("a") == 1);
         client.close();
-        Program.await("it has gone", () -> counts("queries_gone", 1));
+        Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
         news.add(list(8, false, worker("b", SERVE)));
-        Thread.sleep(500); // a move is looked at each 0.1 s
+        Thread.sleep(500); // migration is checked every 0.1 s
         assertServedBy("b");
         assertEquals(1, jobs("a"));
     }
 
-    /** It is gone from the hold when there is room. */
+    /**
+     * A request that waits for worker capacity is dropped when its client disconnects, so that it
+     * is not forwarded once there is capacity.
+     */
     @ParameterizedTest
     @EnumSource
-    void whoLeavesTheHoldIsNotSentOn(Leaving leaving) throws Exception {
+    void doesNotForwardHeldRequestOfDisconnectedClient(Leaving leaving) throws Exception {
         for (Peer client : startHolding(ahead("more", 40))) {
             leaving.by(client);
         }
-        Program.await("they have gone", () -> counts("queries_gone", HELD));
-        assertNoneIsSentOn();
+        Program.await("the disconnects are noticed", () -> counts("queries_gone", HELD));
+        assertNoneIsForwarded();
     }
 
     /**
-     * Who fills its buffer could not be seen leaving, and is refused while it waits for its first
-     * attempt.
+     * While a client has filled its buffer with pipelined data, its disconnect would go unnoticed;
+     * it is rejected while it waits for its first attempt.
      */
     @Test
-    void whoFillsItsBufferWhileItWaitsIsRefusedAndNotSentOn() throws Exception {
+    void rejectsWaitingClientThatFillsItsBuffer() throws Exception {
         for (Peer client : startHolding("")) {
             client.send(ahead("more", 600));
         }
-        Program.await("all are refused", () -> counts("queries_bad", HELD));
-        assertNoneIsSentOn();
+        Program.await("all are rejected", () -> counts("queries_bad", HELD));
+        assertNoneIsForwarded();
     }
 
-    private void assertNoneIsSentOn() throws Exception {
+    private void assertNoneIsForwarded() throws Exception {
         room.countDown();
-        Program.await("there is room", () -> counts("executions_served", KEPT + 1));
+        Program.await("the worker has capacity", () -> counts("executions_served", KEPT + 1));
         assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
         assertEquals(List.of(), heldAndSent());
     }
 
     /**
-     * A worker starts on a request once its last byte has arrived: what has not left whole is no
-     * attempt, and does not become one after its client has gone, whether or not attempts may be
-     * called off.
+     * A worker starts a request once its last byte has arrived. A request that was written only in
+     * part must not be completed after its client has disconnected, whether or not attempts may be
+     * cancelled.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theRestOfARequestIsNotWrittenOnceItsClientHasGone(boolean mayCancel) throws Exception {
+    void stopsWritingRequestOnceItsClientDisconnects(boolean mayCancel) throws Exception {
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -141,13 +146,13 @@
                     entry("a", slow.getLocalPort(), "ready"));
             Peer client = Peer.connect(port).send(large("q1", LARGE));
             try (Socket worker = slow.accept()) {
-                assertTrue(worker.getInputStream().read() >= 0, "it has begun");
+                assertTrue(worker.getInputStream().read() >= 0, "the write has begun");
                 client.close();
-                Program.await("it has gone", () -> counts("queries_gone", 1));
+                Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
                 worker.setSoTimeout(5_000);
-                int came =
+                int received =
                         worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(came < LARGE, "it did not come whole: " + came);
+                assertTrue(received < LARGE, "the request arrived completely: " + received);
             }
         }
     }
--- a/src/test/java/damsonslip/platform/DeparturesTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesTest.java
@@ -14,11 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that leave, and connections that end while something comes on them. */
+/**
+ * Clients that disconnect, and connections that the scheduler closes while data arrives on them.
+ */
 class DeparturesTest extends PlatformStage {
     @ParameterizedTest
     @ValueSource(ints = {0, 40, 200})
-    void aClientThatLeavesBehindWhatItSentAheadTakesItsExecutionAlong(int ahead) throws Exception {
+    void cancelsAttemptWhenClientDisconnectsBehindPipelinedData(int ahead) throws Exception {
         List<Long> ended = new CopyOnWriteArrayList<>();
         start(
                 worker(
@@ -33,16 +35,19 @@
         Thread.sleep(100);
         long left = System.nanoTime();
         client.close();
-        Program.await("its link is closed", () -> !ended.isEmpty());
+        Program.await("the connection to the worker is closed", () -> !ended.isEmpty());
         assertTrue(ended.get(0) - left < 1_000_000_000L, "long before its deadline");
         Thread.sleep(300);
-        assertEquals(1, jobs("a"), "and nothing of what was sent ahead is sent on");
+        assertEquals(1, jobs("a"), "nothing of the pipelined data is forwarded");
     }
 
-    /** A burst of them waits for a worker that is full, leaves, and the worker has room again. */
+    /**
+     * A burst of requests waits for a worker that is at capacity and their clients disconnect; when
+     * the worker has capacity again, none of the requests is forwarded.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 40})
-    void whoLeavesWhileItWaitsIsNotSentOn(int ahead) throws Exception {
+    void doesNotForwardQueuedRequestsOfDisconnectedClients(int ahead) throws Exception {
         CountDownLatch free = new CountDownLatch(1);
         start(
                 worker(
@@ -55,10 +60,10 @@
         for (int i = 0; i < 30; i++) {
             clients.add(Peer.connect(port).send(ahead("q" + i, ahead)));
         }
-        Program.await("some are sent", () -> jobs("a") > 0);
+        Program.await("some are forwarded", () -> jobs("a") > 0);
         Thread.sleep(150);
         int sent = jobs("a");
-        assertTrue(sent < 20, sent + " are sent, the others wait");
+        assertTrue(sent < 20, sent + " were forwarded, the others should be queued");
         for (Peer client : clients) {
             client.close();
         }
@@ -69,9 +74,11 @@
         assertEquals(200, ask(query("last", "read", "2000m")).status());
     }
 
-    /** Whoever sends further ahead than one can keep an eye on is told so. */
+    /**
+     * While a client has pipelined more than the buffer holds, its disconnect would go unnoticed.
+     */
     @Test
-    void whoSendsFarAheadOfItsAnswerIsRefused() throws Exception {
+    void rejectsClientThatPipelinesTooMuch() throws Exception {
         start(worker("a", SAY_NOTHING));
         try (Peer client = Peer.connect(port).send(ahead("q1", 600))) {
             assertEquals(400, client.message().status());
@@ -80,16 +87,17 @@
     }
 
     /**
-     * A kept connection is ended by a stop, and a query crosses that: a close would have reset it,
-     * and what was written before could go with it. It is not sent on either.
+     * A shutdown closes a keep-alive connection while a request arrives on it. Closing the socket
+     * at once would reset the connection and could destroy an answer written before. The request is
+     * not forwarded either.
      */
     @Test
-    void whatCrossesTheEndOfAConnectionNeitherResetsItNorIsServed() throws Exception {
+    void ignoresRequestThatArrivesWhileAnIdleConnectionIsClosed() throws Exception {
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "2000m"))) {
             assertEquals("r-q1", client.message().body());
             program.terminate();
-            assertTrue(client.ended(), "it is asked to go");
+            assertTrue(client.ended(), "the scheduler has closed its side");
             client.send(query("q2", "submit", "2000m"));
             Thread.sleep(150);
             client.send("and more");
@@ -99,12 +107,12 @@
         assertEquals(1, jobs("a"));
     }
 
-    /** One that said nothing is ended the same way. */
+    /** A connection that sent no request within two seconds is closed in the same way. */
     @Test
-    void whatCrossesTheEndOfASilentConnectionDoesNotResetIt() throws Exception {
+    void doesNotResetSilentConnectionWhenDataArrivesDuringClose() throws Exception {
         start(worker("a", SERVE));
         try (Peer client = Peer.connect(port)) {
-            assertTrue(client.ended(), "after two seconds");
+            assertTrue(client.ended(), "closed after two seconds");
             client.send(query("q1", "submit", "2000m"));
             Thread.sleep(150);
             client.send("and more");
--- a/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
@@ -29,44 +29,44 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Clients that leave while a turn of the loop takes long: their closes are there to be read when it
- * is over, behind what would begin an attempt for them. The turn is held open by a list with
- * thousands of entries that are left out with a message each, while nobody reads the messages: the
- * order in which the loop finds everything else is then the test's own.
+ * Clients that disconnect during a long iteration of the event loop: their closes are read only
+ * after that iteration, behind the events that would begin an attempt for them. The test stalls the
+ * iteration with a list of thousands of invalid entries, each of which logs a message, while nobody
+ * reads the log. The test thus determines the order in which the loop finds all other events.
  */
 class HeldUpDeparturesTest extends PlatformStage {
     /** Far more messages than fit into a pipe. */
-    private static final int BAD_ENTRIES = 2_000;
+    private static final int INVALID_ENTRIES = 2_000;
 
-    /** More than the 0.1 s in which an attempt may still begin. */
-    private static final long GONE_MS = 150;
+    /** More than the 0.1 s after a disconnect in which an attempt may still begin. */
+    private static final long DISCONNECTED_MS = 150;
 
-    /** What the program has sent to a worker has arrived by then. */
+    /** After so long everything that the scheduler has sent to a worker has arrived. */
     private static final long SENT_MS = 200;
 
     /**
-     * The bytes of a request of which a part stays here that could leave in one go once the worker
-     * takes some.
+     * Size in bytes of a request of which a part stays in the scheduler that could be written in
+     * one go once the worker reads on.
      */
     private static final int LARGE = 50_000;
 
-    /** What is sent while the loop stands still has reached it in its order by then. */
+    /** After so long everything sent to the stalled scheduler has arrived there, in order. */
     private static final long ARRIVES_MS = 60;
 
-    /** Holds the loop in the turn that takes in a list. */
-    private void holdUp() {
+    /** Stalls the event loop in the iteration that applies a list. */
+    private void stallLoop() {
         program.readUntil("left out an entry");
-        news.add(list(8, false, Collections.nCopies(BAD_ENTRIES, "{}").toArray(String[]::new)));
-        Program.await("the loop is in the middle of it", program::isUnread);
+        news.add(list(8, false, Collections.nCopies(INVALID_ENTRIES, "{}").toArray(String[]::new)));
+        Program.await("the loop is stalled in the iteration", program::isUnread);
     }
 
-    /** The turn goes on, so late that no attempt may begin any more. */
-    private void goOn() throws Exception {
-        Thread.sleep(GONE_MS);
+    /** Lets the iteration continue, so late that no attempt may begin any more. */
+    private void resumeLate() throws Exception {
+        Thread.sleep(DISCONNECTED_MS);
         resume();
     }
 
-    /** Waits until all is done that came before this call. */
+    /** Lets the loop continue, and waits until it has handled everything from before this call. */
     private void resume() throws Exception {
         program.readOn();
         assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Links are kept for as long as any of these tests takes: on those an attempt begins in the
-     * moment it is decided.
+     * Keeps idle connections open for longer than any of these tests takes: on them an attempt
+     * begins as soon as it is decided.
      */
-    private void startKeeping(String... entries) throws IOException {
+    private void startWithLongIdleTimeout(String... entries) throws IOException {
         startCounting(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
     }
 
@@ -89,52 +89,58 @@
         return clients;
     }
 
-    private void assertServedAsEver() throws IOException {
+    private void assertStillServes() throws IOException {
         assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
     }
 
-    /** A burst of leavers; there is room for all of them before the first close. */
+    /**
+     * Several clients disconnect, and the worker has capacity for all of them before the first
+     * disconnect.
+     */
     @ParameterizedTest
     @EnumSource
-    void whoLeftTheHoldDuringATurnGetsNoAttemptFromIt(Leaving leaving) throws Exception {
+    void doesNotBeginAttemptForHeldClientThatDisconnectedDuringIteration(Leaving leaving)
+            throws Exception {
         List<Peer> clients = startHolding("");
-        holdUp();
+        stallLoop();
         room.countDown();
         Thread.sleep(ARRIVES_MS);
         for (Peer client : clients) {
             leaving.by(client);
         }
-        goOn();
-        assertServedAsEver();
+        resumeLate();
+        assertStillServes();
         assertEquals(List.of(), heldAndSent());
     }
 
-    /** The query and the close are there together. */
+    /** The query and the disconnect are found in the same iteration. */
     @ParameterizedTest
     @EnumSource
-    void whoCameAndLeftDuringATurnGetsNoAttempt(Leaving leaving) throws Exception {
-        startKeeping(worker("a", SERVE));
+    void doesNotBeginAttemptForClientThatCameAndLeftDuringIteration(Leaving leaving)
+            throws Exception {
+        startWithLongIdleTimeout(worker("a", SERVE));
         assertEquals(200, ask(query("first", "read", "2000m")).status());
-        holdUp();
+        stallLoop();
         for (Peer client : send(5)) {
             leaving.by(client);
         }
-        goOn();
-        assertServedAsEver();
+        resumeLate();
+        assertStillServes();
         assertEquals(List.of("first", "last"), ids("a"));
     }
 
-    /** The dial comes up before the close. */
+    /** The connection to the worker is established before the client disconnects. */
     @Test
-    void aDialThatCameUpDuringATurnIsNotUsedForWhoHasLeft() throws Exception {
+    void doesNotUseConnectionOpenedDuringIterationForDisconnectedClient() throws Exception {
         List<Message> late = new CopyOnWriteArrayList<>();
         try (LateServer worker = new LateServer()) {
             startCounting(
                     file -> file.replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
             List<Peer> clients = send(1);
-            Program.await("it is dialled for", () -> counts("executions_sent", 1));
-            holdUp();
+            Program.await(
+                    "a connection is being opened for it", () -> counts("executions_sent", 1));
+            stallLoop();
             worker.open(
                     peer -> {
                         while (true) {
@@ -143,16 +149,19 @@
                             SERVE.on(peer, job);
                         }
                     });
-            Program.await("the dial comes up", () -> worker.connections() == 1);
+            Program.await("the connection is established", () -> worker.connections() == 1);
             Thread.sleep(ARRIVES_MS);
             clients.get(0).close();
-            goOn();
+            resumeLate();
             assertEquals(List.of(), late);
-            assertServedAsEver();
+            assertStillServes();
         }
     }
 
-    /** Two workers with a kept link each; the first one asked for q0 does this with it. */
+    /**
+     * Starts two workers with an open connection each; whichever first gets q0 handles it by {@code
+     * work}.
+     */
     private void startTwo(Work work) throws IOException {
         AtomicBoolean asked = new AtomicBoolean();
         Work either =
@@ -162,9 +171,9 @@
                                     && asked.compareAndSet(false, true);
                     (first ? work : SERVE).on(peer, job);
                 };
-        startKeeping(worker("a", either), worker("b", either));
+        startWithLongIdleTimeout(worker("a", either), worker("b", either));
         Program.await(
-                "both have a link",
+                "both workers have a connection",
                 () -> {
                     try {
                         ask(query("r" + System.nanoTime(), "read", "2000m"));
@@ -176,7 +185,7 @@
                 });
     }
 
-    private int sentOn() {
+    private int attemptsOfQ0() {
         return (int)
                 Stream.of("a", "b")
                         .flatMap(worker -> ids(worker).stream())
@@ -184,9 +193,11 @@
                         .count();
     }
 
-    /** The first attempt is turned away before the close, and there is another worker with room. */
+    /**
+     * The first attempt is rejected before the client disconnects, and another worker has capacity.
+     */
     @Test
-    void whoLeftBetweenTwoAttemptsDuringATurnGetsNoSecondOne() throws Exception {
+    void doesNotRetryForClientThatDisconnectedDuringIteration() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         startTwo(
                 (peer, job) -> {
@@ -194,40 +205,41 @@
                     TURN_AWAY.on(peer, job);
                 });
         Peer client = Peer.connect(port).send(query("q0", "submit", "4500m"));
-        Program.await("it is sent", () -> sentOn() == 1);
-        holdUp();
+        Program.await("the job is sent", () -> attemptsOfQ0() == 1);
+        stallLoop();
         held.countDown();
         Thread.sleep(ARRIVES_MS);
         client.close();
-        goOn();
-        assertEquals(1, sentOn());
-        assertServedAsEver();
+        resumeLate();
+        assertEquals(1, attemptsOfQ0());
+        assertStillServes();
     }
 
     /**
-     * What has not started in its time moves to where there is room; its time is up before the
-     * close.
+     * A job that has not started within its time migrates to a worker with capacity; that time ends
+     * before the client disconnects.
      */
     @Test
-    void whoLeftDuringATurnIsNotMoved() throws Exception {
+    void doesNotMigrateJobOfClientThatDisconnectedDuringIteration() throws Exception {
         startTwo(SAY_NOTHING);
         Peer client = send(1).get(0);
-        Program.await("it is sent", () -> sentOn() == 1);
-        holdUp();
-        Thread.sleep(GONE_MS); // longer than it is given to start
+        Program.await("the job is sent", () -> attemptsOfQ0() == 1);
+        stallLoop();
+        Thread.sleep(DISCONNECTED_MS); // longer than the job may take to start
         client.close();
-        goOn();
-        assertEquals(1, sentOn());
-        assertServedAsEver();
+        resumeLate();
+        assertEquals(1, attemptsOfQ0());
+        assertStillServes();
     }
 
     /**
-     * It needs memory that the worker had none of until then; the answer of a probe tells of some
-     * before the close.
+     * The query needs memory that the worker did not have until then; the answer to a probe reports
+     * free memory before the client disconnects.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aProbeThatTellsOfRoomBeginsNothingForWhoHasLeft(boolean duringTurn) throws Exception {
+    void doesNotBeginAttemptAfterProbeReportsMemoryForDisconnectedClient(boolean duringIteration)
+            throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         AtomicInteger probes = new AtomicInteger();
         AtomicBoolean waits = new AtomicBoolean();
@@ -257,36 +269,36 @@
                         (peer, message) ->
                                 (message.first().startsWith("GET") ? probed : shortOfMemory)
                                         .on(peer, message)));
-        Program.await("it has told that it has no memory", () -> probes.get() > 1);
+        Program.await("the worker has reported that it has no memory", () -> probes.get() > 1);
         awaitDiscovery();
         keepLinks();
         Peer client = hold(1, "").get(0);
         waits.set(true);
-        assertTrue(asked.await(5, TimeUnit.SECONDS), "a probe is under way");
-        if (duringTurn) {
-            holdUp();
+        assertTrue(asked.await(5, TimeUnit.SECONDS), "a probe is in flight");
+        if (duringIteration) {
+            stallLoop();
             room.countDown();
             Thread.sleep(ARRIVES_MS);
             client.close();
-            goOn();
+            resumeLate();
         } else {
             client.close();
-            Program.await("it has gone", () -> counts("queries_gone", 1));
+            Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
             room.countDown();
         }
-        assertServedAsEver();
+        assertStillServes();
         assertEquals(List.of(), heldAndSent());
     }
 
     /**
-     * The worker takes what had stood still before the close, and there is room for the rest of the
-     * request. Behind a long turn the look at connections that the system may not watch comes
-     * first.
+     * The worker reads the stalled bytes before the client disconnects, so that the rest of the
+     * request could be written. After a long iteration the check of connections that the system may
+     * not watch runs first.
      */
     @ParameterizedTest
     @CsvSource({"true,0", "false,0", "false,300"})
-    void theRestOfARequestIsNotWrittenBehindATurnInWhichItsClientLeft(
-            boolean mayCancel, long longerMs) throws Exception {
+    void doesNotWriteRestOfRequestAfterIterationInWhichClientDisconnected(
+            boolean mayCancel, long extraDelayMs) throws Exception {
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -295,29 +307,30 @@
                     entry("a", slow.getLocalPort(), "ready"));
             Peer client = Peer.connect(port).send(large("q0", LARGE));
             try (Socket worker = slow.accept()) {
-                assertTrue(worker.getInputStream().read() >= 0, "it has begun");
-                holdUp();
-                int came = 1 + drain(worker);
+                assertTrue(worker.getInputStream().read() >= 0, "the write has begun");
+                stallLoop();
+                int received = 1 + readAvailable(worker);
                 client.close();
-                Thread.sleep(ARRIVES_MS + longerMs);
-                resume(); // at once, or the request would be given up for standing still
-                came += worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(came < LARGE, "it did not come whole: " + came);
+                Thread.sleep(ARRIVES_MS + extraDelayMs);
+                resume(); // at once, or the stalled request would be abandoned
+                received +=
+                        worker.getInputStream().readAllBytes().length; // ends with the connection
+                assertTrue(received < LARGE, "the request arrived completely: " + received);
             }
         }
     }
 
-    /** Takes what comes until nothing more does. */
-    private static int drain(Socket worker) throws IOException {
+    /** Reads until nothing more arrives, and returns the number of bytes. */
+    private static int readAvailable(Socket worker) throws IOException {
         worker.setSoTimeout((int) ARRIVES_MS);
-        int came = 0;
+        int received = 0;
         try {
             while (worker.getInputStream().read() >= 0) {
-                came++;
+                received++;
             }
         } catch (SocketTimeoutException e) {
             worker.setSoTimeout(5_000);
         }
-        return came;
+        return received;
     }
 }
