--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -19,20 +19,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Discovery has hardly time for all its callers, or says nothing: the drain rule holds, and the
- * news come in time.
+ * Discovery is overloaded or silent: draining workers still get no job in time, and updates arrive
+ * in time.
  */
 class BusyDiscoveryTest extends PlatformStage {
     private static final int FLEET = 101;
 
-    /** The program's own number: its slots are neither first nor last. */
-    private static final int OWN = 57;
+    /** The slot of the scheduler under test: neither the first nor the last. */
+    private static final int OWN_SLOT = 57;
 
-    /** All calls of the fleet take this long together, as on the operators' days. */
+    /** The calls of the whole fleet take discovery this long together, as it does in operation. */
     private static final long ALL_CALLS_MS = 6_000;
 
-    private static final long MOST_WAIT_MS = 2_000;
-    private static final long TOLD_MS = 6_000;
+    private static final long MAX_WAIT_MS = 2_000;
+    private static final long NOTIFIED_MS = 6_000;
 
     private final AtomicInteger stopped = new AtomicInteger();
 
@@ -49,8 +49,10 @@
         program = new Program(file, "serve").awaitWord("listens on");
     }
 
-    /** A scheduler that does nothing but watch the list, by the same rule as the real ones. */
-    private void hollow(BusyDiscovery busy, int number) {
+    /**
+     * Simulates a scheduler that only watches the list, with the same polling rule as the real one.
+     */
+    private void startSimulatedScheduler(BusyDiscovery busy, int number) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -61,14 +63,14 @@
                                             + number
                                                     * ALL_CALLS_MS
                                                     * 1_000
-                                                    / FLEET; // so that all watch soon
+                                                    / FLEET; // spread, so that all watch soon
                             while (stopped.get() == 0) {
                                 try {
                                     TimeUnit.MICROSECONDS.sleep(Math.max(0, next - micros()));
                                     watch.pollSent(micros());
                                     call(busy, watch);
                                 } catch (IOException e) {
-                                    // refused, or its watch was reset
+                                    // rejected, or the watch was reset
                                 } catch (InterruptedException e) {
                                     return;
                                 }
@@ -90,7 +92,7 @@
             if (peer.message().status() == 200) {
                 watch.updateReceived();
                 while (peer.line() != null) {
-                    // reads what it is told until the watch is reset
+                    // reads updates until the watch is reset
                 }
             }
         }
@@ -105,19 +107,19 @@
     }
 
     /**
-     * It goes down under a hundred and one watches and returns with a drain: that counts, and is
-     * kept, within 6 s.
+     * Discovery fails under a hundred and one watches and returns with a drain: all watches are
+     * notified within 6 s, and the draining worker gets no job.
      */
     @Test
-    void theNewsOfAReturnComeInTimeBesideAHundredOtherCallers() throws Exception {
+    void notifiesAllSchedulersInTimeWhenDiscoveryReturns() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         try (BusyDiscovery busy =
-                new BusyDiscovery(list(8, true, a, b), ALL_CALLS_MS / FLEET, MOST_WAIT_MS)) {
-            startAsOneOf(FLEET, OWN, busy.port(), a, b);
+                new BusyDiscovery(list(8, true, a, b), ALL_CALLS_MS / FLEET, MAX_WAIT_MS)) {
+            startAsOneOf(FLEET, OWN_SLOT, busy.port(), a, b);
             for (int number = 0; number < FLEET; number++) {
-                if (number != OWN) {
-                    hollow(busy, number);
+                if (number != OWN_SLOT) {
+                    startSimulatedScheduler(busy, number);
                 }
             }
             Program.await("all watch", () -> busy.open() == FLEET);
@@ -125,27 +127,30 @@
             Thread.sleep(1_000);
             int before = busy.calls();
             busy.comeBack(list(9, true, a.replace("ready", "draining"), b));
-            long back = System.nanoTime();
-            Program.await("all are told", () -> busy.open() == FLEET);
-            long told = millis(back);
+            long returnedNs = System.nanoTime();
+            Program.await("all are notified", () -> busy.open() == FLEET);
+            long notifiedMs = millis(returnedNs);
             stopped.set(1);
-            assertTrue(told < TOLD_MS + 600, "the last was told after " + told + " ms");
+            assertTrue(
+                    notifiedMs < NOTIFIED_MS + 600,
+                    "the last was notified after " + notifiedMs + " ms");
             int calls = busy.calls() - before;
-            assertTrue(calls < FLEET * 5 / 4, calls + " calls, where one for each would do");
+            assertTrue(calls < FLEET * 5 / 4, calls + " calls, where one per scheduler is enough");
             int jobs = jobs("a");
             for (int i = 0; i < 10; i++) {
                 assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
             }
-            assertEquals(jobs, jobs("a"), "none goes to who drains");
+            assertEquals(jobs, jobs("a"), "no job goes to the draining worker");
         }
     }
 
     /**
-     * An open watch falls silent and no call is answered: from the moment when a drain may count
-     * nothing is sent.
+     * Guards against jobs for a worker whose drain was missed: an open watch falls silent and no
+     * call is answered. From the moment at which a missed drain would take effect, all jobs are
+     * rejected.
      */
     @Test
-    void nothingIsSentOnceAMissedDrainWouldCount() throws Exception {
+    void rejectsJobsOnceAMissedDrainWouldTakeEffect() throws Exception {
         String a = worker("a", SERVE);
         AtomicInteger calls = new AtomicInteger();
         discovery =
@@ -162,22 +167,22 @@
         servers.add(discovery);
         start(a);
         Program.await("a call", () -> calls.get() == 1);
-        long silent = System.nanoTime();
-        while (millis(silent) < TOLD_MS - 500) {
+        long silentSinceNs = System.nanoTime();
+        while (millis(silentSinceNs) < NOTIFIED_MS - 500) {
             assertEquals(
                     200,
                     ask(query("q" + System.nanoTime(), "submit", "2000m")).status(),
-                    "the list still holds");
+                    "the list is still valid");
             Thread.sleep(100);
         }
-        Thread.sleep(TOLD_MS + 600 - millis(silent));
+        Thread.sleep(NOTIFIED_MS + 600 - millis(silentSinceNs));
         int before = jobs("a");
         for (int i = 0; i < 5; i++) {
-            long asked = System.nanoTime();
+            long askedNs = System.nanoTime();
             Message answer = ask(query("r" + i, "submit", "2000m"));
             assertEquals(503, answer.status());
             assertNotNull(answer.field("Retry-After"));
-            assertTrue(millis(asked) < 500, "at once");
+            assertTrue(millis(askedNs) < 500, "rejected at once");
         }
         assertEquals(before, jobs("a"));
     }
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -19,9 +19,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Discovery is in trouble from the first moment on; queries are served from what is known. */
+/**
+ * Discovery fails from the first moment on, in various ways; queries are served from the last known
+ * list.
+ */
 class DiscoveryTroubleTest extends PlatformStage {
-    enum Trouble {
+    enum DiscoveryFault {
         BUSY {
             @Override
             void on(Peer peer, String list) throws IOException {
@@ -32,7 +35,7 @@
         RESETS {
             @Override
             void on(Peer peer, String list) {
-                // it is closed with its request unread
+                // the connection is closed with its request unread
             }
         },
         HANGS {
@@ -58,8 +61,8 @@
     }
 
     /**
-     * An answer due at 1.5 s may take this long on a busy machine; one that waits for discovery
-     * never comes.
+     * Bound for an answer with a deadline of 1.5 s, with allowance for a busy machine; a query that
+     * waits for discovery never gets its answer.
      */
     private static final long DEADLINE_AND_MORE_NS = 3_500_000_000L;
 
@@ -67,7 +70,7 @@
     private final AtomicInteger open = new AtomicInteger();
     private final AtomicInteger mostOpen = new AtomicInteger();
 
-    private void troubled(Trouble trouble, String list) throws IOException {
+    private void startFaultyDiscovery(DiscoveryFault fault, String list) throws IOException {
         discovery =
                 new Peer.Server(
                         0,
@@ -75,7 +78,7 @@
                             calls.incrementAndGet();
                             mostOpen.accumulateAndGet(open.incrementAndGet(), Math::max);
                             try {
-                                trouble.on(peer, list);
+                                fault.on(peer, list);
                             } finally {
                                 open.decrementAndGet();
                             }
@@ -84,15 +87,15 @@
     }
 
     /**
-     * Calls are spaced out and one at a time, a reload moves them elsewhere, and then the news
-     * count at once.
+     * Polls are spaced out and sent one at a time. A reload moves them to another address, whose
+     * list then takes effect at once.
      */
     @ParameterizedTest
-    @EnumSource(Trouble.class)
-    void queriesAreServedFromWhatIsKnownUntilTheNewsCome(Trouble trouble) throws Exception {
+    @EnumSource(DiscoveryFault.class)
+    void servesFromLastKnownListUntilDiscoveryAnswers(DiscoveryFault fault) throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
-        troubled(trouble, list(9, true, b));
+        startFaultyDiscovery(fault, list(9, true, b));
         start(a);
         assertEquals("r-q1", ask(query("q1", "submit", "2000m")).body());
         Thread.sleep(1_800);
@@ -100,14 +103,14 @@
         assertEquals(1, mostOpen.get(), "one call at a time");
         assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body());
         assertEquals(2, jobs("a"));
-        List<String> told = new ArrayList<>();
-        discovery = discovery(List.of(list(9, true, b)), told);
+        List<String> newWatches = new ArrayList<>();
+        discovery = discovery(List.of(list(9, true, b)), newWatches);
         program.reload(Files.readString(config(list(7, true, a))))
                 .awaitWord("reload: discovery is at");
-        Program.await("the news count", () -> served("b"));
+        Program.await("the new list takes effect", () -> served("b"));
         int before = calls.get();
         Thread.sleep(1_000);
-        assertEquals(before, calls.get(), "the old one is left alone");
+        assertEquals(before, calls.get(), "the old address is no longer called");
     }
 
     private boolean served(String worker) {
@@ -119,12 +122,13 @@
         }
     }
 
-    /** Nothing waits for discovery at the end either. */
+    /** A shutdown does not wait for discovery either. */
     @ParameterizedTest
     @EnumSource(
-            value = Trouble.class,
+            value = DiscoveryFault.class,
             names = {"HANGS", "BUSY"})
-    void aStopMeanwhileAnswersEverything(Trouble trouble) throws Exception {
+    void answersPendingRequestsWhenStoppedWhileDiscoveryFails(DiscoveryFault fault)
+            throws Exception {
         String a =
                 worker(
                         "a",
@@ -132,10 +136,10 @@
                             Thread.sleep(700);
                             SERVE.on(peer, job);
                         });
-        troubled(trouble, "");
+        startFaultyDiscovery(fault, "");
         start(a);
         try (Peer client = Peer.connect(port).send(query("q1", "submit", "3000m"))) {
-            Program.await("it is sent", () -> jobs("a") == 1);
+            Program.await("the job is sent", () -> jobs("a") == 1);
             program.terminate();
             assertEquals("r-q1", client.message().body());
         }
@@ -143,10 +147,11 @@
     }
 
     /**
-     * With nobody known a query is not kept waiting for discovery; the first list opens the doors.
+     * Without a known worker a query does not wait for discovery but is rejected; the first list
+     * with a worker starts service.
      */
     @Test
-    void anEmptyListTurnsQueriesAwayAtOnceUntilSomebodyIsKnown() throws Exception {
+    void rejectsQueriesAtOnceWhileNoWorkerIsKnown() throws Exception {
         start();
         long before = System.nanoTime();
         Message answer = ask(query("q1", "submit", "1500m"));
@@ -154,12 +159,15 @@
         assertEquals(503, answer.status());
         assertNotNull(answer.field("Retry-After"));
         news.add(list(8, true, worker("a", SERVE)));
-        Program.await("the list counts", () -> served("a"));
+        Program.await("the list takes effect", () -> served("a"));
     }
 
-    /** Of a list from long ago nobody is left; a query may find out, and is not lost by it. */
+    /**
+     * None of the workers of a very old list is still running. A query may discover that, but is
+     * answered by its deadline.
+     */
     @Test
-    void aVeryOldListCostsNoQueryMoreThanItsTime() throws Exception {
+    void answersByDeadlineWhenAllKnownWorkersAreDead() throws Exception {
         List<String> old = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             old.add(entry("old" + i, deadPort(), "ready"));
@@ -168,19 +176,22 @@
         long before = System.nanoTime();
         int status = ask(query("q1", "read", "1500m")).status();
         assertTrue(status == 503 || status == 502 || status == 504, "answered with " + status);
-        assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "by its deadline");
+        assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "answered by its deadline");
         news.add(list(99, true, worker("a", SERVE)));
-        Program.await("the list counts", () -> served("a"));
-        int had = jobs("a");
+        Program.await("the list takes effect", () -> served("a"));
+        int jobsBefore = jobs("a");
         for (int i = 0; i < 10; i++) {
             assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
         }
-        assertEquals(had + 10, jobs("a"));
+        assertEquals(jobsBefore + 10, jobs("a"));
     }
 
-    /** Half of sixty go at once: what stays serves everything, and who has gone gets nothing. */
+    /**
+     * Half of sixty workers are removed at once: the remaining ones serve all queries, and the
+     * removed ones get none.
+     */
     @Test
-    void halfOfAListGoneAtOnceCostsNothing() throws Exception {
+    void servesFromRemainingWorkersWhenHalfAreRemoved() throws Exception {
         String stays = worker("stays", SERVE);
         String goes = worker("goes", SERVE);
         List<String> all = new ArrayList<>();
@@ -202,15 +213,15 @@
         for (int i = 0; i < 40; i++) {
             assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
         }
-        assertEquals(before, jobs("goes"), "none of them has gone to who is told as gone");
+        assertEquals(before, jobs("goes"), "no job was sent to a removed worker");
     }
 
     /**
-     * Guards against a watch that a byte now and then keeps from being silent, while its list never
-     * comes.
+     * Guards against a watch that never counts as silent because a byte arrives now and then, while
+     * its list never becomes complete.
      */
     @Test
-    void aListThatTricklesIsGivenUpAndAskedForAnew() throws Exception {
+    void abandonsAndRetriesAListThatArrivesTooSlowly() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String news = list(9, true, b);
@@ -226,23 +237,27 @@
                             }
                             for (int i = 0;
                                     i < news.length();
-                                    i++) { // as one who would need minutes
+                                    i++) { // at this rate the list would take minutes
                                 peer.send("1\r\n" + news.charAt(i) + "\r\n");
                                 Thread.sleep(300);
                             }
                         });
         servers.add(discovery);
         start(a);
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status(), "nobody waits for it");
+        assertEquals(
+                200, ask(query("q1", "submit", "2000m")).status(), "no query waits for the list");
         program.awaitWord("it trickles");
-        Program.await("the next call brings the news", () -> served("b"));
+        Program.await("the list of the next call takes effect", () -> served("b"));
     }
 
-    /** The same list laid out for people, in many parts; a line of it is no list. */
+    /**
+     * The list is indented and arrives in many chunks; a single line of it must not be taken for a
+     * list.
+     */
     @Test
-    void aListOverManyLinesAndReadsCountsAsOne() throws Exception {
+    void acceptsOneListSplitOverManyLinesAndReads() throws Exception {
         String b = worker("b", SERVE);
-        String laidOut =
+        String indented =
                 list(9, true, b).replace(",", ",\n    ").replace("{", "{\n  ").replace("}", "\n}");
         discovery =
                 new Peer.Server(
@@ -251,9 +266,9 @@
                             calls.incrementAndGet();
                             peer.message();
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            for (int at = 0; at < laidOut.length(); at += 9) {
+                            for (int at = 0; at < indented.length(); at += 9) {
                                 String part =
-                                        laidOut.substring(at, Math.min(at + 9, laidOut.length()));
+                                        indented.substring(at, Math.min(at + 9, indented.length()));
                                 peer.send(
                                         Integer.toHexString(part.length())
                                                 + "\r\n"
@@ -268,17 +283,17 @@
                         });
         servers.add(discovery);
         start(worker("a", SERVE));
-        Program.await("the list counts", () -> served("b"));
+        Program.await("the list takes effect", () -> served("b"));
         assertEquals(1, calls.get());
         assertTrue(!program.said().contains("is over"), program.said());
     }
 
     /**
-     * The machine stands still for longer than a watch may be silent; what came meanwhile is read
-     * before it is judged.
+     * The process is stopped for longer than a watch may be silent; what arrived meanwhile is read
+     * before the watch is judged.
      */
     @Test
-    void aWatchIsNotSilentWhoseWordsWaitToBeRead() throws Exception {
+    void keepsWatchWhoseDataIsStillUnreadAfterAStall() throws Exception {
         start(worker("a", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 2; i++) {
@@ -290,20 +305,20 @@
         ask(
                 query(
                         "q0", "submit",
-                        "2000m")); // may have waited for all of the 4 s, for all that is known
+                        "2000m")); // may have waited for up to 4 s while the process was stopped
         assertEquals(200, ask(query("q1", "submit", "2000m")).status());
         Thread.sleep(1_000);
-        assertEquals(1, watches.size(), "it is the same one");
+        assertEquals(1, watches.size(), "the watch is still the same one");
         assertTrue(!program.said().contains("it is silent"), program.said());
     }
 
     /**
-     * A head and nothing behind it, or one list and nothing more: it is opened anew, in time for
-     * what it has missed.
+     * The watch sends only a response head, or one list and nothing more: it is reopened in time
+     * for the update that was missed.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void aWatchThatFallsSilentIsOpenedAnewInTime(boolean afterAList) throws Exception {
+    void reopensASilentWatchInTime(boolean afterAList) throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         List<Long> asked = new CopyOnWriteArrayList<>();
@@ -325,16 +340,18 @@
         servers.add(discovery);
         start(a);
         Program.await("a second watch", () -> asked.size() == 2);
-        assertTrue(asked.get(1) - asked.get(0) < 5_000_000_000L, "with a second to spare of six");
-        Program.await("its list counts", () -> served("b"));
+        assertTrue(
+                asked.get(1) - asked.get(0) < 5_000_000_000L,
+                "reopened within 5 s of the 6 s that are allowed");
+        Program.await("the list of the second watch takes effect", () -> served("b"));
     }
 
     /**
-     * What the agent has counts as told from the first moment: no query may meet the list from
-     * before the start.
+     * The list that the agent has counts as notified from the first moment: no query may be served
+     * from the list of before the start.
      */
     @Test
-    void whereListsArePushedTheFirstOneCountsBeforeTheDoorOpens() throws Exception {
+    void appliesFirstPushedListBeforeListening() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
         String c = worker("c", SERVE);
@@ -357,10 +374,9 @@
         for (int i = 0; i < 5; i++) {
             assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
         }
-        Program.await("changes are pushed as well", () -> served("c"));
+        Program.await("pushed changes take effect as well", () -> served("c"));
         assertEquals(0, jobs("a"));
         int before = calls.get();
-        Program.await(
-                "a watch that has ended is opened anew at once", () -> calls.get() > before + 2);
+        Program.await("a watch that has ended is reopened at once", () -> calls.get() > before + 2);
     }
 }
--- a/src/test/java/damsonslip/platform/FailingAcceptsTest.java
+++ b/src/test/java/damsonslip/platform/FailingAcceptsTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The real program while the system refuses to hand over connections. */
+/** The real program while accept(2) fails. */
 class FailingAcceptsTest extends FaultStage {
     /** A busy loop makes tens of thousands of calls a second. */
-    private static final long MOST_CALLS_A_SECOND = 500;
+    private static final long MAX_CALLS_PER_SECOND = 500;
 
-    /** Each failed accept used to end the connection that was accepted before it. */
+    /** Guards against a failed accept that closes the connection accepted before it. */
     @ParameterizedTest
     @EnumSource(
             value = Errno.class,
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void restsBetweenAcceptsThatFailAndAnswersWhoWaited() throws Exception {
+    void backsOffBetweenFailingAcceptsAndAnswersWaitingClients() throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.ACCEPT, Errno.ENFILE, 1);
         try (Peer waiting = Peer.connect(port).send(query("w", "read", "5000m"))) {
@@ -39,16 +39,18 @@
             long calls = faults.calls(SystemCall.ACCEPT) - before;
             faults.restore(SystemCall.ACCEPT);
             assertEquals(200, waiting.message().status());
-            assertTrue(calls < MOST_CALLS_A_SECOND, calls + " accepts in a second");
+            assertTrue(calls < MAX_CALLS_PER_SECOND, calls + " accepts in a second");
         }
     }
 
-    /** A stop takes in who is before the door, also while accepts fail. */
+    /**
+     * A shutdown accepts the connections that wait in the accept queue, also while accepts fail.
+     */
     @Test
-    void stopsWithoutLosingWhoWaitsBehindAFailingAccept() throws Exception {
+    void answersWaitingClientsWhenStoppedWhileAcceptsFail() throws Exception {
         startWithFaults(worker("a", SERVE));
         program.terminate();
-        Thread.sleep(2_000); // the door is shut 2.4 s after the signal
+        Thread.sleep(2_000); // the listening socket is closed 2.4 s after the signal
         faults.fail(SystemCall.ACCEPT, Errno.ENOBUFS, 1);
         List<Peer> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -57,7 +59,7 @@
         Thread.sleep(600);
         faults.restore(SystemCall.ACCEPT);
         for (Peer client : waiting) {
-            assertTrue(client.message().status() > 0, "an answer, be it a refusal");
+            assertTrue(client.message().status() > 0, "an answer, possibly a rejection");
         }
         assertEquals(143, program.exit());
     }
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.BeforeEach;
 
 /**
- * The real program with the fault library, by which the system refuses, interrupts or holds up its
- * calls.
+ * Runs the real program with the preloaded fault library, which makes system calls fail, be
+ * interrupted or take long.
  */
 abstract class FaultStage extends PlatformStage {
     static final int CLIENTS = 60;
@@ -43,10 +43,10 @@
         configuration = config(list(7, true, entries));
         program =
                 new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
-        Program.await("the console tells of a list", () -> countsAny("list_updates"), program);
+        Program.await("the console counts a list update", () -> countsAny("list_updates"), program);
     }
 
-    /** The status that a new connection's only request gets, or what went wrong. */
+    /** The status of the only request on a new connection, or the error. */
     private String outcome(String id) {
         try {
             return Integer.toString(ask(query(id, "read", "4000m")).status());
--- a/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
+++ b/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
@@ -9,34 +9,40 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests of which a part was read when their connection has to make way. */
+/**
+ * Requests that were read in part when their connection is a candidate for eviction, because
+ * connections run short.
+ */
 class HalfReadRequestsTest extends PlatformStage {
     private static final int SOCKETS = 128;
-    private static final int CROWD = 80;
+    private static final int CONNECTIONS = 80;
 
-    /** A client that writes slowly, and a crowd that says nothing and fills the room. */
+    /**
+     * A client writes its request slowly, and a burst of idle connections uses up the available
+     * ones.
+     */
     @Test
-    void requestThatHasPartlyComeIsAnsweredWhereItsConnectionMakesWay() throws Exception {
+    void evictsIdleConnectionsBeforePartialRequests() throws Exception {
         startWithFewDescriptors();
-        String whole = query("q1", "read", "4000m");
-        Peer slow = Peer.connect(port).send(whole.substring(0, whole.length() / 2));
+        String request = query("q1", "read", "4000m");
+        Peer slow = Peer.connect(port).send(request.substring(0, request.length() / 2));
         Thread.sleep(100);
-        List<Peer> crowd = new ArrayList<>();
-        for (int i = 0; i < CROWD; i++) {
-            crowd.add(Peer.connect(port));
+        List<Peer> idleConnections = new ArrayList<>();
+        for (int i = 0; i < CONNECTIONS; i++) {
+            idleConnections.add(Peer.connect(port));
             awaitOpened(2 + i);
         }
         Thread.sleep(100);
-        slow.send(whole.substring(whole.length() / 2));
-        assertEquals(200, slow.message().status(), "those that have said nothing go first");
+        slow.send(request.substring(request.length() / 2));
+        assertEquals(200, slow.message().status(), "idle connections are evicted first");
     }
 
-    /** All have begun, and some have to go. */
+    /** All connections have sent part of a request, and some have to be closed. */
     @Test
-    void requestsThatHavePartlyComeAreRefusedWhereAllOthersAreNeeded() throws Exception {
+    void rejectsPartialRequestsThatAreEvicted() throws Exception {
         startWithFewDescriptors();
         List<Peer> slow = new ArrayList<>();
-        for (int i = 0; i < CROWD; i++) {
+        for (int i = 0; i < CONNECTIONS; i++) {
             slow.add(Peer.connect(port).send("POST /api HTTP/1.1\r\n"));
             awaitOpened(1 + i);
         }
@@ -45,7 +51,7 @@
             outcomes.add(outcome(peer));
         }
         outcomes.removeIf(status -> status.equals("503") || status.equals("408"));
-        assertEquals(List.of(), outcomes, "closed without a word");
+        assertEquals(List.of(), outcomes, "closed without an answer");
     }
 
     private void startWithFewDescriptors() throws IOException {
@@ -55,11 +61,14 @@
     }
 
     /**
-     * One by one: of many that come in the same moment, those that there is no room for are shut
-     * unread.
+     * Waits for each connection in turn: of many that arrive at once, those beyond the limit are
+     * closed unread.
      */
     private void awaitOpened(int count) {
-        Program.await(count + " are taken in", () -> counts("client_links_opened", count), program);
+        Program.await(
+                count + " connections are accepted",
+                () -> counts("client_links_opened", count),
+                program);
     }
 
     private static String outcome(Peer peer) {
