--- a/src/test/java/damsonslip/platform/HeldUpCallsTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpCallsTest.java
@@ -19,82 +19,83 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The real program while the system interrupts its calls or holds them up. */
+/** The real program while system calls are interrupted, fail or take long. */
 class HeldUpCallsTest extends FaultStage {
     /**
-     * Of the 0.15 s that are allowed, most is for a hold-up between the look at the clock and the
-     * write.
+     * Of the 0.15 s that are allowed, most is for a delay between reading the clock and the write.
      */
     private static final long SLACK_MS = 50;
 
     private static final long TIME_LEFT_MS = 4_000;
 
     /**
-     * By how much a worker was told more than its client had left when the request came there, in
-     * milliseconds.
+     * Returns by how many milliseconds the time left that a worker was told exceeds what its client
+     * had left when the request arrived there.
      */
-    private long toldTooMuch(SystemCall held, int holdMs) throws Exception {
+    private long excessMs(SystemCall delayedCall, int delayMs) throws Exception {
         Map<String, Long> sentNs = new ConcurrentHashMap<>();
-        List<Long> tooMuch = new CopyOnWriteArrayList<>();
+        List<Long> excess = new CopyOnWriteArrayList<>();
         startWithFaults(
                 worker(
                         "a",
                         (peer, job) -> {
                             Long sent = sentNs.get(String.valueOf(job.field("X-Correlation-Id")));
                             if (sent != null) {
-                                tooMuch.add(
+                                excess.add(
                                         millis(job)
                                                 - (TIME_LEFT_MS
                                                         - (System.nanoTime() - sent) / 1_000_000));
                             }
                             SERVE.on(peer, job);
                         }));
-        warm();
+        warmUp();
         Peer kept = Peer.connect(port).send(query("kept", "read", TIME_LEFT_MS + "m"));
         assertEquals(200, kept.message().status());
-        faults.hold(held, holdMs);
+        faults.hold(delayedCall, delayMs);
         Thread.sleep(
-                held == SystemCall.EPOLL_WAIT ? 2L * holdMs : 0); // until a wait is being held up
+                delayedCall == SystemCall.EPOLL_WAIT
+                        ? 2L * delayMs
+                        : 0); // until a wait is being delayed
         sentNs.put("new", System.nanoTime());
         Peer.connect(port).send(query("new", "read", TIME_LEFT_MS + "m"));
         sentNs.put("again", System.nanoTime());
         kept.send(query("again", "read", TIME_LEFT_MS + "m"));
-        Thread.sleep(holdMs / 2);
-        faults.restore(held);
-        Program.await("all were sent on", () -> tooMuch.size() == sentNs.size());
-        return tooMuch.stream().mapToLong(Long::longValue).max().orElseThrow();
+        Thread.sleep(delayMs / 2);
+        faults.restore(delayedCall);
+        Program.await("all were forwarded", () -> excess.size() == sentNs.size());
+        return excess.stream().mapToLong(Long::longValue).max().orElseThrow();
     }
 
-    /** A cold program's own slowness is another matter. */
-    private void warm() throws IOException {
+    /** Warms up the program, so that its initial slowness is not measured. */
+    private void warmUp() throws IOException {
         for (int i = 0; i < 20; i++) {
             assertEquals(200, ask(query("warm" + i, "read", TIME_LEFT_MS + "m")).status());
         }
     }
 
     private static long millis(Message job) {
-        String told = job.field("X-Time-Left");
-        long figure = Long.parseLong(told.substring(0, told.length() - 1));
-        return told.endsWith("u") ? figure / 1_000 : figure;
+        String timeLeft = job.field("X-Time-Left");
+        long figure = Long.parseLong(timeLeft.substring(0, timeLeft.length() - 1));
+        return timeLeft.endsWith("u") ? figure / 1_000 : figure;
     }
 
     @ParameterizedTest
     @EnumSource(
             value = SystemCall.class,
             names = {"ACCEPT", "SOCKET_READ", "EPOLL_WAIT"})
-    void tellsNoMoreTimeThanIsLeftWhereACallIsHeldUp(SystemCall held) throws Exception {
-        long tooMuch = toldTooMuch(held, 600);
-        assertTrue(tooMuch <= SLACK_MS, tooMuch + " ms too much");
+    void reportsNoMoreTimeThanIsLeftWhenACallIsDelayed(SystemCall delayedCall) throws Exception {
+        long excess = excessMs(delayedCall, 600);
+        assertTrue(excess <= SLACK_MS, excess + " ms too much");
     }
 
     /**
-     * Where nothing is held up hardly anything is taken: a first connection after a rest, and a
-     * kept one.
+     * Without delays hardly anything is deducted: on a first connection after an idle period, and
+     * on a kept one.
      */
     @Test
-    void tellsNearlyAllThatIsLeftInQuietTimes() throws Exception {
+    void reportsNearlyAllTimeLeftWithoutDelays() throws Exception {
         startWithFaults(worker("a", SERVE));
-        warm();
+        warmUp();
         got.get("a").clear();
         Thread.sleep(1_500);
         try (Peer client = Peer.connect(port)) {
@@ -106,20 +107,22 @@
             }
         }
         long least = got.get("a").stream().mapToLong(HeldUpCallsTest::millis).min().orElseThrow();
-        assertTrue(least >= TIME_LEFT_MS - 100, "told " + least + " ms of " + TIME_LEFT_MS);
+        assertTrue(least >= TIME_LEFT_MS - 100, "reported " + least + " ms of " + TIME_LEFT_MS);
     }
 
     @Test
-    void goesOnWhereReadsAreInterrupted() throws Exception {
+    void continuesWhenReadsAreInterrupted() throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.SOCKET_READ, Errno.EINTR, 3);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(SystemCall.SOCKET_READ);
-        assertFalse(countsAny("executions_reset"), "no answer of a worker was taken for its end");
+        assertFalse(
+                countsAny("executions_reset"),
+                "no interrupted read was taken for a reset by the worker");
     }
 
     @Test
-    void goesOnWhereWritesAreInterruptedOrShort() throws Exception {
+    void continuesWhenWritesAreInterruptedOrShort() throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.SOCKET_WRITE, Errno.EINTR, 3);
         faults.shorten(SystemCall.SOCKET_WRITE, 40);
@@ -127,7 +130,7 @@
     }
 
     /**
-     * Where the kernel is out of memory a transfer fails and the connection stands (recv(2),
+     * When the kernel is out of memory a transfer fails but the connection remains usable (recv(2),
      * send(2)).
      */
     @ParameterizedTest
@@ -137,25 +140,24 @@
         "SOCKET_WRITE,ENOMEM",
         "SOCKET_WRITE,ENOBUFS"
     })
-    void losesNothingWhereTransfersFailForLackOfMemory(SystemCall call, Errno error)
-            throws Exception {
+    void answersAllWhenTransfersFailForLackOfMemory(SystemCall call, Errno error) throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(call, error, 4);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(call);
-        assertFalse(countsAny("executions_reset"), "no connection to a worker was given up");
-        assertFalse(countsAny("queries_gone"), "no client was taken to have left");
+        assertFalse(countsAny("executions_reset"), "no connection to a worker was abandoned");
+        assertFalse(countsAny("queries_gone"), "no client was taken for disconnected");
     }
 
     /**
-     * Where the kernel has no memory to watch a socket, the socket is well and says nothing
-     * (epoll_ctl(2)).
+     * When the kernel has no memory to watch a socket, the socket remains usable but signals no
+     * events (epoll_ctl(2)).
      */
     @ParameterizedTest
     @EnumSource(
             value = Errno.class,
             names = {"ENOMEM", "ENOSPC"})
-    void losesNothingWhereSocketsCannotBeWatched(Errno error) throws Exception {
+    void answersAllWhenSocketsCannotBeWatched(Errno error) throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.EPOLL_CTL, error, 2);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
--- a/src/test/java/damsonslip/platform/HeldUpStartTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpStartTest.java
@@ -13,62 +13,61 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** A start on a machine where a hundred others start at once. */
+/** A start that is slow because a hundred other processes start on the same machine. */
 class HeldUpStartTest extends PlatformStage {
-    /**
-     * Longer than a restart may usually take, and a third of the 30 s that the pages leave any
-     * start.
-     */
-    private static final long HELD_UP_MS = 10_500;
+    /** Longer than a restart may usually take, and a third of the 30 s that any start may take. */
+    private static final long STALL_MS = 10_500;
 
     private static final long LATE_CONFIGURATION_MS = 3_000;
 
-    /** The list that a start begins with ends before that. */
+    /** The list that a start begins with expires before that. */
     private static final long TOO_LATE_CONFIGURATION_MS = 5_000;
 
     private static final long FIRST_ANSWER_MS = 700;
 
     /**
-     * The process before ended 1.7 s before the program began; a change counts 6 s later, then the
-     * grace and slack.
+     * The previous process is taken to have ended 1.7 s before this one began; a change takes
+     * effect 6 s later, and the drain grace and slack are added.
      */
     private static final long COUNTS_AND_GRACE_MS = 4_850;
 
-    /** Guards against a start that ends the program, though it would be ready the next moment. */
+    /**
+     * Guards against a start that exits on a time-out although it would be ready the next moment.
+     */
     @Test
-    void aStartThatTheMachineHoldsUpIsNotGivenUp() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
+    void doesNotAbandonAStalledStart() throws Exception {
+        CountDownLatch polled = new CountDownLatch(1);
         discovery =
                 new Peer.Server(
                         0,
                         peer -> {
                             peer.message();
-                            asked.countDown();
+                            polled.countDown();
                             Thread.sleep(30_000);
                         });
         servers.add(discovery);
         Path file = config(list(7, true, worker("a", SERVE)));
         Files.writeString(file, Files.readString(file).replace("on_request", "pushed"));
         program = new Program(file, "serve");
-        assertTrue(asked.await(10, TimeUnit.SECONDS), "it waits for the first list");
+        assertTrue(polled.await(10, TimeUnit.SECONDS), "it waits for the first list");
         program.signal("STOP");
-        Thread.sleep(HELD_UP_MS);
+        Thread.sleep(STALL_MS);
         program.signal("CONT");
         program.awaitWord("listens on");
         assertEquals(200, ask(query("q1", "submit", "2000m")).status());
     }
 
     /**
-     * The list that a start begins with is as old as the end of the process before, however long
-     * the start takes.
+     * The age of the list that a start begins with counts from the end of the previous process,
+     * however long the start takes.
      */
     @Test
-    void countsItsOwnStartAmongTheAgeOfTheListThatItBeginsWith() throws Exception {
+    void includesStartTimeInAgeOfInitialList() throws Exception {
         discovery = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(discovery);
         long begunNs = startWithLateConfiguration(LATE_CONFIGURATION_MS);
         long leftMs = COUNTS_AND_GRACE_MS - (System.nanoTime() - begunNs) / 1_000_000;
-        Thread.sleep(Math.max(0, leftMs)); // what listens later has to refuse as well
+        Thread.sleep(Math.max(0, leftMs)); // a program that listens later must reject as well
         for (int i = 0; i < 20; i++) {
             assertEquals(503, ask(query("late" + i, "read", "1000m")).status());
             Thread.sleep(100);
@@ -77,11 +76,11 @@
     }
 
     /**
-     * The list it begins with has ended by then, and discovery's is on its way: who comes meanwhile
-     * waits for that.
+     * The initial list has expired and the one from discovery is on its way: queries that arrive
+     * meanwhile wait for it.
      */
     @Test
-    void holdsWhatComesUntilItsFirstCallHasEndedThoughItsListIsTooOld() throws Exception {
+    void holdsQueriesUntilFirstDiscoveryCallWhenInitialListHasExpired() throws Exception {
         discovery =
                 new Peer.Server(
                         0,
@@ -97,7 +96,10 @@
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
     }
 
-    /** Its configuration comes so late; gives when the program had begun at the latest. */
+    /**
+     * Starts the program with a configuration that arrives late; returns the latest time at which
+     * the program can have begun.
+     */
     private long startWithLateConfiguration(long lateMs) throws Exception {
         String text = Files.readString(config(list(7, true, worker("a", SERVE))));
         Path pipe = dir.resolve("pipe"); // its reader waits for a writer
--- a/src/test/java/damsonslip/platform/LateDialsTest.java
+++ b/src/test/java/damsonslip/platform/LateDialsTest.java
@@ -17,15 +17,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Connections that come up a second after they were dialled: what was decided then may hold no
- * longer.
+ * Connections that open a second after they were requested: the decision behind the request may no
+ * longer hold by then.
  */
 class LateDialsTest extends PlatformStage {
     private static final long WELL_AFTER_MS = 1_800;
 
-    private final List<Message> late = new CopyOnWriteArrayList<>();
+    private final List<Message> received = new CopyOnWriteArrayList<>();
 
-    private Path patient(String known) throws IOException {
+    private Path configWithLongDialTimeout(String known) throws IOException {
         Path file = config(known);
         return Files.writeString(
                 file,
@@ -41,15 +41,15 @@
                 peer -> {
                     while (true) {
                         Message job = peer.message();
-                        late.add(job);
+                        received.add(job);
                         SERVE.on(peer, job);
                     }
                 });
     }
 
-    /** Without cancelling nothing else keeps it back. */
+    /** Attempts cannot be cancelled here, so nothing else would keep the query back. */
     @Test
-    void aQueryWhoseClientLeavesDuringTheDialIsNotSent() throws Exception {
+    void doesNotSendQueryWhoseClientDisconnectsWhileConnecting() throws Exception {
         try (LateServer worker = new LateServer()) {
             startCounting(
                     file ->
@@ -57,35 +57,39 @@
                                     .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
             Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
-            Program.await("it is dialled for", () -> counts("executions_sent", 1));
+            Program.await(
+                    "a connection is being opened for it", () -> counts("executions_sent", 1));
             client.close();
-            Program.await("it has gone", () -> counts("queries_gone", 1));
+            Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
             serve(worker);
-            Program.await("the dial comes up", () -> worker.connections() == 1);
+            Program.await("the connection is established", () -> worker.connections() == 1);
             Thread.sleep(200);
-            assertEquals(List.of(), late);
+            assertEquals(List.of(), received);
             assertEquals(
-                    "r-q2", ask(query("q2", "submit", "2000m")).body(), "what came up is of use");
+                    "r-q2",
+                    ask(query("q2", "submit", "2000m")).body(),
+                    "the connection is used for another query");
         }
     }
 
     /**
-     * The first one may have run; a second one that comes after the window would not be known for a
-     * repeat.
+     * The first attempt may have run. A second one that arrives after the deduplication window
+     * would not be recognised as a repeat.
      */
     @Test
-    void aRepeatWhoseWindowHasPassedDuringTheDialIsNotSent() throws Exception {
+    void doesNotRetryOnceDeduplicationWindowPassesWhileConnecting() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         try (LateServer worker = new LateServer()) {
             worker.open(
                     1,
                     peer -> {
-                        late.add(peer.message());
+                        received.add(peer.message());
                         worker.hold();
                         held.countDown();
                         peer.close();
                     });
-            Path file = patient(list(7, true, entry("a", worker.port(), "ready")));
+            Path file =
+                    configWithLongDialTimeout(list(7, true, entry("a", worker.port(), "ready")));
             replace(
                     file,
                     "\"semantics\":\"once\"",
@@ -93,33 +97,35 @@
             program = new Program(file, "serve").awaitWord("listens on");
             try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
                 assertTrue(held.await(5, TimeUnit.SECONDS));
-                Thread.sleep(700); // it is dialled anew within 0.4 s
+                Thread.sleep(700); // a new connection is requested within 0.4 s
                 serve(worker);
                 assertTrue(client.message().status() >= 500);
             }
-            Program.await("the second dial comes up", () -> worker.connections() == 2);
+            Program.await("the second connection is established", () -> worker.connections() == 2);
             Thread.sleep(200);
-            assertEquals(1, late.size(), "it was sent once");
+            assertEquals(1, received.size(), "the query was sent once");
         }
     }
 
     /**
-     * The old watch ends, discovery moves, and the module asks for a watch while the new one is
-     * being dialled.
+     * The old watch ends, discovery moves, and the module requests a watch while the new one is
+     * being opened.
      */
     @Test
-    void aWatchThatIsBeingDialledIsNotDialledAgain() throws Exception {
+    void opensOnlyOneConnectionForANewWatch() throws Exception {
         List<String> asked = new CopyOnWriteArrayList<>();
         try (LateServer next = new LateServer()) {
             program =
-                    new Program(patient(list(7, true, worker("a", SERVE))), "serve")
+                    new Program(
+                                    configWithLongDialTimeout(list(7, true, worker("a", SERVE))),
+                                    "serve")
                             .awaitWord("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             discovery.close();
             program.awaitWord("the watch on discovery is over");
-            program.reload(moved(next.port()));
+            program.reload(configWithDiscoveryAt(next.port()));
             program.awaitWord("reload: discovery is at");
-            Thread.sleep(800); // the module asks within 0.6 s
+            Thread.sleep(800); // the module requests a watch within 0.6 s
             next.open(
                     peer -> {
                         asked.add(peer.message().first());
@@ -133,29 +139,31 @@
         }
     }
 
-    private String moved(int to) throws IOException {
-        return Files.readString(patient(list(7, true)))
+    private String configWithDiscoveryAt(int to) throws IOException {
+        return Files.readString(configWithLongDialTimeout(list(7, true)))
                 .replace(
                         "\"discovery\":\"127.0.0.1:" + discovery.port() + "\"",
                         "\"discovery\":\"127.0.0.1:" + to + "\"");
     }
 
     /**
-     * The old one's count says nothing of the new one's, also where it goes on while the new one is
-     * being dialled.
+     * The generation of the old address does not apply to the new one, also when the old watch
+     * continues while the new one is being opened.
      */
     @Test
-    void aListFromTheOldAddressDoesNotCountForWhatTheNewOneIsAsked() throws Exception {
+    void asksNewDiscoveryFromGenerationZeroAfterUpdateFromOldOne() throws Exception {
         List<String> asked = new CopyOnWriteArrayList<>();
         try (LateServer next = new LateServer()) {
             program =
-                    new Program(patient(list(7, true, worker("a", SERVE))), "serve")
+                    new Program(
+                                    configWithLongDialTimeout(list(7, true, worker("a", SERVE))),
+                                    "serve")
                             .awaitWord("listens on");
             Program.await("a watch", () -> watches.size() == 1);
-            program.reload(moved(next.port()));
+            program.reload(configWithDiscoveryAt(next.port()));
             program.awaitWord("reload: discovery is at");
             news.add(list(50, false, worker("c", SERVE)));
-            Program.await("the old one still counts", () -> served("c"));
+            Program.await("an update from the old address still takes effect", () -> served("c"));
             next.open(
                     peer -> {
                         asked.add(peer.message().first());
@@ -165,7 +173,7 @@
                     });
             Program.await("the new watch", () -> asked.size() == 1);
             assertTrue(asked.get(0).contains("after=0 "), asked.get(0));
-            Program.await("its list counts", () -> served("b"));
+            Program.await("the list of the new watch takes effect", () -> served("b"));
         }
     }
 
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -13,18 +13,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 
-/** The stage under a steady load, where it counts when a worker got its last job. */
+/** Runs the scheduler under a steady load and records when each worker got its last job. */
 abstract class LoadedStage extends PlatformStage {
-    /** Sends end so long after the news: the settings' grace, and what the rules on sockets add. */
+    /**
+     * Jobs stop so long after the notification: the drain grace of the settings and the allowance
+     * of the rules on sockets.
+     */
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(550);
 
-    private static final int LOOK_ON_MS = 500;
+    private static final int OBSERVE_MS = 500;
 
     final AtomicBoolean over = new AtomicBoolean();
     final AtomicInteger ids = new AtomicInteger();
     final AtomicInteger calls = new AtomicInteger();
 
-    /** When each worker got its last job. */
+    /** The time at which each worker got its last job. */
     final Map<String, Long> last = new ConcurrentHashMap<>();
 
     @AfterEach
@@ -45,7 +48,7 @@
         return entry.replace("ready", "draining");
     }
 
-    /** Four clients that ask all the time. */
+    /** Starts four clients that send queries continuously. */
     void startLoad() {
         for (int i = 0; i < 4; i++) {
             Thread thread =
@@ -70,7 +73,7 @@
         }
     }
 
-    /** A configuration whose dials may come up late. */
+    /** A configuration that allows connections to open late. */
     Path configWithLongDialTimeout(String known) throws IOException {
         Path file = config(known);
         return Files.writeString(
@@ -84,27 +87,28 @@
                         .awaitWord("listens on");
         Program.await("a watch", () -> watches.size() == 1);
         startLoad();
-        Program.await("all are used", () -> last.size() == entries.length);
+        Program.await("all workers are used", () -> last.size() == entries.length);
     }
 
     /**
-     * None of them gets anything once the grace has passed since the news, though the load goes on
-     * for a while.
+     * Asserts that these workers get no job later than the grace after the notification, while the
+     * load continues for a while.
      */
-    void assertNoLongerUsed(long toldNs, String... workers) throws InterruptedException {
-        long until = toldNs + GRACE_NS;
+    void assertNoLongerUsed(long notifiedNs, String... workers) throws InterruptedException {
+        long until = notifiedNs + GRACE_NS;
         Thread.sleep(
-                Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + LOOK_ON_MS);
+                Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + OBSERVE_MS);
         for (String worker : workers) {
-            long ms = TimeUnit.NANOSECONDS.toMillis(last.get(worker) - toldNs);
+            long ms = TimeUnit.NANOSECONDS.toMillis(last.get(worker) - notifiedNs);
             assertTrue(
-                    last.get(worker) < until, worker + " got a job " + ms + " ms after the news");
+                    last.get(worker) < until,
+                    worker + " got a job " + ms + " ms after the notification");
         }
     }
 
-    /** It is in use now, not only before. */
+    /** Waits until the worker gets another job from now on. */
     void assertUsed(String worker) {
         long now = System.nanoTime();
-        Program.await(worker + " is used", () -> last.get(worker) > now);
+        Program.await(worker + " is still used", () -> last.get(worker) > now);
     }
 }
--- a/src/test/java/damsonslip/platform/LocalFailuresTest.java
+++ b/src/test/java/damsonslip/platform/LocalFailuresTest.java
@@ -16,22 +16,28 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** The real program where its own machine has no descriptors or sockets left for a while. */
+/** The real program while its own machine is out of descriptors or sockets. */
 class LocalFailuresTest extends FaultStage {
     /**
-     * A change counts as told 6 s after discovery had it and could be reached (STANDING); the grace
-     * and slack on top.
+     * A change takes effect 6 s after discovery had it and could be reached (STANDING); the drain
+     * grace and slack are added.
      */
-    private static final long TOLD_AND_GRACE_MS = 7_000;
+    private static final long CHANGE_AND_GRACE_MS = 7_000;
 
     private static final long UNWATCHED_MS = 4_000;
 
-    /** What a moved discovery has to tell counts 4 s after SIGHUP; the grace and slack on top. */
+    /**
+     * The list of a moved discovery takes effect 4 s after SIGHUP; the drain grace and slack are
+     * added.
+     */
     private static final long MOVED_AND_GRACE_MS = 4_600;
 
-    /** SIGHUP is not sent again because the file could not be opened in that moment. */
+    /**
+     * Guards against a reload that is lost because the file could not be opened at that moment:
+     * SIGHUP is not sent again.
+     */
     @Test
-    void followsDiscoveryThoughTheConfigurationCannotBeReadAtOnce() throws Exception {
+    void followsMovedDiscoveryOnceConfigurationCanBeRead() throws Exception {
         List<String> newWatches = new CopyOnWriteArrayList<>();
         Peer.Server moved = discovery(new CopyOnWriteArrayList<>(), newWatches);
         startWithFaults(worker("a", SERVE));
@@ -42,30 +48,30 @@
         program.reload(text);
         Thread.sleep(500);
         faults.restore(SystemCall.FILE_READ_OPEN);
-        Program.await("it watches discovery where that is now", () -> !newWatches.isEmpty());
+        Program.await("discovery is watched at its new address", () -> !newWatches.isEmpty());
     }
 
     /**
-     * That no socket can be had here says nothing of discovery, which may have told of a drain
-     * meanwhile.
+     * A failure to open a socket locally says nothing about discovery, which may have announced a
+     * drain meanwhile.
      */
     @Test
-    void sendsNothingOnAnOldListWhereItsOwnSocketsFail() throws Exception {
+    void rejectsQueriesOnOldListWhileLocalSocketsFail() throws Exception {
         startWithFaults(worker("a", SERVE));
         assertEquals(200, ask(query("q1", "read", "4000m")).status());
         faults.fail(SystemCall.SOCKET, Errno.ENFILE, 1);
-        discovery.endConnections(); // the watch ends, and a new one cannot be opened here, though
-        // discovery is well
-        askFor(System.nanoTime(), TOLD_AND_GRACE_MS);
-        assertNothingIsSent();
+        discovery.endConnections(); // the watch ends, and a new one cannot be opened, though
+        // discovery works
+        sendQueriesFor(System.nanoTime(), CHANGE_AND_GRACE_MS);
+        assertQueriesAreRejected();
     }
 
     /**
-     * A dial that comes up, and of which nothing is heard because the system does not watch it,
-     * says the same.
+     * The same holds for a connection that opens, but signals no events because the system does not
+     * watch it.
      */
     @Test
-    void sendsNothingOnAnOldListWhereItsDialsAreNotWatched() throws Exception {
+    void rejectsQueriesOnOldListWhenNewConnectionsAreNotWatched() throws Exception {
         AtomicBoolean busy = new AtomicBoolean();
         discovery = discoveryFailingWhile(busy::get);
         startWithFaults(worker("a", SERVE));
@@ -76,16 +82,16 @@
         discovery.endConnections();
         Thread.sleep(UNWATCHED_MS);
         faults.restore(SystemCall.EPOLL_CTL);
-        Thread.sleep(TOLD_AND_GRACE_MS - (System.nanoTime() - lostNs) / 1_000_000);
-        assertNothingIsSent();
+        Thread.sleep(CHANGE_AND_GRACE_MS - (System.nanoTime() - lostNs) / 1_000_000);
+        assertQueriesAreRejected();
     }
 
     /**
-     * What the new discovery has to tell counts from the signal, however late the file that names
-     * it could be read.
+     * The list of the new discovery takes effect a fixed time after the signal, however late the
+     * file that names it could be read.
      */
     @Test
-    void countsAMoveFromTheSignalThoughTheConfigurationIsReadLate() throws Exception {
+    void timesDiscoveryMoveFromSignalWhenConfigurationIsReadLate() throws Exception {
         Peer.Server busy = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(busy);
         startWithFaults(worker("a", SERVE));
@@ -95,27 +101,27 @@
         faults.fail(SystemCall.FILE_READ_OPEN, Errno.EIO, 1);
         long signalNs = System.nanoTime();
         program.reload(text);
-        askFor(signalNs, 2_500);
+        sendQueriesFor(signalNs, 2_500);
         faults.restore(SystemCall.FILE_READ_OPEN);
         program.awaitWord("reload: discovery is at 127.0.0.1:" + busy.port());
-        askFor(signalNs, MOVED_AND_GRACE_MS);
-        assertNothingIsSent();
+        sendQueriesFor(signalNs, MOVED_AND_GRACE_MS);
+        assertQueriesAreRejected();
     }
 
     /**
-     * Where the file cannot be read at all, discovery may have moved; once it can, and has not,
-     * service goes on.
+     * While the file cannot be read, discovery may have moved; once it can be read and discovery
+     * has not moved, service resumes.
      */
     @Test
-    void sendsNothingWhileItCannotReadWhereDiscoveryIs() throws Exception {
+    void rejectsQueriesWhileConfigurationCannotBeReadAfterReload() throws Exception {
         startWithFaults(worker("a", SERVE));
         faults.fail(SystemCall.FILE_READ_OPEN, Errno.EIO, 1);
         long signalNs = System.nanoTime();
         program.signal("HUP");
-        askFor(signalNs, MOVED_AND_GRACE_MS);
-        assertNothingIsSent();
+        sendQueriesFor(signalNs, MOVED_AND_GRACE_MS);
+        assertQueriesAreRejected();
         faults.restore(SystemCall.FILE_READ_OPEN);
-        Program.await("it serves again", this::isServed);
+        Program.await("service resumes", this::isServed);
     }
 
     private boolean isServed() {
@@ -126,17 +132,20 @@
         }
     }
 
-    /** Asks now and then, so that its connection to the worker is kept; it was used until then. */
-    private void askFor(long fromNs, long ms) throws IOException, InterruptedException {
+    /**
+     * Sends queries at intervals, which keeps the connection to the worker open, and asserts that
+     * the worker was used.
+     */
+    private void sendQueriesFor(long fromNs, long ms) throws IOException, InterruptedException {
         int before = jobs("a");
         while (System.nanoTime() - fromNs < ms * 1_000_000) {
             ask(query("k" + System.nanoTime(), "read", "1000m"));
             Thread.sleep(200);
         }
-        assertTrue(jobs("a") > before, "its worker was used until then");
+        assertTrue(jobs("a") > before, "the worker was used until then");
     }
 
-    private void assertNothingIsSent() throws IOException {
+    private void assertQueriesAreRejected() throws IOException {
         assertEquals(503, ask(query("late", "read", "1000m")).status());
         assertFalse(ids("a").contains("late"));
     }
