--- a/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
+++ b/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
@@ -27,14 +27,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * The file descriptors of the configuration are asked for by more peers than there are descriptors.
- */
+/** More peers connect than the configured limit of file descriptors allows. */
 class CrowdedDescriptorsTest extends PlatformStage {
     private static final int SOCKETS = 128;
 
-    /** The classes come from so many files here where the operators' program has one. */
-    private static final int FURTHER_FILES =
+    /**
+     * Descriptors that these tests need beyond the limit: here the classes are loaded from so many
+     * JAR files, in operation from one.
+     */
+    private static final int EXTRA_DESCRIPTORS =
             (int)
                             Stream.of(
                                             System.getProperty(
@@ -45,33 +46,37 @@
                                     .count()
                     - 1;
 
-    private static final int CROWD = 300;
+    private static final int MAX_IDLE_CONNECTIONS = 300;
     private static final int KNOWN_CLIENTS = 4;
     private static final int PAUSE_MS = 40;
 
-    /** New connections may be shut unread; where nobody makes way, one of twenty is served. */
-    private static final int NEWCOMERS = 4;
+    /**
+     * A new connection may be closed unread, so one of so many must be served; if idle connections
+     * were not evicted, it would be one of twenty.
+     */
+    private static final int SERVED_ONE_OF = 4;
 
-    /** Clients' connections that stay: half of what is left of the descriptors. */
-    private static final int REST = 44;
+    /** Client connections that stay open: half of the remaining descriptors. */
+    private static final int STAYING_CONNECTIONS = 44;
 
-    /** Long enough for the crowd to have filled everything several times over. */
-    private static final int CROWDED_MS = 2_500;
+    /** Long enough for the idle connections to exhaust the descriptors several times over. */
+    private static final int IDLE_LOAD_MS = 2_500;
 
     private static final int DOWN_MS = 1_000;
 
     private final AtomicBoolean over = new AtomicBoolean();
     private final AtomicBoolean down = new AtomicBoolean();
     private final AtomicInteger ids = new AtomicInteger();
-    private final Known keeping = new Known();
-    private final Known returning = new Known();
+    private final KnownClients keepAliveClients = new KnownClients();
+    private final KnownClients reconnectingClients = new KnownClients();
 
     @AfterEach
     void endAll() {
         over.set(true);
     }
 
-    private Path fewDescriptors(String dialTimeout, String... entries) throws IOException {
+    private Path configWithFewDescriptors(String dialTimeout, String... entries)
+            throws IOException {
         Path file = config(list(7, true, entries));
         return Files.writeString(
                 file,
@@ -80,20 +85,19 @@
                         .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":" + dialTimeout));
     }
 
-    private interface Round {
+    private interface Step {
         void run() throws IOException, InterruptedException;
     }
 
-    private void repeat(Round round) {
+    private void repeat(Step step) {
         Thread thread =
                 new Thread(
                         () -> {
                             while (!over.get()) {
                                 try {
-                                    round.run();
+                                    step.run();
                                 } catch (IOException e) {
-                                    // turned away or closed; the next round comes on a new
-                                    // connection
+                                    // rejected or closed; the next step uses a new connection
                                 } catch (InterruptedException e) {
                                     return;
                                 }
@@ -104,30 +108,31 @@
     }
 
     /**
-     * Says nothing, or half a head, on as many connections as there can be; of old ones it lets go.
+     * Opens as many connections as possible that send nothing or half a request head, and closes
+     * the oldest ones.
      */
-    private void crowd() {
-        ArrayDeque<Peer> held = new ArrayDeque<>();
+    private void startIdleConnections() {
+        ArrayDeque<Peer> open = new ArrayDeque<>();
         repeat(
                 () -> {
                     Peer idle = Peer.connect(port);
-                    held.add(idle);
-                    if (held.size() % 2 == 0) {
+                    open.add(idle);
+                    if (open.size() % 2 == 0) {
                         idle.send("POST /api HTTP/1.1\r\nHost: app.svc\r\nX-Corr");
                     }
-                    if (held.size() > CROWD) {
-                        held.poll().close();
+                    if (open.size() > MAX_IDLE_CONNECTIONS) {
+                        open.poll().close();
                     }
                     Thread.sleep(4);
                 });
     }
 
-    /** Clients of one kind: how often they have come, and how often they were served. */
-    private static final class Known {
+    /** Counts how often clients of one kind have sent a query, and how often they were served. */
+    private static final class KnownClients {
         private final AtomicInteger asked = new AtomicInteger();
         private final AtomicInteger served = new AtomicInteger();
 
-        /** Of so many that come at least one is served. */
+        /** Asserts that at least one in {@code of} queries was served. */
         void assertServed(int of, String what) {
             String share = served + " of " + asked;
             assertTrue(
@@ -137,10 +142,10 @@
     }
 
     /**
-     * Comes back again and again, on its connection as long as that stands, or on a new one for
-     * each query.
+     * Sends queries repeatedly, either on one connection for as long as that stays open, or on a
+     * new connection for each query.
      */
-    private void knownClient(Known kind) {
+    private void startKnownClient(KnownClients kind) {
         repeat(
                 () -> {
                     kind.asked.incrementAndGet();
@@ -155,8 +160,8 @@
                                             .message();
                             kind.served.addAndGet(answer.status() == 200 ? 1 : 0);
                             Thread.sleep(PAUSE_MS);
-                            kind.asked.addAndGet(kind == keeping ? 1 : 0);
-                        } while (kind == keeping && !over.get());
+                            kind.asked.addAndGet(kind == keepAliveClients ? 1 : 0);
+                        } while (kind == keepAliveClients && !over.get());
                     } finally {
                         Thread.sleep(PAUSE_MS);
                     }
@@ -164,9 +169,10 @@
     }
 
     /**
-     * A worker that closes each connection behind its answer, so that every query needs a new one.
+     * A worker that closes each connection after its answer, so that every query needs a new
+     * connection.
      */
-    private String closingWorker(String id) throws IOException {
+    private String workerClosingConnections(String id) throws IOException {
         return worker(
                 id,
                 (peer, job) -> {
@@ -175,8 +181,10 @@
                 });
     }
 
-    /** Tells a list while it is not down, and then goes on watching without any news. */
-    private Peer.Server listing(int at, Supplier<String> list) throws IOException {
+    /**
+     * Discovery that sends a list unless it is down, and then keeps the watch open without updates.
+     */
+    private Peer.Server startDiscovery(int at, Supplier<String> list) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         at,
@@ -198,89 +206,93 @@
     }
 
     /**
-     * The system enforces the limit: whoever took another's descriptors would leave it none. Known
-     * clients are counted while discovery is watched; a list that nobody vouches for has an end,
-     * which a slow machine would reach.
+     * The system enforces the descriptor limit: if idle clients took the descriptors of discovery
+     * or of workers, those would have none. Known clients are counted while discovery is being
+     * watched; an unconfirmed list expires, and a slow machine would reach that.
      */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void idleClientsLeaveDiscoveryWorkersAndKnownClientsTheirDescriptors(boolean refuses)
+    void keepsDescriptorsForDiscoveryWorkersAndKnownClients(boolean refusesConnections)
             throws Exception {
-        String a = closingWorker("a");
-        String b = closingWorker("b");
-        AtomicReference<String> told = new AtomicReference<>(list(8, true, a));
-        discovery = listing(0, told::get);
+        String a = workerClosingConnections("a");
+        String b = workerClosingConnections("b");
+        AtomicReference<String> currentList = new AtomicReference<>(list(8, true, a));
+        discovery = startDiscovery(0, currentList::get);
         int at = discovery.port();
         program =
-                Program.withDescriptors(fewDescriptors("0.25", a), SOCKETS + FURTHER_FILES, "serve")
+                Program.withDescriptors(
+                                configWithFewDescriptors("0.25", a),
+                                SOCKETS + EXTRA_DESCRIPTORS,
+                                "serve")
                         .awaitWord("listens on");
-        crowd();
-        crowd();
-        Program.await("the crowd fills what there is", () -> program.sockets() > SOCKETS / 3);
+        startIdleConnections();
+        startIdleConnections();
+        Program.await("idle connections fill the limit", () -> program.sockets() > SOCKETS / 3);
         for (int i = 0; i < KNOWN_CLIENTS; i++) {
-            knownClient(keeping);
-            knownClient(returning);
+            startKnownClient(keepAliveClients);
+            startKnownClient(reconnectingClients);
         }
-        Thread.sleep(CROWDED_MS);
-        keeping.assertServed(2, "on kept connections");
-        returning.assertServed(NEWCOMERS, "on new connections");
+        Thread.sleep(IDLE_LOAD_MS);
+        keepAliveClients.assertServed(2, "on kept connections");
+        reconnectingClients.assertServed(SERVED_ONE_OF, "on new connections");
         down.set(true);
-        if (refuses) {
+        if (refusesConnections) {
             discovery.close();
         } else {
             discovery.endConnections();
         }
         Thread.sleep(DOWN_MS);
-        told.set(list(9, true, b));
+        currentList.set(list(9, true, b));
         down.set(false);
-        if (refuses) {
-            discovery = listing(at, told::get);
+        if (refusesConnections) {
+            discovery = startDiscovery(at, currentList::get);
         }
         Program.await(
-                "discovery is heard, and its worker gets a connection",
+                "the new list takes effect, and its worker gets a connection",
                 () -> jobs("b") > 0,
                 program);
-        int before = returning.served.get();
+        int before = reconnectingClients.served.get();
         Program.await(
-                "known clients are served on",
-                () -> returning.served.get() > before + KNOWN_CLIENTS,
+                "known clients are still served",
+                () -> reconnectingClients.served.get() > before + KNOWN_CLIENTS,
                 program);
         assertFalse(program.said().contains("Too many open files"), program.said());
     }
 
     /**
-     * Clients that were served rest until newer ones take their place; each asks again in just that
-     * time. What it asks is answered, or its connection ends and no worker hears of it: then it may
-     * be sent once more.
+     * Served clients stay idle until newer ones evict them, and each sends another request at just
+     * that time. Either the request is answered, or the connection is closed and no worker gets the
+     * request, so that the client may send it again.
      */
     @Test
-    void aRequestThatCrossesTheEndOfARestingConnectionIsAnsweredOrNeverSentOn() throws Exception {
+    void answersOrNeverForwardsRequestOnAnEvictedConnection() throws Exception {
         program =
-                new Program(fewDescriptors("0.25", worker("a", SERVE)), "serve")
+                new Program(configWithFewDescriptors("0.25", worker("a", SERVE)), "serve")
                         .awaitWord("listens on");
-        List<Peer> resting = new ArrayList<>();
-        int crossed = 0;
+        List<Peer> idleClients = new ArrayList<>();
+        int unanswered = 0;
         for (int i = 0; i < 4 * SOCKETS; i++) {
             Peer client = Peer.connect(port).send(query("first" + i, "read", "2000m"));
-            resting.add(client);
+            idleClients.add(client);
             assertEquals(200, client.message().status());
-            if (i < REST) {
+            if (i < STAYING_CONNECTIONS) {
                 continue;
             }
-            int old = i - REST; // about as many as stay: some of them are being ended now
-            crossed += answered(resting.get(old), "again" + old) ? 0 : 1;
+            int old = i - STAYING_CONNECTIONS; // about as many as stay open: some of them are
+            // being closed now
+            unanswered += answered(idleClients.get(old), "again" + old) ? 0 : 1;
         }
-        assertTrue(crossed > 0, "some were ended");
+        assertTrue(unanswered > 0, "some connections were closed");
     }
 
-    /** Whether a further request is answered; if not, no worker has got it. */
+    /** Returns whether another request is answered; if not, asserts that no worker got it. */
     private boolean answered(Peer client, String id) throws IOException {
         Message answer = null;
         try (client) {
             client.send(query(id, "submit", "2000m"));
             answer = client.message();
         } catch (EOFException | SocketException e) {
-            // its connection was ended; a reset where it was ended for good half a second ago
+            // the connection was closed; a reset if that was more than half a second ago
         }
         long got = got("a").filter(job -> job.field("X-Correlation-Id").equals(id)).count();
         assertEquals(answer == null ? 0 : 1, got, id);
@@ -292,21 +304,23 @@
     }
 
     /**
-     * A dial holds a descriptor as a connection does, also once its job has been moved or has run
-     * out of time.
+     * A connection being opened holds a descriptor as an open one does, also once its job has
+     * migrated or its deadline has passed.
      */
     @Test
-    void connectionsThatNeverComeUpTakeNoMoreThanTheWorkersShare() throws Exception {
-        List<LateServer> late = new ArrayList<>();
+    void limitsDescriptorsOfConnectionsThatNeverOpen() throws Exception {
+        List<LateServer> lateServers = new ArrayList<>();
         try {
             List<String> entries = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                late.add(new LateServer());
-                entries.add(entry("late" + i, late.get(i).port(), "ready"));
+                lateServers.add(new LateServer());
+                entries.add(entry("late" + i, lateServers.get(i).port(), "ready"));
             }
             entries.add(worker("a", SERVE));
             program =
-                    new Program(fewDescriptors("5", entries.toArray(String[]::new)), "serve")
+                    new Program(
+                                    configWithFewDescriptors("5", entries.toArray(String[]::new)),
+                                    "serve")
                             .awaitWord("listens on");
             int clients = 40;
             for (int i = 0; i < clients; i++) {
@@ -333,7 +347,7 @@
             assertEquals(143, program.exit());
             assertTrue(program.said().contains("server_dials_given_up="), program.said());
         } finally {
-            for (LateServer server : late) {
+            for (LateServer server : lateServers) {
                 server.close();
             }
         }
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -301,9 +301,7 @@
                 assertTrue(call("DISABLE a").startsWith("YES"));
                 call("ENABLE b");
                 int bytes = 0;
-                for (int i = 0;
-                        i <= backlog.size();
-                        i++) { // the last connection is the scheduler's
+                for (int i = 0; i <= backlog.size(); i++) { // the last is the scheduler's
                     try (Socket taken = busy.accept()) {
                         taken.setSoTimeout(i < backlog.size() ? 1 : 1_000);
                         bytes += taken.getInputStream().read() >= 0 ? 1 : 0;
--- a/src/test/java/damsonslip/platform/EarlyAnswersTest.java
+++ b/src/test/java/damsonslip/platform/EarlyAnswersTest.java
@@ -19,23 +19,23 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Answers that come while the request that they would belong to is still being written. */
+/** Answers that arrive while their request is still being written. */
 class EarlyAnswersTest extends PlatformStage {
-    /** More than the system holds for a worker that reads nothing. */
+    /** More than the system buffers for a worker that reads nothing. */
     private static final int BODY = 60 * 1024;
 
     /**
-     * The worker says no before it has read, and reads all that comes later: what is sent elsewhere
-     * must not arrive here as well, and the link must not carry another request behind the rest of
-     * this one.
+     * The worker rejects the request before reading it, and reads everything that arrives later. A
+     * request that is retried elsewhere must not arrive here as well, and the connection must not
+     * carry another request behind the rest of this one.
      */
     @ParameterizedTest
     @ValueSource(strings = {"503 No\r\nX-Unprocessed: 1", "500 No"})
-    void aRequestAnsweredBeforeItsLastByteIsNotWrittenToItsEnd(String head) throws Exception {
+    void stopsWritingRequestThatIsAnsweredEarly(String head) throws Exception {
         try (ServerSocket socket = new ServerSocket()) {
             socket.setReceiveBufferSize(4 * 1024);
             socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            CompletableFuture<Integer> taken = new CompletableFuture<>();
+            CompletableFuture<Integer> bytesRead = new CompletableFuture<>();
             CountDownLatch dialled = new CountDownLatch(1);
             CountDownLatch otherListed = new CountDownLatch(1);
             Thread early =
@@ -53,36 +53,38 @@
                                                             .getBytes(StandardCharsets.US_ASCII));
                                     Thread.sleep(
                                             500); // longer than any other request waits for this
-                                    // link
-                                    taken.complete(all(peer.getInputStream()));
+                                    // connection
+                                    bytesRead.complete(countBytes(peer.getInputStream()));
                                 } catch (IOException | InterruptedException e) {
-                                    taken.completeExceptionally(e);
+                                    bytesRead.completeExceptionally(e);
                                 }
                             });
             early.start();
             startCounting(entry("a", socket.getLocalPort(), "ready"));
-            Program.await(
-                    "it hears that nothing has changed", () -> counts("list_updates", 1), program);
+            Program.await("the first update has arrived", () -> counts("list_updates", 1), program);
             String text =
                     query("q1", "submit", "3000m")
                             .replace(
                                     "Content-Length: 4\r\n\r\nbody",
                                     "Content-Length: " + BODY + "\r\n\r\n" + "b".repeat(BODY));
             try (Peer client = Peer.connect(port).send(text)) {
-                assertTrue(dialled.await(10, TimeUnit.SECONDS), "it goes to the only worker");
+                assertTrue(
+                        dialled.await(10, TimeUnit.SECONDS), "the request goes to the only worker");
                 news.add(list(8, false, worker("b", SERVE)));
                 Program.await("another worker is listed", () -> counts("list_updates", 2), program);
                 otherListed.countDown();
                 Message answer = client.message();
-                assertEquals("r-q1", answer.body(), "it provably never ran: " + answer);
+                assertEquals("r-q1", answer.body(), "the request provably never ran: " + answer);
             }
-            assertTrue(taken.get(10, TimeUnit.SECONDS) < BODY, "it never comes whole");
+            assertTrue(
+                    bytesRead.get(10, TimeUnit.SECONDS) < BODY,
+                    "the request never arrives completely");
             assertEquals(1, jobs("b"));
         }
     }
 
-    /** Bytes until the end, in whatever way it ends. */
-    private static int all(InputStream in) {
+    /** Counts the bytes until the connection is closed or reset. */
+    private static int countBytes(InputStream in) {
         byte[] buffer = new byte[8 * 1024];
         int count = 0;
         try {
@@ -90,7 +92,7 @@
                 count += n;
             }
         } catch (IOException e) {
-            return count; // a reset is an end too
+            return count; // reset
         }
         return count;
     }
--- a/src/test/java/damsonslip/platform/FleetConfig.java
+++ b/src/test/java/damsonslip/platform/FleetConfig.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * The configuration of one scheduler of a large fleet: three zones, and two kinds of machine, of
- * which one alone runs the class named {@code special}.
+ * The configuration of one scheduler of a large fleet with three zones and two machine types, only
+ * one of which runs the class {@code special}.
  *
- * @param schedulers how many share the workers
- * @param number which of them this one is
- * @param registryMode how lists come: {@code on_request} or {@code pushed}
- * @param reporting how load reports come: {@code piggyback} or {@code pull}, by probes
- * @param sockets how many descriptors the scheduler may hold
- * @param idleS after so many seconds workers close idle connections
+ * @param schedulers number of schedulers that share the workers
+ * @param number slot of this scheduler among them
+ * @param registryMode how lists are delivered: {@code on_request} or {@code pushed}
+ * @param reporting how load reports are delivered: {@code piggyback}, or {@code pull} by probes
+ * @param sockets number of descriptors that the scheduler may hold
+ * @param idleS seconds after which workers close idle connections
  */
 record FleetConfig(
         int schedulers, int number, String registryMode, String reporting, int sockets, int idleS) {
@@ -28,7 +28,7 @@
         return new FleetConfig(schedulers, number, registryMode, reporting, most, idleS);
     }
 
-    /** Writes the file; {@code more} are further keys, each with a comma behind it. */
+    /** Writes the file; {@code more} holds further keys, each followed by a comma. */
     Path write(Path dir, int port, int discoveryPort, String known, String more)
             throws IOException {
         return Program.file(
@@ -84,14 +84,14 @@
                 + "\",\"value\":1}";
     }
 
-    /** An entry of the list; zones take turns. */
+    /** An entry of the list; entries are assigned to the zones in turn. */
     static String entry(String id, int place, int port, String kind) {
         return PlatformStage.entry(id, port, "ready")
                 .replace("\"zone\":\"z\"", "\"zone\":\"zone-" + place % ZONES + "\"")
                 .replace("\"machineType\":\"k\"", "\"machineType\":\"" + kind + "\"");
     }
 
-    /** The whole list, laid out for people, as discovery may send it. */
+    /** The complete or partial list, indented as discovery may send it. */
     static String indentedList(int generation, boolean whole, List<String> entries) {
         return PlatformStage.list(generation, whole, entries.toArray(String[]::new))
                 .replace(",\"", ",\n      \"")
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -24,48 +24,47 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * How a hundred and more processes of {@code run} start and serve on the cores given: not a test
- * (its name keeps it out of CI), but {@code make bench-fleet}, two minutes and up to 8 GB of
- * memory. Needs the jar and the archive of its classes.
+ * Measures how a hundred and more processes of {@code run} start and serve on the available cores.
+ * Not a test (its name keeps it out of CI) but {@code make bench-fleet}, which takes two minutes
+ * and up to 8 GB of memory. Needs the JAR file and the archive of its classes.
  */
 class FleetMeasurement extends PlatformStage {
     private static final int STARTS = 100;
     private static final int PROCESSES = 120;
     private static final int WORKERS = 400;
 
-    /** One worker in so many drains half way; these have ports of their own. */
-    private static final int DRAINED_PART = 10;
+    /** One worker in so many drains halfway through; these workers have ports of their own. */
+    private static final int DRAINING_ONE_OF = 10;
 
     private static final int PORTS = 20;
     private static final long LOAD_MS = 20_000;
 
-    /** Each process gets three requests a second. */
+    /** Pause between the requests of a client: each process gets three requests a second. */
     private static final long PAUSE_MS = 333;
 
     private static final long WORK_MS = 30;
 
-    /** The drain grace of the settings, and the slack of the rules on sockets. */
+    /** The drain grace of the settings and the allowance of the rules on sockets. */
     private static final long DRAINED_MS = 550;
 
-    private static final long GIVEN_UP_NS = TimeUnit.SECONDS.toNanos(60);
+    private static final long START_TIMEOUT_NS = TimeUnit.SECONDS.toNanos(60);
 
     /**
-     * Below the ports that the system gives to who dials, one of which could be taken before its
-     * scheduler listens.
+     * Below the range of ephemeral ports, one of which could be taken before its scheduler listens.
      */
     private static final int FIRST_PORT = 20_000;
 
-    private record Ending(int status, double ms) {}
+    private record Outcome(int status, double ms) {}
 
     private final List<Program> programs = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
     private final List<String> entries = new ArrayList<>();
-    private final Map<Integer, List<Ending>> endings = new ConcurrentHashMap<>();
-    private final AtomicInteger atDrained = new AtomicInteger();
-    private final AtomicInteger atDrainedLate = new AtomicInteger();
+    private final Map<Integer, List<Outcome>> outcomes = new ConcurrentHashMap<>();
+    private final AtomicInteger jobsAtDraining = new AtomicInteger();
+    private final AtomicInteger lateJobsAtDraining = new AtomicInteger();
 
-    /** When each process was told of the drains. */
-    private final AtomicLongArray toldNs = new AtomicLongArray(PROCESSES);
+    /** The time at which each process was notified of the drains. */
+    private final AtomicLongArray notifiedNs = new AtomicLongArray(PROCESSES);
 
     private volatile boolean over;
 
@@ -74,9 +73,9 @@
         programs.forEach(Program::close);
     }
 
-    private void hollowWorkers() throws IOException {
+    private void startWorkers() throws IOException {
         for (int i = 0; i < PORTS; i++) {
-            boolean drains = i % DRAINED_PART == 0;
+            boolean drains = i % DRAINING_ONE_OF == 0;
             Peer.Server server =
                     new Peer.Server(
                             0,
@@ -84,7 +83,7 @@
                                 while (true) {
                                     Peer.Message job = peer.message();
                                     if (drains) {
-                                        cameToOneThatDrains(job.field("X-Correlation-Id"));
+                                        countJobAtDraining(job.field("X-Correlation-Id"));
                                     }
                                     Thread.sleep(WORK_MS);
                                     SERVE.on(peer, job);
@@ -100,13 +99,13 @@
         }
     }
 
-    private void cameToOneThatDrains(String id) {
-        atDrained.incrementAndGet();
+    private void countJobAtDraining(String id) {
+        jobsAtDraining.incrementAndGet();
         int sender = Integer.parseInt(id.substring(1, id.indexOf('-')));
-        long told = toldNs.get(sender);
-        long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told);
-        if (told != 0 && afterMs > DRAINED_MS) {
-            atDrainedLate.incrementAndGet();
+        long drainNs = notifiedNs.get(sender);
+        long afterMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainNs);
+        if (drainNs != 0 && afterMs > DRAINED_MS) {
+            lateJobsAtDraining.incrementAndGet();
             System.out.println(
                     id
                             + " came to a worker that drains "
@@ -115,7 +114,7 @@
         }
     }
 
-    /** Discovery as one process sees it. */
+    /** Starts the discovery server of one process and returns its port. */
     private int discoveryOf(int number) throws IOException {
         Peer.Server server =
                 new Peer.Server(
@@ -123,11 +122,11 @@
                         peer -> {
                             watches.add(peer.message().first());
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            int told = 0;
+                            int sent = 0;
                             for (int i = 0; true; i++) {
-                                if (news.size() > told) {
-                                    peer.chunk(news.get(told++));
-                                    toldNs.compareAndSet(number, 0, System.nanoTime());
+                                if (news.size() > sent) {
+                                    peer.chunk(news.get(sent++));
+                                    notifiedNs.compareAndSet(number, 0, System.nanoTime());
                                 }
                                 if (i % 25 == 0) {
                                     peer.chunk("");
@@ -139,9 +138,9 @@
         return server.port();
     }
 
-    private List<String> drained() {
+    private List<String> drainingEntries() {
         List<String> changed = new ArrayList<>();
-        for (int i = 0; i < WORKERS; i += DRAINED_PART) {
+        for (int i = 0; i < WORKERS; i += DRAINING_ONE_OF) {
             changed.add(entries.get(i).replace("ready", "draining"));
         }
         return changed;
@@ -164,7 +163,10 @@
         }
     }
 
-    /** Starts so many at once; gives the seconds after which each was ready, in order. */
+    /**
+     * Starts {@code count} processes at once; returns in sorted order the seconds after which each
+     * was ready.
+     */
     private double[] start(int count, String registryMode, List<Integer> discoveries)
             throws Exception {
         String known = list(7, true, entries.toArray(String[]::new));
@@ -187,7 +189,7 @@
         }
         double[] ready = new double[count];
         int left = count;
-        while (left > 0 && System.nanoTime() - before < GIVEN_UP_NS) {
+        while (left > 0 && System.nanoTime() - before < START_TIMEOUT_NS) {
             for (int i = 0; i < count; i++) {
                 if (ready[i] == 0 && programs.get(i).said().contains("listens on")) {
                     ready[i] = (System.nanoTime() - before) / 1e9;
@@ -235,8 +237,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"on_request", "pushed"})
-    void aHundredStartAtOnceWhileDiscoveryIsAway(String registryMode) throws Exception {
-        hollowWorkers();
+    void startsAHundredAtOnceWithoutDiscovery(String registryMode) throws Exception {
+        startWorkers();
         double[] ready = start(STARTS, registryMode, Collections.nCopies(STARTS, deadPort()));
         System.out.println(
                 STARTS
@@ -249,8 +251,8 @@
     }
 
     private void client(int number) {
-        List<Ending> mine = new ArrayList<>();
-        endings.put(number, mine);
+        List<Outcome> mine = new ArrayList<>();
+        outcomes.put(number, mine);
         for (int i = 0; !over; i++) {
             long before = System.nanoTime();
             int status;
@@ -260,7 +262,7 @@
             } catch (IOException e) {
                 status = 0;
             }
-            mine.add(new Ending(status, (System.nanoTime() - before) / 1e6));
+            mine.add(new Outcome(status, (System.nanoTime() - before) / 1e6));
             try {
                 Thread.sleep(PAUSE_MS);
             } catch (InterruptedException e) {
@@ -270,8 +272,8 @@
     }
 
     @Test
-    void aHundredAndTwentyServeFromFourHundredWorkers() throws Exception {
-        hollowWorkers();
+    void servesFromFourHundredWorkersWithAHundredAndTwenty() throws Exception {
+        startWorkers();
         List<Integer> discoveries = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
             discoveries.add(discoveryOf(i));
@@ -286,17 +288,17 @@
         }
         clients.forEach(Thread::start);
         Thread.sleep(LOAD_MS / 2);
-        news.add(list(8, false, drained().toArray(String[]::new)));
+        news.add(list(8, false, drainingEntries().toArray(String[]::new)));
         Thread.sleep(LOAD_MS / 2);
         over = true;
         for (Thread each : clients) {
             each.join();
         }
-        List<Ending> all = endings.values().stream().flatMap(List::stream).toList();
+        List<Outcome> all = outcomes.values().stream().flatMap(List::stream).toList();
         double[] times =
                 all.stream()
                         .filter(e -> e.status() == 200)
-                        .mapToDouble(Ending::ms)
+                        .mapToDouble(Outcome::ms)
                         .sorted()
                         .toArray();
         System.out.println(
@@ -314,9 +316,9 @@
                         + "; watches "
                         + watches.size()
                         + "; at workers that drain "
-                        + atDrained
+                        + jobsAtDraining
                         + ", of these later than the grace "
-                        + atDrainedLate);
+                        + lateJobsAtDraining);
         System.out.println(resources());
     }
 }
--- a/src/test/java/damsonslip/platform/LargeListTest.java
+++ b/src/test/java/damsonslip/platform/LargeListTest.java
@@ -16,48 +16,49 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * More than a thousand workers and schedulers, under the limits that the deploy file gives the
- * program.
- */
+/** More than a thousand workers and schedulers, under the limits that the deploy file sets. */
 class LargeListTest extends PlatformStage {
     private static final int WORKERS = 1_100;
     private static final FleetConfig FLEET =
             new FleetConfig(1_024, 1_023, "on_request", "piggyback", 1_024, 60);
 
-    /** Workers share so many ports: what counts here is the length of the list. */
+    /** Workers share this many ports: only the length of the list matters here. */
     private static final int PORTS = 8;
 
     private static final int ID_LENGTH = 60;
 
-    /** The operators' pages: a restarted scheduler is ready within this on the shorter days. */
+    /** A restarted scheduler must be ready within this time on the shorter days of operation. */
     private static final long READY_NS = TimeUnit.SECONDS.toNanos(6);
 
     /**
-     * The smallest machine that {@code run} was ever given has so much; the largest of the scored
-     * days 192 MB.
+     * Memory of the smallest machine that {@code run} was ever given; on the scored days the
+     * largest had 192 MB.
      */
     private static final long MACHINE_MB = 144;
 
-    /** What the JVM and one selector need, by a wide margin, and far below one for each worker. */
-    private static final int MOST_THREADS = 40;
+    /**
+     * What the JVM and one selector need, with a wide margin, and far below one thread per worker.
+     */
+    private static final int MAX_THREADS = 40;
 
-    /** So many whole lists would fill the heap several times over, if what they take were kept. */
-    private static final int WHOLE_LISTS = 100;
+    /**
+     * So many complete lists would fill the heap several times over if their memory were not freed.
+     */
+    private static final int COMPLETE_LISTS = 100;
 
     /**
-     * The fewest descriptors that the program makes do with, and so many probes that their links
-     * would need more.
+     * The fewest descriptors that the program accepts; {@link #PROBES} probes would need more
+     * connections than that.
      */
     private static final int FEW_SOCKETS = 128;
 
     private static final int PROBES = 130;
 
-    /** The drain grace of the settings, and some more. */
+    /** The drain grace of the settings, with a margin. */
     private static final long DRAIN_MS = 600;
 
-    /** Jobs ask four workers each, most of them over a link that has to be opened. */
-    private static final int MOST_ROUNDS = 20;
+    /** Each job probes four workers, most of them over a connection that has to be opened. */
+    private static final int MAX_ROUNDS = 20;
 
     private final List<String> shared = new ArrayList<>();
     private final int console = Program.freePort();
@@ -99,7 +100,7 @@
         return id + "x".repeat(ID_LENGTH - id.length());
     }
 
-    private String whole(int generation, String... last) {
+    private String completeList(int generation, String... last) {
         List<String> entries = new ArrayList<>(shared);
         entries.addAll(List.of(last));
         return FleetConfig.indentedList(generation, true, entries);
@@ -137,7 +138,9 @@
     }
 
     private void startWithLimits(FleetConfig fleet) throws IOException {
-        Path config = fleet.write(dir, port, discovery.port(), whole(7, goes, stays), mgmt(second));
+        Path config =
+                fleet.write(
+                        dir, port, discovery.port(), completeList(7, goes, stays), mgmt(second));
         long before = System.nanoTime();
         program =
                 new Program(
@@ -146,27 +149,28 @@
                                 DeployFile.jvmFlags(),
                                 "serve")
                         .awaitWord("listens on");
-        long took = System.nanoTime() - before;
-        assertTrue(took < READY_NS, "ready after " + took / 1_000_000 + " ms");
+        long elapsedNs = System.nanoTime() - before;
+        assertTrue(elapsedNs < READY_NS, "ready after " + elapsedNs / 1_000_000 + " ms");
         assertTrue(program.said().contains(WORKERS + " workers known"), program.said());
         Program.await("a watch", () -> watches.size() == 1);
     }
 
     /**
-     * The list that was kept, the whole one and its changes are taken without a cut, and a drain is
-     * kept.
+     * The stored list, the complete list and its changes are applied without truncation, and a
+     * drain is observed.
      */
     @Test
-    void elevenHundredWorkersAreKnownServedFromAndDrained() throws Exception {
+    void servesFromAndDrainsElevenHundredWorkers() throws Exception {
         startWithLimits(FLEET);
         serve("read", 20, "kept");
-        news.add(whole(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
+        news.add(completeList(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
         awaitTargets(WORKERS + 1);
         serve("submit", 20, "whole");
         serve("special", 20, "before");
         assertTrue(
-                jobs("goes") > 0 && jobs("stays") > 0, "both take the class that is bound to them");
-        assertEquals(WORKERS + 2, console("workers").size(), "a line for each, and the head");
+                jobs("goes") > 0 && jobs("stays") > 0,
+                "both workers serve the class that is bound to them");
+        assertEquals(WORKERS + 2, console("workers").size(), "one line per worker and a header");
         news.add(
                 FleetConfig.indentedList(
                         9,
@@ -178,43 +182,43 @@
         int drained = jobs("goes");
         int before = jobs("stays");
         serve("special", 20, "after");
-        assertEquals(drained, jobs("goes"), "one that drains gets nothing");
+        assertEquals(drained, jobs("goes"), "a draining worker gets no job");
         assertEquals(before + 20, jobs("stays"));
         awaitTargets(WORKERS);
     }
 
     /**
-     * What a list takes is given back: many of them, while jobs are served, fit on the smallest
+     * The memory of a list is freed: many lists, while jobs are served, fit on the smallest
      * machine.
      */
     @Test
-    void manyWholeListsStayWithinTheSmallestMachine() throws Exception {
+    void manyCompleteListsFitOnTheSmallestMachine() throws Exception {
         startWithLimits(FLEET);
-        Program.await("the watch's first object", () -> counter("list_updates") == 1);
-        for (int i = 0; i < WHOLE_LISTS; i++) {
-            news.add(i % 2 == 0 ? whole(8 + i, goes) : whole(8 + i, goes, stays));
+        Program.await("the watch's first update", () -> counter("list_updates") == 1);
+        for (int i = 0; i < COMPLETE_LISTS; i++) {
+            news.add(i % 2 == 0 ? completeList(8 + i, goes) : completeList(8 + i, goes, stays));
             serve("submit", 2, "list" + i + "-");
         }
-        Program.await("all lists are taken", () -> counter("list_updates") == WHOLE_LISTS + 1);
+        Program.await("all lists are applied", () -> counter("list_updates") == COMPLETE_LISTS + 1);
         awaitTargets(WORKERS);
         assertFalse(program.said().contains("OutOfMemoryError"), program.said());
         assertTrue(program.mostResidentMb() < MACHINE_MB, program.mostResidentMb() + " MB");
-        assertTrue(program.threads() < MOST_THREADS, program.threads() + " threads");
+        assertTrue(program.threads() < MAX_THREADS, program.threads() + " threads");
     }
 
     /**
-     * Where workers are probed, links follow from the descriptors that there are, and not from the
-     * list.
+     * When workers are probed, the number of connections is bounded by the descriptors and not by
+     * the list.
      */
     @Test
-    void linksToElevenHundredWorkersKeepWithinTheDescriptors() throws Exception {
+    void limitsConnectionsToElevenHundredWorkersByDescriptors() throws Exception {
         startWithLimits(FLEET.withProbes().withSockets(FEW_SOCKETS));
         for (int i = 0;
                 i == 0 || counter("server_links_opened") < PROBES;
-                i++) { // each job asks some workers
+                i++) { // each job probes some workers
             serve("read", 20, "read" + i + "-");
             serve("submit", 20, "submit" + i + "-");
-            assertTrue(i < MOST_ROUNDS, "to many workers");
+            assertTrue(i < MAX_ROUNDS, "connections to many workers are opened");
         }
         assertTrue(counter("probes_sent") >= PROBES);
         assertTrue(program.sockets() < FEW_SOCKETS, program.sockets() + " sockets");
