--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -13,18 +13,21 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 
-/** The stage under a steady load, where it counts when a worker got its last job. */
+/** Runs the scheduler under a steady load and records when each worker got its last job. */
 abstract class LoadedStage extends PlatformStage {
-    /** Sends end so long after the news: the settings' grace, and what the rules on sockets add. */
+    /**
+     * Jobs stop so long after the notification: the drain grace of the settings and the allowance
+     * of the rules on sockets.
+     */
     private static final long GRACE_NS = TimeUnit.MILLISECONDS.toNanos(550);
 
-    private static final int LOOK_ON_MS = 500;
+    private static final int OBSERVE_MS = 500;
 
     final AtomicBoolean over = new AtomicBoolean();
     final AtomicInteger ids = new AtomicInteger();
     final AtomicInteger calls = new AtomicInteger();
 
-    /** When each worker got its last job. */
+    /** The time at which each worker got its last job. */
     final Map<String, Long> last = new ConcurrentHashMap<>();
 
     @AfterEach
@@ -32,7 +35,7 @@
         over.set(true);
     }
 
-    String noting(String id) throws IOException {
+    String recordingWorker(String id) throws IOException {
         return worker(
                 id,
                 (peer, job) -> {
@@ -45,8 +48,8 @@
         return entry.replace("ready", "draining");
     }
 
-    /** Four clients that ask all the time. */
-    void load() {
+    /** Starts four clients that send queries continuously. */
+    void startLoad() {
         for (int i = 0; i < 4; i++) {
             Thread thread =
                     new Thread(
@@ -70,39 +73,42 @@
         }
     }
 
-    /** A configuration whose dials may come up late. */
-    Path patient(String known) throws IOException {
+    /** A configuration that allows connections to open late. */
+    Path configWithLongDialTimeout(String known) throws IOException {
         Path file = config(known);
         return Files.writeString(
                 file,
                 Files.readString(file).replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
     }
 
-    void loaded(String... entries) throws Exception {
-        program = new Program(patient(list(7, true, entries)), "serve").awaitWord("listens on");
+    void startUnderLoad(String... entries) throws Exception {
+        program =
+                new Program(configWithLongDialTimeout(list(7, true, entries)), "serve")
+                        .awaitWord("listens on");
         Program.await("a watch", () -> watches.size() == 1);
-        load();
-        Program.await("all are used", () -> last.size() == entries.length);
+        startLoad();
+        Program.await("all workers are used", () -> last.size() == entries.length);
     }
 
     /**
-     * None of them gets anything once the grace has passed since the news, though the load goes on
-     * for a while.
+     * Asserts that these workers get no job later than the grace after the notification, while the
+     * load continues for a while.
      */
-    void assertLeftAlone(long toldNs, String... workers) throws InterruptedException {
-        long until = toldNs + GRACE_NS;
+    void assertNoLongerUsed(long notifiedNs, String... workers) throws InterruptedException {
+        long until = notifiedNs + GRACE_NS;
         Thread.sleep(
-                Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + LOOK_ON_MS);
+                Math.max(0, TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime())) + OBSERVE_MS);
         for (String worker : workers) {
-            long ms = TimeUnit.NANOSECONDS.toMillis(last.get(worker) - toldNs);
+            long ms = TimeUnit.NANOSECONDS.toMillis(last.get(worker) - notifiedNs);
             assertTrue(
-                    last.get(worker) < until, worker + " got a job " + ms + " ms after the news");
+                    last.get(worker) < until,
+                    worker + " got a job " + ms + " ms after the notification");
         }
     }
 
-    /** It is in use now, not only before. */
+    /** Waits until the worker gets another job from now on. */
     void assertUsed(String worker) {
         long now = System.nanoTime();
-        Program.await(worker + " is used", () -> last.get(worker) > now);
+        Program.await(worker + " is still used", () -> last.get(worker) > now);
     }
 }
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -37,7 +37,7 @@
 
     private void reloadTo(int to) throws Exception {
         program.reload(
-                Files.readString(patient(list(7, true)))
+                Files.readString(configWithLongDialTimeout(list(7, true)))
                         .replace(
                                 "\"discovery\":\"127.0.0.1:" + discovery.port() + "\"",
                                 "\"discovery\":\"127.0.0.1:" + to + "\""));
@@ -84,7 +84,7 @@
         assertTrue(
                 sentNs - reloadedNs < RELOAD_NS,
                 (sentNs - reloadedNs) / 1_000_000 + " ms after SIGHUP");
-        assertLeftAlone(sentNs, "a", "b");
+        assertNoLongerUsed(sentNs, "a", "b");
         assertUsed("c");
     }
 
@@ -95,9 +95,9 @@
     @ParameterizedTest
     @EnumSource(FirstCall.class)
     void appliesDrainsInFirstListOfNewAddressInTime(FirstCall first) throws Exception {
-        String a = noting("a");
-        String c = noting("c");
-        loaded(a, noting("b"), c);
+        String a = recordingWorker("a");
+        String c = recordingWorker("c");
+        startUnderLoad(a, recordingWorker("b"), c);
         Peer.Server newDiscovery = newDiscovery(first, list(3, true, draining(a), c));
         long sighupNs = System.nanoTime();
         reloadTo(newDiscovery.port());
@@ -111,11 +111,11 @@
      */
     @Test
     void secondReloadWinsWhenFirstAddressComesUpLater() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
         try (LateServer slow = new LateServer()) {
-            loaded(a, b, c);
+            startUnderLoad(a, b, c);
             Peer.Server newDiscovery =
                     newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
             reloadTo(slow.port());
@@ -140,10 +140,10 @@
      */
     @Test
     void reloadDuringCallIgnoresThatCallsAnswer() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
-        loaded(a, b, c);
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
+        startUnderLoad(a, b, c);
         AtomicInteger asked = new AtomicInteger();
         Peer.Server newDiscovery = newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
         Peer.Server slow =
@@ -170,14 +170,14 @@
      */
     @Test
     void sendsNothingByOldListWhileNewDiscoveryIsOverloaded() throws Exception {
-        loaded(noting("a"), noting("b"));
+        startUnderLoad(recordingWorker("a"), recordingWorker("b"));
         Peer.Server busy = new Peer.Server(0, PlatformStage::failBusy);
         servers.add(busy);
         long sighupNs = System.nanoTime();
         reloadTo(busy.port());
         Thread.sleep(1_500);
         discovery.close(); // as the old one does, by LATER
-        assertLeftAlone(sighupNs + RELOAD_NS, "a", "b");
+        assertNoLongerUsed(sighupNs + RELOAD_NS, "a", "b");
     }
 
     /**
@@ -186,21 +186,21 @@
      */
     @Test
     void appliesCompleteListsWhateverTheirGeneration() throws Exception {
-        String a = noting("a");
-        String b = noting("b");
-        String c = noting("c");
-        String d = noting("d");
-        loaded(a, b, c, d);
+        String a = recordingWorker("a");
+        String b = recordingWorker("b");
+        String c = recordingWorker("c");
+        String d = recordingWorker("d");
+        startUnderLoad(a, b, c, d);
         long first = System.nanoTime();
         news.add(list(9, true, c, d));
-        assertLeftAlone(first, "a", "b");
+        assertNoLongerUsed(first, "a", "b");
         long second = System.nanoTime();
         news.add(list(4, true, a, b));
-        assertLeftAlone(second, "c", "d");
+        assertNoLongerUsed(second, "c", "d");
         assertUsed("a");
         long third = System.nanoTime();
         news.add(list(5, false, draining(a), c));
-        assertLeftAlone(third, "a");
+        assertNoLongerUsed(third, "a");
         assertEquals(1, watches.size(), "all lists on one watch");
     }
 }
