--- a/src/main/java/damsonslip/tools/lab/CpuTimes.java
+++ b/src/main/java/damsonslip/tools/lab/CpuTimes.java
@@ -22,13 +22,13 @@
     }
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     /**
      * Histograms of a fixed range, so that what they hold does not pass for the scheduler's own
      * heap.
      */
-    private static final long MOST_NS = 60_000_000_000L;
+    private static final long MAX_NS = 60_000_000_000L;
 
     private final Map<Event, Histogram> times = new EnumMap<>(Event.class);
 
@@ -39,14 +39,14 @@
     /** Forgets what was measured, as after warming up. */
     void clear() {
         for (Event event : Event.values()) {
-            times.put(event, new Histogram(1, MOST_NS, DIGITS));
+            times.put(event, new Histogram(1, MAX_NS, SIGNIFICANT_DIGITS));
         }
     }
 
     void time(Event event, Runnable work) {
         long before = THREADS.getCurrentThreadCpuTime();
         work.run();
-        times.get(event).recordValue(Math.min(MOST_NS, THREADS.getCurrentThreadCpuTime() - before));
+        times.get(event).recordValue(Math.min(MAX_NS, THREADS.getCurrentThreadCpuTime() - before));
     }
 
     /** The middle one, in microseconds: collections of garbage and warming up fall on few. */
--- a/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
@@ -12,15 +12,15 @@
  * simulated clock of microseconds: it goes down, refuses, and comes back.
  */
 final class HollowDiscovery {
-    private static final long DOWN_US = 8_000_000;
-    private static final long AFTER_US = 120_000_000;
+    private static final long OUTAGE_US = 8_000_000;
+    private static final long RECOVERY_LIMIT_US = 120_000_000;
 
     /**
      * A call that has waited so long is answered with 503, and has cost as much as a served one.
      */
-    private static final long PATIENCE_US = 3_000_000;
+    private static final long CALL_TIMEOUT_US = 3_000_000;
 
-    private static final long ASK_EVERY_US = 10_000_000;
+    private static final long POLL_INTERVAL_US = 10_000_000;
     private static final long DRAIN_GRACE_US = 500_000;
 
     private record Call(long atUs, int scheduler) {}
@@ -30,7 +30,7 @@
     private final PriorityQueue<Call> calls =
             new PriorityQueue<>(
                     Comparator.comparingLong(Call::atUs).thenComparingInt(Call::scheduler));
-    private int refused;
+    private int rejected;
     private int served;
     private long lastServedUs;
 
@@ -38,7 +38,7 @@
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         watches = new DiscoveryWatch[schedulers];
         for (int i = 0; i < schedulers; i++) {
-            watches[i] = new DiscoveryWatch(schedulers, i, ASK_EVERY_US, DRAIN_GRACE_US);
+            watches[i] = new DiscoveryWatch(schedulers, i, POLL_INTERVAL_US, DRAIN_GRACE_US);
             watches[i].start(0, 0);
             watches[i].pollSent(0);
             watches[i].updateReceived();
@@ -51,52 +51,52 @@
      */
     HollowDiscovery outage(long callUs) {
         for (int i = 0; i < watches.length; i++) {
-            call(i, watches[i].failed(Failure.FAILED, 0, 0, random.nextDouble()));
+            scheduleCall(i, watches[i].failed(Failure.FAILED, 0, 0, random.nextDouble()));
         }
-        long free = DOWN_US;
+        long freeAtUs = OUTAGE_US;
         while (served < watches.length
                 && !calls.isEmpty()
-                && calls.peek().atUs() < DOWN_US + AFTER_US) {
+                && calls.peek().atUs() < OUTAGE_US + RECOVERY_LIMIT_US) {
             Call next = calls.poll();
             watches[next.scheduler()].pollSent(next.atUs());
-            if (next.atUs() < DOWN_US) {
-                refused++;
-                lost(next.scheduler(), next.atUs());
+            if (next.atUs() < OUTAGE_US) {
+                rejected++;
+                callFailed(next.scheduler(), next.atUs());
                 continue;
             }
-            long begins = Math.max(next.atUs(), free);
-            free = begins + callUs;
-            if (free - next.atUs() > PATIENCE_US) {
-                lost(next.scheduler(), next.atUs() + PATIENCE_US);
+            long startUs = Math.max(next.atUs(), freeAtUs);
+            freeAtUs = startUs + callUs;
+            if (freeAtUs - next.atUs() > CALL_TIMEOUT_US) {
+                callFailed(next.scheduler(), next.atUs() + CALL_TIMEOUT_US);
             } else {
                 served++;
                 watches[next.scheduler()].updateReceived();
-                lastServedUs = free;
+                lastServedUs = freeAtUs;
             }
         }
         return this;
     }
 
-    private void lost(int scheduler, long nowUs) {
-        call(
+    private void callFailed(int scheduler, long nowUs) {
+        scheduleCall(
                 scheduler,
                 watches[scheduler].failed(Failure.FAILED, nowUs, nowUs, random.nextDouble()));
     }
 
-    private void call(int scheduler, long atUs) {
+    private void scheduleCall(int scheduler, long atUs) {
         calls.add(new Call(atUs, scheduler));
     }
 
     /** Calls to it each second while it was down. */
-    double callsASecond() {
-        return refused / (DOWN_US / 1e6);
+    double rejectedCallsPerSecond() {
+        return rejected / (OUTAGE_US / 1e6);
     }
 
     /**
      * From its return until the last scheduler was served; where some never were, the time that was
      * looked at.
      */
-    double returnedS() {
-        return (served < watches.length ? AFTER_US : lastServedUs - DOWN_US) / 1e6;
+    double recoverySeconds() {
+        return (served < watches.length ? RECOVERY_LIMIT_US : lastServedUs - OUTAGE_US) / 1e6;
     }
 }
--- a/src/main/java/damsonslip/tools/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -48,7 +48,7 @@
                                                 Locale.ROOT,
                                                 "{\"name\":\"t%d\",\"quota_per_s\":%.3f}",
                                                 team,
-                                                2 * Goal.STARTS_A_SECOND / teams))
+                                                2 * Goal.JOB_STARTS_PER_SECOND / teams))
                         .collect(Collectors.joining(","));
         return SETTINGS.formatted(schedulers, names, quotas);
     }
@@ -103,7 +103,7 @@
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    String wholeList(int generation) {
+    String fullList(int generation) {
         return list(generation, true, "ready", 0, workers);
     }
 
@@ -112,20 +112,20 @@
         return list(generation, false, lifecycle, from, to);
     }
 
-    private String list(int generation, boolean whole, String lifecycle, int from, int to) {
+    private String list(int generation, boolean full, String lifecycle, int from, int to) {
         return envelope(
                 generation,
-                whole,
+                full,
                 IntStream.range(from, to)
                         .mapToObj(worker -> entry(worker, lifecycle))
                         .collect(Collectors.joining(",")));
     }
 
-    static String envelope(int generation, boolean whole, String entries) {
+    static String envelope(int generation, boolean full, String entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
-                + whole
+                + full
                 + ",\"instances\":["
                 + entries
                 + "]}";
--- a/src/main/java/damsonslip/tools/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/HollowScheduler.java
@@ -38,18 +38,18 @@
  */
 final class HollowScheduler {
     private static final long START_US = 1_000_000;
-    private static final int MOST_OBJECT = 64 * 1024 * 1024;
-    private static final long STARTED_AFTER_US = 2_000;
+    private static final int MAX_OBJECT_BYTES = 64 * 1024 * 1024;
+    private static final long START_DELAY_US = 2_000;
 
     /** What a worker reports free: of some four slots, as busy as the goal has them. */
-    private static final double MEAN_FREE = 2;
+    private static final double MEAN_FREE_SLOTS = 2;
 
     private static final String DEAL_LABEL = "deal";
 
     private record Due(long atUs, long order, Event event) {}
 
     private final HollowFleet fleet;
-    private final SchedulingPolicy rules;
+    private final SchedulingPolicy policy;
     private final WorkerRegistry registry;
     private final EndpointListDecoder listDecoder;
     private final CpuTimes cpu;
@@ -59,7 +59,7 @@
     private final Map<String, String> sentTo = new HashMap<>();
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential exponential;
-    private final long taskUs;
+    private final long meanJobUs;
     private long now = START_US;
     private long order;
     private int jobs;
@@ -67,51 +67,51 @@
     HollowScheduler(HollowFleet fleet, CpuTimes cpu) throws ConfigurationException {
         this.fleet = fleet;
         this.cpu = cpu;
-        this.rules = new SchedulingPolicy(fleet.site().settings(), fleet.seed());
+        this.policy = new SchedulingPolicy(fleet.site().settings(), fleet.seed());
         this.registry = new WorkerRegistry(fleet.site().settings().guarantees().drainGraceUs());
         this.listDecoder = new EndpointListDecoder(fleet.site(), registry::address);
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(fleet.seed());
         this.exponential = ZigguratSampler.Exponential.of(random);
-        this.taskUs = Math.round(Goal.TASK_S * 1e6);
+        this.meanJobUs = Math.round(Goal.MEAN_JOB_SECONDS * 1e6);
     }
 
     /** Takes in a list as it comes from discovery. */
-    void listed(String text) {
+    void receiveList(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         EndpointList[] update = new EndpointList[1];
         List<List<WorkerEntry>> workers = new ArrayList<>();
         cpu.time(
                 CpuTimes.Event.DECODE,
                 () -> {
-                    update[0] = decoded(bytes);
+                    update[0] = decode(bytes);
                     workers.add(registry.apply(update[0], now));
                 });
         WorkerListChange mode = update[0].change();
         handle(CpuTimes.Event.LIST, new WorkerListUpdate(mode, workers.get(0)));
     }
 
-    private EndpointList decoded(byte[] bytes) {
+    private EndpointList decode(byte[] bytes) {
         try {
-            return listDecoder.decode(new JsonObjectDecoder(MOST_OBJECT).decode(bytes).get(0));
+            return listDecoder.decode(new JsonObjectDecoder(MAX_OBJECT_BYTES).decode(bytes).get(0));
         } catch (MalformedListException e) {
             throw new IllegalStateException("the hollow discovery's own list", e);
         }
     }
 
     /** Serves so many jobs at this pace, and lets time pass with it. */
-    void serve(int count, double jobsASecond) {
+    void serve(int count, double jobsPerSecond) {
         for (int i = 0; i < count; i++) {
-            pass(Math.round(exponential.sample() / jobsASecond * 1e6));
+            advance(Math.round(exponential.sample() / jobsPerSecond * 1e6));
             int jobClass = jobs % HollowFleet.CLASSES;
             int team = random.nextInt(fleet.teams());
             handle(
                     CpuTimes.Event.ARRIVAL,
-                    new JobArrived("j" + jobs++, jobClass, team, null, now + 4 * taskUs, 1, 0));
+                    new JobArrived("j" + jobs++, jobClass, team, null, now + 4 * meanJobUs, 1, 0));
         }
     }
 
     /** Lets time pass; timers and workers act when they are due. */
-    void pass(long us) {
+    void advance(long us) {
         long end = now + us;
         while (!due.isEmpty() && due.peek().atUs() <= end) {
             Due next = due.poll();
@@ -130,32 +130,34 @@
 
     private void handle(CpuTimes.Event kind, Event event) {
         List<Action> actions = new ArrayList<>();
-        cpu.time(kind, () -> rules.handle(now, event, actions));
+        cpu.time(kind, () -> policy.handle(now, event, actions));
         if (event instanceof AttemptEnded ended && ended.report() != null) {
             reportedAt.put(sentTo.remove(ended.job()), now);
         }
-        actions.forEach(this::act);
+        actions.forEach(this::perform);
     }
 
-    private void act(Action action) {
+    private void perform(Action action) {
         if (action instanceof SetTimer timer) {
-            later(timer.atUs(), new TimerDue(timer.label()));
+            schedule(timer.atUs(), new TimerDue(timer.label()));
         } else if (action instanceof Send send) {
             sentTo.put(send.job(), send.worker());
-            later(now + STARTED_AFTER_US, new AttemptStarted(send.job(), 0));
-            later(
-                    now + STARTED_AFTER_US + Math.round(exponential.sample() * taskUs),
+            schedule(now + START_DELAY_US, new AttemptStarted(send.job(), 0));
+            schedule(
+                    now + START_DELAY_US + Math.round(exponential.sample() * meanJobUs),
                     new AttemptEnded(
                             send.job(),
                             0,
                             AttemptOutcome.SERVED,
                             true,
                             new LoadReport(
-                                    exponential.sample() * MEAN_FREE, Double.NaN, Double.NaN)));
+                                    exponential.sample() * MEAN_FREE_SLOTS,
+                                    Double.NaN,
+                                    Double.NaN)));
         }
     }
 
-    private void later(long atUs, Event event) {
+    private void schedule(long atUs, Event event) {
         due.add(new Due(atUs, order++, event));
     }
 
@@ -167,7 +169,7 @@
     }
 
     /** The program's own picture, so that a measure of memory keeps it reachable. */
-    int known() {
-        return rules.workers(now).size();
+    int knownWorkers() {
+        return policy.workers(now).size();
     }
 }
--- a/src/main/java/damsonslip/tools/lab/Lab.java
+++ b/src/main/java/damsonslip/tools/lab/Lab.java
@@ -32,16 +32,16 @@
         line.setOut(new PrintWriter(out, true));
         line.setErr(new PrintWriter(err, true));
         line.setParameterExceptionHandler(
-                (wrong, words) -> {
-                    err.println("damsonslip: lab: " + firstLine(wrong));
+                (exception, words) -> {
+                    err.println("damsonslip: lab: " + firstLine(exception));
                     return USAGE;
                 });
         line.setExecutionExceptionHandler(
-                (thrown, command, parsed) -> {
-                    if (!(thrown instanceof ConfigurationException)) {
-                        throw thrown;
+                (exception, command, parsed) -> {
+                    if (!(exception instanceof ConfigurationException)) {
+                        throw exception;
                     }
-                    err.println("damsonslip: " + firstLine(thrown));
+                    err.println("damsonslip: " + firstLine(exception));
                     return BAD_INPUT;
                 });
         if (args.isEmpty()) {
@@ -53,7 +53,7 @@
         return line.execute(args.toArray(String[]::new));
     }
 
-    private static String firstLine(Exception thrown) {
-        return String.valueOf(thrown.getMessage()).lines().findFirst().orElse("");
+    private static String firstLine(Exception exception) {
+        return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 }
--- a/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
@@ -17,8 +17,8 @@
  * what is told.
  */
 final class LoopbackDiscovery implements Closeable {
-    private static final long PULSE_MS = 2_000;
-    private static final long PATIENCE_S = 30;
+    private static final long HEARTBEAT_MS = 2_000;
+    private static final long WATCH_TIMEOUT_S = 30;
 
     private final ServerSocket server = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     private final List<Socket> watches = new CopyOnWriteArrayList<>();
@@ -26,7 +26,7 @@
 
     LoopbackDiscovery() throws IOException {
         start(this::accept);
-        start(this::pulse);
+        start(this::sendHeartbeats);
     }
 
     int port() {
@@ -35,14 +35,14 @@
 
     /** Waits until a scheduler watches. */
     void awaitWatch() throws IOException, InterruptedException {
-        if (!watched.await(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!watched.await(WATCH_TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new IOException(
-                    "lab: no scheduler came to watch discovery within " + PATIENCE_S + " s");
+                    "lab: no scheduler came to watch discovery within " + WATCH_TIMEOUT_S + " s");
         }
     }
 
     /** Writes an object to all watches. */
-    synchronized void tell(String object) {
+    synchronized void broadcast(String object) {
         String text = object + "\n";
         byte[] chunk =
                 (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
@@ -72,7 +72,7 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                 .getBytes(StandardCharsets.UTF_8));
                 watches.add(peer);
-                tell(HollowFleet.envelope(1, false, ""));
+                broadcast(HollowFleet.envelope(1, false, ""));
                 watched.countDown();
             } catch (IOException e) {
                 // the next one, unless the run is over
@@ -80,11 +80,11 @@
         }
     }
 
-    private void pulse() {
+    private void sendHeartbeats() {
         while (!server.isClosed()) {
             try {
-                Thread.sleep(PULSE_MS);
-                tell("");
+                Thread.sleep(HEARTBEAT_MS);
+                broadcast("");
             } catch (InterruptedException e) {
                 return;
             }
--- a/src/main/java/damsonslip/tools/lab/RealCommand.java
+++ b/src/main/java/damsonslip/tools/lab/RealCommand.java
@@ -23,8 +23,8 @@
         description =
                 "Starts real schedulers over loopback and measures what the hollow ones only play.")
 final class RealCommand implements Callable<Integer> {
-    private static final int MOST_PROCESSES = 40;
-    private static final int MOST_WORKERS = 20_000;
+    private static final int MAX_PROCESSES = 40;
+    private static final int MAX_WORKERS = 20_000;
     private static final int CHANGES = 50;
     private static final long IDLE_MS = 10_000;
 
@@ -57,24 +57,24 @@
     @Override
     public Integer call() throws ConfigurationException, IOException, InterruptedException {
         for (int size : workers) {
-            if (size < 1 || size > MOST_WORKERS) {
+            if (size < 1 || size > MAX_WORKERS) {
                 throw new ConfigurationException(
-                        "lab: workers: " + size + " is not from 1 to " + MOST_WORKERS);
+                        "lab: workers: " + size + " is not from 1 to " + MAX_WORKERS);
             }
         }
-        if (processes < 1 || processes > MOST_PROCESSES) {
+        if (processes < 1 || processes > MAX_PROCESSES) {
             throw new ConfigurationException(
-                    "lab: processes: " + processes + " is not from 1 to " + MOST_PROCESSES);
+                    "lab: processes: " + processes + " is not from 1 to " + MAX_PROCESSES);
         }
-        Path file = csv == null ? null : SampleFile.writable(csv);
+        Path file = csv == null ? null : SampleFile.requireWritable(csv);
         List<String> remarks =
                 Machine.remarks(
                         String.join(" ", spec.commandLine().getParseResult().originalArgs()));
         for (int size : workers) {
             spec.commandLine().getErr().println("workers " + size);
-            one(size);
+            measureSize(size);
         }
-        sideBySide(workers.get(workers.size() - 1));
+        measureConcurrentProcesses(workers.get(workers.size() - 1));
         if (file != null) {
             SampleFile.write(file, remarks, samples);
         }
@@ -83,7 +83,7 @@
         return 0;
     }
 
-    private void one(int size) throws IOException, InterruptedException {
+    private void measureSize(int size) throws IOException, InterruptedException {
         HollowFleet fleet = new HollowFleet(size, 100, 50, 3, seed);
         try (LoopbackDiscovery discovery = new LoopbackDiscovery();
                 RealScheduler scheduler = new RealScheduler(fleet, discovery.port(), archive)) {
@@ -97,13 +97,13 @@
             long from = System.nanoTime();
             for (int i = 0; i < CHANGES; i++) {
                 int worker = i / 2 * 37 % size;
-                discovery.tell(
+                discovery.broadcast(
                         fleet.changes(
                                 2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
                 Thread.sleep(20);
             }
             add(Measure.PROCESS_BACKLOG, size, idlePercent(scheduler));
-            settle(scheduler);
+            awaitBacklogDone(scheduler);
             double idleMs = idle / 100 * (System.nanoTime() - from) / 1e6;
             add(Measure.PROCESS_CHANGE_CPU, size, (scheduler.cpuMs() - before - idleMs) / CHANGES);
             add(Measure.PROCESS_IDLE_AFTER, size, idlePercent(scheduler));
@@ -115,13 +115,14 @@
      * Until what the changes brought has been worked off: a second in which it spent less than a
      * fifth of a core.
      */
-    private static void settle(RealScheduler scheduler) throws IOException, InterruptedException {
+    private static void awaitBacklogDone(RealScheduler scheduler)
+            throws IOException, InterruptedException {
         double last;
-        int looks = 0;
+        int polls = 0;
         do {
             last = scheduler.cpuMs();
             Thread.sleep(500);
-        } while (scheduler.cpuMs() - last > 250 && looks++ < 40);
+        } while (scheduler.cpuMs() - last > 250 && polls++ < 40);
     }
 
     private static double idlePercent(RealScheduler scheduler)
@@ -132,7 +133,7 @@
         return (scheduler.cpuMs() - cpu) / ((System.nanoTime() - from) / 1e6) * 100;
     }
 
-    private void sideBySide(int size) throws IOException, InterruptedException {
+    private void measureConcurrentProcesses(int size) throws IOException, InterruptedException {
         List<RealScheduler> started = new ArrayList<>();
         HollowFleet fleet = new HollowFleet(size, 100, 50, 3, seed);
         try (LoopbackDiscovery discovery = new LoopbackDiscovery()) {
--- a/src/main/java/damsonslip/tools/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/RealScheduler.java
@@ -34,9 +34,9 @@
             {"name":"lab","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1","limits":{"sockets":1024},
             "known":%s,"settings":%s}\
             """;
-    private static final long READY_MS = 60_000;
-    private static final double TICKS_A_SECOND = 100;
-    private static final int UTIME = 11;
+    private static final long READY_TIMEOUT_MS = 60_000;
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
+    private static final int UTIME_FIELD = 11;
 
     private final Path folder;
     private final Process process;
@@ -49,7 +49,7 @@
         Files.writeString(
                 config,
                 CONFIG.formatted(
-                        freePort(), discoveryPort, fleet.wholeList(1), fleet.settingsText()));
+                        freePort(), discoveryPort, fleet.fullList(1), fleet.settingsText()));
         List<String> command = new ArrayList<>(FLAGS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         if (Files.exists(Path.of(archive))) {
@@ -71,11 +71,11 @@
         process = builder.start();
         while (!Files.readString(folder.resolve("log")).contains("listens on")) {
             if (!process.isAlive()
-                    || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MS)) {
-                String said = Files.readString(folder.resolve("log"));
+                    || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS)) {
+                String output = Files.readString(folder.resolve("log"));
                 close();
                 throw new IOException(
-                        "lab: a scheduler did not start: " + said.lines().findFirst().orElse(""));
+                        "lab: a scheduler did not start: " + output.lines().findFirst().orElse(""));
             }
             Thread.sleep(5);
         }
@@ -90,8 +90,8 @@
     double cpuMs() throws IOException {
         String stat = Files.readString(proc("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
-        return (Long.parseLong(fields[UTIME]) + Long.parseLong(fields[UTIME + 1]))
-                / TICKS_A_SECOND
+        return (Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[UTIME_FIELD + 1]))
+                / CLOCK_TICKS_PER_SECOND
                 * 1e3;
     }
 
--- a/src/main/java/damsonslip/tools/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -60,7 +60,7 @@
         }
         try {
             return new Sample(
-                    Measure.labelled(bare(cells[0]), bare(cells[1])),
+                    Measure.byLabel(unquoted(cells[0]), unquoted(cells[1])),
                     Axis.valueOf(cells[3].toUpperCase(Locale.ROOT)),
                     Long.parseLong(cells[4]),
                     Double.parseDouble(cells[5]),
@@ -79,7 +79,7 @@
         return text.contains(",") ? '"' + text + '"' : text;
     }
 
-    private static String bare(String cell) {
+    private static String unquoted(String cell) {
         return cell.replace("\"", "");
     }
 }
--- a/src/main/java/damsonslip/tools/lab/SampleFile.java
+++ b/src/main/java/damsonslip/tools/lab/SampleFile.java
@@ -14,7 +14,7 @@
     private SampleFile() {}
 
     /** Fails now if the file could not be written later, so that no run is lost over it. */
-    static Path writable(String name) throws ConfigurationException {
+    static Path requireWritable(String name) throws ConfigurationException {
         try {
             Path file = Path.of(name).toAbsolutePath();
             Path folder = file.getParent();
@@ -41,12 +41,12 @@
         lines.add(Sample.HEADER);
         samples.forEach(sample -> lines.add(sample.line()));
         try {
-            Path beside = Files.createTempFile(file.getParent(), ".lab", ".tmp");
+            Path temporary = Files.createTempFile(file.getParent(), ".lab", ".tmp");
             try {
-                Files.write(beside, lines);
-                Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING);
+                Files.write(temporary, lines);
+                Files.move(temporary, file, StandardCopyOption.REPLACE_EXISTING);
             } finally {
-                Files.deleteIfExists(beside);
+                Files.deleteIfExists(temporary);
             }
         } catch (IOException e) {
             throw new ConfigurationException("lab: cannot write " + file + ": " + e.getMessage());
--- a/src/main/java/damsonslip/tools/lab/ScaleCommand.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleCommand.java
@@ -19,17 +19,17 @@
         description = "Measures one scheduler's costs at growing sizes, in one process.")
 final class ScaleCommand implements Callable<Integer> {
     private static final ScaleRun.Effort QUICK = new ScaleRun.Effort(8, 300);
-    private static final ScaleRun.Effort WHOLE = new ScaleRun.Effort(50, 2_000);
+    private static final ScaleRun.Effort FULL = new ScaleRun.Effort(50, 2_000);
 
     /**
      * Heap that a worker takes in this process while its list is read: text, bytes, tree and
      * entries.
      */
-    private static final long WORKER_BYTES = 3_000;
+    private static final long HEAP_BYTES_PER_WORKER = 3_000;
 
-    private static final long SCHEDULER_BYTES = 500;
-    private static final long TEAM_BYTES = 1_000;
-    private static final int MOST_ZONES = 1_000;
+    private static final long HEAP_BYTES_PER_SCHEDULER = 500;
+    private static final long HEAP_BYTES_PER_TEAM = 1_000;
+    private static final int MAX_ZONES = 1_000;
 
     @Option(names = "--quick", description = "fewer repetitions: under 60 s")
     private boolean quick;
@@ -63,11 +63,14 @@
 
     @Override
     public Integer call() throws ConfigurationException {
-        check("workers", workers, Runtime.getRuntime().maxMemory() / 2 / WORKER_BYTES);
-        check("schedulers", schedulers, Runtime.getRuntime().maxMemory() / 2 / SCHEDULER_BYTES);
-        check("teams", teams, Runtime.getRuntime().maxMemory() / 2 / TEAM_BYTES);
-        check("zones", zones, MOST_ZONES);
-        Path file = csv == null ? null : SampleFile.writable(csv);
+        check("workers", workers, Runtime.getRuntime().maxMemory() / 2 / HEAP_BYTES_PER_WORKER);
+        check(
+                "schedulers",
+                schedulers,
+                Runtime.getRuntime().maxMemory() / 2 / HEAP_BYTES_PER_SCHEDULER);
+        check("teams", teams, Runtime.getRuntime().maxMemory() / 2 / HEAP_BYTES_PER_TEAM);
+        check("zones", zones, MAX_ZONES);
+        Path file = csv == null ? null : SampleFile.requireWritable(csv);
         ScaleRun.Sizes sizes = new ScaleRun.Sizes(workers, schedulers, teams, zones);
         List<String> remarks =
                 Machine.remarks(
@@ -75,7 +78,7 @@
         List<Sample> samples =
                 new ScaleRun(
                                 sizes,
-                                quick ? QUICK : WHOLE,
+                                quick ? QUICK : FULL,
                                 seed,
                                 line -> spec.commandLine().getErr().println(line))
                         .run();
@@ -87,20 +90,20 @@
         return 0;
     }
 
-    private static void check(String name, List<Integer> sizes, long most)
+    private static void check(String name, List<Integer> sizes, long max)
             throws ConfigurationException {
         for (int size : sizes) {
             if (size < 1) {
                 throw new ConfigurationException("lab: " + name + ": " + size + " is less than 1");
             }
-            if (size > most) {
+            if (size > max) {
                 throw new ConfigurationException(
                         "lab: "
                                 + name
                                 + ": "
                                 + size
                                 + " is beyond "
-                                + most
+                                + max
                                 + ", what this process may hold");
             }
         }
--- a/src/main/java/damsonslip/tools/lab/ScaleRun.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleRun.java
@@ -28,7 +28,7 @@
     /** What the other axes stay at; the first look had one scheduler of a hundred. */
     private static final HollowFleet BASE = new HollowFleet(600, 100, 50, 3, 1);
 
-    private static final int RACK = 20;
+    private static final int RACK_WORKERS = 20;
 
     /** Racks, zones and regions are parts of the fleet: twelve zones, four regions. */
     private static final int ZONES = 12;
@@ -37,8 +37,8 @@
     private static final int IDLE_DEALS = 12;
     private static final long DEAL_CYCLE_US = 1_050_000;
     private static final long SECOND_US = 1_000_000;
-    private static final double REPORT_HEARD_S = 60;
-    private static final long QUICK_CALL_US = 10_000;
+    private static final double RECENT_REPORT_SECONDS = 60;
+    private static final long FAST_CALL_US = 10_000;
     private static final long SLOW_CALL_US = 30_000;
 
     /**
@@ -101,33 +101,33 @@
         int smallest = sizes.workers().stream().min(Integer::compare).orElseThrow();
         HollowFleet fleet =
                 new HollowFleet(smallest, BASE.schedulers(), BASE.teams(), BASE.zones(), seed);
-        HollowScheduler scheduler = served(fleet, new CpuTimes());
-        change(scheduler, fleet, 10 * effort.changes());
+        HollowScheduler scheduler = warmedUpScheduler(fleet, new CpuTimes());
+        applyChanges(scheduler, fleet, 10 * effort.changes());
     }
 
     private void workers(HollowFleet fleet) throws ConfigurationException {
-        bytes(fleet);
+        listBytes(fleet);
         decisions(Axis.WORKERS, fleet.workers(), fleet);
-        troubles(fleet);
+        failures(fleet);
         heap(fleet);
         reports(fleet);
     }
 
-    private void bytes(HollowFleet fleet) {
-        int whole = fleet.wholeList(1).getBytes(StandardCharsets.UTF_8).length;
+    private void listBytes(HollowFleet fleet) {
+        int fullBytes = fleet.fullList(1).getBytes(StandardCharsets.UTF_8).length;
         int change = fleet.changes(2, "draining", 0, 1).getBytes(StandardCharsets.UTF_8).length;
-        add(Measure.WHOLE_LIST_BYTES, Axis.WORKERS, fleet.workers(), whole, Basis.COUNTED);
+        add(Measure.FULL_LIST_BYTES, Axis.WORKERS, fleet.workers(), fullBytes, Basis.COUNTED);
         add(
-                Measure.WHOLE_LIST_SECONDS,
+                Measure.FULL_LIST_SECONDS,
                 Axis.WORKERS,
                 fleet.workers(),
-                whole / Goal.BYTES_A_SECOND,
+                fullBytes / Goal.MAX_BYTES_PER_SECOND,
                 Basis.COUNTED);
         add(
-                Measure.WHOLE_LIST_ALL_BYTES,
+                Measure.FULL_LIST_ALL_BYTES,
                 Axis.WORKERS,
                 fleet.workers(),
-                (double) whole * Goal.SCHEDULERS_ASKING,
+                (double) fullBytes * Goal.SCHEDULERS_POLLING,
                 Basis.COUNTED);
         add(Measure.CHANGE_BYTES, Axis.WORKERS, fleet.workers(), change, Basis.COUNTED);
     }
@@ -135,7 +135,7 @@
     /** What the decision module spends, with a fleet that has been served for a while. */
     private void decisions(Axis axis, int size, HollowFleet fleet) throws ConfigurationException {
         CpuTimes cpu = new CpuTimes();
-        HollowScheduler scheduler = served(fleet, cpu);
+        HollowScheduler scheduler = warmedUpScheduler(fleet, cpu);
         double firstList = cpu.sumUs(CpuTimes.Event.LIST) + cpu.sumUs(CpuTimes.Event.DECODE);
         add(
                 Measure.DECODE_LIST_CPU,
@@ -145,7 +145,7 @@
                 Basis.MEASURED);
         add(Measure.START_CPU, axis, size, firstList / 1e3, Basis.MEASURED);
         cpu.clear();
-        scheduler.serve(effort.jobs(), jobsASecond(fleet));
+        scheduler.serve(effort.jobs(), jobsPerSecond(fleet));
         double jobUs =
                 cpu.medianUs(CpuTimes.Event.ARRIVAL) + 2 * cpu.medianUs(CpuTimes.Event.OUTCOME);
         add(Measure.JOB_CPU, axis, size, jobUs, Basis.MEASURED);
@@ -156,49 +156,51 @@
                 cpu.percentileUs(CpuTimes.Event.ARRIVAL, 99),
                 Basis.MEASURED);
         cpu.clear();
-        scheduler.pass(IDLE_DEALS * DEAL_CYCLE_US);
+        scheduler.advance(IDLE_DEALS * DEAL_CYCLE_US);
         double dealUs = cpu.medianUs(CpuTimes.Event.DEAL);
         add(Measure.DEAL_CPU, axis, size, dealUs / 1e3, Basis.MEASURED);
         cpu.clear();
-        change(scheduler, fleet, effort.changes());
+        applyChanges(scheduler, fleet, effort.changes());
         double changeUs = cpu.medianUs(CpuTimes.Event.LIST);
         double decodeUs = cpu.medianUs(CpuTimes.Event.DECODE);
         add(Measure.CHANGE_CPU, axis, size, changeUs / 1e3, Basis.MEASURED);
         add(Measure.DECODE_CHANGE_CPU, axis, size, decodeUs / 1e3, Basis.MEASURED);
-        double changesASecond =
-                Goal.CHANGES_A_DAY / Goal.SECONDS_A_DAY * fleet.workers() / Goal.WORKERS;
-        double share = dealUs / DEAL_CYCLE_US + (changeUs + decodeUs) / SECOND_US * changesASecond;
+        double changesPerSecond =
+                Goal.LIST_CHANGES_PER_DAY / Goal.SECONDS_PER_DAY * fleet.workers() / Goal.WORKERS;
+        double share =
+                dealUs / DEAL_CYCLE_US + (changeUs + decodeUs) / SECOND_US * changesPerSecond;
         add(Measure.CONTROL_SHARE, axis, size, 100 * share, Basis.MEASURED);
     }
 
-    private HollowScheduler served(HollowFleet fleet, CpuTimes cpu) throws ConfigurationException {
+    private HollowScheduler warmedUpScheduler(HollowFleet fleet, CpuTimes cpu)
+            throws ConfigurationException {
         HollowScheduler scheduler = new HollowScheduler(fleet, cpu);
-        scheduler.listed(fleet.wholeList(1));
-        scheduler.serve(effort.jobs(), jobsASecond(fleet));
+        scheduler.receiveList(fleet.fullList(1));
+        scheduler.serve(effort.jobs(), jobsPerSecond(fleet));
         return scheduler;
     }
 
     /** A scheduler's even part of the goal's starts, in the measure of its workers. */
-    private static double jobsASecond(HollowFleet fleet) {
-        return Goal.STARTS_A_SECOND * fleet.workers() / Goal.WORKERS / fleet.schedulers();
+    private static double jobsPerSecond(HollowFleet fleet) {
+        return Goal.JOB_STARTS_PER_SECOND * fleet.workers() / Goal.WORKERS / fleet.schedulers();
     }
 
     /** Workers begin to drain and come back, one at a time. */
-    private static void change(HollowScheduler scheduler, HollowFleet fleet, int count) {
+    private static void applyChanges(HollowScheduler scheduler, HollowFleet fleet, int count) {
         for (int i = 0; i < count; i++) {
             int worker = i / 2 * 37 % fleet.workers();
-            scheduler.listed(
+            scheduler.receiveList(
                     fleet.changes(2 + i, i % 2 == 0 ? "draining" : "ready", worker, worker + 1));
         }
     }
 
-    private void troubles(HollowFleet fleet) throws ConfigurationException {
+    private void failures(HollowFleet fleet) throws ConfigurationException {
         CpuTimes cpu = new CpuTimes();
-        HollowScheduler scheduler = served(fleet, cpu);
+        HollowScheduler scheduler = warmedUpScheduler(fleet, cpu);
         int workers = fleet.workers();
         cpu.clear();
-        for (int i = 0; i < Math.min(RACK, workers); i++) {
-            scheduler.listed(fleet.changes(2, "gone", i, i + 1));
+        for (int i = 0; i < Math.min(RACK_WORKERS, workers); i++) {
+            scheduler.receiveList(fleet.changes(2, "gone", i, i + 1));
         }
         double rackMs = listMs(cpu);
         add(Measure.RACK_CPU, Axis.WORKERS, workers, rackMs, Basis.MEASURED);
@@ -206,14 +208,14 @@
                 Measure.RELEASE_CPU,
                 Axis.WORKERS,
                 workers,
-                2 * rackMs / 1e3 / Math.min(RACK, workers) * workers,
+                2 * rackMs / 1e3 / Math.min(RACK_WORKERS, workers) * workers,
                 Basis.ESTIMATED);
         cpu.clear();
-        scheduler.listed(fleet.changes(3, "gone", 0, Math.max(1, workers / ZONES)));
+        scheduler.receiveList(fleet.changes(3, "gone", 0, Math.max(1, workers / ZONES)));
         add(Measure.ZONE_CPU, Axis.WORKERS, workers, listMs(cpu), Basis.MEASURED);
         cpu.clear();
-        scheduler.listed(fleet.changes(4, "gone", 0, Math.max(1, workers / REGIONS)));
-        scheduler.listed(fleet.changes(5, "ready", 0, Math.max(1, workers / REGIONS)));
+        scheduler.receiveList(fleet.changes(4, "gone", 0, Math.max(1, workers / REGIONS)));
+        scheduler.receiveList(fleet.changes(5, "ready", 0, Math.max(1, workers / REGIONS)));
         add(Measure.REGION_CPU, Axis.WORKERS, workers, listMs(cpu), Basis.MEASURED);
     }
 
@@ -222,33 +224,41 @@
     }
 
     private void heap(HollowFleet fleet) {
-        double nothing = Heap.retainedKb(() -> knowing(fleet, false));
-        double known = Heap.retainedKb(() -> knowing(fleet, true)) - nothing;
-        add(Measure.KNOWN_HEAP, Axis.WORKERS, fleet.workers(), known, Basis.MEASURED);
-        double withLeft =
+        double withoutList = Heap.retainedKb(() -> newScheduler(fleet, false));
+        double known = Heap.retainedKb(() -> newScheduler(fleet, true)) - withoutList;
+        add(Measure.LIST_AND_POLICY_HEAP, Axis.WORKERS, fleet.workers(), known, Basis.MEASURED);
+        double withRemoved =
                 Heap.retainedKb(
                         () -> {
-                            HollowScheduler scheduler = knowing(fleet, true);
+                            HollowScheduler scheduler = newScheduler(fleet, true);
                             int workers = fleet.workers();
-                            scheduler.listed(
-                                    fleet.changes(2, "ready", workers, workers + Goal.CHURN_A_DAY));
-                            scheduler.listed(
-                                    fleet.changes(3, "gone", workers, workers + Goal.CHURN_A_DAY));
+                            scheduler.receiveList(
+                                    fleet.changes(
+                                            2,
+                                            "ready",
+                                            workers,
+                                            workers + Goal.WORKERS_REPLACED_PER_DAY));
+                            scheduler.receiveList(
+                                    fleet.changes(
+                                            3,
+                                            "gone",
+                                            workers,
+                                            workers + Goal.WORKERS_REPLACED_PER_DAY));
                             return scheduler;
                         });
         add(
-                Measure.CHURN_HEAP,
+                Measure.REMOVED_WORKERS_HEAP,
                 Axis.WORKERS,
                 fleet.workers(),
-                withLeft - known - nothing,
+                withRemoved - known - withoutList,
                 Basis.MEASURED);
     }
 
-    private static HollowScheduler knowing(HollowFleet fleet, boolean list) {
+    private static HollowScheduler newScheduler(HollowFleet fleet, boolean withList) {
         try {
             HollowScheduler scheduler = new HollowScheduler(fleet, new CpuTimes());
-            if (list) {
-                scheduler.listed(fleet.wholeList(1));
+            if (withList) {
+                scheduler.receiveList(fleet.fullList(1));
             }
             return scheduler;
         } catch (ConfigurationException e) {
@@ -261,27 +271,32 @@
      * allows.
      */
     private void reports(HollowFleet fleet) throws ConfigurationException {
-        HollowScheduler scheduler = served(fleet, new CpuTimes());
-        scheduler.pass(0);
+        HollowScheduler scheduler = warmedUpScheduler(fleet, new CpuTimes());
+        scheduler.advance(0);
         List<Double> ages = scheduler.reportAges();
-        long young = ages.stream().filter(age -> age <= REPORT_HEARD_S).count();
-        int middle = fleet.workers() / 2;
-        if (middle
+        long recent = ages.stream().filter(age -> age <= RECENT_REPORT_SECONDS).count();
+        int medianIndex = fleet.workers() / 2;
+        if (medianIndex
                 < ages.size()) { // else half of the workers were never heard of: their age has no
             // bound
-            add(Measure.REPORT_AGE, Axis.WORKERS, fleet.workers(), ages.get(middle), Basis.COUNTED);
+            add(
+                    Measure.REPORT_AGE,
+                    Axis.WORKERS,
+                    fleet.workers(),
+                    ages.get(medianIndex),
+                    Basis.COUNTED);
         }
         add(
                 Measure.REPORTED_SHARE,
                 Axis.WORKERS,
                 fleet.workers(),
-                100.0 * young / fleet.workers(),
+                100.0 * recent / fleet.workers(),
                 Basis.COUNTED);
         add(
                 Measure.PROBE_AGE,
                 Axis.WORKERS,
                 fleet.workers(),
-                fleet.workers() * PROBE_BYTES / Goal.BYTES_A_SECOND,
+                fleet.workers() * PROBE_BYTES / Goal.MAX_BYTES_PER_SECOND,
                 Basis.ESTIMATED);
     }
 
@@ -290,18 +305,33 @@
                 Axis.SCHEDULERS,
                 size,
                 new HollowFleet(baseWorkers(), size, BASE.teams(), BASE.zones(), seed));
-        HollowDiscovery quick = new HollowDiscovery(size, seed).outage(QUICK_CALL_US);
+        HollowDiscovery fast = new HollowDiscovery(size, seed).outage(FAST_CALL_US);
         HollowDiscovery slow = new HollowDiscovery(size, seed).outage(SLOW_CALL_US);
-        double jobsAWorker = Goal.STARTS_A_SECOND / Goal.WORKERS;
-        add(Measure.REPORT_AGE_MEAN, Axis.SCHEDULERS, size, size / jobsAWorker, Basis.ESTIMATED);
-        add(Measure.CALLS_A_SECOND, Axis.SCHEDULERS, size, quick.callsASecond(), Basis.COUNTED);
-        add(Measure.RETURN_S, Axis.SCHEDULERS, size, quick.returnedS(), Basis.COUNTED);
-        add(Measure.RETURN_SLOW_S, Axis.SCHEDULERS, size, slow.returnedS(), Basis.COUNTED);
+        double jobsPerWorkerPerSecond = Goal.JOB_STARTS_PER_SECOND / Goal.WORKERS;
         add(
-                Measure.SLOT_MS,
+                Measure.REPORT_AGE_MEAN,
                 Axis.SCHEDULERS,
                 size,
-                Math.min(Goal.WATCH_CYCLE_MS / size, Goal.WATCH_CALL_MS),
+                size / jobsPerWorkerPerSecond,
+                Basis.ESTIMATED);
+        add(
+                Measure.OUTAGE_CALLS_PER_SECOND,
+                Axis.SCHEDULERS,
+                size,
+                fast.rejectedCallsPerSecond(),
+                Basis.COUNTED);
+        add(Measure.RECOVERY_SECONDS, Axis.SCHEDULERS, size, fast.recoverySeconds(), Basis.COUNTED);
+        add(
+                Measure.RECOVERY_SLOW_CALLS_SECONDS,
+                Axis.SCHEDULERS,
+                size,
+                slow.recoverySeconds(),
+                Basis.COUNTED);
+        add(
+                Measure.CALL_SLOT_MS,
+                Axis.SCHEDULERS,
+                size,
+                Math.min(Goal.WATCH_CYCLE_MS / size, Goal.MAX_WATCH_SLOT_MS),
                 Basis.ESTIMATED);
     }
 
--- a/src/main/java/damsonslip/tools/lab/SlopeReport.java
+++ b/src/main/java/damsonslip/tools/lab/SlopeReport.java
@@ -15,16 +15,16 @@
  */
 final class SlopeReport {
     /** Below this exponent a cost counts as not growing. */
-    private static final double FLAT = 0.05;
+    private static final double MIN_GROWTH_EXPONENT = 0.05;
 
     /** A line is not followed further than to so many times the largest measured size. */
-    private static final double FAR = 10;
+    private static final double MAX_EXTRAPOLATION = 10;
 
     /** What a real process shows, and what the hollow scheduler has for it. */
     private static final Measure[][] PAIRS = {
         {Measure.PROCESS_IDLE, Measure.CONTROL_SHARE},
         {Measure.PROCESS_CHANGE_CPU, Measure.CHANGE_CPU},
-        {Measure.PROCESS_HEAP, Measure.KNOWN_HEAP}
+        {Measure.PROCESS_HEAP, Measure.LIST_AND_POLICY_HEAP}
     };
 
     private record Series(Measure measure, Axis axis) {}
@@ -47,7 +47,7 @@
                                 "| role | measure | axis | points (size: value) | unit | exponent |"
                                         + " residual |",
                                 "| --- | --- | --- | --- | --- | --- | --- |"));
-        series.forEach((of, points) -> lines.add(row(of, points)));
+        series.forEach((key, points) -> lines.add(row(key, points)));
         List<Shortfall> shortfalls = shortfalls(series);
         if (!shortfalls.isEmpty()) {
             lines.addAll(
@@ -98,33 +98,33 @@
                                 + " | "
                                 + shortNumber(expected)
                                 + " | "
-                                + two(grown / expected)
+                                + twoDecimals(grown / expected)
                                 + " |");
             }
         }
         return lines;
     }
 
-    private static String row(Series of, List<Sample> points) {
+    private static String row(Series key, List<Sample> points) {
         PowerLaw law = PowerLaw.fit(points);
         String values =
                 points.stream()
                         .map(point -> point.size() + ": " + shortNumber(point.value()))
                         .collect(Collectors.joining(", "));
         return "| "
-                + of.measure.role
+                + key.measure.role
                 + " | "
-                + of.measure.label
+                + key.measure.label
                 + " | "
-                + of.axis.name().toLowerCase(Locale.ROOT)
+                + key.axis.name().toLowerCase(Locale.ROOT)
                 + " | "
                 + values
                 + " | "
-                + of.measure.unit
+                + key.measure.unit
                 + " | "
-                + (law == null ? "-" : two(law.exponent()))
+                + (law == null ? "-" : twoDecimals(law.exponent()))
                 + " | "
-                + (law == null ? "-" : two(law.residual()))
+                + (law == null ? "-" : twoDecimals(law.residual()))
                 + " |";
     }
 
@@ -132,10 +132,10 @@
     private static List<Shortfall> shortfalls(Map<Series, List<Sample>> series) {
         List<Shortfall> found = new ArrayList<>();
         series.forEach(
-                (of, points) -> {
-                    if (!Double.isNaN(of.measure.budget)) {
+                (key, points) -> {
+                    if (!Double.isNaN(key.measure.budget)) {
                         Sample last = points.get(points.size() - 1);
-                        double size = reached(of.measure.budget, points);
+                        double size = sizeAtBudget(key.measure.budget, points);
                         String text =
                                 Double.isInfinite(size)
                                         ? "not in sight"
@@ -146,21 +146,21 @@
                                         "| "
                                                 + text
                                                 + " | "
-                                                + of.axis.name().toLowerCase(Locale.ROOT)
+                                                + key.axis.name().toLowerCase(Locale.ROOT)
                                                 + " | "
-                                                + of.measure.role
+                                                + key.measure.role
                                                 + " | "
-                                                + of.measure.label
+                                                + key.measure.label
                                                 + " | "
-                                                + shortNumber(of.measure.budget)
+                                                + shortNumber(key.measure.budget)
                                                 + " "
-                                                + of.measure.unit
+                                                + key.measure.unit
                                                 + " | "
                                                 + shortNumber(last.value())
                                                 + " at "
                                                 + last.size()
                                                 + ", "
-                                                + shortNumber(last.value() / of.measure.budget)
+                                                + shortNumber(last.value() / key.measure.budget)
                                                 + " of the budget |"));
                     }
                 });
@@ -172,7 +172,7 @@
      * Between the two points that lie round the budget; beyond them by the line through the last
      * two, if it grows.
      */
-    private static double reached(double budget, List<Sample> points) {
+    private static double sizeAtBudget(double budget, List<Sample> points) {
         for (int i = 1; i < points.size(); i++) {
             Sample before = points.get(i - 1);
             if (before.value() <= budget && points.get(i).value() > budget) {
@@ -184,17 +184,19 @@
         }
         PowerLaw law = PowerLaw.fit(points.subList(Math.max(0, points.size() - 2), points.size()));
         double size =
-                law == null || law.exponent() < FLAT
+                law == null || law.exponent() < MIN_GROWTH_EXPONENT
                         ? Double.POSITIVE_INFINITY
                         : law.sizeAt(budget);
-        return size > FAR * points.get(points.size() - 1).size() ? Double.POSITIVE_INFINITY : size;
+        return size > MAX_EXTRAPOLATION * points.get(points.size() - 1).size()
+                ? Double.POSITIVE_INFINITY
+                : size;
     }
 
     private static String shortNumber(double value) {
         return Sample.number(Double.parseDouble(String.format(Locale.ROOT, "%.3g", value)));
     }
 
-    private static String two(double value) {
+    private static String twoDecimals(double value) {
         return String.format(Locale.ROOT, "%.2f", value);
     }
 }
