--- a/src/main/java/damsonslip/tools/lab/CpuTimes.java
+++ b/src/main/java/damsonslip/tools/lab/CpuTimes.java
@@ -7,11 +7,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * CPU time of the calling thread, by what it was spent on; CPU, since other programs share the
- * machine.
+ * Histograms of CPU time of the calling thread per kind of event. CPU time is used instead of
+ * elapsed time because other programs share the machine.
  */
 final class CpuTimes {
-    /** What a scheduler spends time on. */
+    /** Kind of scheduler work that is timed. */
     enum Event {
         DECODE,
         LIST,
@@ -25,8 +25,8 @@
     private static final int SIGNIFICANT_DIGITS = 3;
 
     /**
-     * Histograms of a fixed range, so that what they hold does not pass for the scheduler's own
-     * heap.
+     * Upper bound of the histograms. The fixed range allocates them once, so that their growth is
+     * not counted as the scheduler's heap.
      */
     private static final long MAX_NS = 60_000_000_000L;
 
@@ -36,7 +36,7 @@
         clear();
     }
 
-    /** Forgets what was measured, as after warming up. */
+    /** Discards all recordings, for example those of a warm-up. */
     void clear() {
         for (Event event : Event.values()) {
             times.put(event, new Histogram(1, MAX_NS, SIGNIFICANT_DIGITS));
@@ -49,7 +49,10 @@
         times.get(event).recordValue(Math.min(MAX_NS, THREADS.getCurrentThreadCpuTime() - before));
     }
 
-    /** The middle one, in microseconds: collections of garbage and warming up fall on few. */
+    /**
+     * Returns the median in microseconds, which is robust against the few recordings that include
+     * garbage collection or JIT warm-up.
+     */
     double medianUs(Event event) {
         return times.get(event).getValueAtPercentile(50) / 1e3;
     }
--- a/src/main/java/damsonslip/tools/lab/Goal.java
+++ b/src/main/java/damsonslip/tools/lab/Goal.java
@@ -1,18 +1,23 @@
 package damsonslip.tools.lab;
 
-/** The operators' size in two years, and what one scheduler may spend on control there. */
+/**
+ * Target fleet size (the operators' forecast for two years ahead) and the budget for the control
+ * work of one scheduler at that size.
+ */
 final class Goal {
     static final int WORKERS = 5_500;
     static final int SCHEDULERS_POLLING = 300;
     static final double JOB_STARTS_PER_SECOND = 1_500;
     static final double JOBS_RUNNING = 17_000;
 
-    /** Mean running time that these two leave: 17,000 / 1,500 = 11.3 s. */
+    /**
+     * Mean running time of a job that follows from the two values above: 17,000 / 1,500 = 11.3 s.
+     */
     static final double MEAN_JOB_SECONDS = JOBS_RUNNING / JOB_STARTS_PER_SECOND;
 
     /**
-     * Machines that fail or are replaced on an ordinary day: 34 + 650; each tells of an end and of
-     * a start.
+     * Workers replaced on an ordinary day. A further 34 machines fail each day; each of the 34 +
+     * 650 causes two list changes, one for the end and one for the start.
      */
     static final int WORKERS_REPLACED_PER_DAY = 650;
 
@@ -21,18 +26,18 @@
     static final double MAX_CORE_PERCENT = 2;
     static final double MAX_BYTES_PER_SECOND = 4 * 1024;
 
-    /** What has to be in force everywhere is so within this time. */
+    /** Time within which a list change has to be applied by all schedulers. */
     static final double MAX_PROPAGATION_SECONDS = 5;
 
     /**
-     * A report older than this tells nothing of the free slots: the module's own memory of reports
-     * fades over it ({@code Known.Free.FADE_US}).
+     * A load report older than this says nothing about the free slots: the decision module's weight
+     * of a report decays over this time.
      */
     static final double MAX_REPORT_AGE_SECONDS = 10;
 
     /**
-     * The watch's cycle, and its share for each of a few schedulers ({@code DiscoveryWatch}: 0.75
-     * of 6 s; 250 ms).
+     * Cycle over which {@code DiscoveryWatch} spreads the calls of all schedulers (0.75 of 6 s),
+     * and the longest time slot that one scheduler gets when there are few (250 ms).
      */
     static final double WATCH_CYCLE_MS = 4_500;
 
--- a/src/main/java/damsonslip/tools/lab/Heap.java
+++ b/src/main/java/damsonslip/tools/lab/Heap.java
@@ -4,8 +4,8 @@
 import java.util.function.Supplier;
 
 /**
- * Retained heap by difference: what is used after collections with the object, less what was used
- * before it was made.
+ * Estimates the retained heap of an object as the difference of used heap, after garbage
+ * collection, before and after its creation.
  */
 final class Heap {
     private static final int COLLECTIONS = 2;
@@ -13,8 +13,8 @@
     private Heap() {}
 
     /**
-     * Kilobytes that stay reachable from what is made; it is made once before, so that libraries'
-     * own buffers exist.
+     * Returns the kilobytes retained by the supplied object. The object is created once beforehand
+     * so that buffers that libraries allocate on first use are not counted.
      */
     static double retainedKb(Supplier<?> make) {
         Object first = make.get();
--- a/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/HollowDiscovery.java
@@ -8,15 +8,16 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Many schedulers' real watches on one discovery that serves calls one after another, on a
- * simulated clock of microseconds: it goes down, refuses, and comes back.
+ * Simulates the outage and recovery of a discovery service that serves calls one after another. The
+ * schedulers' {@link DiscoveryWatch} objects are real; the clock is simulated, in microseconds.
  */
 final class HollowDiscovery {
     private static final long OUTAGE_US = 8_000_000;
     private static final long RECOVERY_LIMIT_US = 120_000_000;
 
     /**
-     * A call that has waited so long is answered with 503, and has cost as much as a served one.
+     * A call that would complete later than this after its start is answered with 503. It takes as
+     * much of discovery's time as a served call.
      */
     private static final long CALL_TIMEOUT_US = 3_000_000;
 
@@ -46,8 +47,8 @@
     }
 
     /**
-     * All open watches are lost at 0, discovery refuses for 8 s and then takes so long for each
-     * call.
+     * Runs one outage: all open watches fail at time 0, discovery rejects calls for 8 s and then
+     * takes {@code callUs} for each call.
      */
     HollowDiscovery outage(long callUs) {
         for (int i = 0; i < watches.length; i++) {
@@ -87,14 +88,14 @@
         calls.add(new Call(atUs, scheduler));
     }
 
-    /** Calls to it each second while it was down. */
+    /** Mean rate of calls to discovery during the outage. */
     double rejectedCallsPerSecond() {
         return rejected / (OUTAGE_US / 1e6);
     }
 
     /**
-     * From its return until the last scheduler was served; where some never were, the time that was
-     * looked at.
+     * Time from the end of the outage until the last scheduler was served, or the whole simulated
+     * recovery time if some were never served.
      */
     double recoverySeconds() {
         return (served < watches.length ? RECOVERY_LIMIT_US : lastServedUs - OUTAGE_US) / 1e6;
--- a/src/main/java/damsonslip/tools/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -10,18 +10,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Workers, a list and settings that stand for a fleet of a given size; the same seed gives the same
- * ids.
+ * Generates the endpoint list and settings of a simulated fleet of a given size. The same seed
+ * gives the same worker ids.
  *
- * @param workers workers in the list
+ * @param workers number of workers in the list
  * @param schedulers schedulers that share them
  * @param teams tenants with quotas
  * @param zones zones that the workers are spread over
- * @param seed of ids
+ * @param seed seed of the worker ids
  */
 record HollowFleet(int workers, int schedulers, int teams, int zones, long seed) {
     /**
-     * Two machine kinds and three classes, one of each effect, as the operators' sites have them.
+     * Two machine types and three job classes, one for each kind of retry semantics, as on the
+     * operators' sites.
      */
     private static final String SETTINGS =
             """
@@ -57,11 +58,12 @@
         try {
             return SiteSettings.read(JsonTreeReader.read(settingsText()));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("the hollow fleet's own settings", e);
+            throw new IllegalStateException(
+                    "generated settings of the simulated fleet are invalid", e);
         }
     }
 
-    /** Ids as orchestrators give them: without meaning, and in no order. */
+    /** Returns an id like those that orchestrators assign: opaque and unordered. */
     String id(int worker) {
         return "s-"
                 + String.format(
@@ -74,7 +76,7 @@
         return worker % zones;
     }
 
-    /** An entry of discovery's list, in the protocol page's form. */
+    /** Returns an entry of the endpoint list in the wire format of discovery. */
     String entry(int worker, String lifecycle) {
         return entry(
                 worker,
@@ -107,7 +109,10 @@
         return list(generation, true, "ready", 0, workers);
     }
 
-    /** Changes of the workers from one number up to but not including another. */
+    /**
+     * Returns an incremental update for the workers from {@code from} (inclusive) to {@code to}
+     * (exclusive).
+     */
     String changes(int generation, String lifecycle, int from, int to) {
         return list(generation, false, lifecycle, from, to);
     }
--- a/src/main/java/damsonslip/tools/lab/HollowScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/HollowScheduler.java
@@ -32,16 +32,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One scheduler's real decoding and decisions on a simulated clock, with jobs and workers that are
- * played: no sockets, no threads. Times are microseconds. The same fleet and seed give the same
- * decisions; only the CPU times differ.
+ * Runs the real list decoding and scheduling policy of one scheduler on a simulated clock with
+ * simulated jobs and workers, without sockets or threads. Times are in microseconds. The same fleet
+ * and seed give the same decisions; only the CPU times differ.
  */
 final class HollowScheduler {
     private static final long START_US = 1_000_000;
     private static final int MAX_OBJECT_BYTES = 64 * 1024 * 1024;
     private static final long START_DELAY_US = 2_000;
 
-    /** What a worker reports free: of some four slots, as busy as the goal has them. */
+    /**
+     * Mean number of free slots in a load report: a worker has about four slots, and the goal's
+     * load leaves two of them free.
+     */
     private static final double MEAN_FREE_SLOTS = 2;
 
     private static final String DEAL_LABEL = "deal";
@@ -75,7 +78,7 @@
         this.meanJobUs = Math.round(Goal.MEAN_JOB_SECONDS * 1e6);
     }
 
-    /** Takes in a list as it comes from discovery. */
+    /** Decodes and applies an endpoint list received from discovery. */
     void receiveList(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         EndpointList[] update = new EndpointList[1];
@@ -94,11 +97,11 @@
         try {
             return listDecoder.decode(new JsonObjectDecoder(MAX_OBJECT_BYTES).decode(bytes).get(0));
         } catch (MalformedListException e) {
-            throw new IllegalStateException("the hollow discovery's own list", e);
+            throw new IllegalStateException("generated endpoint list is malformed", e);
         }
     }
 
-    /** Serves so many jobs at this pace, and lets time pass with it. */
+    /** Submits {@code count} jobs as a Poisson process and advances the clock accordingly. */
     void serve(int count, double jobsPerSecond) {
         for (int i = 0; i < count; i++) {
             advance(Math.round(exponential.sample() / jobsPerSecond * 1e6));
@@ -110,7 +113,7 @@
         }
     }
 
-    /** Lets time pass; timers and workers act when they are due. */
+    /** Advances the clock and handles the events that fall due. */
     void advance(long us) {
         long end = now + us;
         while (!due.isEmpty() && due.peek().atUs() <= end) {
@@ -162,13 +165,14 @@
     }
 
     /**
-     * Ages of the newest report of each worker that has sent one, in seconds, the youngest first.
+     * Returns the age in seconds of the latest report of each worker that has sent one, in
+     * ascending order.
      */
     List<Double> reportAges() {
         return reportedAt.values().stream().map(at -> (now - at) / 1e6).sorted().toList();
     }
 
-    /** The program's own picture, so that a measure of memory keeps it reachable. */
+    /** Number of workers that the policy knows. */
     int knownWorkers() {
         return policy.workers(now).size();
     }
--- a/src/main/java/damsonslip/tools/lab/Lab.java
+++ b/src/main/java/damsonslip/tools/lab/Lab.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command {@code lab}: tools that measure, beside the scheduler and never in it. */
+/** The command {@code lab}: measuring tools that are never loaded by a serving scheduler. */
 @Command(
         name = "lab",
         description = "Measures how a scheduler's costs grow with its fleet.",
@@ -24,9 +24,7 @@
 
     private Lab() {}
 
-    /**
-     * Runs a command of the lab; gives its exit code: 1 on input that cannot be used, 2 on usage.
-     */
+    /** Runs a lab command and returns its exit code: 1 for invalid input, 2 for a usage error. */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
         CommandLine line = new CommandLine(new Lab());
         line.setOut(new PrintWriter(out, true));
--- a/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery on loopback for real schedulers: each call is a watch that gets an empty change, then
- * what is told.
+ * A discovery server on the loopback interface for real schedulers. It treats every call as a
+ * watch, which receives an empty update first and then each broadcast object.
  */
 final class LoopbackDiscovery implements Closeable {
     private static final long HEARTBEAT_MS = 2_000;
@@ -33,7 +33,7 @@
         return server.getLocalPort();
     }
 
-    /** Waits until a scheduler watches. */
+    /** Waits until a scheduler has opened a watch. */
     void awaitWatch() throws IOException, InterruptedException {
         if (!watched.await(WATCH_TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new IOException(
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Writes an object to all watches. */
+    /** Sends a JSON object to all watches as one HTTP chunk; an empty string is a heartbeat. */
     synchronized void broadcast(String object) {
         String text = object + "\n";
         byte[] chunk =
@@ -52,7 +52,7 @@
                 watch.getOutputStream().write(chunk);
                 watch.getOutputStream().flush();
             } catch (IOException e) {
-                watches.remove(watch); // its scheduler has ended
+                watches.remove(watch); // the scheduler has closed the connection
             }
         }
     }
@@ -75,7 +75,7 @@
                 broadcast(HollowFleet.envelope(1, false, ""));
                 watched.countDown();
             } catch (IOException e) {
-                // the next one, unless the run is over
+                // accept the next connection, unless the server is closed
             }
         }
     }
--- a/src/main/java/damsonslip/tools/lab/Machine.java
+++ b/src/main/java/damsonslip/tools/lab/Machine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a run was measured on, for the head of its CSV. */
+/** Describes the machine and JVM of a run for the header of its CSV file. */
 final class Machine {
     private Machine() {}
 
@@ -38,7 +38,7 @@
                     .findFirst()
                     .orElse(System.getProperty("os.arch"));
         } catch (IOException e) {
-            return System.getProperty("os.arch"); // elsewhere than on Linux
+            return System.getProperty("os.arch"); // not Linux
         }
     }
 }
--- a/src/main/java/damsonslip/tools/lab/Measure.java
+++ b/src/main/java/damsonslip/tools/lab/Measure.java
@@ -2,7 +2,7 @@
 
 import damsonslip.config.ConfigurationException;
 
-/** What is measured of each role, with its unit and, where the goal names one, its budget. */
+/** Measured quantities with their role, unit and, where {@link Goal} defines one, budget. */
 enum Measure {
     FULL_LIST_BYTES("discovery watch", "whole list", "bytes", Double.NaN),
     CHANGE_BYTES("discovery watch", "list change", "bytes", Double.NaN),
@@ -74,7 +74,7 @@
     final String label;
     final String unit;
 
-    /** What the goal allows at the most, in the unit; NaN where it names none. */
+    /** Upper limit in the unit of this measure; NaN if {@link Goal} defines none. */
     final double budget;
 
     Measure(String role, String label, String unit, double budget) {
--- a/src/main/java/damsonslip/tools/lab/PowerLaw.java
+++ b/src/main/java/damsonslip/tools/lab/PowerLaw.java
@@ -6,11 +6,14 @@
  * A least-squares line through the logarithms of size and value: {@code value = factor * size ^
  * exponent}.
  *
- * @param residual root mean square of the points' distance from the line, as a factor: 1 is a
+ * @param residual root mean square distance of the points from the line, as a factor: 1 is a
  *     perfect fit
  */
 record PowerLaw(double factor, double exponent, double residual) {
-    /** Fits points of positive size and value; null if fewer than two distinct sizes have any. */
+    /**
+     * Fits the points whose size and value are positive; returns null if they have fewer than two
+     * distinct sizes.
+     */
     static PowerLaw fit(List<Sample> points) {
         List<double[]> logs =
                 points.stream()
@@ -39,7 +42,7 @@
         return new PowerLaw(Math.exp(offset), exponent, Math.exp(Math.sqrt(distance)));
     }
 
-    /** The size at which the line reaches a value. */
+    /** Returns the size at which the fitted line reaches a value. */
     double sizeAt(double value) {
         return Math.pow(value / factor, 1 / exponent);
     }
--- a/src/main/java/damsonslip/tools/lab/RealCommand.java
+++ b/src/main/java/damsonslip/tools/lab/RealCommand.java
@@ -14,8 +14,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code lab real}: real schedulers over loopback, with the same lists, to check the hollow
- * figures.
+ * {@code lab real}: measures real scheduler processes over loopback with the same endpoint lists,
+ * to validate the results of the simulation.
  */
 @Command(
         name = "real",
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Until what the changes brought has been worked off: a second in which it spent less than a
-     * fifth of a core.
+     * Waits until the work caused by the changes is done: until the process uses at most 250 ms of
+     * CPU in 500 ms, for about 20 s at the longest.
      */
     private static void awaitBacklogDone(RealScheduler scheduler)
             throws IOException, InterruptedException {
--- a/src/main/java/damsonslip/tools/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/RealScheduler.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The real program with the run line's flags, as a process of its own, told of a hollow fleet. */
+/**
+ * A real scheduler process, started with the production JVM flags and the list and settings of a
+ * simulated fleet.
+ */
 final class RealScheduler implements Closeable {
-    /** The run line of deploy/balancer.toml. */
+    /** JVM flags of the command line in deploy/balancer.toml. */
     private static final List<String> FLAGS =
             List.of(
                     "-Djava.locale.providers=COMPAT",
@@ -86,7 +89,7 @@
         return readySeconds;
     }
 
-    /** CPU of all its threads since its start. */
+    /** Returns the CPU time of all threads of the process since its start. */
     double cpuMs() throws IOException {
         String stat = Files.readString(proc("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
@@ -104,7 +107,8 @@
     }
 
     /**
-     * What its heap holds after a collection, as the JVM's own histogram of live objects counts it.
+     * Returns the size of the live objects after a garbage collection, as counted by the JVM's
+     * class histogram.
      */
     double heapKb() throws IOException, InterruptedException {
         Process histogram =
--- a/src/main/java/damsonslip/tools/lab/Sample.java
+++ b/src/main/java/damsonslip/tools/lab/Sample.java
@@ -6,24 +6,27 @@
 import java.util.Locale;
 
 /**
- * One measured point: a line of the CSV.
+ * One measured point: one line of the CSV file.
  *
  * @param measure what was measured
- * @param axis what was varied
- * @param size its size there
- * @param value in the measure's unit
- * @param basis how the value came about
+ * @param axis dimension that was varied
+ * @param size size of that dimension
+ * @param value value in the unit of the measure
+ * @param basis how the value was obtained
  */
 record Sample(Measure measure, Axis axis, long size, double value, Basis basis) {
     static final String HEADER = "role,measure,unit,axis,size,value,basis";
     private static final MathContext SIX_DIGITS = new MathContext(6);
 
-    /** Holds what its line holds, so that tables are the same before and after it was written. */
+    /**
+     * Rounds the value as its CSV line does, so that the tables of a run and of its file are
+     * identical.
+     */
     Sample {
         value = new BigDecimal(value).round(SIX_DIGITS).doubleValue();
     }
 
-    /** What a run varies. */
+    /** Dimension of the fleet that a run varies. */
     enum Axis {
         WORKERS,
         SCHEDULERS,
@@ -32,8 +35,8 @@
     }
 
     /**
-     * Measured values vary with the machine; counted ones follow from the seed; estimated ones are
-     * worked out.
+     * How a value was obtained: measured values vary with the machine, counted values are
+     * determined by the seed, and estimated values are calculated from other figures.
      */
     enum Basis {
         MEASURED,
@@ -70,7 +73,7 @@
         }
     }
 
-    /** Six digits, without an exponent. */
+    /** Formats a value with six significant digits and without an exponent. */
     static String number(double value) {
         return new BigDecimal(value).round(SIX_DIGITS).stripTrailingZeros().toPlainString();
     }
--- a/src/main/java/damsonslip/tools/lab/SampleFile.java
+++ b/src/main/java/damsonslip/tools/lab/SampleFile.java
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Samples kept as CSV; lines that begin with '#' tell of the run. */
+/** Reads and writes samples as CSV; lines that begin with '#' describe the run. */
 final class SampleFile {
     private SampleFile() {}
 
-    /** Fails now if the file could not be written later, so that no run is lost over it. */
+    /** Checks before a run that its file can be written, so that no results are lost at the end. */
     static Path requireWritable(String name) throws ConfigurationException {
         try {
             Path file = Path.of(name).toAbsolutePath();
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Writes beside the file and moves it there, so that the file is either the old one or whole.
+     * Writes a temporary file in the same folder and moves it into place, so that readers see
+     * either the old file or the complete new one.
      */
     static void write(Path file, List<String> remarks, List<Sample> samples)
             throws ConfigurationException {
--- a/src/main/java/damsonslip/tools/lab/ScaleCommand.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * {@code lab scale}: the real decisions and decoding at growing sizes, among hollow workers and
- * schedulers.
+ * {@code lab scale}: measures the real list decoding and scheduling policy at growing sizes of a
+ * simulated fleet.
  */
 @Command(
         name = "scale",
@@ -21,10 +21,7 @@
     private static final ScaleRun.Effort QUICK = new ScaleRun.Effort(8, 300);
     private static final ScaleRun.Effort FULL = new ScaleRun.Effort(50, 2_000);
 
-    /**
-     * Heap that a worker takes in this process while its list is read: text, bytes, tree and
-     * entries.
-     */
+    /** Heap used per worker while its list is read: text, bytes, JSON tree and entries. */
     private static final long HEAP_BYTES_PER_WORKER = 3_000;
 
     private static final long HEAP_BYTES_PER_SCHEDULER = 500;
--- a/src/main/java/damsonslip/tools/lab/ScaleRun.java
+++ b/src/main/java/damsonslip/tools/lab/ScaleRun.java
@@ -8,13 +8,15 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** One run along all axes: each is varied while the others keep the base's size. */
+/**
+ * One run along all axes: each axis is varied while the others stay at the size of the base fleet.
+ */
 final class ScaleRun {
     /**
-     * How much is measured: warm-up and measured repetitions of each change, and jobs served.
+     * Number of repetitions.
      *
-     * @param changes changes of the list, each measured
-     * @param jobs jobs served before and again while measuring
+     * @param changes measured list changes; the warm-up applies ten times as many
+     * @param jobs jobs served before a measurement, and again while measuring
      */
     record Effort(int changes, int jobs) {}
 
@@ -25,12 +27,17 @@
             List<Integer> teams,
             List<Integer> zones) {}
 
-    /** What the other axes stay at; the first look had one scheduler of a hundred. */
+    /**
+     * Sizes of the axes that are not varied; one hundred schedulers, as in the first measurement.
+     */
     private static final HollowFleet BASE = new HollowFleet(600, 100, 50, 3, 1);
 
     private static final int RACK_WORKERS = 20;
 
-    /** Racks, zones and regions are parts of the fleet: twelve zones, four regions. */
+    /**
+     * For the loss of a zone or region, the fleet is taken as twelve equal zones or four equal
+     * regions.
+     */
     private static final int ZONES = 12;
 
     private static final int REGIONS = 4;
@@ -42,8 +49,8 @@
     private static final long SLOW_CALL_US = 30_000;
 
     /**
-     * A probe's bytes: {@code GET /load HTTP/1.1}, {@code Host}, and an answer with a report,
-     * counted from the wire.
+     * Bytes of one load probe on the wire: the request {@code GET /load HTTP/1.1} with {@code
+     * Host}, and a response with a load report.
      */
     static final int PROBE_BYTES =
             "GET /load HTTP/1.1\r\nHost: app.svc\r\n\r\n".length()
@@ -90,13 +97,13 @@
         return samples;
     }
 
-    /** No more than the largest size that was asked for. */
+    /** Limits the base size to the largest requested number of workers. */
     private int baseWorkers() {
         return Math.min(
                 BASE.workers(), sizes.workers().stream().max(Integer::compare).orElseThrow());
     }
 
-    /** The first size would else pay for compiling what all of them use. */
+    /** Warms up the JIT compiler, whose cost would otherwise be charged to the first size. */
     private void warmUp() throws ConfigurationException {
         int smallest = sizes.workers().stream().min(Integer::compare).orElseThrow();
         HollowFleet fleet =
@@ -132,7 +139,7 @@
         add(Measure.CHANGE_BYTES, Axis.WORKERS, fleet.workers(), change, Basis.COUNTED);
     }
 
-    /** What the decision module spends, with a fleet that has been served for a while. */
+    /** Measures the CPU time of the decision module after it has served jobs for a while. */
     private void decisions(Axis axis, int size, HollowFleet fleet) throws ConfigurationException {
         CpuTimes cpu = new CpuTimes();
         HollowScheduler scheduler = warmedUpScheduler(fleet, cpu);
@@ -180,12 +187,15 @@
         return scheduler;
     }
 
-    /** A scheduler's even part of the goal's starts, in the measure of its workers. */
+    /**
+     * Job rate of one scheduler: the goal's rate scaled to the fleet size and divided evenly among
+     * the schedulers.
+     */
     private static double jobsPerSecond(HollowFleet fleet) {
         return Goal.JOB_STARTS_PER_SECOND * fleet.workers() / Goal.WORKERS / fleet.schedulers();
     }
 
-    /** Workers begin to drain and come back, one at a time. */
+    /** Lets workers start draining and become ready again, one at a time. */
     private static void applyChanges(HollowScheduler scheduler, HollowFleet fleet, int count) {
         for (int i = 0; i < count; i++) {
             int worker = i / 2 * 37 % fleet.workers();
@@ -262,23 +272,20 @@
             }
             return scheduler;
         } catch (ConfigurationException e) {
-            throw new IllegalStateException("the hollow fleet's own settings", e);
+            throw new IllegalStateException(
+                    "generated settings of the simulated fleet are invalid", e);
         }
     }
 
-    /**
-     * How old what a scheduler knows of a worker is, after serving for so long as the effort
-     * allows.
-     */
+    /** Measures the age of the workers' load reports after serving the jobs of the effort. */
     private void reports(HollowFleet fleet) throws ConfigurationException {
         HollowScheduler scheduler = warmedUpScheduler(fleet, new CpuTimes());
         scheduler.advance(0);
         List<Double> ages = scheduler.reportAges();
         long recent = ages.stream().filter(age -> age <= RECENT_REPORT_SECONDS).count();
         int medianIndex = fleet.workers() / 2;
-        if (medianIndex
-                < ages.size()) { // else half of the workers were never heard of: their age has no
-            // bound
+        // Without reports from half of the workers, the median age is unbounded.
+        if (medianIndex < ages.size()) {
             add(
                     Measure.REPORT_AGE,
                     Axis.WORKERS,
--- a/src/main/java/damsonslip/tools/lab/SlopeReport.java
+++ b/src/main/java/damsonslip/tools/lab/SlopeReport.java
@@ -10,17 +10,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Tables of what grows with what, worked out from samples alone: the same samples give the same
- * lines.
+ * Computes tables of how each measure grows along each axis. The result depends on the samples
+ * only: the same samples give the same lines.
  */
 final class SlopeReport {
-    /** Below this exponent a cost counts as not growing. */
+    /** A cost with a smaller exponent is treated as constant. */
     private static final double MIN_GROWTH_EXPONENT = 0.05;
 
-    /** A line is not followed further than to so many times the largest measured size. */
+    /** Largest extrapolation, as a multiple of the largest measured size. */
     private static final double MAX_EXTRAPOLATION = 10;
 
-    /** What a real process shows, and what the hollow scheduler has for it. */
+    /** Measures of a real process and the corresponding measures of the simulated scheduler. */
     private static final Measure[][] PAIRS = {
         {Measure.PROCESS_IDLE, Measure.CONTROL_SHARE},
         {Measure.PROCESS_CHANGE_CPU, Measure.CHANGE_CPU},
@@ -70,7 +70,7 @@
         return lines;
     }
 
-    /** What real processes grow by from the smallest size on, beside what the hollow ones do. */
+    /** Compares the growth from the smallest size in real processes with that in the simulation. */
     private static List<String> ratios(Map<Series, List<Sample>> series) {
         List<String> lines = new ArrayList<>();
         for (Measure[] pair : PAIRS) {
@@ -128,7 +128,7 @@
                 + " |";
     }
 
-    /** Where a cost passes its budget, the smallest size first. */
+    /** Lists the sizes at which costs exceed their budgets, the smallest size first. */
     private static List<Shortfall> shortfalls(Map<Series, List<Sample>> series) {
         List<Shortfall> found = new ArrayList<>();
         series.forEach(
@@ -169,8 +169,9 @@
     }
 
     /**
-     * Between the two points that lie round the budget; beyond them by the line through the last
-     * two, if it grows.
+     * Returns the size at which a cost reaches its budget: interpolated between the two points
+     * around it, or extrapolated from the last two points if the cost grows; otherwise infinity. If
+     * the first point already exceeds the budget, its size is returned.
      */
     private static double sizeAtBudget(double budget, List<Sample> points) {
         for (int i = 1; i < points.size(); i++) {
--- a/src/main/java/damsonslip/tools/lab/SlopesCommand.java
+++ b/src/main/java/damsonslip/tools/lab/SlopesCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code lab slopes}: the tables of an earlier run, worked out again from its CSV. */
+/** {@code lab slopes}: recomputes the tables of earlier runs from their CSV files. */
 @Command(
         name = "slopes",
         mixinStandardHelpOptions = true,
--- a/src/main/java/damsonslip/tools/lab/package-info.java
+++ b/src/main/java/damsonslip/tools/lab/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The capacity laboratory: measures how the cost of one scheduler grows with the size of its fleet.
+ * Capacity measurements: how the cost of one scheduler grows with the size of its fleet.
  *
- * <p>Called by the command line ({@code lab scale}, {@code lab slopes}, {@code lab real}) and by
- * nothing that serves, so that its libraries are loaded for it alone. It may depend on the decision
- * module, the settings and the registry's decoding; nothing may depend on it but {@code
- * damsonslip.cli}.
+ * <p>Used only by the commands {@code lab scale}, {@code lab slopes} and {@code lab real}, never by
+ * a serving scheduler, so that the libraries it needs are not loaded there. It may depend on the
+ * decision module, the settings and the list decoding; only {@code damsonslip.cli} may depend on
+ * it.
  */
 package damsonslip.tools.lab;
--- a/src/test/java/damsonslip/tools/lab/LabTest.java
+++ b/src/test/java/damsonslip/tools/lab/LabTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The capacity laboratory: the same samples from the same seed, honest fits, and one plain line on
- * bad input.
+ * Checks the lab commands: reproducible samples for a seed, correct power-law fits, and a one-line
+ * error message for invalid input.
  */
 class LabTest {
     private static final String[] SMALL = {
@@ -64,16 +64,15 @@
     }
 
     @Test
-    void givesTheSameCountsFromTheSameSeedAndTheSameTablesFromTheFile()
-            throws ConfigurationException {
+    void sameSeedGivesSameCountsAndFileGivesSameTables() throws ConfigurationException {
         List<Sample> one = small("one.csv");
-        List<String> told =
+        List<String> printed =
                 out.toString(StandardCharsets.UTF_8)
                         .lines()
                         .filter(line -> !line.startsWith("#"))
                         .toList();
         assertEquals(0, lab("slopes", dir.resolve("one.csv").toString()));
-        assertEquals(told, out.toString(StandardCharsets.UTF_8).lines().toList());
+        assertEquals(printed, out.toString(StandardCharsets.UTF_8).lines().toList());
         List<Sample> other = small("other.csv");
         assertEquals(
                 IntStream.range(0, one.size()).mapToObj(i -> series(one.get(i))).toList(),
@@ -102,7 +101,7 @@
 
     @ParameterizedTest
     @CsvSource({"1,1", "0.25,2", "40,0", "3,-1"})
-    void findsTheExponentOfAPowerLaw(double factor, double exponent) {
+    void fitsFactorAndExponentOfAPowerLaw(double factor, double exponent) {
         List<Sample> points =
                 Stream.of(60L, 200L, 600L, 2_000L, 5_500L)
                         .map(
@@ -121,7 +120,7 @@
     }
 
     @Test
-    void tellsTheSizeAtWhichABudgetIsPassed() {
+    void reportsTheSizeAtWhichABudgetIsExceeded() {
         List<Sample> points =
                 Stream.of(100L, 1_000L)
                         .map(
@@ -158,7 +157,7 @@
                 "nonsense",
                 "scale --nonsense"
             })
-    void refusesBadInputInOnePlainLine(String line) {
+    void reportsInvalidInputInOneLine(String line) {
         assertTrue(lab(line.split(" ")) > 0);
         assertEquals(1, err.toString(StandardCharsets.UTF_8).lines().count(), err::toString);
         assertFalse(err.toString(StandardCharsets.UTF_8).contains("Exception"), err::toString);
@@ -166,7 +165,7 @@
     }
 
     @Test
-    void leavesTheOldFileWholeAndNothingBesideItOnBadInput() throws IOException {
+    void invalidInputLeavesExistingFileUnchangedAndNoTemporaryFile() throws IOException {
         Path file = Files.writeString(dir.resolve("kept.csv"), "kept");
         assertEquals(1, lab("scale", "--workers", "0", "--csv", file.toString()));
         assertEquals("kept", Files.readString(file));
@@ -176,7 +175,7 @@
     }
 
     @Test
-    void refusesAFileThatHoldsNoSamples() throws IOException {
+    void rejectsFileWithoutValidSamples() throws IOException {
         for (String text : List.of("", "role,measure\n", "a,b,c,workers,1,1,measured\n")) {
             Path file = Files.writeString(dir.resolve("bad.csv"), text);
             assertEquals(1, lab("slopes", file.toString()), text);
@@ -185,7 +184,7 @@
     }
 
     @Test
-    void theCapacityPageShowsWhatItsFilesGive() throws IOException {
+    void capacityPageMatchesTheTablesOfItsFiles() throws IOException {
         String page = Files.readString(Path.of("docs/CAPACITY.md"));
         int begin = page.indexOf("<!-- lab slopes ");
         int text = page.indexOf("-->\n", begin);
@@ -197,7 +196,7 @@
     }
 
     @Test
-    void tellsTheRatioOfRealProcessesToHollowOnes() {
+    void reportsTheRatioOfRealToSimulatedCosts() {
         List<Sample> samples =
                 List.of(
                         new Sample(Measure.CHANGE_CPU, Axis.WORKERS, 60, 1, Basis.MEASURED),
