--- a/src/main/java/damsonslip/tools/lab/Goal.java
+++ b/src/main/java/damsonslip/tools/lab/Goal.java
@@ -30,14 +30,14 @@
     static final double MAX_PROPAGATION_SECONDS = 5;
 
     /**
-     * A load report older than this says nothing about the free slots: the decision module's weight
-     * of a report decays over this time.
+     * A load report older than this says nothing about the free slots: the decision module's
+     * estimate decays over this time ({@code FreeShareEstimate.DECAY_US}).
      */
     static final double MAX_REPORT_AGE_SECONDS = 10;
 
     /**
-     * Cycle over which {@code DiscoveryWatch} spreads the calls of all schedulers (0.75 of 6 s),
-     * and the longest time slot that one scheduler gets when there are few (250 ms).
+     * Cycle over which {@code PollSchedule} spreads the calls of all schedulers (0.75 of 6 s), and
+     * the longest time slot that one scheduler gets when there are few (250 ms).
      */
     static final double WATCH_CYCLE_MS = 4_500;
 
