--- a/src/main/java/damsonslip/tools/lab/Lab.java
+++ b/src/main/java/damsonslip/tools/lab/Lab.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command {@code lab}: tools that measure, beside the scheduler and never in it. */
+/** The command {@code lab}: measuring tools that are never loaded by a serving scheduler. */
 @Command(
         name = "lab",
         description = "Measures how a scheduler's costs grow with its fleet.",
@@ -24,24 +24,22 @@
 
     private Lab() {}
 
-    /**
-     * Runs a command of the lab; gives its exit code: 1 on input that cannot be used, 2 on usage.
-     */
+    /** Runs a lab command and returns its exit code: 1 for invalid input, 2 for a usage error. */
     public static int run(List<String> args, PrintStream out, PrintStream err) {
         CommandLine line = new CommandLine(new Lab());
         line.setOut(new PrintWriter(out, true));
         line.setErr(new PrintWriter(err, true));
         line.setParameterExceptionHandler(
-                (wrong, words) -> {
-                    err.println("damsonslip: lab: " + firstLine(wrong));
+                (exception, words) -> {
+                    err.println("damsonslip: lab: " + firstLine(exception));
                     return USAGE;
                 });
         line.setExecutionExceptionHandler(
-                (thrown, command, parsed) -> {
-                    if (!(thrown instanceof ConfigurationException)) {
-                        throw thrown;
+                (exception, command, parsed) -> {
+                    if (!(exception instanceof ConfigurationException)) {
+                        throw exception;
                     }
-                    err.println("damsonslip: " + firstLine(thrown));
+                    err.println("damsonslip: " + firstLine(exception));
                     return BAD_INPUT;
                 });
         if (args.isEmpty()) {
@@ -53,7 +51,7 @@
         return line.execute(args.toArray(String[]::new));
     }
 
-    private static String firstLine(Exception thrown) {
-        return String.valueOf(thrown.getMessage()).lines().findFirst().orElse("");
+    private static String firstLine(Exception exception) {
+        return String.valueOf(exception.getMessage()).lines().findFirst().orElse("");
     }
 }
--- a/src/main/java/damsonslip/tools/lab/RealScheduler.java
+++ b/src/main/java/damsonslip/tools/lab/RealScheduler.java
@@ -11,9 +11,12 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The real program with the run line's flags, as a process of its own, told of a hollow fleet. */
+/**
+ * A real scheduler process, started with the production JVM flags and the list and settings of a
+ * simulated fleet.
+ */
 final class RealScheduler implements Closeable {
-    /** The run line of deploy/balancer.toml. */
+    /** JVM flags of the command line in deploy/balancer.toml. */
     private static final List<String> FLAGS =
             List.of(
                     "-Djava.locale.providers=COMPAT",
@@ -34,9 +37,9 @@
             {"name":"lab","listen":"127.0.0.1:%d","discovery":"127.0.0.1:%d","seed":"1","limits":{"sockets":1024},
             "known":%s,"settings":%s}\
             """;
-    private static final long READY_MS = 60_000;
-    private static final double TICKS_A_SECOND = 100;
-    private static final int UTIME = 11;
+    private static final long READY_TIMEOUT_MS = 60_000;
+    private static final double CLOCK_TICKS_PER_SECOND = 100;
+    private static final int UTIME_FIELD = 11;
 
     private final Path folder;
     private final Process process;
@@ -49,7 +52,7 @@
         Files.writeString(
                 config,
                 CONFIG.formatted(
-                        freePort(), discoveryPort, fleet.wholeList(1), fleet.settingsText()));
+                        freePort(), discoveryPort, fleet.fullList(1), fleet.settingsText()));
         List<String> command = new ArrayList<>(FLAGS);
         command.add(0, Path.of(System.getProperty("java.home"), "bin", "java").toString());
         if (Files.exists(Path.of(archive))) {
@@ -71,11 +74,11 @@
         process = builder.start();
         while (!Files.readString(folder.resolve("log")).contains("listens on")) {
             if (!process.isAlive()
-                    || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_MS)) {
-                String said = Files.readString(folder.resolve("log"));
+                    || System.nanoTime() - from > TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS)) {
+                String output = Files.readString(folder.resolve("log"));
                 close();
                 throw new IOException(
-                        "lab: a scheduler did not start: " + said.lines().findFirst().orElse(""));
+                        "lab: a scheduler did not start: " + output.lines().findFirst().orElse(""));
             }
             Thread.sleep(5);
         }
@@ -86,12 +89,12 @@
         return readySeconds;
     }
 
-    /** CPU of all its threads since its start. */
+    /** Returns the CPU time of all threads of the process since its start. */
     double cpuMs() throws IOException {
         String stat = Files.readString(proc("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ", 0);
-        return (Long.parseLong(fields[UTIME]) + Long.parseLong(fields[UTIME + 1]))
-                / TICKS_A_SECOND
+        return (Long.parseLong(fields[UTIME_FIELD]) + Long.parseLong(fields[UTIME_FIELD + 1]))
+                / CLOCK_TICKS_PER_SECOND
                 * 1e3;
     }
 
@@ -104,7 +107,8 @@
     }
 
     /**
-     * What its heap holds after a collection, as the JVM's own histogram of live objects counts it.
+     * Returns the size of the live objects after a garbage collection, as counted by the JVM's
+     * class histogram.
      */
     double heapKb() throws IOException, InterruptedException {
         Process histogram =
