--- a/src/main/java/damsonslip/tools/lab/soak/Judge.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Judge.java
@@ -33,7 +33,7 @@
     private final Membership membership;
     private final List<SchedulerProcess> schedulers;
     private final List<SoakWorker> workers;
-    private final HoldUps holdUps;
+    private final StallMonitor holdUps;
     private final List<Finding> findings = new ArrayList<>();
 
     Judge(
@@ -42,7 +42,7 @@
             Membership membership,
             List<SchedulerProcess> schedulers,
             List<SoakWorker> workers,
-            HoldUps holdUps) {
+            StallMonitor holdUps) {
         this.plan = plan;
         this.ledger = ledger;
         this.membership = membership;
--- a/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
@@ -59,7 +59,7 @@
     private final List<SoakWorker> workers = new ArrayList<>();
     private final List<SchedulerProcess> schedulers = new ArrayList<>();
     private final AtomicInteger leavePercent = new AtomicInteger(USUAL_LEAVERS_PERCENT);
-    private final HoldUps holdUps = new HoldUps();
+    private final StallMonitor holdUps = new StallMonitor();
 
     /**
      * @param shared the setup whose folder and settings each scheduler replaces by its own
--- a/src/main/java/damsonslip/tools/lab/soak/HoldUps.java
+++ b/src/main/java/damsonslip/tools/lab/soak/StallMonitor.java
@@ -7,13 +7,13 @@
  * When the soak's own process was held up: times that its clients and workers wrote down then are
  * late by as much.
  */
-final class HoldUps {
+final class StallMonitor {
     private static final long TICK_US = 5 * Clock.MILLISECOND;
     private static final long WORTH_A_NOTE_US = 10 * Clock.MILLISECOND;
 
-    private record HoldUp(long atUs, long lateUs) {}
+    private record Stall(long atUs, long lateUs) {}
 
-    private final Queue<HoldUp> seen = new ConcurrentLinkedQueue<>();
+    private final Queue<Stall> seen = new ConcurrentLinkedQueue<>();
     private final Thread ticking = Threads.start("hold-ups", this::tick);
 
     private void tick() throws InterruptedException {
@@ -22,7 +22,7 @@
             Clock.sleepUs(TICK_US);
             long lateUs = Clock.nowUs() - dueUs;
             if (lateUs > WORTH_A_NOTE_US) {
-                seen.add(new HoldUp(dueUs + lateUs, lateUs));
+                seen.add(new Stall(dueUs + lateUs, lateUs));
             }
         }
     }
@@ -31,7 +31,7 @@
     long longestUs(long fromUs, long toUs) {
         return seen.stream()
                 .filter(one -> one.atUs() >= fromUs && one.atUs() - one.lateUs() <= toUs)
-                .mapToLong(HoldUp::lateUs)
+                .mapToLong(Stall::lateUs)
                 .max()
                 .orElse(0);
     }
