--- a/src/main/java/damsonslip/tools/lab/soak/DiscoveryFront.java
+++ b/src/main/java/damsonslip/tools/lab/soak/DiscoveryStub.java
@@ -15,7 +15,7 @@
  * Discovery as one scheduler sees it, at an address of its own, so that it is known what each has
  * been told and when. It can be down, slow, or leave open watches silent.
  */
-final class DiscoveryFront implements Closeable {
+final class DiscoveryStub implements Closeable {
     private static final long PULSE_US = 2 * Clock.SECOND;
     private static final int BACKLOG = 50;
 
@@ -29,7 +29,7 @@
     private volatile boolean down;
     private volatile long answerAfterUs;
 
-    DiscoveryFront(Membership membership, Map<Integer, Long> toldUs) throws IOException {
+    DiscoveryStub(Membership membership, Map<Integer, Long> toldUs) throws IOException {
         this.membership = membership;
         this.toldUs = toldUs;
         this.server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
--- a/src/main/java/damsonslip/tools/lab/soak/SchedulerProcess.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SchedulerProcess.java
@@ -64,7 +64,7 @@
     /** When each change was told, by its generation. */
     private final Map<Integer, Long> toldUs = new ConcurrentHashMap<>();
 
-    private final List<DiscoveryFront> fronts = new CopyOnWriteArrayList<>();
+    private final List<DiscoveryStub> fronts = new CopyOnWriteArrayList<>();
 
     /** When it was killed outright; whatever it held then is its client's to repeat. */
     private final List<Span> kills = new CopyOnWriteArrayList<>();
@@ -88,7 +88,7 @@
         this.faults = faults;
         this.ledger = ledger;
         this.membership = membership;
-        fronts.add(new DiscoveryFront(membership, toldUs));
+        fronts.add(new DiscoveryStub(membership, toldUs));
     }
 
     int port() {
@@ -100,7 +100,7 @@
     }
 
     /** Discovery at its newest address. */
-    DiscoveryFront discovery() {
+    DiscoveryStub discovery() {
         return fronts.get(fronts.size() - 1);
     }
 
@@ -237,8 +237,8 @@
         if (leaving || !process.isAlive()) {
             return;
         }
-        DiscoveryFront old = discovery();
-        fronts.add(new DiscoveryFront(membership, toldUs));
+        DiscoveryStub old = discovery();
+        fronts.add(new DiscoveryStub(membership, toldUs));
         writeConfig();
         signal("HUP");
         Clock.sleepUs(3 * Clock.SECOND / 2);
@@ -270,7 +270,7 @@
     void close() throws IOException, InterruptedException {
         leaving = true;
         process.destroyForcibly().waitFor();
-        for (DiscoveryFront front : fronts) {
+        for (DiscoveryStub front : fronts) {
             front.close();
         }
     }
