--- a/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
@@ -98,7 +98,7 @@
             for (SchedulerProcess scheduler : schedulers) {
                 scheduler.checkAlive();
             }
-            return new Judge(plan, ledger, membership, schedulers, workers, holdUps).verdict(cpuUs);
+            return new SoakVerifier(plan, ledger, membership, schedulers, workers, holdUps).verdict(cpuUs);
         } finally {
             for (SchedulerProcess scheduler : schedulers) {
                 scheduler.close();
--- a/src/main/java/damsonslip/tools/lab/soak/Judge.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakVerifier.java
@@ -13,7 +13,7 @@
 import java.util.List;
 
 /** Holds what was seen from outside against the rules of the protocol page and of STANDING. */
-final class Judge {
+final class SoakVerifier {
     /**
      * Every time limit on sockets is this much longer (PROTOCOL), and as much is left for the
      * soak's own threads.
@@ -36,7 +36,7 @@
     private final StallMonitor holdUps;
     private final List<Finding> findings = new ArrayList<>();
 
-    Judge(
+    SoakVerifier(
             SoakPlan plan,
             Ledger ledger,
             Membership membership,
