--- a/src/main/java/damsonslip/tools/lab/soak/Trouble.java
+++ b/src/main/java/damsonslip/tools/lab/soak/InjectedFault.java
@@ -12,7 +12,7 @@
  * @param forUs for how long
  * @param choice chooses among the variants of the kind, from 0 up to 1,000
  */
-record Trouble(int number, Kind kind, int target, long fromUs, long forUs, int choice) {
+record InjectedFault(int number, Kind kind, int target, long fromUs, long forUs, int choice) {
     /** What may happen. */
     enum Kind {
         STOP,
--- a/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
@@ -203,7 +203,7 @@
         Set<String> rules =
                 verdict.findings().stream().map(Finding::rule).collect(Collectors.toSet());
         Set<Integer> leftOut = new HashSet<>(without);
-        for (Trouble trouble : plan(of, without, only).troubles()) {
+        for (InjectedFault trouble : plan(of, without, only).troubles()) {
             Set<Integer> trial = new HashSet<>(leftOut);
             trial.add(trouble.number());
             List<Finding> found = play(plan(of, trial, only)).findings();
--- a/src/main/java/damsonslip/tools/lab/soak/SoakPlan.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakPlan.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab.soak;
 
-import damsonslip.tools.lab.soak.Trouble.Kind;
+import damsonslip.tools.lab.soak.InjectedFault.Kind;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
@@ -28,7 +28,7 @@
     private final boolean pushed;
     private final boolean probes;
     private final int graceMs;
-    private final List<Trouble> troubles = new ArrayList<>();
+    private final List<InjectedFault> troubles = new ArrayList<>();
 
     SoakPlan(long seed, int processes, long lengthUs, Set<Integer> without, Set<Integer> only) {
         this.seed = seed;
@@ -44,8 +44,8 @@
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
             int target = random.nextInt(OF_WORKERS.contains(kind) ? WORKERS : processes);
             long length = SHORTEST_US + (long) (random.nextDouble() * (LONGEST_US - SHORTEST_US));
-            Trouble trouble =
-                    new Trouble(number++, kind, target, at, length, random.nextInt(1_000));
+            InjectedFault trouble =
+                    new InjectedFault(number++, kind, target, at, length, random.nextInt(1_000));
             if (!without.contains(trouble.number())
                     && (only.isEmpty() || only.contains(trouble.number()))) {
                 troubles.add(trouble);
@@ -69,7 +69,7 @@
         return graceMs * Clock.MILLISECOND;
     }
 
-    List<Trouble> troubles() {
+    List<InjectedFault> troubles() {
         return troubles;
     }
 
--- a/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakRun.java
@@ -1,9 +1,9 @@
 package damsonslip.tools.lab.soak;
 
 import damsonslip.tools.lab.soak.FaultProxy.Condition;
+import damsonslip.tools.lab.soak.InjectedFault.Kind;
 import damsonslip.tools.lab.soak.Membership.Lifecycle;
 import damsonslip.tools.lab.soak.SoakWorker.Mood;
-import damsonslip.tools.lab.soak.Trouble.Kind;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.InetAddress;
@@ -98,7 +98,8 @@
             for (SchedulerProcess scheduler : schedulers) {
                 scheduler.checkAlive();
             }
-            return new SoakVerifier(plan, ledger, membership, schedulers, workers, holdUps).verdict(cpuUs);
+            return new SoakVerifier(plan, ledger, membership, schedulers, workers, holdUps)
+                    .verdict(cpuUs);
         } finally {
             for (SchedulerProcess scheduler : schedulers) {
                 scheduler.close();
@@ -155,7 +156,7 @@
                             "c" + i, schedulers, ledger, plan.seed() * 1_000 + i, leavePercent);
             threads.add(Threads.start("client", () -> client.run(fromUs + lengthUs)));
         }
-        for (Trouble trouble : plan.troubles()) {
+        for (InjectedFault trouble : plan.troubles()) {
             threads.add(
                     Threads.start(
                             trouble.kind().name(),
@@ -173,7 +174,7 @@
         }
     }
 
-    private void make(Trouble trouble) throws IOException, InterruptedException {
+    private void make(InjectedFault trouble) throws IOException, InterruptedException {
         switch (trouble.kind()) {
             case DRAIN, WORKER_DIES, WORKER_MOOD, NETWORK ->
                     happenTo(workers.get(trouble.target()), trouble);
@@ -194,7 +195,7 @@
         }
     }
 
-    private void happenTo(SoakWorker worker, Trouble trouble)
+    private void happenTo(SoakWorker worker, InjectedFault trouble)
             throws IOException, InterruptedException {
         synchronized (worker) { // troubles of one worker come one after the other
             switch (trouble.kind()) {
@@ -227,7 +228,7 @@
         }
     }
 
-    private void happenTo(SchedulerProcess scheduler, Trouble trouble)
+    private void happenTo(SchedulerProcess scheduler, InjectedFault trouble)
             throws IOException, InterruptedException {
         switch (trouble.kind()) {
             case WATCH_SILENT -> scheduler.discovery().silence();
@@ -252,7 +253,7 @@
         }
     }
 
-    private void happenToDiscovery(Trouble trouble) throws InterruptedException {
+    private void happenToDiscovery(InjectedFault trouble) throws InterruptedException {
         long waitUs = trouble.choice() % 3 * 500 * Clock.MILLISECOND;
         boolean down = trouble.kind() == Kind.DISCOVERY_DOWN;
         schedulers.forEach(scheduler -> scheduler.discovery().down(down, waitUs));
@@ -260,7 +261,7 @@
         schedulers.forEach(scheduler -> scheduler.discovery().down(false, 0));
     }
 
-    private void badClients(Trouble trouble) throws InterruptedException {
+    private void badClients(InjectedFault trouble) throws InterruptedException {
         SchedulerProcess scheduler = schedulers.get(trouble.target());
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -274,7 +275,7 @@
         }
     }
 
-    private static void failCalls(FaultControl faults, Trouble trouble)
+    private static void failCalls(FaultControl faults, InjectedFault trouble)
             throws InterruptedException {
         int every = 1 + trouble.choice() % 3;
         SystemCall call =
