--- a/src/main/java/damsonslip/tools/lab/soak/Clock.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Clock.java
@@ -1,6 +1,6 @@
 package damsonslip.tools.lab.soak;
 
-/** The soak's clock: microseconds of monotonic time. */
+/** Monotonic time in microseconds. */
 final class Clock {
     static final long MILLISECOND = 1_000;
     static final long SECOND = 1_000_000;
--- a/src/main/java/damsonslip/tools/lab/soak/DiscoveryStub.java
+++ b/src/main/java/damsonslip/tools/lab/soak/DiscoveryStub.java
@@ -12,26 +12,27 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Discovery as one scheduler sees it, at an address of its own, so that it is known what each has
- * been told and when. It can be down, slow, or leave open watches silent.
+ * A discovery service for one scheduler, on its own port, so that the time at which each change was
+ * sent to that scheduler is known. It can be made unavailable or slow, or can stop writing on open
+ * watches.
  */
 final class DiscoveryStub implements Closeable {
-    private static final long PULSE_US = 2 * Clock.SECOND;
+    private static final long KEEPALIVE_US = 2 * Clock.SECOND;
     private static final int BACKLOG = 50;
 
     private final Membership membership;
 
-    /** When each change was written to this scheduler's watch, by its generation. */
-    private final Map<Integer, Long> toldUs;
+    /** Time at which each change was first written to a watch of this scheduler, by generation. */
+    private final Map<Integer, Long> sentUs;
 
     private final ServerSocket server;
     private final Set<Watch> watches = ConcurrentHashMap.newKeySet();
     private volatile boolean down;
-    private volatile long answerAfterUs;
+    private volatile long answerDelayUs;
 
-    DiscoveryStub(Membership membership, Map<Integer, Long> toldUs) throws IOException {
+    DiscoveryStub(Membership membership, Map<Integer, Long> sentUs) throws IOException {
         this.membership = membership;
-        this.toldUs = toldUs;
+        this.sentUs = sentUs;
         this.server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         Threads.start("discovery", this::accept);
     }
@@ -40,22 +41,25 @@
         return server.getLocalPort();
     }
 
-    /** Fails all calls, after this wait, and ends the open watches; or serves again. */
-    void down(boolean so, long waitUs) {
-        down = so;
-        answerAfterUs = waitUs;
-        if (so) {
-            endWatches();
+    /**
+     * Sets the delay before each answer. While down, calls are answered with 503 and the open
+     * watches are reset.
+     */
+    void setDown(boolean unavailable, long delayUs) {
+        down = unavailable;
+        answerDelayUs = delayUs;
+        if (unavailable) {
+            resetWatches();
         }
     }
 
     /** Resets the open watches. */
-    void endWatches() {
+    void resetWatches() {
         watches.forEach(Watch::end);
     }
 
-    /** Nothing more is written on the watches that are open now. */
-    void silence() {
+    /** Stops writing on the watches that are open now, without closing them. */
+    void silenceWatches() {
         watches.forEach(watch -> watch.silent = true);
     }
 
@@ -66,7 +70,7 @@
         }
     }
 
-    /** One call, which becomes a watch. */
+    /** One call for the endpoint list, which becomes a watch. */
     private final class Watch {
         private final Wire wire;
         private volatile boolean silent;
@@ -80,7 +84,7 @@
             try {
                 wire.reset();
             } catch (IOException e) {
-                // it has ended by itself
+                // already closed
             }
         }
 
@@ -91,7 +95,7 @@
                 if (call == null) {
                     return;
                 }
-                Clock.sleepUs(answerAfterUs);
+                Clock.sleepUs(answerDelayUs);
                 if (down) {
                     wire.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
                     return;
@@ -106,28 +110,30 @@
 
         private void watch(int after) throws IOException, InterruptedException {
             List<Change> first = membership.after(after);
-            int told = membership.generation();
-            chunk(after == 0 ? membership.whole() : membership.object(first), first);
-            long pulseUs = Clock.nowUs() + PULSE_US;
+            int sentGeneration = membership.generation();
+            chunk(after == 0 ? membership.snapshot() : membership.update(first), first);
+            long keepaliveDueUs = Clock.nowUs() + KEEPALIVE_US;
             while (true) {
-                membership.await(told, pulseUs - Clock.nowUs());
-                List<Change> more = membership.after(told);
+                membership.await(sentGeneration, keepaliveDueUs - Clock.nowUs());
+                List<Change> more = membership.after(sentGeneration);
                 if (silent) {
-                    Clock.sleepUs(PULSE_US);
+                    Clock.sleepUs(KEEPALIVE_US);
                     continue;
                 }
-                if (more.isEmpty() && Clock.nowUs() < pulseUs) {
+                if (more.isEmpty() && Clock.nowUs() < keepaliveDueUs) {
                     continue;
                 }
-                told = more.isEmpty() ? told : more.get(more.size() - 1).generation();
-                chunk(more.isEmpty() ? "" : membership.object(more), more);
-                pulseUs = Clock.nowUs() + PULSE_US;
+                sentGeneration =
+                        more.isEmpty() ? sentGeneration : more.get(more.size() - 1).generation();
+                chunk(more.isEmpty() ? "" : membership.update(more), more);
+                keepaliveDueUs = Clock.nowUs() + KEEPALIVE_US;
             }
         }
 
         /**
-         * The scheduler says nothing on a watch; its end is read, since what is written after that
-         * is told to nobody.
+         * Waits for the scheduler to close the watch. It sends nothing on a watch, so a read
+         * returns only at the end; changes written after that reach nobody and must not count as
+         * sent.
          */
         private void awaitEnd() throws IOException {
             try {
@@ -142,17 +148,17 @@
             String line = object + "\n";
             int length = line.getBytes(StandardCharsets.UTF_8).length;
             if (ended) {
-                throw new IOException("the scheduler has ended the watch");
+                throw new IOException("the scheduler has closed the watch");
             }
             wire.send(Integer.toHexString(length) + "\r\n" + line + "\r\n");
             long now = Clock.nowUs();
-            changes.forEach(change -> toldUs.putIfAbsent(change.generation(), now));
+            changes.forEach(change -> sentUs.putIfAbsent(change.generation(), now));
         }
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        endWatches();
+        resetWatches();
     }
 }
--- a/src/main/java/damsonslip/tools/lab/soak/FaultControl.java
+++ b/src/main/java/damsonslip/tools/lab/soak/FaultControl.java
@@ -11,12 +11,13 @@
 import java.util.Map;
 
 /**
- * Commands the fault library in one process, through a file that both map; a command takes effect
- * with the next call.
+ * Controls the fault library in one process through a file that both map into memory. A change
+ * takes effect with the next call.
  *
  * <p>Layout, in the machine's byte order: the wall clock's offset in nanoseconds (8 bytes, 8
- * unused), then for each {@link SystemCall} 40 bytes: errno, every so manieth call, milliseconds to
- * wait, most bytes (4 bytes each), calls, failed calls (8 bytes each), 8 unused.
+ * unused), then for each {@link SystemCall} 40 bytes: errno, N for every Nth call, delay in
+ * milliseconds, maximum of bytes (4 bytes each), number of calls, number of failed calls (8 bytes
+ * each), 8 unused.
  */
 public final class FaultControl {
     private static final int SIZE = 4_096;
@@ -32,7 +33,7 @@
     private final Path file;
     private final MappedByteBuffer control;
 
-    /** Makes a control file without any fault in this folder. */
+    /** Creates a control file in this folder, with no fault set. */
     public FaultControl(Path library, Path folder) throws IOException {
         this.library = library;
         this.file = Files.createTempFile(folder, "faults", ".control");
@@ -44,33 +45,35 @@
         control.order(ByteOrder.nativeOrder());
     }
 
-    /** What a process needs in its environment to be commanded from here. */
+    /**
+     * The environment variables with which a process loads the library and finds this control file.
+     */
     public Map<String, String> environment() {
         return Map.of("LD_PRELOAD", library.toString(), "DAMSONSLIP_FAULTS", file.toString());
     }
 
-    /** Sets the wall clock off by this much, from now on. */
+    /** Shifts the wall clock of the process by this offset from now on. */
     public void stepWallClock(Duration offset) {
         control.putLong(0, offset.toNanos());
     }
 
-    /** Every so manieth call fails with this error, from now on. */
+    /** Makes every Nth call fail with this error from now on. */
     public void fail(SystemCall call, Errno error, int every) {
         control.putInt(at(call, EVERY), every);
         control.putInt(at(call, ERROR), error.number());
     }
 
-    /** Each call waits so long before it is made, from now on. */
+    /** Delays each call by this time from now on. */
     public void hold(SystemCall call, int millis) {
         control.putInt(at(call, HOLD_MS), millis);
     }
 
-    /** Each call transfers so many bytes at the most, from now on. */
+    /** Limits the bytes that each call transfers from now on. */
     public void shorten(SystemCall call, int mostBytes) {
         control.putInt(at(call, MOST_BYTES), mostBytes);
     }
 
-    /** The call works as usual again. */
+    /** Removes all faults from the call. */
     public void restore(SystemCall call) {
         control.putInt(at(call, ERROR), 0);
         control.putInt(at(call, EVERY), 0);
@@ -78,7 +81,7 @@
         control.putInt(at(call, MOST_BYTES), 0);
     }
 
-    /** How often the call was made, failed or not. */
+    /** The number of calls made, including failed ones. */
     public long calls(SystemCall call) {
         return control.getLong(at(call, CALLS));
     }
--- a/src/main/java/damsonslip/tools/lab/soak/FaultLibrary.java
+++ b/src/main/java/damsonslip/tools/lab/soak/FaultLibrary.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Builds the fault library from its C source with the machine's compiler. */
+/** Builds the fault library from its C source with the C compiler of the system. */
 public final class FaultLibrary {
-    /** Where the source lies, from the root of the repository. */
+    /** Path of the source, relative to the root of the repository. */
     public static final Path SOURCE = Path.of("src", "test", "c", "faults.c");
 
     private static final long BUILD_S = 60;
@@ -18,7 +18,7 @@
     private FaultLibrary() {}
 
     /**
-     * Builds the library into this folder and gives its path, or nothing where the machine has no
+     * Builds the library into this folder and returns its path, or nothing if there is no C
      * compiler.
      *
      * @throws IOException if the source cannot be built
@@ -43,7 +43,7 @@
                             .redirectErrorStream(true)
                             .redirectOutput(log.toFile())
                             .start();
-        } catch (IOException e) { // there is no such program
+        } catch (IOException e) { // no C compiler installed
             return Optional.empty();
         }
         if (!compiler.waitFor(BUILD_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
--- a/src/main/java/damsonslip/tools/lab/soak/FaultProxy.java
+++ b/src/main/java/damsonslip/tools/lab/soak/FaultProxy.java
@@ -15,36 +15,36 @@
 import java.util.function.IntSupplier;
 
 /**
- * The network between schedulers and one worker: passes bytes on both ways, and harms them as its
- * condition says. What goes to the worker is only split or cut, since that is when an attempt
- * begins; answers are delayed and held back as well.
+ * A proxy between schedulers and one worker that forwards bytes both ways and injects network
+ * faults. Only answers are delayed or stalled; requests are just split or cut, since the time at
+ * which their bytes arrive counts as the begin of the attempt.
  */
 final class FaultProxy implements Closeable {
-    /** What the network does. */
+    /** How the network behaves. */
     enum Condition {
-        /** Passes everything on at once. */
-        WELL,
-        /** Passes each piece of an answer on some time later. */
+        /** Forwards everything at once. */
+        NORMAL,
+        /** Delays each piece of an answer. */
         DELAYING,
-        /** Passes nothing of an answer on. */
+        /** Forwards no answers. */
         STALLING,
-        /** Passes everything on in pieces of a few bytes. */
+        /** Forwards everything in pieces of a few bytes. */
         SPLITTING,
-        /** Ends connections in the middle of what they carry. */
+        /** Closes connections in the middle of a message. */
         CUTTING,
-        /** The same with a reset to both sides. */
+        /** Resets both sides of connections in the middle of a message. */
         RESETTING
     }
 
     private static final int BACKLOG = 200;
     private static final int BUFFER = 8 * 1024;
     private static final int CONNECT_MS = 1_000;
-    private static final int LARGEST_PIECE = 24;
+    private static final int MAX_PIECE = 24;
     private static final long SPLIT_PAUSE_US = Clock.MILLISECOND / 2;
-    private static final long LONGEST_DELAY_US = 60 * Clock.MILLISECOND;
-    private static final long STALL_LOOK_US = 20 * Clock.MILLISECOND;
+    private static final long MAX_DELAY_US = 60 * Clock.MILLISECOND;
+    private static final long STALL_CHECK_US = 20 * Clock.MILLISECOND;
 
-    /** Of what passes while it cuts, one piece of so many is the last of its connection. */
+    /** While connections are cut, one forwarded piece in this many ends its connection. */
     private static final int CUT_ONE_OF = 12;
 
     private final IntSupplier targetPort;
@@ -52,15 +52,15 @@
     private final ServerSocket server;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    /** When the request at hand was first read, by the port from which it is passed on. */
+    /**
+     * Time at which the first byte of the current request was read, by the local port of the
+     * connection to the worker.
+     */
     private final Map<Integer, Long> beganUs = new ConcurrentHashMap<>();
 
-    private volatile Condition condition = Condition.WELL;
+    private volatile Condition condition = Condition.NORMAL;
 
-    /**
-     * Listens on a port of its own, and leads to the one that the target has when a connection
-     * comes.
-     */
+    /** Listens on a free port. The target's port is looked up for each new connection. */
     FaultProxy(IntSupplier targetPort, long seed) throws IOException {
         this.targetPort = targetPort;
         this.random = new Random(seed);
@@ -73,42 +73,42 @@
     }
 
     /**
-     * When the request began to come that is passed on from this port, or then if nothing is known
-     * of it.
+     * Time at which the current request on the connection from this local port began to arrive, or
+     * the fallback if unknown.
      */
-    long beganUs(int fromPort, long thenUs) {
-        return beganUs.getOrDefault(fromPort, thenUs);
+    long beganUs(int fromPort, long fallbackUs) {
+        return beganUs.getOrDefault(fromPort, fallbackUs);
     }
 
-    /** What the network does from now on. */
+    /** Sets the condition from now on. */
     void condition(Condition next) {
         condition = next;
     }
 
     private void acceptAll() throws IOException {
         while (!server.isClosed()) {
-            Socket near = server.accept();
-            Threads.start("proxy", () -> connect(near));
+            Socket client = server.accept();
+            Threads.start("proxy", () -> connect(client));
         }
     }
 
-    private void connect(Socket near) throws IOException, InterruptedException {
-        Socket far = new Socket();
-        open.add(near);
-        open.add(far);
+    private void connect(Socket client) throws IOException, InterruptedException {
+        Socket worker = new Socket();
+        open.add(client);
+        open.add(worker);
         try {
-            near.setTcpNoDelay(true);
-            far.setTcpNoDelay(true);
-            far.connect(
+            client.setTcpNoDelay(true);
+            worker.setTcpNoDelay(true);
+            worker.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort.getAsInt()),
                     CONNECT_MS);
-        } catch (IOException e) { // nobody is there: the near side learns it by a reset
-            end(near, far, true);
+        } catch (IOException e) { // the worker does not listen: reset the scheduler's side
+            end(client, worker, true);
             return;
         }
-        int port = far.getLocalPort();
-        Threads.start("proxy", () -> pass(far, near, port, true));
-        pass(near, far, port, false);
+        int port = worker.getLocalPort();
+        Threads.start("proxy", () -> pass(worker, client, port, true));
+        pass(client, worker, port, false);
     }
 
     private void pass(Socket from, Socket to, int port, boolean answers)
@@ -120,7 +120,7 @@
             for (int got = in.read(buffer); got >= 0; got = in.read(buffer)) {
                 if (answers) {
                     beganUs.remove(port);
-                    holdBack();
+                    delayAnswer();
                 } else {
                     beganUs.putIfAbsent(port, Clock.nowUs());
                 }
@@ -132,17 +132,17 @@
                 write(out, buffer, got);
             }
             to.shutdownOutput();
-        } catch (IOException e) { // one side was reset, and the other one is
+        } catch (IOException e) { // one side was reset: reset the other one too
             end(from, to, true);
         }
     }
 
-    private void holdBack() throws InterruptedException {
+    private void delayAnswer() throws InterruptedException {
         if (condition == Condition.DELAYING) {
-            Clock.sleepUs((long) (chance() * LONGEST_DELAY_US));
+            Clock.sleepUs((long) (chance() * MAX_DELAY_US));
         }
         while (condition == Condition.STALLING && !server.isClosed()) {
-            Clock.sleepUs(STALL_LOOK_US);
+            Clock.sleepUs(STALL_CHECK_US);
         }
     }
 
@@ -156,9 +156,7 @@
         for (int at = 0; at < length; ) {
             boolean splits = condition == Condition.SPLITTING;
             int piece =
-                    splits
-                            ? Math.min(length - at, 1 + (int) (chance() * LARGEST_PIECE))
-                            : length - at;
+                    splits ? Math.min(length - at, 1 + (int) (chance() * MAX_PIECE)) : length - at;
             out.write(bytes, at, piece);
             at += piece;
             if (splits) {
@@ -182,7 +180,7 @@
                 }
                 socket.close();
             } catch (IOException e) {
-                // it has ended by itself
+                // already closed
             }
         }
     }
--- a/src/main/java/damsonslip/tools/lab/soak/InjectedFault.java
+++ b/src/main/java/damsonslip/tools/lab/soak/InjectedFault.java
@@ -3,17 +3,17 @@
 import java.util.Locale;
 
 /**
- * Something that goes wrong in a run.
+ * A fault injected in a run.
  *
- * @param number its place in the plan, by which it is left out when a failing seed is shrunk
- * @param kind what happens
- * @param target which scheduler or worker it happens to, for kinds that happen to one
- * @param fromUs when, counted from the begin of the load
- * @param forUs for how long
- * @param choice chooses among the variants of the kind, from 0 up to 1,000
+ * @param number its position in the plan; shrinking a failing seed excludes faults by this number
+ * @param kind kind of fault
+ * @param target index of the affected scheduler or worker, for kinds that affect one
+ * @param fromUs start time, relative to the start of the load
+ * @param forUs duration
+ * @param choice selects a variant of the kind, from 0 to 999
  */
 record InjectedFault(int number, Kind kind, int target, long fromUs, long forUs, int choice) {
-    /** What may happen. */
+    /** Kinds of faults; the names are printed. */
     enum Kind {
         STOP,
         KILL,
--- a/src/main/java/damsonslip/tools/lab/soak/Ledger.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Ledger.java
@@ -8,46 +8,49 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What clients and workers saw of each request; written by many threads, read once the run is over.
+ * Records what clients and workers observed of each request. Written by many threads, read after
+ * the run.
  */
 final class Ledger {
-    /** What repeating a request does. */
+    /** Whether a request may be repeated: always, with an idempotency key, or never. */
     enum Effect {
         REPEATABLE,
         KEYED,
         ONCE
     }
 
-    /** How a request ended for its client. */
+    /** Outcome of a request for its client. */
     enum End {
-        /** An answer came. */
+        /** Answered. */
         ANSWERED,
-        /** The client left before there was one. */
+        /** The client disconnected before an answer arrived. */
         LEFT,
-        /** A new connection was closed or reset with no answer. */
+        /** A new connection was closed or reset without an answer. */
         CLOSED_NEW,
         /**
-         * A kept connection was closed or reset with no answer: it may have crossed the request.
+         * A reused connection was closed or reset without an answer: the close may have crossed the
+         * request on the way.
          */
         CLOSED_KEPT,
-        /** Its time, and half a second more, passed with no answer. */
+        /** No answer within the request's time and half a second more. */
         UNANSWERED,
-        /** It was not written whole: its connection did not come up, or ended before. */
+        /** Not sent completely: the connection failed to open or ended before. */
         NOT_SENT
     }
 
-    /** A request as its client sees it. */
+    /** A request as seen by its client. */
     static final class Request {
         final String id;
         final int scheduler;
         final Effect effect;
         final long timeLeftUs;
 
-        /** Before its first byte was written, and after its last. */
+        /** Time before the first byte was written; {@link #sentUs} is the time after the last. */
         volatile long beganUs;
 
         volatile long sentUs;
-        volatile long leftUs = Long.MAX_VALUE / 2; // never, with room to add to it
+        volatile long disconnectedUs =
+                Long.MAX_VALUE / 2; // never; half of the range avoids overflow in sums
         volatile long endedUs;
         volatile End end;
         volatile int status;
@@ -63,18 +66,18 @@
     }
 
     /**
-     * A request that came to a worker whole.
+     * A request received completely by a worker.
      *
-     * @param incarnation how often the worker had been started anew by then
-     * @param toldUs the time that it says is left
+     * @param incarnation number of restarts of the worker until then
+     * @param statedTimeLeftUs remaining time as stated in the request
      */
     static final class Attempt {
         final String worker;
         final String zone;
         final int incarnation;
         final long beganUs;
-        final long wholeUs;
-        final long toldUs;
+        final long receivedUs;
+        final long statedTimeLeftUs;
         volatile boolean provenNotRun;
 
         Attempt(
@@ -82,18 +85,18 @@
                 String zone,
                 int incarnation,
                 long beganUs,
-                long wholeUs,
-                long toldUs) {
+                long receivedUs,
+                long statedTimeLeftUs) {
             this.worker = worker;
             this.zone = zone;
             this.incarnation = incarnation;
             this.beganUs = beganUs;
-            this.wholeUs = wholeUs;
-            this.toldUs = toldUs;
+            this.receivedUs = receivedUs;
+            this.statedTimeLeftUs = statedTimeLeftUs;
         }
     }
 
-    /** Something that broke a rule by itself. */
+    /** A violation of a rule. */
     record Finding(String rule, String id, String detail) {}
 
     private final Map<String, Request> requests = new ConcurrentHashMap<>();
@@ -116,7 +119,7 @@
         return requests.size();
     }
 
-    void find(String rule, String id, String detail) {
+    void report(String rule, String id, String detail) {
         findings.add(new Finding(rule, id, detail));
     }
 
--- a/src/main/java/damsonslip/tools/lab/soak/Membership.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Membership.java
@@ -7,18 +7,17 @@
 import java.util.Map;
 
 /**
- * The list of workers that discovery tells, with the history of its changes. Safe for use by
- * several threads.
+ * The endpoint list of workers that discovery serves, with the history of its changes. Thread-safe.
  */
 final class Membership {
-    /** What the list says of a worker. */
+    /** State of a worker in the list. */
     enum Lifecycle {
         READY,
         DRAINING,
         GONE
     }
 
-    /** A worker as it is listed. */
+    /** An entry of the list. */
     record Entry(String id, int port, String zone, Lifecycle lifecycle, long startedMs) {
         String json() {
             return "{\"instanceId\":\""
@@ -35,7 +34,7 @@
         }
     }
 
-    /** A change, when it was made. */
+    /** A change and the time at which it was made. */
     record Change(int generation, Entry entry, long atUs) {}
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -57,32 +56,35 @@
         return changes.stream().filter(change -> change.generation() > since).toList();
     }
 
-    /** Waits until there is something newer, or for so long. */
+    /** Waits for a newer generation, at most for this time. */
     synchronized void await(int since, long us) throws InterruptedException {
         if (generation <= since) {
             wait(Math.max(1, us / Clock.MILLISECOND));
         }
     }
 
-    /** The whole list in discovery's form. */
-    synchronized String whole() {
-        return object(
+    /** The complete list as JSON of the discovery protocol. */
+    synchronized String snapshot() {
+        return json(
                 generation,
                 true,
                 entries.values().stream().filter(e -> e.lifecycle() != Lifecycle.GONE).toList());
     }
 
-    /** These changes in discovery's form; the list's own generation if there are none. */
-    synchronized String object(List<Change> told) {
-        int newest = told.isEmpty() ? generation : told.get(told.size() - 1).generation();
-        return object(newest, false, told.stream().map(Change::entry).toList());
+    /**
+     * These changes as JSON of the discovery protocol, with the current generation if there are
+     * none.
+     */
+    synchronized String update(List<Change> delta) {
+        int newest = delta.isEmpty() ? generation : delta.get(delta.size() - 1).generation();
+        return json(newest, false, delta.stream().map(Change::entry).toList());
     }
 
-    private static String object(int generation, boolean whole, List<Entry> entries) {
+    private static String json(int generation, boolean reset, List<Entry> entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
-                + whole
+                + reset
                 + ",\"instances\":["
                 + String.join(",", entries.stream().map(Entry::json).toList())
                 + "]}";
--- a/src/main/java/damsonslip/tools/lab/soak/SchedulerProcess.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SchedulerProcess.java
@@ -13,11 +13,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One real scheduler of the fleet: its process, which may be replaced, its files and its view of
- * discovery.
+ * One real scheduler of the fleet: its process, which may be restarted, its files and its discovery
+ * stubs.
  */
 final class SchedulerProcess {
-    /** The run line of deploy/balancer.toml, but for the jar and the archive. */
+    /** The JVM options of deploy/balancer.toml, except for the jar and the archive. */
     private static final List<String> FLAGS =
             List.of(
                     "-Djava.locale.providers=COMPAT",
@@ -37,9 +37,9 @@
     private static final int EXIT_BY_SIGTERM = 143;
 
     /**
-     * What does not change from one start to the next.
+     * What stays the same across restarts.
      *
-     * @param program the words for the JVM that name the program, such as {@code -jar FILE}
+     * @param program JVM arguments that select the program, such as {@code -jar FILE}
      */
     record Setup(Path folder, List<String> program, String settings) {
         Setup of(Path ownFolder, String ownSettings) {
@@ -49,7 +49,7 @@
 
     /** A span of time. */
     record Span(long fromUs, long toUs) {
-        boolean holds(long us) {
+        boolean contains(long us) {
             return us >= fromUs && us <= toUs;
         }
     }
@@ -61,18 +61,18 @@
     private final Ledger ledger;
     private final Membership membership;
 
-    /** When each change was told, by its generation. */
-    private final Map<Integer, Long> toldUs = new ConcurrentHashMap<>();
+    /** Time at which each change was first sent to the scheduler, by generation. */
+    private final Map<Integer, Long> sentUs = new ConcurrentHashMap<>();
 
-    private final List<DiscoveryStub> fronts = new CopyOnWriteArrayList<>();
+    private final List<DiscoveryStub> stubs = new CopyOnWriteArrayList<>();
 
-    /** When it was killed outright; whatever it held then is its client's to repeat. */
+    /** Times of SIGKILL. Requests in flight at a kill may be lost; their clients have to retry. */
     private final List<Span> kills = new CopyOnWriteArrayList<>();
 
     private final List<Path> logs = new CopyOnWriteArrayList<>();
     private volatile Process process;
     private volatile long readyUs;
-    private volatile boolean leaving;
+    private volatile boolean stopping;
 
     SchedulerProcess(
             int number,
@@ -88,7 +88,7 @@
         this.faults = faults;
         this.ledger = ledger;
         this.membership = membership;
-        fronts.add(new DiscoveryStub(membership, toldUs));
+        stubs.add(new DiscoveryStub(membership, sentUs));
     }
 
     int port() {
@@ -99,20 +99,20 @@
         return faults;
     }
 
-    /** Discovery at its newest address. */
+    /** The discovery stub that is configured now. */
     DiscoveryStub discovery() {
-        return fronts.get(fronts.size() - 1);
+        return stubs.get(stubs.size() - 1);
     }
 
-    Map<Integer, Long> toldUs() {
-        return toldUs;
+    Map<Integer, Long> sentUs() {
+        return sentUs;
     }
 
     List<Span> kills() {
         return kills;
     }
 
-    /** When the process at hand was ready. */
+    /** Time at which the current process became ready. */
     long readyUs() {
         return readyUs;
     }
@@ -133,7 +133,7 @@
                         + "\",\"seed\":\""
                         + (number + 1)
                         + "\",\"limits\":{\"sockets\":512},\"known\":"
-                        + membership.whole()
+                        + membership.snapshot()
                         + ",\"settings\":"
                         + setup.settings()
                         + "}");
@@ -155,20 +155,20 @@
             faults.restore(SystemCall.THREAD_CREATE); // a JVM does not start without threads
             builder.environment().putAll(faults.environment());
         }
-        leaving = false;
+        stopping = false;
         process = builder.start();
         Process started = process;
-        // a soak that is ended leaves none behind
+        // leave no process behind when the soak is interrupted
         Runtime.getRuntime().addShutdownHook(new Thread(started::destroyForcibly));
     }
 
-    /** Waits until it serves. */
+    /** Waits until the scheduler serves, or records a finding. */
     void awaitReady() throws IOException, InterruptedException {
         long endUs = Clock.nowUs() + READY_US;
         Path log = logs.get(logs.size() - 1);
         while (!Files.readString(log).contains("listens on")) {
             if (!process.isAlive() || Clock.nowUs() > endUs) {
-                ledger.find("start", "n" + number, "not ready: " + Files.readString(log));
+                ledger.report("start", "n" + number, "not ready: " + Files.readString(log));
                 return;
             }
             Clock.sleepUs(10 * Clock.MILLISECOND);
@@ -177,8 +177,8 @@
     }
 
     /**
-     * The JVM drops signals where it can start no thread (KNOWN-RED.txt): that trouble ends with a
-     * signal.
+     * Sends a signal. The JVM drops signals while it cannot start a thread (KNOWN-RED.txt), so that
+     * fault is removed first.
      */
     private void signal(String name) throws IOException, InterruptedException {
         if (faults != null) {
@@ -187,24 +187,24 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Ends by SIGTERM and starts anew; the run goes on meanwhile. */
-    void restart(long mostUs) throws IOException, InterruptedException {
-        leaving = true;
+    /** Restarts the process by SIGTERM while the run continues. */
+    void restart(long limitUs) throws IOException, InterruptedException {
+        stopping = true;
         signal("TERM");
-        if (!process.waitFor(mostUs, TimeUnit.MICROSECONDS)) {
-            ledger.find(
+        if (!process.waitFor(limitUs, TimeUnit.MICROSECONDS)) {
+            ledger.report(
                     "stop",
                     "n" + number,
-                    "still running " + mostUs / Clock.MILLISECOND + " ms after SIGTERM");
+                    "still running " + limitUs / Clock.MILLISECOND + " ms after SIGTERM");
             kill();
         } else if (process.exitValue() != EXIT_BY_SIGTERM) {
-            ledger.find("stop", "n" + number, "exit code " + process.exitValue());
+            ledger.report("stop", "n" + number, "exit code " + process.exitValue());
         }
         start();
         awaitReady();
     }
 
-    /** Dies at once and starts anew after a while. */
+    /** Kills the process and starts it again after this time. */
     void killAndStart(long afterUs) throws IOException, InterruptedException {
         kill();
         Clock.sleepUs(afterUs);
@@ -213,15 +213,15 @@
     }
 
     private void kill() throws InterruptedException {
-        leaving = true;
+        stopping = true;
         long fromUs = Clock.nowUs();
         process.destroyForcibly().waitFor();
         kills.add(new Span(fromUs, Clock.nowUs()));
     }
 
     /**
-     * Stands still for so long; one shell does it all, since to start another program may take as
-     * long again.
+     * Suspends the process for this time. One shell sends both signals, since starting a second
+     * program may take as long as the pause itself.
      */
     void pause(long us) throws IOException, InterruptedException {
         long pid = process.pid();
@@ -230,36 +230,36 @@
     }
 
     /**
-     * Discovery moves to another address; the old one accepts nobody and ends its watches after 1.5
-     * s.
+     * Moves discovery to a new address and reloads the configuration by SIGHUP; the old address
+     * closes after 1.5 s.
      */
     void reload() throws IOException, InterruptedException {
-        if (leaving || !process.isAlive()) {
+        if (stopping || !process.isAlive()) {
             return;
         }
         DiscoveryStub old = discovery();
-        fronts.add(new DiscoveryStub(membership, toldUs));
+        stubs.add(new DiscoveryStub(membership, sentUs));
         writeConfig();
         signal("HUP");
         Clock.sleepUs(3 * Clock.SECOND / 2);
         old.close();
     }
 
-    /** Whether it runs, or ends because it was told to; a crash is written down. */
+    /** Records a finding if the process has ended without having been stopped. */
     void checkAlive() throws IOException {
-        if (!leaving && !process.isAlive()) {
-            String last = said().lines().reduce((before, after) -> after).orElse("");
-            ledger.find("crash", "n" + number, "exit code " + process.exitValue() + ": " + last);
+        if (!stopping && !process.isAlive()) {
+            String last = output().lines().reduce((before, after) -> after).orElse("");
+            ledger.report("crash", "n" + number, "exit code " + process.exitValue() + ": " + last);
         }
     }
 
-    /** Processor time of the process at hand. */
+    /** Processor time of the current process. */
     long cpuUs() {
         return process.info().totalCpuDuration().map(Duration::toNanos).orElse(0L) / 1_000;
     }
 
-    /** All that its processes have said. */
-    String said() throws IOException {
+    /** The output of all processes of this scheduler. */
+    String output() throws IOException {
         StringBuilder all = new StringBuilder();
         for (Path log : logs) {
             all.append(Files.readString(log, StandardCharsets.UTF_8));
@@ -268,10 +268,10 @@
     }
 
     void close() throws IOException, InterruptedException {
-        leaving = true;
+        stopping = true;
         process.destroyForcibly().waitFor();
-        for (DiscoveryStub front : fronts) {
-            front.close();
+        for (DiscoveryStub stub : stubs) {
+            stub.close();
         }
     }
 }
--- a/src/main/java/damsonslip/tools/lab/soak/SoakClient.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakClient.java
@@ -12,14 +12,17 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A client that sends one request after another, each to some scheduler, on kept and on new
+ * A client that sends one request after another, each to a random scheduler, on reused and on new
  * connections.
  */
 final class SoakClient {
-    /** After its time a request is answered for half a second more; then it is lost (STANDING). */
+    /**
+     * An answer may arrive this long after the request's time is up; later, the request counts as
+     * lost (STANDING).
+     */
     static final long LATE_US = Clock.SECOND / 2;
 
-    private static final long HARNESS_US = 300 * Clock.MILLISECOND;
+    private static final long HARNESS_SLACK_US = 300 * Clock.MILLISECOND;
     private static final long PAUSE_US = 40 * Clock.MILLISECOND;
     private static final long UNREACHABLE_US = 100 * Clock.MILLISECOND;
 
@@ -27,7 +30,7 @@
     private final List<SchedulerProcess> schedulers;
     private final Ledger ledger;
     private final Random random;
-    private final AtomicInteger leavePercent;
+    private final AtomicInteger disconnectPercent;
     private final Map<Integer, Wire> kept = new HashMap<>();
     private int count;
 
@@ -36,12 +39,12 @@
             List<SchedulerProcess> schedulers,
             Ledger ledger,
             long seed,
-            AtomicInteger leavePercent) {
+            AtomicInteger disconnectPercent) {
         this.name = name;
         this.schedulers = schedulers;
         this.ledger = ledger;
         this.random = new Random(seed);
-        this.leavePercent = leavePercent;
+        this.disconnectPercent = disconnectPercent;
     }
 
     void run(long untilUs) throws InterruptedException {
@@ -60,7 +63,7 @@
                 if (wire == null) {
                     wire = Wire.connect(schedulers.get(scheduler).port());
                 }
-                ask(wire, request, onKept);
+                send(wire, request, onKept);
             } catch (IOException e) {
                 request.end = End.NOT_SENT;
                 Clock.sleepUs(UNREACHABLE_US);
@@ -69,7 +72,7 @@
         }
     }
 
-    private void ask(Wire wire, Request request, boolean onKept)
+    private void send(Wire wire, Request request, boolean onKept)
             throws IOException, InterruptedException {
         try {
             write(wire, request);
@@ -79,9 +82,9 @@
             return;
         }
         request.sentUs = Clock.nowUs();
-        if (random.nextInt(100) < leavePercent.get()) {
+        if (random.nextInt(100) < disconnectPercent.get()) {
             Clock.sleepUs((long) (random.nextDouble() * 100 * Clock.MILLISECOND));
-            request.leftUs = Clock.nowUs();
+            request.disconnectedUs = Clock.nowUs();
             request.end = End.LEFT;
             if (random.nextBoolean()) {
                 wire.close();
@@ -115,7 +118,7 @@
     }
 
     private void answer(Wire wire, Request request, boolean onKept) throws IOException {
-        wire.timeout(request.timeLeftUs + LATE_US + HARNESS_US);
+        wire.timeout(request.timeLeftUs + LATE_US + HARNESS_SLACK_US);
         try {
             Wire.Message answer = wire.read();
             request.endedUs = Clock.nowUs();
--- a/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakCommand.java
@@ -19,17 +19,20 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** {@code lab soak}: real schedulers under overlapping troubles, judged by the rules. */
+/**
+ * {@code lab soak}: runs real schedulers under overlapping faults and checks the rules of the
+ * protocol.
+ */
 @Command(
         name = "soak",
         mixinStandardHelpOptions = true,
         description =
-                "Plays seeds of overlapping troubles on real schedulers over loopback, and names"
+                "Runs seeds of overlapping faults on real schedulers over loopback, and names"
                         + " each broken rule.")
 public final class SoakCommand implements Callable<Integer> {
-    private static final int MOST_PROCESSES = 60;
-    private static final int MOST_SECONDS = 60;
-    private static final int MOST_FINDINGS = 12;
+    private static final int MAX_PROCESSES = 60;
+    private static final int MAX_SECONDS = 60;
+    private static final int MAX_FINDINGS = 12;
 
     @Option(names = "--seed", defaultValue = "1", description = "the first seed (${DEFAULT-VALUE})")
     private long seed;
@@ -52,19 +55,18 @@
     @Option(
             names = "--without",
             split = ",",
-            description = "troubles of the plan to leave out, by number")
+            description = "faults of the plan to leave out, by number")
     private Set<Integer> without = new HashSet<>();
 
     @Option(
             names = "--only",
             split = ",",
-            description = "the only troubles of the plan to keep, by number")
+            description = "the only faults of the plan to keep, by number")
     private Set<Integer> only = new HashSet<>();
 
     @Option(
             names = "--shrink",
-            description =
-                    "leaves troubles of a failing seed out until only the needed ones are left")
+            description = "leaves faults of a failing seed out until only the needed ones are left")
     private boolean shrink;
 
     @Option(
@@ -97,8 +99,8 @@
 
     @Override
     public Integer call() throws ConfigurationException, IOException, InterruptedException {
-        check("processes", processes, MOST_PROCESSES);
-        check("seconds", seconds, MOST_SECONDS);
+        check("processes", processes, MAX_PROCESSES);
+        check("seconds", seconds, MAX_SECONDS);
         PrintWriter out = spec.commandLine().getOut();
         library = Files.exists(faults) ? FaultLibrary.build(faults, folder) : Optional.empty();
         if (library.isEmpty()) {
@@ -107,7 +109,7 @@
         int failed = 0;
         for (long next = seed; next < seed + count; next++) {
             SoakPlan plan = plan(next, without, only);
-            Verdict verdict = play(plan);
+            Verdict verdict = run(plan);
             print(out, plan, verdict);
             if (!verdict.passed()) {
                 failed++;
@@ -122,10 +124,10 @@
         return failed == 0 ? 0 : 1;
     }
 
-    private static void check(String name, int value, int most) throws ConfigurationException {
-        if (value < 1 || value > most) {
+    private static void check(String name, int value, int max) throws ConfigurationException {
+        if (value < 1 || value > max) {
             throw new ConfigurationException(
-                    "lab: " + name + ": " + value + " is not from 1 to " + most);
+                    "lab: " + name + ": " + value + " is not from 1 to " + max);
         }
     }
 
@@ -133,12 +135,12 @@
         return new SoakPlan(of, processes, seconds * Clock.SECOND, leftOut, kept);
     }
 
-    private Verdict play(SoakPlan plan) throws IOException, InterruptedException {
+    private Verdict run(SoakPlan plan) throws IOException, InterruptedException {
         Path own =
                 Files.createTempDirectory(
                         Files.createDirectories(folder), "seed-" + plan.seed() + "-");
         SchedulerProcess.Setup shared = new SchedulerProcess.Setup(own, program(), "");
-        Verdict verdict = new SoakRun(plan, seconds * Clock.SECOND, own, library, shared).play();
+        Verdict verdict = new SoakRun(plan, seconds * Clock.SECOND, own, library, shared).run();
         if (verdict.passed()) {
             delete(own);
         }
@@ -172,20 +174,20 @@
                 verdict.closedKept());
         out.printf(
                 "guards %d, held up %d ms, %d us of CPU a request; %s%n",
-                verdict.reported(),
-                verdict.longestHoldUpUs() / Clock.MILLISECOND,
+                verdict.violations(),
+                verdict.longestStallUs() / Clock.MILLISECOND,
                 verdict.cpuUs(),
-                plan.troubles());
+                plan.faults());
         verdict.findings().stream()
-                .limit(MOST_FINDINGS)
+                .limit(MAX_FINDINGS)
                 .forEach(
                         one ->
                                 out.println(
                                         "  " + one.rule() + " " + one.id() + ": " + one.detail()));
-        if (verdict.findings().size() > MOST_FINDINGS) {
+        if (verdict.findings().size() > MAX_FINDINGS) {
             out.println(
                     "  and "
-                            + (verdict.findings().size() - MOST_FINDINGS)
+                            + (verdict.findings().size() - MAX_FINDINGS)
                             + " more: "
                             + verdict.findings().stream()
                                     .collect(
@@ -196,21 +198,22 @@
     }
 
     /**
-     * Leaves one trouble after the other out as long as one of the same rules breaks without it.
+     * Removes faults from the plan one by one, as long as one of the same rules is still broken
+     * without them.
      */
     private void shrink(PrintWriter out, long of, Verdict verdict)
             throws IOException, InterruptedException {
         Set<String> rules =
                 verdict.findings().stream().map(Finding::rule).collect(Collectors.toSet());
         Set<Integer> leftOut = new HashSet<>(without);
-        for (InjectedFault trouble : plan(of, without, only).troubles()) {
+        for (InjectedFault fault : plan(of, without, only).faults()) {
             Set<Integer> trial = new HashSet<>(leftOut);
-            trial.add(trouble.number());
-            List<Finding> found = play(plan(of, trial, only)).findings();
+            trial.add(fault.number());
+            List<Finding> found = run(plan(of, trial, only)).findings();
             if (found.stream().anyMatch(one -> rules.contains(one.rule()))) {
                 leftOut = trial;
             }
         }
-        out.println("seed " + of + " needs " + plan(of, leftOut, only).troubles());
+        out.println("seed " + of + " needs " + plan(of, leftOut, only).faults());
     }
 }
--- a/src/main/java/damsonslip/tools/lab/soak/SoakPlan.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakPlan.java
@@ -8,27 +8,27 @@
 import java.util.Set;
 
 /**
- * What a seed stands for: the settings of the run and its troubles, two or three of them at a time.
+ * The settings and faults of a run, derived from a seed. Two or three faults are active at a time.
  */
 final class SoakPlan {
     private static final int WORKERS = 8;
-    private static final Set<Kind> OF_WORKERS =
+    private static final Set<Kind> WORKER_KINDS =
             EnumSet.of(Kind.DRAIN, Kind.WORKER_DIES, Kind.WORKER_MOOD, Kind.NETWORK);
     private static final long FIRST_US = Clock.SECOND;
-    private static final long LAST_US = 4 * Clock.SECOND;
+    private static final long QUIET_END_US = 4 * Clock.SECOND;
 
-    /** A trouble each so often: shorter than a trouble takes, so that they overlap. */
-    private static final long EACH_US = 900 * Clock.MILLISECOND;
+    /** Mean interval between faults, shorter than a fault lasts so that they overlap. */
+    private static final long MEAN_INTERVAL_US = 900 * Clock.MILLISECOND;
 
-    private static final long SHORTEST_US = Clock.SECOND;
-    private static final long LONGEST_US = 3 * Clock.SECOND;
+    private static final long MIN_DURATION_US = Clock.SECOND;
+    private static final long MAX_DURATION_US = 3 * Clock.SECOND;
 
     private final long seed;
     private final int processes;
     private final boolean pushed;
     private final boolean probes;
     private final int graceMs;
-    private final List<InjectedFault> troubles = new ArrayList<>();
+    private final List<InjectedFault> faults = new ArrayList<>();
 
     SoakPlan(long seed, int processes, long lengthUs, Set<Integer> without, Set<Integer> only) {
         this.seed = seed;
@@ -39,16 +39,18 @@
         this.graceMs = 400 + random.nextInt(300);
         int number = 0;
         for (long at = FIRST_US;
-                at < lengthUs - LAST_US;
-                at += (long) (EACH_US * (0.3 + 1.4 * random.nextDouble()))) {
+                at < lengthUs - QUIET_END_US;
+                at += (long) (MEAN_INTERVAL_US * (0.3 + 1.4 * random.nextDouble()))) {
             Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-            int target = random.nextInt(OF_WORKERS.contains(kind) ? WORKERS : processes);
-            long length = SHORTEST_US + (long) (random.nextDouble() * (LONGEST_US - SHORTEST_US));
-            InjectedFault trouble =
+            int target = random.nextInt(WORKER_KINDS.contains(kind) ? WORKERS : processes);
+            long length =
+                    MIN_DURATION_US
+                            + (long) (random.nextDouble() * (MAX_DURATION_US - MIN_DURATION_US));
+            InjectedFault fault =
                     new InjectedFault(number++, kind, target, at, length, random.nextInt(1_000));
-            if (!without.contains(trouble.number())
-                    && (only.isEmpty() || only.contains(trouble.number()))) {
-                troubles.add(trouble);
+            if (!without.contains(fault.number())
+                    && (only.isEmpty() || only.contains(fault.number()))) {
+                faults.add(fault);
             }
         }
     }
@@ -69,11 +71,11 @@
         return graceMs * Clock.MILLISECOND;
     }
 
-    List<InjectedFault> troubles() {
-        return troubles;
+    List<InjectedFault> faults() {
+        return faults;
     }
 
-    /** The settings of one scheduler, in the platform's form. */
+    /** The settings of one scheduler as JSON. */
     String settings(int scheduler) {
         return "{\"instances\":"
                 + processes
@@ -100,17 +102,19 @@
                 + "\"drain_grace_s\":"
                 + graceMs / 1e3
                 + ",\"ask_every_s\":6,\"cold_share\":"
-                + COLD_SHARE
+                + INITIAL_SHARE
                 + ",\"cold_s\":"
-                + COLD_US / 1e6
+                + WARM_UP_US / 1e6
                 + ",\"fall_multiple\":"
-                + FALL_MULTIPLE
+                + RAMP_MULTIPLE
                 + ",\"fall_s\":"
-                + FALL_US / 1e6
+                + RAMP_WINDOW_US / 1e6
                 + "},\"specifics\":{\"tells_start\":true}}";
     }
 
-    /** Workers may be probed on some sites where their reports come otherwise. */
+    /**
+     * Whether workers may be probed: always if load reports are pulled, else for every second seed.
+     */
     private boolean mayProbe() {
         return probes || seed % 2 == 0;
     }
@@ -125,11 +129,14 @@
                 + "}";
     }
 
-    /** For so long after the first send a zone's workers drop a keyed request's repeats. */
+    /**
+     * After the first attempt with an idempotency key, workers of the same zone drop duplicates for
+     * this time.
+     */
     static final long KEYED_WINDOW_US = 1_500 * Clock.MILLISECOND;
 
-    static final double COLD_SHARE = 0.2;
-    static final long COLD_US = 8 * Clock.SECOND;
-    static final double FALL_MULTIPLE = 4;
-    static final long FALL_US = 2 * Clock.SECOND;
+    static final double INITIAL_SHARE = 0.2;
+    static final long WARM_UP_US = 8 * Clock.SECOND;
+    static final double RAMP_MULTIPLE = 4;
+    static final long RAMP_WINDOW_US = 2 * Clock.SECOND;
 }
--- a/src/main/java/damsonslip/tools/lab/soak/SoakVerifier.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakVerifier.java
@@ -12,19 +12,24 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Holds what was seen from outside against the rules of the protocol page and of STANDING. */
+/**
+ * Checks what clients and workers recorded against the rules of the protocol (PROTOCOL, STANDING).
+ */
 final class SoakVerifier {
     /**
-     * Every time limit on sockets is this much longer (PROTOCOL), and as much is left for the
-     * soak's own threads.
+     * Tolerance for time limits measured on sockets (PROTOCOL); it also covers delays of the soak's
+     * own threads.
      */
     private static final long SLACK_US = 100 * Clock.MILLISECOND;
 
-    private static final long DEPARTURE_US = 100 * Clock.MILLISECOND;
-    private static final long TOLD_SLACK_US = 150 * Clock.MILLISECOND;
+    private static final long DISCONNECT_US = 100 * Clock.MILLISECOND;
+    private static final long TIME_LEFT_SLACK_US = 150 * Clock.MILLISECOND;
 
-    /** A list that no watch brings counts as told so long after the change (STANDING). */
-    private static final long TOLD_AT_THE_LATEST_US = 6 * Clock.SECOND;
+    /**
+     * A change that no watch has delivered counts as known to the scheduler after this time
+     * (STANDING).
+     */
+    private static final long MAX_NOTIFY_US = 6 * Clock.SECOND;
 
     private static final String VIOLATION = "event=invariant_violated";
 
@@ -33,7 +38,7 @@
     private final Membership membership;
     private final List<SchedulerProcess> schedulers;
     private final List<SoakWorker> workers;
-    private final StallMonitor holdUps;
+    private final StallMonitor stallMonitor;
     private final List<Finding> findings = new ArrayList<>();
 
     SoakVerifier(
@@ -42,17 +47,17 @@
             Membership membership,
             List<SchedulerProcess> schedulers,
             List<SoakWorker> workers,
-            StallMonitor holdUps) {
+            StallMonitor stallMonitor) {
         this.plan = plan;
         this.ledger = ledger;
         this.membership = membership;
         this.schedulers = schedulers;
         this.workers = workers;
-        this.holdUps = holdUps;
+        this.stallMonitor = stallMonitor;
     }
 
     /**
-     * @param cpuUs what the schedulers spent under the load
+     * @param cpuUs processor time of the schedulers under the load
      */
     Verdict verdict(long cpuUs) throws IOException {
         findings.addAll(ledger.findings());
@@ -62,38 +67,38 @@
         for (Request request : ledger.requests()) {
             sent += request.end != null && request.end != End.NOT_SENT ? 1 : 0;
             served += request.status == 200 ? 1 : 0;
-            closedKept += request.end == End.CLOSED_KEPT && !killed(request) ? 1 : 0;
-            answered(request);
-            request.attempts.forEach(attempt -> begun(request, attempt));
-            repeated(request);
+            closedKept += request.end == End.CLOSED_KEPT && !overlapsKill(request) ? 1 : 0;
+            checkAnswer(request);
+            request.attempts.forEach(attempt -> checkAttempt(request, attempt));
+            checkDuplicates(request);
         }
-        workers.forEach(this::cold);
+        workers.forEach(this::checkWarmUp);
         return new Verdict(
                 sent,
                 served,
                 closedKept,
-                reported(),
-                holdUps.longestUs(0, Long.MAX_VALUE),
+                countViolations(),
+                stallMonitor.longestUs(0, Long.MAX_VALUE),
                 cpuUs / Math.max(1, sent),
                 findings);
     }
 
-    private long reported() throws IOException {
-        long reported = 0;
+    private long countViolations() throws IOException {
+        long violations = 0;
         for (SchedulerProcess scheduler : schedulers) {
-            for (String line : scheduler.said().lines().toList()) {
+            for (String line : scheduler.output().lines().toList()) {
                 if (line.contains(VIOLATION)) {
-                    reported++;
+                    violations++;
                     findings.add(new Finding("guard", "-", line));
                 } else if (line.contains(" ERROR ") || line.contains("OutOfMemory")) {
                     findings.add(new Finding("error", "-", line));
                 }
             }
         }
-        return reported;
+        return violations;
     }
 
-    private boolean killed(Request request) {
+    private boolean overlapsKill(Request request) {
         return schedulers.get(request.scheduler).kills().stream()
                 .anyMatch(
                         kill ->
@@ -101,10 +106,10 @@
                                         && kill.fromUs() <= request.endedUs + SLACK_US);
     }
 
-    private void answered(Request request) {
+    private void checkAnswer(Request request) {
         boolean lost = request.end == End.CLOSED_NEW || request.end == End.UNANSWERED;
-        if (lost && !killed(request)) {
-            find(
+        if (lost && !overlapsKill(request)) {
+            report(
                     "lost",
                     request,
                     request.end
@@ -116,8 +121,10 @@
                     request.beganUs,
                     request.endedUs);
         }
-        if (request.end == End.CLOSED_KEPT && !request.attempts.isEmpty() && !killed(request)) {
-            find(
+        if (request.end == End.CLOSED_KEPT
+                && !request.attempts.isEmpty()
+                && !overlapsKill(request)) {
+            report(
                     "lost",
                     request,
                     "closed on a kept connection though it was sent on",
@@ -125,7 +132,7 @@
                     request.endedUs);
         }
         if (request.status == 200 && !("r-" + request.id).equals(request.result)) {
-            find(
+            report(
                     "lost",
                     request,
                     "served with what no worker made: " + request.result,
@@ -133,7 +140,7 @@
                     request.endedUs);
         }
         if (request.status == 400 || request.status == 408 || request.status == 409) {
-            find(
+            report(
                     "refused as bad",
                     request,
                     "status " + request.status,
@@ -144,8 +151,8 @@
         if (request.status == 503
                 && request.effect != Effect.REPEATABLE
                 && run > 0
-                && !killed(request)) {
-            find(
+                && !overlapsKill(request)) {
+            report(
                     "refused after a run",
                     request,
                     run + " may have run",
@@ -154,53 +161,53 @@
         }
     }
 
-    private void begun(Request request, Attempt attempt) {
-        if (attempt.beganUs > request.leftUs + DEPARTURE_US + SLACK_US / 2) {
-            find(
+    private void checkAttempt(Request request, Attempt attempt) {
+        if (attempt.beganUs > request.disconnectedUs + DISCONNECT_US + SLACK_US / 2) {
+            report(
                     "departed",
                     request,
                     "attempt at "
                             + attempt.worker
                             + " "
-                            + (attempt.beganUs - request.leftUs) / Clock.MILLISECOND
+                            + (attempt.beganUs - request.disconnectedUs) / Clock.MILLISECOND
                             + " ms after the client left",
-                    request.leftUs,
+                    request.disconnectedUs,
                     attempt.beganUs);
         }
-        long leftUs = request.timeLeftUs - (attempt.beganUs - request.beganUs);
-        if (attempt.toldUs > leftUs + TOLD_SLACK_US) {
-            find(
+        long remainingUs = request.timeLeftUs - (attempt.beganUs - request.beganUs);
+        if (attempt.statedTimeLeftUs > remainingUs + TIME_LEFT_SLACK_US) {
+            report(
                     "told",
                     request,
                     attempt.worker
                             + " was told "
-                            + (attempt.toldUs - leftUs) / Clock.MILLISECOND
+                            + (attempt.statedTimeLeftUs - remainingUs) / Clock.MILLISECOND
                             + " ms too much",
                     request.beganUs,
                     attempt.beganUs);
         }
-        drained(request, attempt);
+        checkDrain(request, attempt);
     }
 
-    private void drained(Request request, Attempt attempt) {
+    private void checkDrain(Request request, Attempt attempt) {
         SchedulerProcess scheduler = schedulers.get(request.scheduler);
         Change last = null;
-        long toldUs = Long.MAX_VALUE;
+        long notifiedUs = Long.MAX_VALUE;
         for (Change change : membership.after(0)) {
             if (!change.entry().id().equals(attempt.worker) || change.atUs() > attempt.beganUs) {
                 continue;
             }
-            Long written = scheduler.toldUs().get(change.generation());
-            long latest = Math.max(change.atUs(), scheduler.readyUs()) + TOLD_AT_THE_LATEST_US;
+            Long written = scheduler.sentUs().get(change.generation());
+            long latest = Math.max(change.atUs(), scheduler.readyUs()) + MAX_NOTIFY_US;
             last = change;
-            toldUs = Math.min(written == null ? Long.MAX_VALUE : written, latest);
+            notifiedUs = Math.min(written == null ? Long.MAX_VALUE : written, latest);
         }
         if (last == null || last.entry().lifecycle() == Lifecycle.READY) {
             return;
         }
-        long lateUs = attempt.beganUs - toldUs - plan.drainGraceUs();
+        long lateUs = attempt.beganUs - notifiedUs - plan.drainGraceUs();
         if (lateUs > SLACK_US / 2) {
-            find(
+            report(
                     "drain",
                     request,
                     attempt.worker
@@ -209,83 +216,84 @@
                             + " "
                             + lateUs / Clock.MILLISECOND
                             + " ms past the grace",
-                    toldUs,
+                    notifiedUs,
                     attempt.beganUs);
         }
     }
 
-    private void repeated(Request request) {
+    private void checkDuplicates(Request request) {
         if (request.effect == Effect.REPEATABLE) {
             return;
         }
         List<Attempt> run =
                 request.attempts.stream()
                         .filter(attempt -> !attempt.provenNotRun)
-                        .sorted(Comparator.comparingLong(attempt -> attempt.wholeUs))
+                        .sorted(Comparator.comparingLong(attempt -> attempt.receivedUs))
                         .toList();
         for (int i = 1; i < run.size(); i++) {
             Attempt first = run.get(0);
             Attempt again = run.get(i);
-            boolean inWindow = again.wholeUs <= first.wholeUs + SoakPlan.KEYED_WINDOW_US + SLACK_US;
+            boolean inWindow =
+                    again.receivedUs <= first.receivedUs + SoakPlan.KEYED_WINDOW_US + SLACK_US;
             if (request.effect == Effect.ONCE || !inWindow || !again.zone.equals(first.zone)) {
-                find(
+                report(
                         "duplicate",
                         request,
                         request.effect
                                 + " at "
                                 + first.worker
                                 + " and, "
-                                + (again.wholeUs - first.wholeUs) / Clock.MILLISECOND
+                                + (again.receivedUs - first.receivedUs) / Clock.MILLISECOND
                                 + " ms later, at "
                                 + again.worker,
-                        first.wholeUs,
-                        again.wholeUs);
+                        first.receivedUs,
+                        again.receivedUs);
             }
         }
     }
 
     /**
-     * No span of the stated length may bring a cold worker more than its budget and what chance
-     * adds (STANDING).
+     * In no window of the ramp's length may a worker that is warming up receive more requests than
+     * its budget plus the random variation (STANDING).
      */
-    private void cold(SoakWorker worker) {
+    private void checkWarmUp(SoakWorker worker) {
         if (worker.startedUs() == 0) {
             return;
         }
-        List<Long> came = new ArrayList<>();
+        List<Long> arrivals = new ArrayList<>();
         for (Request request : ledger.requests()) {
             for (Attempt attempt : request.attempts) {
                 if (attempt.worker.equals(worker.id())
                         && attempt.incarnation == worker.incarnation()) {
-                    came.add(attempt.wholeUs);
+                    arrivals.add(attempt.receivedUs);
                 }
             }
         }
-        came.sort(null);
-        for (int first = 0, last = 0; last < came.size(); last++) {
-            while (came.get(last) - came.get(first) > SoakPlan.FALL_US) {
+        arrivals.sort(null);
+        for (int first = 0, last = 0; last < arrivals.size(); last++) {
+            while (arrivals.get(last) - arrivals.get(first) > SoakPlan.RAMP_WINDOW_US) {
                 first++;
             }
-            double age = came.get(last) - worker.startedUs();
-            double warmth =
+            double age = arrivals.get(last) - worker.startedUs();
+            double rampFactor =
                     Math.min(
                             1,
-                            SoakPlan.COLD_SHARE
-                                    + (1 - SoakPlan.COLD_SHARE) * age / SoakPlan.COLD_US);
-            double n =
-                    SoakPlan.FALL_MULTIPLE
-                            * warmth
+                            SoakPlan.INITIAL_SHARE
+                                    + (1 - SoakPlan.INITIAL_SHARE) * age / SoakPlan.WARM_UP_US);
+            double budget =
+                    SoakPlan.RAMP_MULTIPLE
+                            * rampFactor
                             * SoakWorker.SLOTS
-                            * SoakPlan.FALL_US
+                            * SoakPlan.RAMP_WINDOW_US
                             / SoakWorker.MEAN_JOB_US;
-            if (warmth < 1 && last - first + 1 > n + 2 * Math.sqrt(n) + 2) {
+            if (rampFactor < 1 && last - first + 1 > budget + 2 * Math.sqrt(budget) + 2) {
                 findings.add(
                         new Finding(
                                 "cold",
                                 worker.id(),
                                 (last - first + 1)
                                         + " requests of "
-                                        + (int) n
+                                        + (int) budget
                                         + " at age "
                                         + (long) age / Clock.MILLISECOND
                                         + " ms"));
@@ -294,8 +302,8 @@
         }
     }
 
-    private void find(String rule, Request request, String detail, long fromUs, long toUs) {
-        long heldUpUs = holdUps.longestUs(fromUs - SLACK_US, toUs + SLACK_US);
+    private void report(String rule, Request request, String detail, long fromUs, long toUs) {
+        long stallUs = stallMonitor.longestUs(fromUs - SLACK_US, toUs + SLACK_US);
         findings.add(
                 new Finding(
                         rule,
@@ -304,9 +312,9 @@
                                 + request.scheduler
                                 + " "
                                 + detail
-                                + (heldUpUs > 0
+                                + (stallUs > 0
                                         ? " (the soak itself was held up for "
-                                                + heldUpUs / Clock.MILLISECOND
+                                                + stallUs / Clock.MILLISECOND
                                                 + " ms)"
                                         : "")));
     }
--- a/src/main/java/damsonslip/tools/lab/soak/SoakWorker.java
+++ b/src/main/java/damsonslip/tools/lab/soak/SoakWorker.java
@@ -13,30 +13,30 @@
 import java.util.concurrent.Semaphore;
 
 /**
- * A worker on loopback, well or in one of its troubles; it writes down every attempt that comes to
- * it.
+ * A worker on loopback that behaves normally or in one of several faulty ways, and records every
+ * attempt.
  */
 final class SoakWorker {
-    /** How it treats what comes. */
-    enum Mood {
-        /** Serves. */
-        WELL,
-        /** Takes requests and says nothing more. */
+    /** How the worker handles requests. */
+    enum Behavior {
+        /** Serves requests. */
+        NORMAL,
+        /** Reads requests and never answers. */
         HANGING,
         /** Answers 500 at once. */
         FAILING,
         /** Resets the connection after the job's first line. */
         RESETTING,
-        /** Closes every connection behind an answer, without a word. */
+        /** Closes the connection after each answer without announcing it. */
         CLOSING_IDLE,
         /** Sends its answers in small pieces. */
         IN_PIECES,
-        /** Sends a second answer some milliseconds behind each. */
+        /** Sends a second answer a few milliseconds after each. */
         ANSWERING_TWICE,
-        /** Sends what is no HTTP. */
+        /** Answers with something that is not HTTP. */
         GARBLED,
-        /** Turns everything away unprocessed. */
-        TURNING_AWAY
+        /** Rejects all requests as unprocessed. */
+        REJECTING
     }
 
     static final int SLOTS = 4;
@@ -51,11 +51,11 @@
     private final Random random;
     private final Semaphore slots = new Semaphore(SLOTS, true);
     private final Set<Wire> open = ConcurrentHashMap.newKeySet();
-    private volatile Mood mood = Mood.WELL;
+    private volatile Behavior behavior = Behavior.NORMAL;
     private volatile boolean draining;
     private volatile ServerSocket server;
 
-    /** What schedulers reach it through; null if they reach it directly. */
+    /** The proxy in front of the worker; null if schedulers connect directly. */
     private final FaultProxy proxy;
 
     private volatile int incarnation;
@@ -63,7 +63,7 @@
     private volatile long startedMs;
 
     /**
-     * @param behindProxy whether schedulers reach it through a network that can be harmed
+     * @param behindProxy whether schedulers connect through a {@link FaultProxy}
      */
     SoakWorker(
             String id,
@@ -79,7 +79,7 @@
         this.membership = membership;
         this.random = new Random(seed);
         listen(0);
-        int port = server.getLocalPort(); // it comes back there
+        int port = server.getLocalPort(); // kept across restarts
         this.proxy = behindProxy ? new FaultProxy(() -> port, seed) : null;
         list(Lifecycle.READY);
     }
@@ -88,7 +88,7 @@
         return id;
     }
 
-    /** When it was last started in the run; 0 if long ago. */
+    /** Time of the last restart in the run; 0 if there was none. */
     long startedUs() {
         return startedUs;
     }
@@ -97,34 +97,37 @@
         return incarnation;
     }
 
-    void mood(Mood next) {
-        mood = next;
+    void behavior(Behavior next) {
+        behavior = next;
     }
 
-    /** Has the list say this of it; as it drains, it denies probes from the moment before. */
+    /**
+     * Publishes this state in the endpoint list. A draining worker fails its health checks from
+     * just before that.
+     */
     void list(Lifecycle lifecycle) {
         draining = lifecycle == Lifecycle.DRAINING;
         int port = proxy == null ? server.getLocalPort() : proxy.port();
         membership.put(new Entry(id, port, zone, lifecycle, startedMs));
     }
 
-    /** What the network to it does from now on, if that can be harmed. */
+    /** Sets the condition of the proxy; no effect without one. */
     void network(FaultProxy.Condition condition) {
         if (proxy != null) {
             proxy.condition(condition);
         }
     }
 
-    /** Dies, resetting its connections; new ones are refused. */
-    void die() throws IOException {
+    /** Stops listening and resets all connections. */
+    void crash() throws IOException {
         server.close();
         for (Wire wire : open) {
             wire.reset();
         }
     }
 
-    /** Comes back cold at its old address. */
-    void comeBack() throws IOException {
+    /** Listens again at the same address, as a new incarnation that has to warm up. */
+    void restart() throws IOException {
         incarnation++;
         startedUs = Clock.nowUs();
         startedMs = System.currentTimeMillis();
@@ -171,12 +174,12 @@
         }
     }
 
-    /** Treats a job as its mood is; tells whether the connection stays. */
+    /** Handles a job according to the behavior; returns whether the connection stays open. */
     private boolean job(Wire wire, Wire.Message message) throws IOException, InterruptedException {
         String job = message.field("X-Correlation-Id");
         Request request = ledger.request(job);
         if (request == null) {
-            ledger.find(
+            ledger.report(
                     "stranger",
                     String.valueOf(job),
                     "worker " + id + " got an id that no client sent");
@@ -193,16 +196,16 @@
                         zone,
                         incarnation,
                         beganUs,
-                        message.wholeUs(),
+                        message.receivedUs(),
                         micros(message.field("X-Time-Left")));
         request.attempts.add(attempt);
-        switch (mood) {
+        switch (behavior) {
             case HANGING -> {
                 Clock.sleepUs(HANG_US);
                 return false;
             }
             case FAILING -> wire.send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
-            case TURNING_AWAY -> {
+            case REJECTING -> {
                 attempt.provenNotRun = true;
                 wire.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
             }
@@ -224,7 +227,7 @@
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                             + chunk(line(job, "started", "")));
             Clock.sleepUs((long) (-Math.log(1 - random.nextDouble()) * MEAN_JOB_US));
-            if (mood == Mood.RESETTING) {
+            if (behavior == Behavior.RESETTING) {
                 wire.reset();
                 return false;
             }
@@ -239,7 +242,7 @@
                                                     + slots.availablePermits()
                                                     + "}"))
                             + "0\r\n\r\n";
-            if (mood == Mood.IN_PIECES) {
+            if (behavior == Behavior.IN_PIECES) {
                 wire.sendInPieces(end, 6, 2 * Clock.MILLISECOND);
             } else {
                 wire.send(end);
@@ -247,11 +250,11 @@
         } finally {
             slots.release();
         }
-        if (mood == Mood.ANSWERING_TWICE) {
+        if (behavior == Behavior.ANSWERING_TWICE) {
             Clock.sleepUs(5 * Clock.MILLISECOND);
             wire.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
         }
-        return mood != Mood.CLOSING_IDLE;
+        return behavior != Behavior.CLOSING_IDLE;
     }
 
     private String line(String job, String state, String more) {
@@ -270,12 +273,12 @@
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    private static long micros(String told) {
-        if (told == null) {
+    private static long micros(String text) {
+        if (text == null) {
             return 0;
         }
-        long figure = Long.parseLong(told.substring(0, told.length() - 1));
-        return told.endsWith("m") ? figure * Clock.MILLISECOND : figure;
+        long figure = Long.parseLong(text.substring(0, text.length() - 1));
+        return text.endsWith("m") ? figure * Clock.MILLISECOND : figure;
     }
 
     void close() throws IOException {
--- a/src/main/java/damsonslip/tools/lab/soak/Threads.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Threads.java
@@ -6,7 +6,7 @@
 final class Threads {
     private static final long STACK = 128 * 1024;
 
-    /** What a thread does. */
+    /** The body of a thread. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
@@ -21,7 +21,7 @@
                             try {
                                 task.run();
                             } catch (IOException | InterruptedException e) {
-                                // the other side has gone, or the run is over
+                                // the peer disconnected, or the run is over
                             }
                         },
                         name,
--- a/src/main/java/damsonslip/tools/lab/soak/Verdict.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Verdict.java
@@ -4,22 +4,23 @@
 import java.util.List;
 
 /**
- * What a run showed.
+ * Result of a run.
  *
- * @param requests how many requests were sent whole
- * @param served how many of them were answered with 200
- * @param closedKept how many kept connections ended under a request, which may be a crossing
- * @param reported what the schedulers' own guards counted
- * @param longestHoldUpUs the longest time for which the soak's own process was held up
- * @param cpuUs processor time of the schedulers for each request
+ * @param requests number of requests sent completely
+ * @param served number of them answered with 200
+ * @param closedKept number of reused connections that ended during a request, where the close may
+ *     have crossed the request
+ * @param violations number of violations that the schedulers' own invariant checks logged
+ * @param longestStallUs the longest stall of the soak's own process
+ * @param cpuUs processor time of the schedulers per request
  * @param findings broken rules
  */
 record Verdict(
         int requests,
         int served,
         int closedKept,
-        long reported,
-        long longestHoldUpUs,
+        long violations,
+        long longestStallUs,
         long cpuUs,
         List<Finding> findings) {
     boolean passed() {
--- a/src/main/java/damsonslip/tools/lab/soak/Wire.java
+++ b/src/main/java/damsonslip/tools/lab/soak/Wire.java
@@ -14,16 +14,16 @@
 import java.util.Map;
 
 /**
- * One side of a connection with blocking reads of HTTP messages, which remembers when each began
- * and when it was whole.
+ * One side of a connection, with blocking reads of HTTP messages. Records when each message began
+ * to arrive and when it was complete.
  */
 final class Wire implements Closeable {
     private static final int CONNECT_MS = 2_000;
     private static final int BUFFER = 8 * 1024;
 
-    /** A message as it came, with the times at which its first and its last byte were read. */
+    /** A received message, with the times at which its first and last byte were read. */
     record Message(
-            String first, Map<String, String> fields, byte[] body, long beganUs, long wholeUs) {
+            String first, Map<String, String> fields, byte[] body, long beganUs, long receivedUs) {
         String field(String name) {
             return fields.get(name.toLowerCase(Locale.ROOT));
         }
@@ -79,7 +79,7 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Sends a text in so many pieces with a pause between each two. */
+    /** Sends a text in about this many pieces, with a pause after each. */
     void sendInPieces(String text, int pieces, long pauseUs)
             throws IOException, InterruptedException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/damsonslip/tools/lab/soak/package-info.java
+++ b/src/main/java/damsonslip/tools/lab/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The soak test: real schedulers on loopback between clients, workers, discovery and a network that
- * all misbehave, judged from outside. Run by {@code lab soak}; its fault library is also used by
- * the tests of single faults. Nothing of the program depends on this package.
+ * The soak test: real schedulers on loopback with faulty clients, workers, discovery and network,
+ * checked from outside. Run by {@code lab soak}; the tests of single faults also use its fault
+ * library. The scheduler itself does not depend on this package.
  */
 package damsonslip.tools.lab.soak;
--- a/src/test/java/damsonslip/tools/lab/soak/SoakTest.java
+++ b/src/test/java/damsonslip/tools/lab/soak/SoakTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short soak of few processes; {@code lab soak} plays more and longer ones. */
+/** A short soak with few processes; {@code lab soak} runs larger and longer ones. */
 class SoakTest {
     private static final int PROCESSES = 4;
     private static final long LENGTH_US = 8 * Clock.SECOND;
@@ -18,7 +18,7 @@
 
     @TempDir Path dir;
 
-    private Verdict play(SoakPlan plan) throws Exception {
+    private Verdict run(SoakPlan plan) throws Exception {
         Optional<Path> library =
                 FaultLibrary.build(FaultLibrary.SOURCE, Path.of("target", "faults"));
         if (library.isEmpty()) {
@@ -33,23 +33,23 @@
                         "damsonslip.cli.Main");
         return new SoakRun(
                         plan, LENGTH_US, dir, library, new SchedulerProcess.Setup(dir, program, ""))
-                .play();
+                .run();
     }
 
     @Test
-    void keepsTheRulesUnderOverlappingTroubles() throws Exception {
-        Verdict verdict = play(new SoakPlan(SEED, PROCESSES, LENGTH_US, Set.of(), Set.of()));
+    void keepsTheRulesUnderOverlappingFaults() throws Exception {
+        Verdict verdict = run(new SoakPlan(SEED, PROCESSES, LENGTH_US, Set.of(), Set.of()));
         assertEquals(List.of(), verdict.findings());
         assertTrue(verdict.served() > 500, verdict.served() + " served");
     }
 
     @Test
-    void drawsTheSameTroublesFromASeed() {
+    void derivesTheSameFaultsFromASeed() {
         SoakPlan one = new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(), Set.of());
         SoakPlan again = new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(), Set.of());
-        assertEquals(one.troubles(), again.troubles());
+        assertEquals(one.faults(), again.faults());
         assertEquals(
-                one.troubles().subList(1, one.troubles().size()),
-                new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(0), Set.of()).troubles());
+                one.faults().subList(1, one.faults().size()),
+                new SoakPlan(7, PROCESSES, LENGTH_US, Set.of(0), Set.of()).faults());
     }
 }
