--- a/src/main/java/damsonslip/tools/conformance/Cases.java
+++ b/src/main/java/damsonslip/tools/conformance/Cases.java
@@ -1,9 +1,9 @@
 package damsonslip.tools.conformance;
 
 import static damsonslip.tools.conformance.Stage.check;
+import static damsonslip.tools.conformance.Stage.equal;
 import static damsonslip.tools.conformance.Stage.id;
 import static damsonslip.tools.conformance.Stage.jids;
-import static damsonslip.tools.conformance.Stage.same;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -17,22 +17,22 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What is played: each case says in its name what the protocol has. */
+/** The conformance cases. The name of each case states the rule of the protocol that it checks. */
 final class Cases {
-    /** One thing that a server has to do. */
-    interface Play {
-        void on(Stage stage) throws IOException, InterruptedException;
+    /** The steps and checks of a case. */
+    interface Script {
+        void run(Stage stage) throws IOException, InterruptedException;
     }
 
     /**
      * A case.
      *
-     * @param group what it is about
-     * @param name what the protocol has
-     * @param destroy whether it throws away what others keep in the server
-     * @param play what is done
+     * @param group part of the protocol, as given by {@code --only}
+     * @param name rule of the protocol
+     * @param destructive whether the case deletes data of other clients of the server
+     * @param script steps and checks
      */
-    record Case(String group, String name, boolean destroy, Play play) {}
+    record Case(String group, String name, boolean destructive, Script script) {}
 
     private final List<Case> all = new ArrayList<>();
     private String group;
@@ -43,10 +43,10 @@
         Cases cases = new Cases();
         cases.handshake();
         cases.push();
-        cases.pushMore();
+        cases.pushLimitsAndOrder();
         cases.fetch();
-        cases.ends();
-        cases.retriesEnd();
+        cases.ackAndFail();
+        cases.retryLimits();
         cases.scheduled();
         cases.mutate();
         cases.queues();
@@ -55,17 +55,17 @@
         cases.track();
         cases.unique();
         cases.batches();
-        cases.batchesEnd();
+        cases.batchStates();
         cases.flush();
         return cases.all;
     }
 
-    private void add(String name, Play play) {
-        all.add(new Case(group, name, false, play));
+    private void add(String name, Script script) {
+        all.add(new Case(group, name, false, script));
     }
 
-    private void destroys(String name, Play play) {
-        all.add(new Case(group, name, true, play));
+    private void addDestructive(String name, Script script) {
+        all.add(new Case(group, name, true, script));
     }
 
     private void handshake() {
@@ -77,7 +77,7 @@
                     check(
                             greeting != null && greeting.startsWith("HI {"),
                             "the greeting is " + greeting);
-                    same(
+                    equal(
                             2,
                             FaktoryClient.JSON.readTree(greeting.substring(3)).path("v").asInt(),
                             "version");
@@ -89,7 +89,7 @@
                     try {
                         check(client.call("INFO").error(), "INFO before HELLO is answered");
                     } catch (IOException e) {
-                        return; // closed: that is an answer as well
+                        return; // closing the connection is allowed too
                     }
                 });
         add(
@@ -97,7 +97,7 @@
                 stage -> {
                     FaktoryClient client = stage.raw();
                     if (!client.greeting().contains("\"s\"")) {
-                        return; // this server asks for none
+                        return; // this server needs no password
                     }
                     check(
                             client.hello("", stage.password + "x").error(),
@@ -105,10 +105,10 @@
                 });
         add(
                 "an unknown command is an error, and the connection goes on",
-                stage -> stage.refused(stage.producer(), "JUMP high", "an unknown command"));
+                stage -> stage.rejected(stage.producer(), "JUMP high", "an unknown command"));
         add(
                 "what is not JSON is an error, and the connection goes on",
-                stage -> stage.refused(stage.producer(), "PUSH {\"jid\":", "half an object"));
+                stage -> stage.rejected(stage.producer(), "PUSH {\"jid\":", "half an object"));
         add(
                 "commands sent ahead are answered in their order",
                 stage -> {
@@ -145,9 +145,9 @@
                     stage.push(job);
                     JsonNode got = stage.fetch();
                     for (String field : List.of("jid", "jobtype", "queue")) {
-                        same(job.path(field), got.path(field), field);
+                        equal(job.path(field), got.path(field), field);
                     }
-                    same(job.path("args").toString(), got.path("args").toString(), "args");
+                    equal(job.path("args").toString(), got.path("args").toString(), "args");
                     stage.ack(got.path("jid").asText());
                 });
         add(
@@ -157,8 +157,8 @@
                     job.putObject("custom").put("trace", "t-1").putArray("list").add(1).add("x");
                     stage.push(job);
                     JsonNode got = stage.fetch();
-                    same(job.path("custom").toString(), got.path("custom").toString(), "custom");
-                    same(12345678901234L, got.path("of_ours").asLong(), "an unknown field");
+                    equal(job.path("custom").toString(), got.path("custom").toString(), "custom");
+                    equal(12345678901234L, got.path("of_ours").asLong(), "an unknown field");
                 });
         add(
                 "created_at and enqueued_at are times",
@@ -172,7 +172,7 @@
                 });
     }
 
-    private void pushMore() {
+    private void pushLimitsAndOrder() {
         add(
                 "a job without a queue goes to default",
                 stage -> {
@@ -190,9 +190,9 @@
                     for (String field : List.of("jid", "jobtype", "args")) {
                         ObjectNode job = stage.job();
                         job.remove(field);
-                        stage.refused(stage.producer(), "PUSH " + job, "a job without " + field);
+                        stage.rejected(stage.producer(), "PUSH " + job, "a job without " + field);
                     }
-                    stage.refused(stage.producer(), "PUSH " + stage.job("short"), "a short jid");
+                    stage.rejected(stage.producer(), "PUSH " + stage.job("short"), "a short jid");
                 });
         add(
                 "a job of 100 KB is taken",
@@ -200,7 +200,7 @@
                     ObjectNode job = stage.job();
                     job.putArray("args").add("x".repeat(100_000));
                     stage.push(job);
-                    same(100_000, stage.fetch().path("args").path(0).asText().length(), "length");
+                    equal(100_000, stage.fetch().path("args").path(0).asText().length(), "length");
                 });
         add(
                 "jobs of one queue come in their order",
@@ -233,20 +233,20 @@
                     FaktoryClient.Reply reply =
                             stage.producer().call("PUSHB [" + one + "," + bad + "," + two + "]");
                     check(!reply.error() && reply.text() != null, "PUSHB is answered " + reply);
-                    same(1, reply.json().size(), "jobs refused");
+                    equal(1, reply.json().size(), "jobs refused");
                     check(
                             reply.json().has(bad.path("jid").asText()),
                             "the wrong one is named: " + reply.text());
-                    Set<String> came = new TreeSet<>();
+                    Set<String> arrived = new TreeSet<>();
                     for (int i = 0; i < 2; i++) {
                         String jid = stage.fetch().path("jid").asText();
-                        came.add(jid);
+                        arrived.add(jid);
                         stage.ack(jid);
                     }
-                    same(
+                    equal(
                             new TreeSet<>(
                                     List.of(one.path("jid").asText(), two.path("jid").asText())),
-                            came,
+                            arrived,
                             "jobs taken");
                 });
     }
@@ -257,7 +257,7 @@
                 "an empty queue is answered with nothing after about two seconds",
                 stage -> {
                     long from = System.nanoTime();
-                    stage.nothing();
+                    stage.checkNoJob();
                     long ms = (System.nanoTime() - from) / 1_000_000;
                     check(ms > 1_000 && ms < 4_000, "after " + ms + " ms");
                 });
@@ -267,7 +267,7 @@
                     stage.worker().send("FETCH " + stage.queue);
                     Thread.sleep(300);
                     String jid = stage.push();
-                    same(jid, stage.worker().read().json().path("jid").asText(), "job");
+                    equal(jid, stage.worker().read().json().path("jid").asText(), "job");
                 });
         add(
                 "its queues are looked at in its own order",
@@ -278,13 +278,13 @@
                             stage.worker()
                                     .call("FETCH " + stage.queue + "-a " + stage.queue + "-b")
                                     .json();
-                    same(second, got.path("jid").asText(), "job");
+                    equal(second, got.path("jid").asText(), "job");
                     stage.ack(second);
                     got =
                             stage.worker()
                                     .call("FETCH " + stage.queue + "-a " + stage.queue + "-b")
                                     .json();
-                    same(first, got.path("jid").asText(), "job");
+                    equal(first, got.path("jid").asText(), "job");
                 });
         add(
                 "a job is given to one worker only",
@@ -297,7 +297,7 @@
                     int got =
                             (one.read().text() == null ? 0 : 1)
                                     + (two.read().text() == null ? 0 : 1);
-                    same(1, got, "workers that got it");
+                    equal(1, got, "workers that got it");
                 });
         add(
                 "a producer may not fetch, or is told that it is none",
@@ -307,7 +307,7 @@
                 });
     }
 
-    private void ends() {
+    private void ackAndFail() {
         group = "ack and fail";
         add(
                 "ACK ends a job and is counted",
@@ -319,7 +319,7 @@
                     check(
                             stage.info().path("faktory").path("total_processed").asInt() > before,
                             "total_processed stays");
-                    stage.nothing();
+                    stage.checkNoJob();
                 });
         add(
                 "ACK of an unknown job does no harm",
@@ -340,7 +340,7 @@
                                     "FAIL {\"jid\":\""
                                             + jid
                                             + "\",\"errtype\":\"E\",\"message\":\"m\"}");
-                    same(retries, stage.size("Retries"), "retries");
+                    equal(retries, stage.size("Retries"), "retries");
                 });
         add(
                 "FAIL brings a job among the retries, not back at once",
@@ -349,8 +349,8 @@
                     String jid = stage.push();
                     stage.fetch(jid);
                     stage.fail(jid);
-                    same(before + 1, stage.size("Retries"), "retries");
-                    stage.nothing();
+                    equal(before + 1, stage.size("Retries"), "retries");
+                    stage.checkNoJob();
                 });
         add(
                 "a retried job tells how it failed, with as much backtrace as it asked for",
@@ -360,21 +360,21 @@
                     stage.fail(jid);
                     stage.mutate("requeue", "retries", jids(jid));
                     JsonNode failure = stage.fetch().path("failure");
-                    same("Broken", failure.path("errtype").asText(), "errtype");
-                    same("it broke", failure.path("message").asText(), "message");
-                    same(0, failure.path("retry_count").asInt(-1), "retry_count");
-                    same(3, failure.path("backtrace").size(), "lines of backtrace");
+                    equal("Broken", failure.path("errtype").asText(), "errtype");
+                    equal("it broke", failure.path("message").asText(), "message");
+                    equal(0, failure.path("retry_count").asInt(-1), "retry_count");
+                    equal(3, failure.path("backtrace").size(), "lines of backtrace");
                     OffsetDateTime.parse(failure.path("failed_at").asText());
                     stage.fail(jid);
                     stage.mutate("requeue", "retries", jids(jid));
-                    same(
+                    equal(
                             1,
                             stage.fetch().path("failure").path("retry_count").asInt(-1),
                             "retry_count after two");
                 });
     }
 
-    private void retriesEnd() {
+    private void retryLimits() {
         add(
                 "retry 0 throws a failed job away",
                 stage -> {
@@ -383,8 +383,8 @@
                     String jid = stage.push(stage.job().put("retry", 0));
                     stage.fetch(jid);
                     stage.fail(jid);
-                    same(retries, stage.size("Retries"), "retries");
-                    same(dead, stage.size("Dead"), "dead");
+                    equal(retries, stage.size("Retries"), "retries");
+                    equal(dead, stage.size("Dead"), "dead");
                 });
         add(
                 "retry -1 sends a failed job straight to the dead",
@@ -393,7 +393,7 @@
                     String jid = stage.push(stage.job().put("retry", -1));
                     stage.fetch(jid);
                     stage.fail(jid);
-                    same(dead + 1, stage.size("Dead"), "dead");
+                    equal(dead + 1, stage.size("Dead"), "dead");
                 });
         add(
                 "a job whose retries are used up is dead",
@@ -405,7 +405,7 @@
                     stage.mutate("requeue", "retries", jids(jid));
                     stage.fetch(jid);
                     stage.fail(jid);
-                    same(dead + 1, stage.size("Dead"), "dead");
+                    equal(dead + 1, stage.size("Dead"), "dead");
                 });
     }
 
@@ -420,7 +420,7 @@
                 stage -> {
                     int before = stage.size("Scheduled");
                     String jid = stage.push(stage.job().put("at", in(1_500, ZoneOffset.UTC)));
-                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                    equal(before + 1, stage.size("Scheduled"), "scheduled");
                     long from = System.nanoTime();
                     stage.fetch(jid);
                     check(System.nanoTime() - from > 1_000_000_000L, "it comes too early");
@@ -449,13 +449,13 @@
                 stage -> {
                     int before = stage.size("Scheduled");
                     String jid = stage.push(stage.job().put("at", in(-60_000, ZoneOffset.UTC)));
-                    same(before, stage.size("Scheduled"), "scheduled");
+                    equal(before, stage.size("Scheduled"), "scheduled");
                     stage.fetch(jid);
                 });
         add(
                 "at that is no time is refused",
                 stage ->
-                        stage.refused(
+                        stage.rejected(
                                 stage.producer(),
                                 "PUSH " + stage.job().put("at", "tomorrow"),
                                 "at: tomorrow"));
@@ -465,7 +465,7 @@
                     ObjectNode job = stage.job();
                     job.putObject("custom").put("expires_at", in(-1_000, ZoneOffset.UTC));
                     stage.push(job);
-                    stage.nothing();
+                    stage.checkNoJob();
                 });
     }
 
@@ -488,9 +488,9 @@
                     int dead = stage.size("Dead");
                     String jid = stage.push(later(stage));
                     stage.mutate("kill", "scheduled", jids(jid));
-                    same(dead + 1, stage.size("Dead"), "dead");
+                    equal(dead + 1, stage.size("Dead"), "dead");
                     stage.mutate("requeue", "dead", jids(jid));
-                    same(dead, stage.size("Dead"), "dead");
+                    equal(dead, stage.size("Dead"), "dead");
                     stage.fetch(jid);
                 });
         add(
@@ -502,7 +502,7 @@
                     stage.push(later(stage).put("jobtype", type));
                     stage.push(later(stage));
                     stage.mutate("discard", "scheduled", "{\"jobtype\":\"" + type + "\"}");
-                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                    equal(before + 1, stage.size("Scheduled"), "scheduled");
                 });
         add(
                 "a glob goes over the whole job",
@@ -514,31 +514,31 @@
                     stage.push(marked);
                     stage.push(later(stage));
                     stage.mutate("discard", "scheduled", "{\"regexp\":\"*no-" + mark + "*\"}");
-                    same(
+                    equal(
                             before + 2,
                             stage.size("Scheduled"),
                             "scheduled after a glob that fits none");
                     stage.mutate("discard", "scheduled", "{\"regexp\":\"*" + mark + "\\\\*?*\"}");
-                    same(before + 1, stage.size("Scheduled"), "scheduled");
+                    equal(before + 1, stage.size("Scheduled"), "scheduled");
                 });
         add(
                 "an unknown cmd or target is refused",
                 stage -> {
-                    stage.refused(
+                    stage.rejected(
                             stage.producer(),
                             "MUTATE {\"cmd\":\"jump\",\"target\":\"dead\"}",
                             "cmd: jump");
-                    stage.refused(
+                    stage.rejected(
                             stage.producer(),
                             "MUTATE {\"cmd\":\"kill\",\"target\":\"all\"}",
                             "target: all");
                 });
-        destroys(
+        addDestructive(
                 "clear empties a set",
                 stage -> {
                     stage.push(later(stage));
                     stage.mutate("clear", "scheduled", "");
-                    same(0, stage.size("Scheduled"), "scheduled");
+                    equal(0, stage.size("Scheduled"), "scheduled");
                 });
     }
 
@@ -551,7 +551,7 @@
                             stage.producer().call("QUEUE PAUSE " + stage.queue).ok(),
                             "PAUSE is not answered OK");
                     String jid = stage.push();
-                    stage.nothing();
+                    stage.checkNoJob();
                     check(
                             stage.producer().call("QUEUE RESUME " + stage.queue).ok(),
                             "RESUME is not answered OK");
@@ -565,19 +565,19 @@
                     stage.worker().send("FETCH " + stage.queue);
                     Thread.sleep(300);
                     stage.producer().call("QUEUE RESUME " + stage.queue);
-                    same(jid, stage.worker().read().json().path("jid").asText(), "job");
+                    equal(jid, stage.worker().read().json().path("jid").asText(), "job");
                 });
         add(
                 "REMOVE throws a queue's jobs away",
                 stage -> {
                     stage.push();
                     stage.push();
-                    same(2, stage.queued(), "jobs in the queue");
+                    equal(2, stage.queued(), "jobs in the queue");
                     check(
                             stage.producer().call("QUEUE REMOVE " + stage.queue).ok(),
                             "REMOVE is not answered OK");
-                    same(0, stage.queued(), "jobs in the queue");
-                    stage.nothing();
+                    equal(0, stage.queued(), "jobs in the queue");
+                    stage.checkNoJob();
                 });
         add(
                 "several queues may be named at once",
@@ -615,7 +615,7 @@
         add(
                 "BEAT of an unknown worker is an error",
                 stage ->
-                        stage.refused(
+                        stage.rejected(
                                 stage.producer(),
                                 "BEAT {\"wid\":\"nobody-" + id() + "\"}",
                                 "BEAT of nobody"));
@@ -626,7 +626,7 @@
                     FaktoryClient worker = stage.connect(own);
                     String jid = stage.push();
                     JsonNode got = worker.call("FETCH " + stage.queue).json();
-                    same(jid, got.path("jid").asText(), "job");
+                    equal(jid, got.path("jid").asText(), "job");
                     check(
                             !worker.call(
                                             "BEAT {\"wid\":\""
@@ -683,10 +683,10 @@
                 stage -> {
                     String jid = stage.push();
                     stage.push();
-                    same(2, stage.queued(), "jobs in the queue");
+                    equal(2, stage.queued(), "jobs in the queue");
                     int working = stage.size("Working");
                     stage.fetch(jid);
-                    same(1, stage.queued(), "jobs in the queue");
+                    equal(1, stage.queued(), "jobs in the queue");
                     check(stage.size("Working") > working, "Working does not grow");
                 });
         add(
@@ -704,13 +704,13 @@
         add(
                 "TRACK GET follows a job",
                 stage -> {
-                    same("unknown", stage.track("no-such-" + id()), "state");
+                    equal("unknown", stage.track("no-such-" + id()), "state");
                     String jid = stage.push();
-                    same("enqueued", stage.track(jid), "state");
+                    equal("enqueued", stage.track(jid), "state");
                     stage.fetch(jid);
-                    same("working", stage.track(jid), "state");
+                    equal("working", stage.track(jid), "state");
                     stage.ack(jid);
-                    same("success", stage.track(jid), "state");
+                    equal("success", stage.track(jid), "state");
                 });
         add(
                 "TRACK SET tells percent and words",
@@ -725,10 +725,10 @@
                                                     + "\",\"percent\":42,\"desc\":\"halfway\"}")
                                     .ok(),
                             "TRACK SET is not answered OK");
-                    JsonNode told = stage.producer().call("TRACK GET " + jid).json();
-                    same(42, told.path("percent").asInt(), "percent");
-                    same("halfway", told.path("desc").asText(), "desc");
-                    OffsetDateTime.parse(told.path("updated_at").asText());
+                    JsonNode reported = stage.producer().call("TRACK GET " + jid).json();
+                    equal(42, reported.path("percent").asInt(), "percent");
+                    equal("halfway", reported.path("desc").asText(), "desc");
+                    OffsetDateTime.parse(reported.path("updated_at").asText());
                 });
         add(
                 "TRACK SET may ask for a longer reservation",
@@ -809,7 +809,7 @@
         return stage.job().put("jobtype", type).put("queue", stage.queue + "-cb");
     }
 
-    private static ObjectNode inside(Stage stage, String bid) {
+    private static ObjectNode batchJob(Stage stage, String bid) {
         ObjectNode job = stage.job();
         job.putObject("custom").put("bid", bid);
         return job;
@@ -819,12 +819,12 @@
         check(stage.producer().call("BATCH COMMIT " + bid).ok(), "BATCH COMMIT is not answered OK");
     }
 
-    /** Fetches a callback of this type and does it. */
-    private static void runs(Stage stage, String type) throws IOException {
+    /** Fetches the next callback, checks its type and acknowledges it. */
+    private static void runCallback(Stage stage, String type) throws IOException {
         for (int i = 0; i < 4; i++) {
             FaktoryClient.Reply reply = stage.worker().call("FETCH " + stage.queue + "-cb");
             if (reply.text() != null) {
-                same(type, reply.json().path("jobtype").asText(), "callback");
+                equal(type, reply.json().path("jobtype").asText(), "callback");
                 stage.ack(reply.json().path("jid").asText());
                 return;
             }
@@ -832,7 +832,7 @@
         check(false, "the callback " + type + " does not come");
     }
 
-    private static void noCallback(Stage stage) throws IOException {
+    private static void checkNoCallback(Stage stage) throws IOException {
         FaktoryClient.Reply reply = stage.worker().call("FETCH " + stage.queue + "-cb");
         check(reply.text() == null, "a callback comes too early: " + reply.text());
     }
@@ -843,131 +843,132 @@
                 "complete and success come once all jobs have succeeded",
                 stage -> {
                     String bid = batch(stage, "");
-                    String one = stage.push(inside(stage, bid));
-                    String two = stage.push(inside(stage, bid));
+                    String one = stage.push(batchJob(stage, bid));
+                    String two = stage.push(batchJob(stage, bid));
                     commit(stage, bid);
                     stage.fetch(one);
                     stage.ack(one);
-                    noCallback(stage);
+                    checkNoCallback(stage);
                     stage.fetch(two);
                     stage.ack(two);
-                    runs(stage, "Complete");
-                    runs(stage, "Success");
+                    runCallback(stage, "Complete");
+                    runCallback(stage, "Success");
                 });
         add(
                 "a failed job lets complete come, and success only once it has succeeded",
                 stage -> {
                     String bid = batch(stage, "");
-                    String jid = stage.push(inside(stage, bid));
+                    String jid = stage.push(batchJob(stage, bid));
                     commit(stage, bid);
                     stage.fetch(jid);
                     stage.fail(jid);
-                    runs(stage, "Complete");
-                    noCallback(stage);
+                    runCallback(stage, "Complete");
+                    checkNoCallback(stage);
                     stage.mutate("requeue", "retries", jids(jid));
                     stage.fetch(jid);
                     stage.ack(jid);
-                    runs(stage, "Success");
+                    runCallback(stage, "Success");
                 });
         add(
                 "nothing comes before COMMIT",
                 stage -> {
                     String bid = batch(stage, "");
-                    String jid = stage.push(inside(stage, bid));
+                    String jid = stage.push(batchJob(stage, bid));
                     stage.fetch(jid);
                     stage.ack(jid);
-                    noCallback(stage);
+                    checkNoCallback(stage);
                     commit(stage, bid);
-                    runs(stage, "Complete");
+                    runCallback(stage, "Complete");
                 });
     }
 
-    private void batchesEnd() {
+    private void batchStates() {
         add(
                 "an empty batch is complete at COMMIT",
                 stage -> {
                     commit(stage, batch(stage, ""));
-                    runs(stage, "Complete");
-                    runs(stage, "Success");
+                    runCallback(stage, "Complete");
+                    runCallback(stage, "Success");
                 });
         add(
                 "BATCH STATUS tells the counts",
                 stage -> {
                     String bid = batch(stage, "");
-                    String jid = stage.push(inside(stage, bid));
-                    stage.push(inside(stage, bid));
+                    String jid = stage.push(batchJob(stage, bid));
+                    stage.push(batchJob(stage, bid));
                     commit(stage, bid);
                     stage.fetch(jid);
                     stage.fail(jid);
-                    JsonNode told = stage.producer().call("BATCH STATUS " + bid).json();
-                    same(2, told.path("total").asInt(), "total");
-                    same(2, told.path("pending").asInt(), "pending");
-                    same(1, told.path("failed").asInt(), "failed");
-                    same("conformance", told.path("description").asText(), "description");
-                    same("", told.path("complete_st").asText("none"), "complete_st");
+                    JsonNode reported = stage.producer().call("BATCH STATUS " + bid).json();
+                    equal(2, reported.path("total").asInt(), "total");
+                    equal(2, reported.path("pending").asInt(), "pending");
+                    equal(1, reported.path("failed").asInt(), "failed");
+                    equal("conformance", reported.path("description").asText(), "description");
+                    equal("", reported.path("complete_st").asText("none"), "complete_st");
                 });
         add(
                 "a committed batch takes no job until it is opened again",
                 stage -> {
                     String bid = batch(stage, "");
-                    String jid = stage.push(inside(stage, bid));
+                    String jid = stage.push(batchJob(stage, bid));
                     commit(stage, bid);
-                    stage.refused(
+                    stage.rejected(
                             stage.producer(),
-                            "PUSH " + inside(stage, bid),
+                            "PUSH " + batchJob(stage, bid),
                             "a job for a committed batch");
                     check(
                             !stage.producer().call("BATCH OPEN " + bid).error(),
                             "BATCH OPEN is an error");
-                    String more = stage.push(inside(stage, bid));
+                    String more = stage.push(batchJob(stage, bid));
                     commit(stage, bid);
                     stage.fetch(jid);
                     stage.ack(jid);
-                    noCallback(stage);
+                    checkNoCallback(stage);
                     stage.fetch(more);
                     stage.ack(more);
-                    runs(stage, "Complete");
+                    runCallback(stage, "Complete");
                 });
         add(
                 "an outer batch waits for the inner one's callbacks",
                 stage -> {
                     String outer = batch(stage, "");
                     String inner = batch(stage, outer);
-                    String jid = stage.push(inside(stage, inner));
+                    String jid = stage.push(batchJob(stage, inner));
                     commit(stage, inner);
                     commit(stage, outer);
-                    noCallback(stage);
+                    checkNoCallback(stage);
                     stage.fetch(jid);
                     stage.ack(jid);
                     for (int i = 0; i < 2; i++) {
-                        runs(stage, "Complete");
-                        runs(stage, "Success");
+                        runCallback(stage, "Complete");
+                        runCallback(stage, "Success");
                     }
                 });
         add(
                 "an unknown batch is refused",
                 stage -> {
-                    stage.refused(stage.producer(), "BATCH STATUS b-no-such", "STATUS of no batch");
-                    stage.refused(
+                    stage.rejected(
+                            stage.producer(), "BATCH STATUS b-no-such", "STATUS of no batch");
+                    stage.rejected(
                             stage.producer(),
-                            "PUSH " + inside(stage, "b-no-such"),
+                            "PUSH " + batchJob(stage, "b-no-such"),
                             "a job for no batch");
                 });
     }
 
     private void flush() {
         group = "flush";
-        destroys(
+        addDestructive(
                 "FLUSH empties queues and sets",
                 stage -> {
                     stage.push();
                     stage.push(later(stage));
                     check(stage.producer().call("FLUSH").ok(), "FLUSH is not answered OK");
-                    same(0, stage.queued(), "jobs in the queue");
-                    same(0, stage.size("Scheduled"), "scheduled");
-                    same(0, stage.size("Retries"), "retries");
-                    same(0, stage.size("Dead"), "dead");
-                    stage.nothing();
+                    equal(0, stage.queued(), "jobs in the queue");
+                    equal(0, stage.size("Scheduled"), "scheduled");
+                    equal(0, stage.size("Retries"), "retries");
+                    equal(0, stage.size("Dead"), "dead");
+                    stage.checkNoJob();
                 });
     }
 }
--- a/src/main/java/damsonslip/tools/conformance/Conformance.java
+++ b/src/main/java/damsonslip/tools/conformance/Conformance.java
@@ -14,19 +14,19 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 
-/** The command {@code conformance}: plays the cases and prints a line for each, and a table. */
+/** The command {@code conformance}: runs the cases and prints a line for each, and a table. */
 public final class Conformance {
     private static final String USAGE =
             "conformance HOST:PORT [--password P] [--flush] [--only GROUP]  (--flush also plays"
                     + " what empties the server)";
 
-    private record Result(Cases.Case played, String fault, long ms) {}
+    private record Result(Cases.Case testCase, String fault, long ms) {}
 
     private Conformance() {}
 
     /**
-     * Plays against the server that the arguments name; gives the exit code: 0, or 1 if a case
-     * found a fault.
+     * Runs the cases against the server that the arguments name and returns the exit code: 0, or 1
+     * if a case failed.
      */
     public static int run(List<String> arguments, PrintStream out) throws ConfigurationException {
         String address = "";
@@ -48,7 +48,7 @@
                 throw new ConfigurationException(USAGE);
             }
         }
-        return new Play(server(address), password, flush, only, out).all();
+        return new Run(server(address), password, flush, only, out).runAll();
     }
 
     private static InetSocketAddress server(String address) throws ConfigurationException {
@@ -64,36 +64,41 @@
         }
     }
 
-    /** One run through the cases. */
-    private record Play(
+    /** One run of the cases. */
+    private record Run(
             InetSocketAddress server,
             String password,
             boolean flush,
             String only,
             PrintStream out) {
-        /** Cases that are played side by side; those that count on whole sets are played alone. */
-        private static final List<String> APART =
+        /**
+         * Groups whose cases run in parallel. The others check the sizes of sets that all clients
+         * share, so they run one at a time.
+         */
+        private static final List<String> PARALLEL_GROUPS =
                 List.of("handshake", "fetch", "track", "unique", "batch", "queue");
 
-        private static final int SIDE_BY_SIDE = 4;
+        private static final int PARALLEL_CASES = 4;
 
-        int all() throws ConfigurationException {
+        int runAll() throws ConfigurationException {
             List<Result> results = new ArrayList<>();
             String wid = "conf-" + Stage.id();
             List<Cases.Case> chosen =
                     Cases.all().stream()
-                            .filter(each -> flush || !each.destroy())
+                            .filter(each -> flush || !each.destructive())
                             .filter(each -> only.isEmpty() || each.group().equals(only))
                             .toList();
-            try (Stage keeper = new Stage(server, password, wid)) {
-                keeper.worker(); // its worker stays while its connections come and go
-                together(
-                        chosen.stream().filter(each -> APART.contains(each.group())).toList(),
+            try (Stage registration = new Stage(server, password, wid)) {
+                registration.worker(); // keeps the worker id registered between cases
+                runInParallel(
+                        chosen.stream()
+                                .filter(each -> PARALLEL_GROUPS.contains(each.group()))
+                                .toList(),
                         wid,
                         results);
                 for (Cases.Case each : chosen) {
-                    if (!APART.contains(each.group())) {
-                        results.add(told(play(each, wid)));
+                    if (!PARALLEL_GROUPS.contains(each.group())) {
+                        results.add(print(run(each, wid)));
                     }
                 }
             } catch (IOException | Stage.Fault e) {
@@ -108,26 +113,26 @@
             return table(results);
         }
 
-        private void together(List<Cases.Case> cases, String wid, List<Result> results) {
-            ExecutorService threads = Executors.newFixedThreadPool(SIDE_BY_SIDE);
+        private void runInParallel(List<Cases.Case> cases, String wid, List<Result> results) {
+            ExecutorService threads = Executors.newFixedThreadPool(PARALLEL_CASES);
             try {
-                List<Future<Result>> played = new ArrayList<>();
-                cases.forEach(each -> played.add(threads.submit(() -> play(each, wid))));
-                for (Future<Result> each : played) {
-                    results.add(told(each.get()));
+                List<Future<Result>> pending = new ArrayList<>();
+                cases.forEach(each -> pending.add(threads.submit(() -> run(each, wid))));
+                for (Future<Result> each : pending) {
+                    results.add(print(each.get()));
                 }
             } catch (InterruptedException | ExecutionException e) {
-                throw new IllegalStateException("a case that could not be played", e);
+                throw new IllegalStateException("a case could not be run", e);
             } finally {
                 threads.shutdownNow();
             }
         }
 
-        private Result play(Cases.Case each, String wid) {
+        private Result run(Cases.Case each, String wid) {
             long from = System.nanoTime();
             String fault = null;
             try (Stage stage = new Stage(server, password, wid)) {
-                each.play().on(stage);
+                each.script().run(stage);
             } catch (Stage.Fault e) {
                 fault = e.getMessage();
             } catch (IOException | RuntimeException e) {
@@ -139,12 +144,12 @@
             return new Result(each, fault, (System.nanoTime() - from) / 1_000_000);
         }
 
-        private Result told(Result result) {
+        private Result print(Result result) {
             out.println(
                     (result.fault() == null ? "ok     " : "FAULT  ")
-                            + result.played().group()
+                            + result.testCase().group()
                             + ": "
-                            + result.played().name()
+                            + result.testCase().name()
                             + (result.fault() == null ? "" : " -- " + result.fault()));
             return result;
         }
@@ -152,7 +157,7 @@
         private int table(List<Result> results) {
             Map<String, int[]> groups = new LinkedHashMap<>();
             for (Result result : results) {
-                int[] sums = groups.computeIfAbsent(result.played().group(), group -> new int[3]);
+                int[] sums = groups.computeIfAbsent(result.testCase().group(), group -> new int[3]);
                 sums[0]++;
                 sums[1] += result.fault() == null ? 0 : 1;
                 sums[2] += (int) result.ms();
--- a/src/main/java/damsonslip/tools/conformance/Stage.java
+++ b/src/main/java/damsonslip/tools/conformance/Stage.java
@@ -12,18 +12,15 @@
 import java.util.UUID;
 import java.util.concurrent.TimeUnit;
 
-/**
- * What one case plays on: connections, a queue and ids of its own, and the checks that are made
- * most.
- */
+/** The context of one case: its own connections, queue and job ids, and common checks. */
 final class Stage implements Closeable {
-    /** A server may look for due jobs only every few seconds. */
-    private static final long DUE_MS = 9_000;
+    /** Time limit for a job to arrive: a server may check for due jobs only every few seconds. */
+    private static final long ARRIVAL_LIMIT_MS = 9_000;
 
-    /** For a connection, and for each part of a reply. */
+    /** Time limit to connect, and for each read of a reply. */
     private static final int TIMEOUT_MS = 8_000;
 
-    /** A server that differs from the protocol; the message tells how. */
+    /** A difference between the server and the protocol, described by the message. */
     static final class Fault extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
@@ -89,7 +86,7 @@
         return job(id());
     }
 
-    /** Pushes a job that has to be taken; gives its id. */
+    /** Pushes a job that the server must accept; returns its id. */
     String push(ObjectNode job) throws IOException {
         FaktoryClient.Reply reply = producer().call("PUSH " + job);
         check(reply.ok(), "PUSH is answered " + reply);
@@ -100,9 +97,11 @@
         return push(job());
     }
 
-    /** Fetches from the case's own queue until a job comes; null after this long without one. */
-    JsonNode fetch(long patienceMs) throws IOException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patienceMs);
+    /**
+     * Fetches from the case's own queue until a job arrives; null if none arrives within this time.
+     */
+    JsonNode fetch(long timeoutMs) throws IOException {
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         do {
             FaktoryClient.Reply reply = worker().call("FETCH " + queue);
             check(!reply.error(), "FETCH is answered " + reply);
@@ -113,9 +112,9 @@
         return null;
     }
 
-    /** Fetches a job that has to come. */
+    /** Fetches a job that must arrive. */
     JsonNode fetch() throws IOException {
-        JsonNode job = fetch(DUE_MS);
+        JsonNode job = fetch(ARRIVAL_LIMIT_MS);
         check(job != null, "no job comes from its queue");
         return job;
     }
@@ -125,7 +124,7 @@
         check(jid.equals(got), "job " + jid + " was due, and " + got + " came");
     }
 
-    void nothing() throws IOException {
+    void checkNoJob() throws IOException {
         JsonNode job = fetch(0);
         check(job == null, "a job comes that must not: " + job);
     }
@@ -197,18 +196,18 @@
 
     // ---- checks
 
-    static void check(boolean holds, String what) {
-        if (!holds) {
+    static void check(boolean condition, String what) {
+        if (!condition) {
             throw new Fault(what);
         }
     }
 
-    static void same(Object expected, Object got, String what) {
+    static void equal(Object expected, Object got, String what) {
         check(expected.equals(got), what + ": " + got + ", not " + expected);
     }
 
-    /** A reply that has to be an error, after which the connection goes on. */
-    void refused(FaktoryClient client, String line, String what) throws IOException {
+    /** Checks that the reply is an error and that the connection stays usable. */
+    void rejected(FaktoryClient client, String line, String what) throws IOException {
         FaktoryClient.Reply reply = client.call(line);
         check(reply.error(), what + " is answered " + reply + ", not an error");
         check(!client.call("INFO").error(), "the connection does not go on after " + what);
--- a/src/test/java/damsonslip/tools/conformance/ConformanceTest.java
+++ b/src/test/java/damsonslip/tools/conformance/ConformanceTest.java
@@ -16,12 +16,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The suite against this program on each store, and against a server that gets everything wrong.
+ * Runs the suite against this program on each store, and against a server that answers every
+ * command with OK.
  */
 class ConformanceTest {
     @TempDir Path dir;
 
-    private static String play(int port, int code, String... more)
+    private static String run(int port, int code, String... more)
             throws IOException, InterruptedException {
         String[] arguments = new String[more.length + 2];
         arguments[0] = "conformance";
@@ -50,17 +51,17 @@
             try (Program program =
                     new Program(null, "serve", Program.file(dir, file).toString())
                             .awaitWord("taken up from the store")) {
-                String told = play(port, 0, "--password", "open sesame", "--flush");
-                assertFalse(told.contains("FAULT"), told);
-                assertTrue(told.matches("(?s).*all +6[0-9] +0\\s*"), told);
+                String output = run(port, 0, "--password", "open sesame", "--flush");
+                assertFalse(output.contains("FAULT"), output);
+                assertTrue(output.matches("(?s).*all +6[0-9] +0\\s*"), output);
                 assertFalse(program.said().contains("ERROR"), program.said());
             }
         }
     }
 
-    /** Shows that the cases can fail: this server says OK whatever it is asked. */
+    /** Guards against cases that cannot fail: this server answers OK to every command. */
     @Test
-    void aServerThatOnlySaysOkIsFoundOut() throws Exception {
+    void reportsAServerThatAlwaysAnswersOk() throws Exception {
         try (Peer.Server yes =
                 new Peer.Server(
                         0,
@@ -70,11 +71,14 @@
                                 peer.send("+OK\r\n");
                             }
                         })) {
-            String told = play(yes.port(), 1);
-            assertTrue(told.contains("FAULT  handshake: HELLO comes first"), told);
-            assertTrue(told.contains("FAULT  push: a plain job comes to a worker as it was"), told);
-            long passed = told.lines().filter(line -> line.startsWith("ok ")).count();
-            assertTrue(passed < 10, passed + " cases pass on a server that does nothing: " + told);
+            String output = run(yes.port(), 1);
+            assertTrue(output.contains("FAULT  handshake: HELLO comes first"), output);
+            assertTrue(
+                    output.contains("FAULT  push: a plain job comes to a worker as it was"),
+                    output);
+            long passed = output.lines().filter(line -> line.startsWith("ok ")).count();
+            assertTrue(
+                    passed < 10, passed + " cases pass on a server that does nothing: " + output);
         }
     }
 }
