--- a/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
+++ b/src/test/java/damsonslip/compatibility/ConfigurationErrorsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The messages and exit codes of starts that fail for their configuration or command line. */
+/** Messages and exit codes when the configuration or the command line is invalid. */
 class ConfigurationErrorsTest {
     private static final Pattern LOG_LINE =
             Pattern.compile("^[0-9]{2}:[0-9]{2}:[0-9]{2}\\.[0-9]{3} ");
@@ -30,41 +30,41 @@
                     "",
                     "ROUTER_MGMT",
                     "");
-    private static final String GOOD =
+    private static final String VALID =
             "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\","
                     + "\"settings\":{\"instances\":1,\"lanes\":[{\"name\":\"read\"}]}}";
 
-    private static final List<String> WRONG_PLATFORM_FILES =
+    private static final List<String> INVALID_PLATFORM_FILES =
             List.of(
                     "",
                     "{",
                     "[]",
                     "{}",
                     "nonsense",
-                    GOOD.replace("\"listen\":\"127.0.0.1:1\",", ""),
-                    GOOD.replace("\"discovery\":\"127.0.0.1:1\",", ""),
-                    GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
-                    GOOD.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
-                    GOOD.replace("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
-                    GOOD.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
-                    GOOD.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
-                    GOOD.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
-                    GOOD.replace("\"settings\"", "\"other\""),
-                    GOOD.replace("\"instances\":1,", ""),
-                    GOOD.replace("\"instances\":1", "\"instances\":\"one\""),
-                    GOOD.replace("\"instances\":1", "\"instances\":0"),
-                    GOOD.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
-                    GOOD.replace("\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
-                    GOOD.replace(
+                    VALID.replace("\"listen\":\"127.0.0.1:1\",", ""),
+                    VALID.replace("\"discovery\":\"127.0.0.1:1\",", ""),
+                    VALID.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"nowhere\""),
+                    VALID.replace("\"listen\":\"127.0.0.1:1\"", "\"listen\":\"127.0.0.1:99999\""),
+                    VALID.replace("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"host.name:1\""),
+                    VALID.replace("{\"listen\"", "{\"seed\":\"none\",\"listen\""),
+                    VALID.replace("{\"listen\"", "{\"mgmt\":\"nowhere\",\"listen\""),
+                    VALID.replace("{\"listen\"", "{\"known\":{\"instances\":5},\"listen\""),
+                    VALID.replace("\"settings\"", "\"other\""),
+                    VALID.replace("\"instances\":1,", ""),
+                    VALID.replace("\"instances\":1", "\"instances\":\"one\""),
+                    VALID.replace("\"instances\":1", "\"instances\":0"),
+                    VALID.replace("\"instances\":1", "\"instances\":1,\"tick_s\":\"short\""),
+                    VALID.replace("\"instances\":1", "\"instances\":1,\"registry_mode\":\"other\""),
+                    VALID.replace(
                             "\"instances\":1", "\"instances\":1,\"reporting\":{\"how\":\"other\"}"),
-                    GOOD.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
-                    GOOD.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
-                    GOOD.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""));
+                    VALID.replace("\"read\"", "\"read\",\"semantics\":\"twice\""),
+                    VALID.replace("\"read\"", "\"read\",\"dedup_scope\":\"street\""),
+                    VALID.replace("\"read\"", "\"read\",\"aim_s\":\"soon\""));
 
     @TempDir Path dir;
 
-    /** The exit code and what was written apart from log lines, which begin with a time. */
-    private static String end(Program program) throws InterruptedException {
+    /** Waits for the exit; returns the exit code and the output without log lines (time first). */
+    private static String awaitExit(Program program) throws InterruptedException {
         try (program) {
             int code = program.exit();
             String messages =
@@ -77,12 +77,12 @@
         }
     }
 
-    private String platform(Path file) throws Exception {
-        return end(new Program(file, "serve"));
+    private String startPlatform(Path file) throws Exception {
+        return awaitExit(new Program(file, "serve"));
     }
 
-    private String faktory(Path file) throws Exception {
-        return end(new Program(null, "serve", file.toString()));
+    private String startFaktory(Path file) throws Exception {
+        return awaitExit(new Program(null, "serve", file.toString()));
     }
 
     @Test
@@ -90,11 +90,12 @@
         Recording recording =
                 new Recording("errors-platform")
                         .masking("config: " + dir + "/[^:]*:", "config: <file>:");
-        recording.add("no file is named", end(new Program(null, NO_ADDRESSES, List.of(), "serve")));
-        recording.add("file missing", platform(dir.resolve("missing.json")));
-        recording.add("a folder", platform(Files.createDirectory(dir.resolve("folder"))));
-        for (String text : WRONG_PLATFORM_FILES) {
-            recording.add(text, platform(Program.file(dir, text)));
+        recording.add(
+                "no file is named", awaitExit(new Program(null, NO_ADDRESSES, List.of(), "serve")));
+        recording.add("file missing", startPlatform(dir.resolve("missing.json")));
+        recording.add("a folder", startPlatform(Files.createDirectory(dir.resolve("folder"))));
+        for (String text : INVALID_PLATFORM_FILES) {
+            recording.add(text, startPlatform(Program.file(dir, text)));
         }
         recording.verify();
     }
@@ -107,23 +108,23 @@
                     new Recording("errors-address-in-use").replacing(address, "<taken>");
             recording.add(
                     "clients",
-                    platform(
+                    startPlatform(
                             Program.file(
                                     dir,
-                                    GOOD.replace(
+                                    VALID.replace(
                                             "\"listen\":\"127.0.0.1:1\"",
                                             "\"listen\":\"" + address + "\""))));
             recording.add(
                     "management",
-                    platform(
+                    startPlatform(
                             Program.file(
                                     dir,
-                                    GOOD.replace(
+                                    VALID.replace(
                                             "{\"listen\"",
                                             "{\"mgmt\":\"" + address + "\",\"listen\""))));
             recording.add(
                     "Faktory",
-                    faktory(
+                    startFaktory(
                             Program.file(
                                     dir, FaktoryServer.settings(taken.getLocalPort(), "memory"))));
             recording.verify();
@@ -142,7 +143,7 @@
                 new Recording("errors-faktory")
                         .masking("nowhere:[0-9]+", "nowhere:<port>")
                         .masking("config: " + dir + "/[^:]*:", "config: <file>:");
-        recording.add("file missing", faktory(dir.resolve("missing.toml")));
+        recording.add("file missing", startFaktory(dir.resolve("missing.toml")));
         for (String text :
                 List.of(
                         "",
@@ -150,7 +151,7 @@
                         "name = 'n'",
                         "name = 'n'\nlisten = '127.0.0.1:1'",
                         "store = 'disk'")) {
-            recording.add(text, faktory(Program.file(dir, text)));
+            recording.add(text, startFaktory(Program.file(dir, text)));
         }
         String[][] replacements = {
             {"name = \"school-desk\"", ""},
@@ -171,7 +172,7 @@
             {"instances = 1 ", "schedulers = 1 "}
         };
         for (String[] each : replacements) {
-            recording.add(String.join(" -> ", each), faktory(faktoryFile(each)));
+            recording.add(String.join(" -> ", each), startFaktory(faktoryFile(each)));
         }
         recording.verify();
     }
@@ -196,7 +197,7 @@
                         "lab jump",
                         "console nowhere phase")) {
             String[] words = line.isEmpty() ? new String[0] : line.split(" ");
-            recording.add(line, end(new Program(null, words)));
+            recording.add(line, awaitExit(new Program(null, words)));
         }
         recording.verify();
     }
--- a/src/test/java/damsonslip/compatibility/CounterNamesTest.java
+++ b/src/test/java/damsonslip/compatibility/CounterNamesTest.java
@@ -5,8 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The names and the order of all counters on the program's last line. Many of them count rare
- * events, so that the names are taken from the class itself, the only one that these tests use.
+ * The names and the order of all counters on the program's last line. Many of them count events too
+ * rare to provoke, so that this test reads the names from the class itself; it is the only class of
+ * the program that the tests of this package use.
  */
 class CounterNamesTest {
     @Test
--- a/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
+++ b/src/test/java/damsonslip/compatibility/FaktoryWireTest.java
@@ -18,7 +18,7 @@
     private static final String WITH_DEADLINE =
             ",\"custom\":{\"class\":\"status-read\",\"deadline\":30}}";
 
-    private static final List<String> WRONG_COMMANDS =
+    private static final List<String> INVALID_COMMANDS =
             List.of(
                     "PUSH {",
                     "PUSH",
@@ -79,7 +79,7 @@
         return server.closing(Peer.connect(server.port));
     }
 
-    /** A connection that has said HELLO; a producer's where the worker's id is empty. */
+    /** A connection after HELLO; that of a producer if {@code workerId} is empty. */
     private Peer greeted(String workerId) throws IOException {
         Peer peer = connect();
         RawText.line(peer);
@@ -88,11 +88,11 @@
     }
 
     /** Sends a command and records it with its reply. */
-    private void say(Peer peer, String command) throws IOException {
+    private void exchange(Peer peer, String command) throws IOException {
         String reply = RawText.line(peer.send(command + "\r\n"));
         if (reply.startsWith("$") && !reply.startsWith("$-")) {
             int length = Integer.parseInt(reply.substring(1).strip());
-            // the length follows from what is masked; the end that is read shows that it is right
+            // the length varies with the masked parts; the recorded line end shows that it is right
             reply = "$<length>\r\n" + peer.bytes(length + 2);
         }
         recording.add(command, reply);
@@ -103,8 +103,8 @@
         start("faktory-greeting", "");
         Peer peer = connect();
         recording.add("greeting", RawText.line(peer));
-        say(peer, HELLO);
-        say(peer, HELLO);
+        exchange(peer, HELLO);
+        exchange(peer, HELLO);
         for (String wrong : List.of("HELLO {\"v\":3}", "HELLO nonsense", "HELLO", "INFO", "JUMP")) {
             Peer other = connect();
             RawText.line(other);
@@ -131,73 +131,76 @@
         start("faktory-jobs", "");
         Peer producer = greeted("");
         Peer worker = greeted("w1");
-        say(producer, "TRACK GET job-00001");
-        say(producer, JOB);
-        say(producer, "TRACK GET job-00001");
-        say(worker, "FETCH default");
-        say(producer, JOB);
-        say(worker, "TRACK SET {\"jid\":\"job-00001\",\"percent\":40,\"desc\":\"on it\"}");
-        say(producer, "TRACK GET job-00001");
-        say(worker, "BEAT {\"wid\":\"w1\"}");
-        say(worker, "ACK {\"jid\":\"job-00001\"}");
-        say(producer, "TRACK GET job-00001");
-        say(producer, JOB.replace("00001", "00002").replace("}", ",\"retry\":0}"));
-        say(worker, "FETCH default");
-        say(
+        exchange(producer, "TRACK GET job-00001");
+        exchange(producer, JOB);
+        exchange(producer, "TRACK GET job-00001");
+        exchange(worker, "FETCH default");
+        exchange(producer, JOB);
+        exchange(worker, "TRACK SET {\"jid\":\"job-00001\",\"percent\":40,\"desc\":\"on it\"}");
+        exchange(producer, "TRACK GET job-00001");
+        exchange(worker, "BEAT {\"wid\":\"w1\"}");
+        exchange(worker, "ACK {\"jid\":\"job-00001\"}");
+        exchange(producer, "TRACK GET job-00001");
+        exchange(producer, JOB.replace("00001", "00002").replace("}", ",\"retry\":0}"));
+        exchange(worker, "FETCH default");
+        exchange(
                 worker,
                 "FAIL {\"jid\":\"job-00002\",\"errtype\":\"E\",\"message\":\"m\","
                         + "\"backtrace\":[\"line\"]}");
-        say(producer, "TRACK GET job-00002");
-        say(worker, "ACK {\"jid\":\"job-99999\"}");
-        say(worker, "FETCH other");
-        say(producer, "PUSHB []");
-        say(
+        exchange(producer, "TRACK GET job-00002");
+        exchange(worker, "ACK {\"jid\":\"job-99999\"}");
+        exchange(worker, "FETCH other");
+        exchange(producer, "PUSHB []");
+        exchange(
                 producer,
                 "PUSHB [{\"jid\":\"job-00003\",\"jobtype\":\"t\",\"args\":[]},"
                     + "{\"jid\":\"job-00004\"},{\"jid\":\"short\",\"jobtype\":\"t\",\"args\":[]}]");
-        say(producer, "INFO");
+        exchange(producer, "INFO");
         recording.verify();
     }
 
     @Test
-    void manages() throws Exception {
+    void handlesManagementCommands() throws Exception {
         start("faktory-management", "");
         Peer producer = greeted("");
-        say(producer, "INFO");
-        say(producer, JOB.replace("}", ",\"at\":\"2099-01-01T00:00:00Z\"}"));
-        say(producer, "MUTATE {\"cmd\":\"kill\",\"target\":\"scheduled\",\"filter\":{}}");
-        say(producer, "MUTATE {\"cmd\":\"jump\",\"target\":\"scheduled\"}");
-        say(producer, "MUTATE {\"cmd\":\"clear\",\"target\":\"elsewhere\"}");
-        say(producer, "QUEUE PAUSE default");
-        say(producer, "INFO");
-        say(producer, "QUEUE RESUME default");
-        say(producer, "QUEUE JUMP default");
-        say(
+        exchange(producer, "INFO");
+        exchange(producer, JOB.replace("}", ",\"at\":\"2099-01-01T00:00:00Z\"}"));
+        exchange(producer, "MUTATE {\"cmd\":\"kill\",\"target\":\"scheduled\",\"filter\":{}}");
+        exchange(producer, "MUTATE {\"cmd\":\"jump\",\"target\":\"scheduled\"}");
+        exchange(producer, "MUTATE {\"cmd\":\"clear\",\"target\":\"elsewhere\"}");
+        exchange(producer, "QUEUE PAUSE default");
+        exchange(producer, "INFO");
+        exchange(producer, "QUEUE RESUME default");
+        exchange(producer, "QUEUE JUMP default");
+        exchange(
                 producer,
                 "BATCH NEW {\"description\":\"d\",\"success\":{\"jobtype\":\"t\","
                         + "\"args\":[],\"queue\":\"default\"}}");
-        say(producer, "BATCH NEW {}");
-        say(producer, "BATCH OPEN b-none");
-        say(producer, "BATCH COMMIT b-none");
-        say(producer, "BATCH JUMP b-none");
-        say(producer, "FLUSH");
+        exchange(producer, "BATCH NEW {}");
+        exchange(producer, "BATCH OPEN b-none");
+        exchange(producer, "BATCH COMMIT b-none");
+        exchange(producer, "BATCH JUMP b-none");
+        exchange(producer, "FLUSH");
         recording.add("END", RawText.untilClosed(producer.send("END\r\n")));
         recording.verify();
     }
 
     @Test
-    void tellsCommonErrors() throws Exception {
+    void reportsCommonErrors() throws Exception {
         start("faktory-errors", "");
         Peer producer = greeted("");
-        for (String wrong : WRONG_COMMANDS) {
-            say(producer, wrong);
+        for (String wrong : INVALID_COMMANDS) {
+            exchange(producer, wrong);
         }
         recording.verify();
     }
 
-    /** Awaited jobs beyond what can be done in time are rejected with the time to come back. */
+    /**
+     * Awaited jobs that cannot complete within their deadline are rejected with the time to wait
+     * before a retry.
+     */
     @Test
-    void throttles() throws Exception {
+    void rejectsJobsBeyondCapacity() throws Exception {
         start("faktory-throttled", "");
         Peer producer = greeted("");
         String reply = "";
@@ -217,11 +220,13 @@
         start("faktory-shutdown", "");
         Peer producer = greeted("");
         Peer worker = greeted("w1");
-        say(producer, JOB.replace("}", ",\"custom\":{\"class\":\"apply-submit\",\"deadline\":5}}"));
-        say(worker, "FETCH default");
+        exchange(
+                producer,
+                JOB.replace("}", ",\"custom\":{\"class\":\"apply-submit\",\"deadline\":5}}"));
+        exchange(worker, "FETCH default");
         server.program().terminate();
         Program.await(
-                "it finishes",
+                "pushes are rejected because the server shuts down",
                 () -> {
                     try {
                         return RawText.line(producer.send("PUSH {}\r\n")).startsWith("-SHUTDOWN");
@@ -229,9 +234,9 @@
                         throw new AssertionError(e);
                     }
                 });
-        say(producer, JOB);
-        say(worker, "BEAT {\"wid\":\"w1\"}");
-        say(worker, "ACK {\"jid\":\"job-00001\"}");
+        exchange(producer, JOB);
+        exchange(worker, "BEAT {\"wid\":\"w1\"}");
+        exchange(worker, "ACK {\"jid\":\"job-00001\"}");
         recording.add("exit", Integer.toString(server.program().exit()));
         recording.verify();
     }
--- a/src/test/java/damsonslip/compatibility/ManagementWireTest.java
+++ b/src/test/java/damsonslip/compatibility/ManagementWireTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators are told: by the management port, by the console, and on the last line. */
+/**
+ * What the program tells operators: on the management port, on the console, and on its last line.
+ */
 class ManagementWireTest {
     @TempDir Path dir;
     private PlatformProgram platform;
@@ -21,24 +23,24 @@
     @BeforeEach
     void start() throws IOException {
         platform = new PlatformProgram(dir);
-        platform.worker(
+        platform.addWorker(
                         "a",
                         (peer, request) -> {
                             if (request.contains(": fail")) {
-                                PlatformProgram.ending("failed", "").handle(peer, request);
+                                PlatformProgram.endingWith("failed", "").handle(peer, request);
                             } else {
-                                PlatformProgram.serving().handle(peer, request);
+                                PlatformProgram.succeeding().handle(peer, request);
                             }
                         })
                 .start(UnaryOperator.identity())
                 .awaitList();
-        platform.ask(request("fail", "submit"));
+        platform.send(request("fail", "submit"));
         Program.await(
-                "the worker is used again",
-                () -> platform.console("workers").contains(" running "),
+                "the worker is used again after a failed job",
+                () -> platform.sendConsoleCommand("workers").contains(" running "),
                 platform.program());
-        platform.ask(request("q1", "read"));
-        platform.ask("GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n");
+        platform.send(request("q1", "read"));
+        platform.send("GET /elsewhere HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
     @AfterEach
@@ -74,7 +76,7 @@
                         "",
                         "x".repeat(600))) {
             String title = command.length() < 100 ? command : command.length() + " characters";
-            recording.add(title, platform.manage(command));
+            recording.add(title, platform.sendManagementCommand(command));
         }
         recording.verify();
     }
@@ -86,28 +88,28 @@
         }
     }
 
-    /** Clients are asked to leave while the program stays. */
+    /** DRAIN asks clients to close their connections while the program keeps running. */
     @Test
     void drainsAndUndrains() throws Exception {
         Recording recording = new Recording("management-drain");
         try (Peer idle = Peer.connect(platform.port).send(request("q2", "read"));
-                Peer begun = Peer.connect(platform.port)) {
+                Peer partial = Peer.connect(platform.port)) {
             recording.add("before", RawText.httpMessage(idle));
-            begun.send(request("q3", "read").replace("\r\n\r\nbody", "\r\n"));
+            partial.send(request("q3", "read").replace("\r\n\r\nbody", "\r\n"));
             Thread.sleep(300);
-            recording.add("DRAIN", platform.manage("DRAIN"));
-            recording.add("DRAIN", platform.manage("DRAIN"));
-            recording.add("READY", platform.manage("READY"));
-            recording.add("phase", platform.console("phase"));
+            recording.add("DRAIN", platform.sendManagementCommand("DRAIN"));
+            recording.add("DRAIN", platform.sendManagementCommand("DRAIN"));
+            recording.add("READY", platform.sendManagementCommand("READY"));
+            recording.add("phase", platform.sendConsoleCommand("phase"));
             recording.add("on a connection that is idle", RawText.untilClosed(idle));
-            recording.add("rest of a request", RawText.lastHttpMessage(begun.send("\r\nbody")));
+            recording.add("rest of a request", RawText.lastHttpMessage(partial.send("\r\nbody")));
         }
-        recording.add("a new request", platform.ask(request("q4", "read")));
-        recording.add("health", platform.ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
-        recording.add("UNDRAIN", platform.manage("UNDRAIN"));
-        recording.add("READY", platform.manage("READY"));
-        recording.add("a new request", platform.ask(request("q5", "read")));
-        recording.add("UNDRAIN", platform.manage("UNDRAIN")).verify();
+        recording.add("a new request", platform.send(request("q4", "read")));
+        recording.add("health", platform.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n"));
+        recording.add("UNDRAIN", platform.sendManagementCommand("UNDRAIN"));
+        recording.add("READY", platform.sendManagementCommand("READY"));
+        recording.add("a new request", platform.send(request("q5", "read")));
+        recording.add("UNDRAIN", platform.sendManagementCommand("UNDRAIN")).verify();
     }
 
     @Test
@@ -146,12 +148,12 @@
                         "drain",
                         "phase",
                         "undrain")) {
-            recording.add(command, platform.console(command));
+            recording.add(command, platform.sendConsoleCommand(command));
         }
         recording.verify();
     }
 
-    /** The columns; the figures of these depend on time. */
+    /** Compares the columns only: the figures in them are measured and differ between runs. */
     @Test
     void namesTheColumnsOfMeasuredFigures() throws Exception {
         Recording recording =
@@ -159,12 +161,12 @@
                         .masking("(?m)(?<= )[0-9.]+(?= |$)", "<figure>")
                         .masking("(?m)^[0-9]+", "<count>")
                         .masking(" +(?=<figure>)", " ");
-        recording.add("waits", platform.console("waits"));
-        recording.add("pools", platform.console("pools")).verify();
+        recording.add("waits", platform.sendConsoleCommand("waits"));
+        recording.add("pools", platform.sendConsoleCommand("pools")).verify();
     }
 
     @Test
-    void writesItsCountersLast() throws Exception {
+    void writesItsCountersOnItsLastLine() throws Exception {
         platform.program().terminate();
         assertEquals(143, platform.program().exit());
         String said = platform.program().said();
@@ -174,14 +176,14 @@
 
     @Test
     void printsTheConsolesAnswers() throws Exception {
-        int nobody = Program.freePort();
+        int unusedPort = Program.freePort();
         Recording recording =
-                new Recording("console-program").replacing("127.0.0.1:" + nobody, "<nobody>");
+                new Recording("console-program").replacing("127.0.0.1:" + unusedPort, "<nobody>");
         for (String[] arguments :
                 new String[][] {
                     {"console", "127.0.0.1:" + platform.console, "phase"},
                     {"console", "127.0.0.1:" + platform.console, "disable", "nobody"},
-                    {"console", "127.0.0.1:" + nobody, "phase"},
+                    {"console", "127.0.0.1:" + unusedPort, "phase"},
                     {"console", "nowhere", "phase"}
                 }) {
             try (Program console = new Program(null, arguments)) {
--- a/src/test/java/damsonslip/compatibility/PlatformProgram.java
+++ b/src/test/java/damsonslip/compatibility/PlatformProgram.java
@@ -11,48 +11,48 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The real program on the platform, with workers and a discovery service that keep the exact text
- * of each request. Closing it ends all of them.
+ * Runs the real program as a scheduler of the platform, with workers and a discovery service that
+ * record the exact text of each request. Closing it stops all of them.
  */
 final class PlatformProgram implements AutoCloseable {
-    /** What a worker does with a request. */
-    interface Work {
+    /** How a worker, or the discovery service, handles a request. */
+    interface RequestHandler {
         void handle(Peer peer, String request) throws IOException, InterruptedException;
     }
 
     private static final int GENERATION = 7;
 
-    /** A watch is sent an empty line that often. */
-    private static final long WATCH_PAUSE_MS = 1_000;
+    /** Interval at which an empty chunk is sent on a watch. */
+    private static final long WATCH_CHUNK_INTERVAL_MS = 1_000;
 
     final int port = Program.freePort();
     final int console = Program.freePort();
     final int management = Program.freePort();
 
-    /** Requests that the workers were sent, in order. */
+    /** Requests that the workers received, in order. */
     final List<String> workerRequests = new CopyOnWriteArrayList<>();
 
-    /** Requests that discovery was sent, in order. */
+    /** Requests that the discovery service received, in order. */
     final List<String> discoveryRequests = new CopyOnWriteArrayList<>();
 
-    private final Path folder;
+    private final Path directory;
     private final List<Peer.Server> servers = new ArrayList<>();
     private final List<String> entries = new ArrayList<>();
     private Program program;
 
-    PlatformProgram(Path folder) {
-        this.folder = folder;
+    PlatformProgram(Path directory) {
+        this.directory = directory;
     }
 
-    /** Answers with the states of a job, where {@code more} is added to the last one. */
-    static Work ending(String state, String more) {
+    /** Replies "started", then the final state with the further JSON fields {@code moreFields}. */
+    static RequestHandler endingWith(String state, String moreFields) {
         return (peer, request) ->
-                peer.answerLines(state(request, "started", ""), state(request, state, more));
+                peer.answerLines(state(request, "started", ""), state(request, state, moreFields));
     }
 
-    static Work serving() {
+    static RequestHandler succeeding() {
         return (peer, request) ->
-                ending(
+                endingWith(
                                 "done",
                                 ",\"result\":\"result of "
                                         + RawText.header(request, "X-Correlation-Id")
@@ -60,26 +60,26 @@
                         .handle(peer, request);
     }
 
-    static Work answering(String head) {
+    static RequestHandler answeringWith(String head) {
         return (peer, request) -> peer.send(head + "\r\nContent-Length: 0\r\n\r\n");
     }
 
-    static Work silent() {
+    static RequestHandler neverAnswering() {
         return (peer, request) -> peer.closed();
     }
 
-    private static String state(String request, String state, String more) {
+    private static String state(String request, String state, String moreFields) {
         return "{\"id\":\""
                 + RawText.header(request, "X-Correlation-Id")
                 + "\",\"from\":\"w\",\"state\":\""
                 + state
                 + "\""
-                + more
+                + moreFields
                 + "}";
     }
 
-    /** Adds a worker to the list. */
-    PlatformProgram worker(String id, Work work) throws IOException {
+    /** Starts a worker and adds it to the endpoint list. */
+    PlatformProgram addWorker(String id, RequestHandler work) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
@@ -103,7 +103,10 @@
         return this;
     }
 
-    /** Starts the program, and waits until it has heard the list. */
+    /**
+     * Starts the program with a discovery service that sends the endpoint list. The program may not
+     * have received it yet; see {@link #awaitList}.
+     */
     PlatformProgram start(UnaryOperator<String> settings) throws IOException {
         return start(
                 settings,
@@ -111,14 +114,15 @@
                     peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                             .chunk(list());
                     while (true) {
-                        Thread.sleep(WATCH_PAUSE_MS);
+                        Thread.sleep(WATCH_CHUNK_INTERVAL_MS);
                         peer.chunk("");
                     }
                 });
     }
 
-    /** Starts the program with a discovery service that does this. */
-    PlatformProgram start(UnaryOperator<String> settings, Work discovery) throws IOException {
+    /** Starts the program with a discovery service that handles each call in this way. */
+    PlatformProgram start(UnaryOperator<String> settings, RequestHandler discovery)
+            throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
@@ -128,7 +132,7 @@
                             discovery.handle(peer, request);
                         });
         servers.add(server);
-        Path file = Program.file(folder, settings.apply(configuration(server.port())));
+        Path file = Program.file(directory, settings.apply(configuration(server.port())));
         program =
                 new Program(
                                 file,
@@ -136,13 +140,20 @@
                                 List.of(),
                                 "serve")
                         .awaitWord("listens on");
-        Program.await("the management port answers", () -> manage("READY").startsWith("YES"));
+        Program.await(
+                "the management port answers",
+                () -> sendManagementCommand("READY").startsWith("YES"));
         return this;
     }
 
-    /** Waits until a change of the list has been counted: before, requests are refused early. */
+    /**
+     * Waits until the program has counted an update of the endpoint list: until then, requests are
+     * rejected early.
+     */
     PlatformProgram awaitList() {
-        Program.await("it has heard discovery", () -> console("counters").contains("list_updates"));
+        Program.await(
+                "the program has received the endpoint list",
+                () -> sendConsoleCommand("counters").contains("list_updates"));
         return this;
     }
 
@@ -165,16 +176,16 @@
                 + list()
                 + ",\"settings\":{\"instances\":1,\"azs\":[\"z\"],\"shapes\":[\"k\"],"
                 + "\"registry_mode\":\"on_request\",\"lanes\":["
-                + lane("read", "repeatable")
+                + jobClass("read", "repeatable")
                 + ","
-                + lane("submit", "once")
+                + jobClass("submit", "once")
                 + "],\"limits\":{\"send_cap\":5,\"may_cancel\":true,"
                 + "\"conn_idle_s\":20,\"dial_timeout_s\":0.25},"
                 + "\"guarantees\":{\"drain_grace_s\":0.5},"
                 + "\"specifics\":{\"tells_start\":true}}}";
     }
 
-    private static String lane(String name, String semantics) {
+    private static String jobClass(String name, String semantics) {
         return "{\"name\":\""
                 + name
                 + "\",\"aim_s\":0.5,\"hard_limit_s\":5,\"semantics\":\""
@@ -182,8 +193,8 @@
                 + "\",\"value\":1}";
     }
 
-    /** A request in the form of the protocol, with these lines of further headers. */
-    static String request(String id, String jobClass, String timeLeft, String headers) {
+    /** An HTTP request to the scheduler; {@code moreHeaders} are complete header lines. */
+    static String request(String id, String jobClass, String timeLeft, String moreHeaders) {
         return "POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Service-Class: "
@@ -191,19 +202,19 @@
                 + "\r\nX-Time-Left: "
                 + timeLeft
                 + "\r\n"
-                + headers
+                + moreHeaders
                 + "Content-Length: 4\r\n\r\nbody";
     }
 
-    /** Sends a request on a connection of its own and gives the answer. */
-    String ask(String request) throws IOException {
+    /** Sends a request on a new connection and returns the response. */
+    String send(String request) throws IOException {
         try (Peer client = Peer.connect(port)) {
             return RawText.httpMessage(client.send(request));
         }
     }
 
-    /** The whole response of the management port; empty while nothing listens there. */
-    String manage(String line) {
+    /** The complete response of the management port; empty if the connection fails. */
+    String sendManagementCommand(String line) {
         try (Peer caller = Peer.connect(management).send(line + "\n")) {
             return RawText.untilClosed(caller);
         } catch (IOException e) {
@@ -211,8 +222,10 @@
         }
     }
 
-    /** The console's answer with its end; empty while nothing listens there. */
-    String console(String command) {
+    /**
+     * The console's response including the line that terminates it; empty if the connection fails.
+     */
+    String sendConsoleCommand(String command) {
         StringBuilder answer = new StringBuilder();
         try (Peer caller = Peer.connect(console).send(command + "\n")) {
             String line = RawText.line(caller);
--- a/src/test/java/damsonslip/compatibility/PlatformWireTest.java
+++ b/src/test/java/damsonslip/compatibility/PlatformWireTest.java
@@ -17,10 +17,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The platform's protocols: what clients, workers and discovery are sent, byte for byte. */
+/**
+ * The platform's protocols: what the program sends to clients, workers and the discovery service,
+ * byte for byte.
+ */
 class PlatformWireTest {
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n";
-    private static final UnaryOperator<String> AS_IT_IS = UnaryOperator.identity();
+    private static final UnaryOperator<String> UNCHANGED = UnaryOperator.identity();
 
     @TempDir Path dir;
     private PlatformProgram platform;
@@ -52,7 +55,7 @@
 
     @Test
     void forwardsRequestsAndAnswersThem() throws Exception {
-        platform.worker("a", PlatformProgram.serving()).start(AS_IT_IS).awaitList();
+        platform.addWorker("a", PlatformProgram.succeeding()).start(UNCHANGED).awaitList();
         Recording recording = recording("platform-served");
         Map<String, String> requests = new LinkedHashMap<>();
         requests.put("with a key", request("q1", "submit"));
@@ -74,7 +77,7 @@
         requests.put("in HTTP/1.0", request("q5", "read").replace("HTTP/1.1", "HTTP/1.0"));
         for (Map.Entry<String, String> each : requests.entrySet()) {
             recording.add("client, " + each.getKey(), each.getValue());
-            String answer = platform.ask(each.getValue());
+            String answer = platform.send(each.getValue());
             recording.add(
                     "to the worker",
                     platform.workerRequests.get(platform.workerRequests.size() - 1));
@@ -85,7 +88,7 @@
 
     @Test
     void answersOnOneConnectionInTurn() throws Exception {
-        platform.worker("a", PlatformProgram.serving()).start(AS_IT_IS).awaitList();
+        platform.addWorker("a", PlatformProgram.succeeding()).start(UNCHANGED).awaitList();
         Recording recording = recording("platform-kept-connection");
         try (Peer client = Peer.connect(platform.port)) {
             recording.add("the first", RawText.httpMessage(client.send(request("q1", "read"))));
@@ -99,10 +102,10 @@
         recording.verify();
     }
 
-    /** Each of these ends its connection. */
+    /** After each of these requests the program closes the connection. */
     @Test
     void answersBadRequests() throws Exception {
-        platform.worker("a", PlatformProgram.serving()).start(AS_IT_IS).awaitList();
+        platform.addWorker("a", PlatformProgram.succeeding()).start(UNCHANGED).awaitList();
         Recording recording = recording("platform-bad-requests");
         String good = request("q1", "read");
         for (String bad :
@@ -135,9 +138,10 @@
 
     @Test
     void rejectsAnIdThatIsInUse() throws Exception {
-        platform.worker("a", PlatformProgram.silent()).start(AS_IT_IS).awaitList();
+        platform.addWorker("a", PlatformProgram.neverAnswering()).start(UNCHANGED).awaitList();
         try (Peer first = Peer.connect(platform.port).send(request("q1", "submit"))) {
-            Program.await("it is sent", () -> platform.workerRequests.size() == 1);
+            Program.await(
+                    "the request is sent to the worker", () -> platform.workerRequests.size() == 1);
             try (Peer other = Peer.connect(platform.port).send(request("q1", "submit"))) {
                 recording("platform-id-in-use")
                         .add("answer", RawText.lastHttpMessage(other))
@@ -148,53 +152,57 @@
     }
 
     @Test
-    void answersWhatFails() throws Exception {
+    void answersRequestsThatFail() throws Exception {
         Recording recording = recording("platform-failed");
-        Map<String, PlatformProgram.Work> ends = new LinkedHashMap<>();
-        ends.put("failed", PlatformProgram.ending("failed", ""));
-        ends.put("lost", PlatformProgram.ending("lost", ""));
-        ends.put("an unknown state", PlatformProgram.ending("jumping", ""));
-        ends.put("a status of 500", PlatformProgram.answering("HTTP/1.1 500 No"));
-        ends.put("a connection that ends", (peer, request) -> peer.close());
-        for (Map.Entry<String, PlatformProgram.Work> end : ends.entrySet()) {
+        Map<String, PlatformProgram.RequestHandler> failures = new LinkedHashMap<>();
+        failures.put("failed", PlatformProgram.endingWith("failed", ""));
+        failures.put("lost", PlatformProgram.endingWith("lost", ""));
+        failures.put("an unknown state", PlatformProgram.endingWith("jumping", ""));
+        failures.put("a status of 500", PlatformProgram.answeringWith("HTTP/1.1 500 No"));
+        failures.put("a connection that ends", (peer, request) -> peer.close());
+        for (Map.Entry<String, PlatformProgram.RequestHandler> failure : failures.entrySet()) {
             try (PlatformProgram each = new PlatformProgram(dir)) {
-                each.worker("a", end.getValue()).start(AS_IT_IS).awaitList();
-                recording.add(end.getKey(), each.ask(request("q1", "submit")));
+                each.addWorker("a", failure.getValue()).start(UNCHANGED).awaitList();
+                recording.add(failure.getKey(), each.send(request("q1", "submit")));
             }
         }
         recording.verify();
     }
 
-    /** The worker of a request that is given up sees its connection end, and no word. */
+    /**
+     * The program cancels an attempt by closing its connection to the worker, without sending
+     * anything more. It does so when the request times out, and when its client disconnects.
+     */
     @Test
-    void answersWhatTakesTooLongAndCancelsIt() throws Exception {
-        List<String> behind = new CopyOnWriteArrayList<>();
-        platform.worker("a", (peer, request) -> behind.add(RawText.untilClosed(peer)))
-                .start(AS_IT_IS)
+    void answersRequestsThatTimeOutAndCancelsTheirAttempts() throws Exception {
+        List<String> afterRequests = new CopyOnWriteArrayList<>();
+        platform.addWorker("a", (peer, request) -> afterRequests.add(RawText.untilClosed(peer)))
+                .start(UNCHANGED)
                 .awaitList();
         Recording recording = recording("platform-out-of-time");
-        recording.add("out of time", platform.ask(request("q1", "submit", "600m", "")));
-        Program.await("the attempt is cancelled", () -> behind.size() == 1);
-        recording.add("the worker of the cancelled attempt", behind.get(0));
-        recording.add("no time left", platform.ask(request("q2", "read", "0m", "")));
+        recording.add("out of time", platform.send(request("q1", "submit", "600m", "")));
+        Program.await("the attempt is cancelled", () -> afterRequests.size() == 1);
+        recording.add("the worker of the cancelled attempt", afterRequests.get(0));
+        recording.add("no time left", platform.send(request("q2", "read", "0m", "")));
         try (Peer client = Peer.connect(platform.port).send(request("q3", "submit"))) {
-            Program.await("it is sent", () -> platform.workerRequests.size() == 2);
+            Program.await(
+                    "the request is sent to the worker", () -> platform.workerRequests.size() == 2);
             client.close();
         }
-        Program.await("the attempt is cancelled", () -> behind.size() == 2);
-        recording.add("the worker of a client that has gone", behind.get(1));
+        Program.await("the attempt is cancelled", () -> afterRequests.size() == 2);
+        recording.add("the worker of a client that has gone", afterRequests.get(1));
         recording.verify();
     }
 
     @Test
-    void answersWhatIsThrottled() throws Exception {
-        platform.worker("a", PlatformProgram.silent()).start(AS_IT_IS).awaitList();
+    void rejectsRequestsBeyondCapacity() throws Exception {
+        platform.addWorker("a", PlatformProgram.neverAnswering()).start(UNCHANGED).awaitList();
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(Peer.connect(platform.port).send(request("q" + i, "read")));
         }
         Recording recording = recording("platform-throttled");
-        recording.add("throttled", platform.ask(request("last", "read"))).verify();
+        recording.add("throttled", platform.send(request("last", "read"))).verify();
         for (Peer client : clients) {
             client.close();
         }
@@ -202,9 +210,9 @@
 
     @Test
     void watchesDiscovery() throws Exception {
-        platform.worker("a", PlatformProgram.serving());
+        platform.addWorker("a", PlatformProgram.succeeding());
         platform.start(
-                AS_IT_IS,
+                UNCHANGED,
                 (peer, request) -> {
                     if (platform.discoveryRequests.size() == 1) {
                         peer.send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
@@ -212,9 +220,11 @@
                     }
                     peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                             .chunk(platform.list().replace(":7,", ":9,"));
-                    Thread.sleep(500); // and the watch ends
+                    Thread.sleep(500); // the connection, and with it the watch, ends after this
                 });
-        Program.await("calls of discovery", () -> platform.discoveryRequests.size() >= 4);
+        Program.await(
+                "four calls of the discovery service",
+                () -> platform.discoveryRequests.size() >= 4);
         Recording recording = recording("platform-discovery");
         for (int i = 0; i < 4; i++) {
             recording.add("to discovery", platform.discoveryRequests.get(i));
@@ -224,9 +234,10 @@
 
     @Test
     void probesWorkers() throws Exception {
-        platform.worker(
+        platform.addWorker(
                         "a",
-                        PlatformProgram.answering("HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3"))
+                        PlatformProgram.answeringWith(
+                                "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=3"))
                 .start(
                         file ->
                                 file.replace(
@@ -244,30 +255,36 @@
                 .verify();
     }
 
-    /** Clients are asked to leave, and each is answered before the program ends. */
+    /**
+     * On a graceful shutdown the program asks clients to close their connections, and answers each
+     * request in flight before it exits.
+     */
     @Test
     void answersWhileItShutsDown() throws Exception {
-        platform.worker(
+        platform.addWorker(
                         "a",
                         (peer, request) -> {
                             Thread.sleep(900);
-                            PlatformProgram.serving().handle(peer, request);
+                            PlatformProgram.succeeding().handle(peer, request);
                         })
-                .start(AS_IT_IS)
+                .start(UNCHANGED)
                 .awaitList();
         Recording recording = recording("platform-shutdown");
         try (Peer early = Peer.connect(platform.port).send(request("q1", "read"));
-                Peer kept = Peer.connect(platform.port).send(HEALTH)) {
-            Program.await("it is sent", () -> platform.workerRequests.size() == 1);
-            recording.add("health before", RawText.httpMessage(kept));
+                Peer persistent = Peer.connect(platform.port).send(HEALTH)) {
+            Program.await(
+                    "the request is sent to the worker", () -> platform.workerRequests.size() == 1);
+            recording.add("health before", RawText.httpMessage(persistent));
             platform.program().terminate();
-            Program.await("it leaves", () -> platform.console("phase").contains("leaving"));
-            recording.add("health", platform.ask(HEALTH));
-            recording.add("the management port", platform.manage("READY"));
-            recording.add("a new request", platform.ask(request("q2", "read")));
+            Program.await(
+                    "the program is draining",
+                    () -> platform.sendConsoleCommand("phase").contains("leaving"));
+            recording.add("health", platform.send(HEALTH));
+            recording.add("the management port", platform.sendManagementCommand("READY"));
+            recording.add("a new request", platform.send(request("q2", "read")));
             recording.add(
                     "a request on a kept connection",
-                    RawText.lastHttpMessage(kept.send(request("q3", "read"))));
+                    RawText.lastHttpMessage(persistent.send(request("q3", "read"))));
             recording.add("an earlier request", RawText.lastHttpMessage(early));
         }
         assertEquals(143, platform.program().exit());
--- a/src/test/java/damsonslip/compatibility/RawText.java
+++ b/src/test/java/damsonslip/compatibility/RawText.java
@@ -8,7 +8,7 @@
 
 /** Reads messages from a connection exactly as they were sent, in ASCII. */
 final class RawText {
-    /** What a transcript shows where the other side has closed the connection. */
+    /** Written into a transcript where the peer has closed the connection. */
     static final String CLOSED = "<connection closed>";
 
     private static final Pattern CONTENT_LENGTH =
@@ -17,7 +17,7 @@
 
     private RawText() {}
 
-    /** An HTTP message: its head and as many bytes of content as its Content-Length tells. */
+    /** An HTTP message: its head and as many bytes of body as its Content-Length states. */
     static String httpMessage(Peer peer) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
@@ -33,12 +33,12 @@
                 : head.toString();
     }
 
-    /** An HTTP message, and whether the connection is closed behind it. */
+    /** An HTTP message, and whether the peer closes the connection after it. */
     static String lastHttpMessage(Peer peer) throws IOException {
         return httpMessage(peer) + (peer.closed() ? CLOSED : "<connection open>");
     }
 
-    /** A line with its end. */
+    /** A line including its line end. */
     static String line(Peer peer) throws IOException {
         StringBuilder line = new StringBuilder();
         while (line.indexOf("\n") < 0) {
@@ -64,7 +64,7 @@
         return text + CLOSED;
     }
 
-    /** The value of a header, or an empty text. */
+    /** The value of a header, or an empty string if it is missing. */
     static String header(String message, String name) {
         Matcher header = HEADER.matcher(message);
         while (header.find()) {
--- a/src/test/java/damsonslip/compatibility/Recording.java
+++ b/src/test/java/damsonslip/compatibility/Recording.java
@@ -35,13 +35,13 @@
     }
 
     /** Replaces a text that differs from run to run, such as an address. */
-    Recording replacing(String text, String by) {
-        return masking(Pattern.quote(text), by);
+    Recording replacing(String text, String replacement) {
+        return masking(Pattern.quote(text), replacement);
     }
 
     /** Replaces what matches this expression; the replacement may refer to groups. */
-    Recording masking(String expression, String by) {
-        variableParts.put(Pattern.compile(expression), by);
+    Recording masking(String expression, String replacement) {
+        variableParts.put(Pattern.compile(expression), replacement);
         return this;
     }
 
--- a/src/test/java/damsonslip/compatibility/SavedDirectory.java
+++ b/src/test/java/damsonslip/compatibility/SavedDirectory.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The real program as a scheduler of the platform, with a shared directory in which a test places
- * saved files, between two workers and a discovery that has no news.
+ * Runs the real program as a scheduler of the platform, with a shared directory in which a test
+ * places saved files, two workers, and a discovery service that reports no changes.
  */
 final class SavedDirectory implements AutoCloseable {
     static final Path SAVED = Path.of("src/test/resources/compatibility/stored");
@@ -44,7 +44,7 @@
         return start(discovery(true)).awaitWord("listens on");
     }
 
-    /** Starts the program with a discovery that accepts connections and never replies. */
+    /** Starts the program with a discovery service that accepts connections and never replies. */
     Program startWithoutDiscovery() throws IOException {
         return start(discovery(false));
     }
@@ -129,7 +129,7 @@
         return requests.get(worker).stream().filter(id -> id.startsWith(prefix)).count();
     }
 
-    /** The complete reply to a command of the operators; empty if there is no connection. */
+    /** The complete reply to a management command; empty if the connection fails. */
     String command(String line) {
         try (Peer caller = Peer.connect(management).send(line + "\n")) {
             StringBuilder reply = new StringBuilder();
--- a/src/test/java/damsonslip/compatibility/StoredEntries.java
+++ b/src/test/java/damsonslip/compatibility/StoredEntries.java
@@ -11,18 +11,18 @@
 import java.util.regex.Pattern;
 
 /**
- * The contents of a store as a text file: a JSON array a line, of which the first tells when the
- * contents were recorded.
+ * The contents of a store as a text file with one JSON array per line. The first line holds the
+ * time at which the contents were recorded.
  */
 final class StoredEntries {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String RECORDED = "recorded";
-    private static final String BATCHES = "damsonslip:batch:" + StoredJobsScenario.SCHEDULER;
+    private static final String BATCHES_KEY = "damsonslip:batch:" + StoredJobsScenario.SCHEDULER;
     private static final Pattern MILLIS = Pattern.compile("\\b1[0-9]{12}\\b");
     private static final Pattern INSTANT =
             Pattern.compile("[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{8}(\\.[0-9]+)?Z");
 
-    /** A rejection names the time to wait. */
+    /** The description of a rejected job contains the measured time to wait before a retry. */
     private static final Pattern REJECTION_DELAY = Pattern.compile("after [0-9]+\\.[0-9]{3} s");
 
     private StoredEntries() {}
@@ -44,21 +44,21 @@
         return parse(lines.subList(1, lines.size()));
     }
 
-    /** The entries as they would be had they been recorded just now: each time in them is moved. */
+    /** The entries with every time shifted as if they had been recorded just now. */
     static List<List<String>> readAsOfNow(Path file) throws IOException {
         List<String> lines = Files.readAllLines(file);
         long recordedMs = Long.parseLong(JSON.readTree(lines.get(0)).get(1).asText());
         long shiftMs = System.currentTimeMillis() - recordedMs;
-        List<String> moved = new ArrayList<>();
+        List<String> shifted = new ArrayList<>();
         for (String line : lines.subList(1, lines.size())) {
-            moved.add(
+            shifted.add(
                     MILLIS.matcher(line)
                             .replaceAll(
-                                    found ->
+                                    match ->
                                             Long.toString(
-                                                    Long.parseLong(found.group()) + shiftMs)));
+                                                    Long.parseLong(match.group()) + shiftMs)));
         }
-        return parse(moved);
+        return parse(shifted);
     }
 
     private static List<List<String>> parse(List<String> lines) throws IOException {
@@ -72,9 +72,9 @@
     }
 
     /** The id of the batch with this description. */
-    static String batch(List<List<String>> entries, String description) throws IOException {
+    static String batchId(List<List<String>> entries, String description) throws IOException {
         for (List<String> entry : entries) {
-            if (entry.get(1).equals(BATCHES)) {
+            if (entry.get(1).equals(BATCHES_KEY)) {
                 JsonNode batch = JSON.readTree(entry.get(3));
                 if (batch.path("description").asText().equals(description)) {
                     return entry.get(2);
@@ -92,7 +92,7 @@
         }
         String text = String.join("\n", lines);
         for (String description : List.of("open", "child", "complete", "ended")) {
-            text = text.replace(batch(entries, description), "BATCH-" + description);
+            text = text.replace(batchId(entries, description), "BATCH-" + description);
         }
         text = mask(text, MILLIS, "MILLISECONDS");
         text = mask(text, INSTANT, "INSTANT");
@@ -100,7 +100,7 @@
         return String.join("\n", text.lines().sorted().toList());
     }
 
-    private static String mask(String text, Pattern pattern, String by) {
-        return pattern.matcher(text).replaceAll(Matcher.quoteReplacement(by));
+    private static String mask(String text, Pattern pattern, String replacement) {
+        return pattern.matcher(text).replaceAll(Matcher.quoteReplacement(replacement));
     }
 }
--- a/src/test/java/damsonslip/compatibility/StoredFilesTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredFilesTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program reads the saved files of the shared directory, and writes the same form. What the
- * program writes in a run of this test is left in {@code target}.
+ * The program reads the saved files of the shared directory and writes the same format. What it
+ * writes in a run of this test is left in {@code target}.
  */
 class StoredFilesTest {
     private static final String OVERRIDES = "damsonslip-bans";
@@ -33,7 +33,7 @@
     /** The program polls the directory each 100 ms. */
     private static final long SEVERAL_POLLS_MS = 500;
 
-    /** So many that each of two workers gets some. */
+    /** Enough requests that each of the two workers receives some. */
     private static final int MANY_REQUESTS = 200;
 
     @TempDir Path temporary;
@@ -75,10 +75,12 @@
 
     private void awaitCommands(Program program) {
         Program.await(
-                "it takes commands", () -> directory.command("READY").startsWith("YES"), program);
+                "the management port accepts commands",
+                () -> directory.command("READY").startsWith("YES"),
+                program);
     }
 
-    private void assertRequestsGoToTheOtherWorkerOnly(String prefix) throws IOException {
+    private void assertRequestsGoToWorkerBOnly(String prefix) throws IOException {
         for (int i = 0; i < REQUESTS; i++) {
             assertEquals(200, directory.request(prefix + i).status());
         }
@@ -115,7 +117,7 @@
     void appliesSavedOverridesAtItsStart() throws Exception {
         Files.writeString(directory.path(OVERRIDES), SavedDirectory.saved(OVERRIDES));
         awaitCommands(directory.startServing());
-        assertRequestsGoToTheOtherWorkerOnly("request");
+        assertRequestsGoToWorkerBOnly("request");
         String statistics = directory.command("STATS");
         assertTrue(statistics.contains("router.targets_disabled:1|g"), statistics);
     }
@@ -123,15 +125,16 @@
     @Test
     void appliesSavedOverridesThatAnotherProcessWrites() throws Exception {
         awaitCommands(directory.startServing());
-        Path part = Files.writeString(directory.path("part"), SavedDirectory.saved(OVERRIDES));
-        Files.move(part, directory.path(OVERRIDES), StandardCopyOption.ATOMIC_MOVE);
+        Path temporaryFile =
+                Files.writeString(directory.path("part"), SavedDirectory.saved(OVERRIDES));
+        Files.move(temporaryFile, directory.path(OVERRIDES), StandardCopyOption.ATOMIC_MOVE);
         Program.await(
                 "the overrides are applied",
                 () -> directory.command("STATS").contains("router.targets_disabled:1|g"));
-        assertRequestsGoToTheOtherWorkerOnly("request");
+        assertRequestsGoToWorkerBOnly("request");
     }
 
-    /** What was saved is written back, with the change that an operator makes. */
+    /** An operator's change is added to the saved overrides; all others are written back. */
     @Test
     void keepsSavedOverridesThroughAChange() throws Exception {
         String overrides = savedOverrides(nowUs());
@@ -150,17 +153,17 @@
         assertWritten(DIRECTORY_LOCK, DIRECTORY_LOCK);
     }
 
-    /** The saved mark of a process that serves, locked as that process would lock it. */
+    /** Places a saved mark file in the directory, locked as the process that wrote it would do. */
     private FileChannel lockSavedMark(int number, String savedName) throws IOException {
-        Path part = directory.path("part");
-        Files.copy(SavedDirectory.SAVED.resolve(savedName), part);
-        FileChannel lock = FileChannel.open(part, StandardOpenOption.WRITE);
+        Path temporaryFile = directory.path("part");
+        Files.copy(SavedDirectory.SAVED.resolve(savedName), temporaryFile);
+        FileChannel lock = FileChannel.open(temporaryFile, StandardOpenOption.WRITE);
         lock.lock();
-        Files.move(part, directory.path(MARK + number), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporaryFile, directory.path(MARK + number), StandardCopyOption.ATOMIC_MOVE);
         return lock;
     }
 
-    /** While another process serves, a new one waits for discovery before it serves. */
+    /** While another process serves, a new one does not serve before it has the endpoint list. */
     @Test
     void marksThatItStarts() throws Exception {
         try (FileChannel other = lockSavedMark(1, "damsonslip-mark-serving")) {
@@ -179,7 +182,7 @@
             Thread.sleep(SEVERAL_POLLS_MS);
             assertFalse(
                     program.said().contains("processes of this scheduler"),
-                    "one that starts is no successor: " + program.said());
+                    "a process that is still starting is no successor: " + program.said());
             successor.position(0);
             successor.write(
                     ByteBuffer.wrap(
--- a/src/test/java/damsonslip/compatibility/StoredJobsFormTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsFormTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The program writes jobs, batches and paused queues to the store in the form that is saved in the
- * resource. What the program writes in a run of this test is left in {@code target}.
+ * The program writes jobs, batches and paused queues to the store in the saved format. What it
+ * writes in a run of this test is left in {@code target}.
  */
 class StoredJobsFormTest {
     static final Path SAVED = Path.of("src/test/resources/compatibility/stored/jobs.txt");
--- a/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsScenario.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * Brings the real program to store a job in every state, batches and a paused queue, and returns
- * the contents of the store.
+ * Makes the real program store a job in every state, batches and a paused queue, and returns the
+ * contents of the store.
  */
 final class StoredJobsScenario {
     static final String SCHEDULER = "school-desk";
@@ -20,10 +20,10 @@
     private static final String IDLE = ",\"queue\":\"idle\"";
     private static final int DEADLINE_S = 600;
 
-    /** Shorter than the scheduler needs, as long as no worker fetches the job. */
+    /** So short that the scheduler rejects the job, since no worker fetches from its queue. */
     private static final double REFUSED_DEADLINE_S = 0.3;
 
-    /** Of a job whose deadline passes while the server is down. */
+    /** Deadline of a job that expires while the server is down. */
     private static final double FAILED_DEADLINE_S = 1.5;
 
     private static final long DOWN_MS = 1_600;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Its deadline passes while the server is down; the next start records that. */
+    /** The job's deadline expires while the server is down; the next start stores it as failed. */
     private static void storeFailedJob(FaktoryServer server) throws Exception {
         expectOk(
                 server.peer("")
--- a/src/test/java/damsonslip/compatibility/StoredJobsTest.java
+++ b/src/test/java/damsonslip/compatibility/StoredJobsTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A Faktory server that is started over the saved contents of a store serves all that is there. */
+/** A Faktory server that is started on the saved contents of a store serves every job in it. */
 class StoredJobsTest {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String TYPE_MEMBER = "member";
@@ -53,7 +53,7 @@
     private FaktoryPeer producer;
 
     @BeforeEach
-    void startOverSavedContents() throws IOException {
+    void startOnSavedContents() throws IOException {
         saved = StoredEntries.readAsOfNow(StoredJobsFormTest.SAVED);
         RedisStandIn redis = new RedisStandIn();
         redis.addEntries(saved);
@@ -128,7 +128,7 @@
                 return JSON.readTree(job);
             }
         }
-        throw new AssertionError("no job came from " + queue);
+        throw new AssertionError("no job was fetched from queue " + queue);
     }
 
     @Test
@@ -147,7 +147,7 @@
         assertEquals("stored-dead", worker.fetch("work", 2_000));
     }
 
-    /** Fetches and ends jobs of the queue in which this one waits, until it comes. */
+    /** Fetches and acknowledges jobs of the queue "idle" until this one is fetched. */
     private static String fetchUntil(FaktoryPeer worker, String wanted) throws IOException {
         String jid = "";
         while (!wanted.equals(jid)) {
@@ -163,13 +163,19 @@
         runReservedAwaitedJob(other);
         assertNull(other.fetch("work", 0));
         assertEquals("+OK", other.ack("stored-reserved"));
-        assertEquals("working", producer.state("stored-reserved"), "not its job");
+        assertEquals(
+                "working",
+                producer.state("stored-reserved"),
+                "an ACK of a worker that does not hold the job is ignored");
         FaktoryPeer holder = server.peer(StoredJobsScenario.WORKER);
         assertEquals("+OK", holder.ack("stored-reserved"));
         FaktoryServer.awaitState(producer, "stored-reserved", "success");
     }
 
-    /** It may run twice and somebody waits for it: any worker gets it after the start. */
+    /**
+     * The job is idempotent and its producer waits for the result, so that after a restart any
+     * worker may fetch it.
+     */
     private static void runReservedAwaitedJob(FaktoryPeer worker) throws IOException {
         assertEquals("stored-reserved-awaited", worker.fetch("work", 2_000));
         assertEquals("+OK", worker.ack("stored-reserved-awaited"));
@@ -189,7 +195,7 @@
     }
 
     @Test
-    void holdsUniqueKeys() throws IOException {
+    void keepsUniqueKeysLocked() throws IOException {
         String unique = ",\"queue\":\"idle\",\"custom\":{\"unique_for\":3600}";
         String reply = producer.plain("later-unique", unique);
         assertTrue(reply.startsWith("-NOTUNIQUE"), reply);
@@ -211,7 +217,7 @@
         assertBatch("child", 1, 1, "", "");
         assertBatch("complete", 1, 0, "1", "1");
         assertBatch("ended", 0, 0, "2", "2");
-        assertEquals(batch("open"), status("child").path("parent_bid").asText());
+        assertEquals(batchId("open"), status("child").path("parent_bid").asText());
     }
 
     private void assertBatch(
@@ -225,19 +231,19 @@
         assertEquals(success, status.path("success_st").asText(), status.toString());
     }
 
-    private String batch(String description) throws IOException {
-        return StoredEntries.batch(saved, description);
+    private String batchId(String description) throws IOException {
+        return StoredEntries.batchId(saved, description);
     }
 
     private JsonNode status(String description) throws IOException {
-        return JSON.readTree(producer.call("BATCH STATUS " + batch(description)));
+        return JSON.readTree(producer.call("BATCH STATUS " + batchId(description)));
     }
 
     @Test
     void runsCallbacksThatWereDue() throws IOException {
         FaktoryPeer worker = server.peer("w2");
         for (String callback : List.of("-complete", "-success")) {
-            String jid = batch("complete") + callback;
+            String jid = batchId("complete") + callback;
             assertEquals(jid, worker.fetch("callbacks-complete", 2_000));
             assertEquals("+OK", worker.ack(jid));
         }
@@ -252,13 +258,13 @@
                 "+OK",
                 producer.plain(
                         "later-batch-job",
-                        ",\"queue\":\"late\",\"custom\":{\"bid\":\"" + batch("open") + "\"}"));
-        assertEquals("+OK", producer.call("BATCH COMMIT " + batch("open")));
+                        ",\"queue\":\"late\",\"custom\":{\"bid\":\"" + batchId("open") + "\"}"));
+        assertEquals("+OK", producer.call("BATCH COMMIT " + batchId("open")));
         fetchUntil(worker, "stored-child-batch-job");
         assertEquals("+OK", worker.ack(worker.fetch("late", 2_000)));
         for (String description : List.of("child", "open")) {
             for (String callback : List.of("-complete", "-success")) {
-                String jid = batch(description) + callback;
+                String jid = batchId(description) + callback;
                 String queue = "callbacks-" + description;
                 assertEquals(jid, worker.fetch(queue, 4_000));
                 assertEquals("+OK", worker.ack(jid));
