--- a/src/test/java/damsonslip/DeployTest.java
+++ b/src/test/java/damsonslip/DeployTest.java
@@ -16,41 +16,44 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file says which sources make up the scheduler, and how it starts. */
+/** The deploy file lists the sources that make up the scheduler, and the command that starts it. */
 class DeployTest {
     private static final Path SOURCES = Path.of("src/main/java/damsonslip");
 
-    /** Commands that no scheduler runs, and the decisions, whose files are named one by one. */
+    /**
+     * Not listed as folders under "node": command-line tools, which a scheduler does not run, and
+     * the policy, whose files are listed one by one under "policy".
+     */
     private static final Set<String> NOT_IN_NODE = Set.of("tools", "policy");
 
     @Test
-    void policyNamesEveryFileThatDecides() throws IOException {
+    void policyListsEveryFileOfThePolicy() throws IOException {
         try (Stream<Path> files = Files.list(SOURCES.resolve("policy"))) {
-            assertEquals(names(files.filter(Files::isRegularFile)), named("policy"));
+            assertEquals(relativePaths(files.filter(Files::isRegularFile)), listedPaths("policy"));
         }
     }
 
     @Test
-    void nodeNamesEveryFolderOfTheScheduler() throws IOException {
+    void nodeListsEveryFolderOfTheScheduler() throws IOException {
         try (Stream<Path> folders = Files.list(SOURCES)) {
             TreeSet<String> expected =
-                    names(folders.filter(path -> !NOT_IN_NODE.contains(name(path))));
+                    relativePaths(folders.filter(path -> !NOT_IN_NODE.contains(fileName(path))));
             expected.add("policy/api");
-            assertEquals(expected, named("node"));
+            assertEquals(expected, listedPaths("node"));
         }
     }
 
-    private static String name(Path path) {
+    private static String fileName(Path path) {
         return path.getFileName().toString();
     }
 
-    private static TreeSet<String> names(Stream<Path> paths) {
+    private static TreeSet<String> relativePaths(Stream<Path> paths) {
         return paths.map(path -> SOURCES.relativize(path).toString())
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     /** The paths below the sources that this key of the deploy file lists. */
-    private static TreeSet<String> named(String key) throws IOException {
+    private static TreeSet<String> listedPaths(String key) throws IOException {
         String line =
                 Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                         .filter(each -> each.startsWith(key + " = "))
@@ -59,7 +62,7 @@
         return Pattern.compile("\"src/main/java/damsonslip/([^\"]+)\"")
                 .matcher(line)
                 .results()
-                .map(found -> found.group(1))
+                .map(match -> match.group(1))
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
@@ -75,17 +78,17 @@
     }
 
     /**
-     * A start on part of a core has no time to make methods for joined texts, nor to read the
-     * calendars of the world.
+     * On a fraction of a core, generating string concatenation methods at run time and loading the
+     * CLDR locale data would make the start too slow.
      */
     @Test
-    void startsGenerateNoCodeAndLoadNoLocales() throws IOException {
+    void startGeneratesNoCodeAndLoadsNoLocales() throws IOException {
         try (Stream<Path> classes = Files.walk(Path.of("target/classes"))) {
             for (Path path : classes.filter(file -> file.toString().endsWith(".class")).toList()) {
                 String code = Files.readString(path, StandardCharsets.ISO_8859_1);
                 assertFalse(
                         code.contains("makeConcatWithConstants"),
-                        path + " joins text by code made at run time");
+                        path + " concatenates strings with code generated at run time");
             }
         }
         for (String line : Files.readAllLines(Path.of("deploy/balancer.toml")).subList(0, 2)) {
@@ -93,7 +96,7 @@
                     List.of(
                             "-Djava.locale.providers=COMPAT ",
                             "-Dslf4j.provider=org.slf4j.simple.")) {
-                assertTrue(line.contains(word), "archived and run alike: " + line);
+                assertTrue(line.contains(word), "build and run need the same options: " + line);
             }
         }
     }
--- a/src/test/java/damsonslip/StructureTest.java
+++ b/src/test/java/damsonslip/StructureTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How the packages may know each other. */
+/** Rules for the dependencies between packages. */
 class StructureTest {
     private static final JavaClasses PROGRAM =
             new ClassFileImporter()
@@ -22,7 +22,7 @@
                     .importPackages("damsonslip");
 
     @Test
-    void noPackagesImportEachOtherInACircle() {
+    void packagesAreFreeOfCycles() {
         slices().assignedFrom(
                         new SliceAssignment() {
                             @Override
@@ -70,17 +70,17 @@
         "damsonslip.faktory.codec..,damsonslip.engine..",
         "damsonslip.faktory.codec..,damsonslip.faktory.jobs.."
     })
-    void packagesKeepToThemselves(String one, String other) {
+    void packageDoesNotDependOn(String dependent, String forbidden) {
         noClasses()
                 .that()
-                .resideInAPackage(one)
+                .resideInAPackage(dependent)
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage(other)
+                .resideInAPackage(forbidden)
                 .check(PROGRAM);
     }
 
-    /** The packages below {@code damsonslip} from the lowest to the highest. */
+    /** The packages below {@code damsonslip} from the lowest layer to the highest. */
     private static final List<String> LAYERS =
             List.of(
                     "policy.api..",
@@ -97,7 +97,7 @@
                     "cli..");
 
     @Test
-    void noPackageDependsOnOneThatLiesHigher() {
+    void noPackageDependsOnAHigherLayer() {
         for (int lower = 0; lower < LAYERS.size(); lower++) {
             String[] higher =
                     LAYERS.subList(lower + 1, LAYERS.size()).stream()
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void theLaboratoryIsKnownToNothingButTheCommandLine() {
+    void onlyTheCommandLineDependsOnTheLab() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages("damsonslip.tools.lab..", "damsonslip.cli..")
--- a/src/test/java/embedding/EmbeddingTest.java
+++ b/src/test/java/embedding/EmbeddingTest.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The library as another program uses it, through its public interface alone. */
+/** Uses the scheduling policy as another program embeds it: through its public API only. */
 class EmbeddingTest {
     private static final Settings SETTINGS =
             new Settings(
@@ -52,37 +52,50 @@
                     false,
                     1_000);
 
-    private static List<Send> sends(SchedulingPolicy policy, long now, Event event) {
+    private static List<Send> handleAndGetSends(SchedulingPolicy policy, long now, Event event) {
         List<Action> actions = new ArrayList<>();
         policy.handle(now, event, actions);
         return actions.stream().filter(Send.class::isInstance).map(Send.class::cast).toList();
     }
 
-    private static WorkerListUpdate list(WorkerListChange mode, String id, WorkerStatus status) {
+    private static WorkerListUpdate listUpdate(
+            WorkerListChange change, String id, WorkerStatus status) {
         return new WorkerListUpdate(
-                mode, List.of(new WorkerEntry(id, 0, 0, 0, status, Long.MIN_VALUE)));
+                change, List.of(new WorkerEntry(id, 0, 0, 0, status, Long.MIN_VALUE)));
     }
 
     @Test
     void runsAJobDrainsAWorkerAndRestarts() {
         SchedulingPolicy policy = new SchedulingPolicy(SETTINGS, 42);
         assertTrue(
-                sends(policy, 0, list(WorkerListChange.CACHED, "a", WorkerStatus.RUNNING))
+                handleAndGetSends(
+                                policy,
+                                0,
+                                listUpdate(WorkerListChange.CACHED, "a", WorkerStatus.RUNNING))
                         .isEmpty());
-        sends(policy, 1_000, list(WorkerListChange.CHANGES, "b", WorkerStatus.RUNNING));
+        handleAndGetSends(
+                policy, 1_000, listUpdate(WorkerListChange.CHANGES, "b", WorkerStatus.RUNNING));
         List<Send> sent =
-                sends(policy, 2_000, new JobArrived("job-1", 0, 0, null, 5_000_000, 1, 0));
+                handleAndGetSends(
+                        policy, 2_000, new JobArrived("job-1", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("job-1", sent.get(0).job());
         LoadReport report = new LoadReport(4, Double.NaN, Double.NaN);
-        sends(policy, 90_000, new AttemptEnded("job-1", 0, AttemptOutcome.SERVED, true, report));
+        handleAndGetSends(
+                policy, 90_000, new AttemptEnded("job-1", 0, AttemptOutcome.SERVED, true, report));
 
-        sends(policy, 100_000, list(WorkerListChange.CHANGES, "a", WorkerStatus.DRAINING));
-        sent = sends(policy, 110_000, new JobArrived("job-2", 0, 0, null, 5_000_000, 1, 0));
+        handleAndGetSends(
+                policy, 100_000, listUpdate(WorkerListChange.CHANGES, "a", WorkerStatus.DRAINING));
+        sent =
+                handleAndGetSends(
+                        policy, 110_000, new JobArrived("job-2", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("b", sent.get(0).worker());
 
         SchedulingPolicy restarted = new SchedulingPolicy(SETTINGS, 43);
-        sends(restarted, 200_000, list(WorkerListChange.CACHED, "b", WorkerStatus.RUNNING));
-        sent = sends(restarted, 210_000, new JobArrived("job-3", 0, 0, null, 5_000_000, 1, 0));
+        handleAndGetSends(
+                restarted, 200_000, listUpdate(WorkerListChange.CACHED, "b", WorkerStatus.RUNNING));
+        sent =
+                handleAndGetSends(
+                        restarted, 210_000, new JobArrived("job-3", 0, 0, null, 5_000_000, 1, 0));
         assertEquals("b", sent.get(0).worker());
     }
 }
