--- a/src/main/java/damsonslip/tools/simulator/SimHost.java
+++ b/src/main/java/damsonslip/tools/simulator/SimHost.java
@@ -29,50 +29,56 @@
 import java.util.Map;
 
 /**
- * Hosts the decisions of many dispatchers on the simulator's wire: a batch of events in, a reply
- * out.
+ * Adapter that runs the scheduling policies of many simulated dispatchers. It reads batches of
+ * events as JSON lines and writes, for each batch, the resulting actions and a closing {@code
+ * done}.
  */
 public final class SimHost {
-    private static final int OUT_BUFFER = 1 << 16;
+    private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
 
     private final JsonParser in;
     private final OutputStream out;
     private final JsonGenerator json;
     private final WireLine line = new WireLine();
-    private final Map<Integer, SchedulingPolicy> instances = new HashMap<>();
+    private final Map<Integer, SchedulingPolicy> policies = new HashMap<>();
     private final List<Action> actions = new ArrayList<>();
 
     public SimHost(InputStream in, OutputStream out) throws IOException {
         ObjectMapper mapper = JsonMapper.builder().build();
         this.in = mapper.getFactory().createParser(in);
-        this.out = new BufferedOutputStream(out, OUT_BUFFER);
+        this.out = new BufferedOutputStream(out, OUTPUT_BUFFER_BYTES);
         this.json = mapper.getFactory().createGenerator(this.out);
         this.json.setRootValueSeparator(null);
     }
 
-    /** Answers batches until the input ends. */
+    /**
+     * Processes batches until the input ends.
+     *
+     * @throws ConfigurationException if a line or the settings of a dispatcher are invalid
+     */
     public void run() throws IOException, ConfigurationException {
         try {
-            while (next()) {
+            while (readLine()) {
                 if (!line.cmd().equals("begin_batch")) {
                     throw new ConfigurationException("expected begin_batch, got " + line.cmd());
                 }
-                batch(line.clock());
+                processBatch(line.clock());
             }
         } catch (ConfigurationException e) {
-            throw atLine(e.getMessage());
+            throw withLineNumber(e.getMessage());
         } catch (JsonProcessingException e) {
-            throw atLine(
+            throw withLineNumber(
                     "not as expected in JSON: "
                             + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
-    private ConfigurationException atLine(String what) {
-        return new ConfigurationException("line " + in.currentLocation().getLineNr() + ": " + what);
+    private ConfigurationException withLineNumber(String message) {
+        return new ConfigurationException(
+                "line " + in.currentLocation().getLineNr() + ": " + message);
     }
 
-    private boolean next() throws IOException, ConfigurationException {
+    private boolean readLine() throws IOException, ConfigurationException {
         JsonToken token = in.nextToken();
         if (token == null) {
             return false;
@@ -84,9 +90,9 @@
         return true;
     }
 
-    private void batch(long clock) throws IOException, ConfigurationException {
+    private void processBatch(long clock) throws IOException, ConfigurationException {
         while (true) {
-            if (!next()) {
+            if (!readLine()) {
                 throw new ConfigurationException("the input ends within a batch");
             }
             if (line.cmd().equals("end")) {
@@ -95,56 +101,56 @@
             int dispatcher = line.dispatcher();
             switch (line.cmd()) {
                 case "create" ->
-                        instances.put(
+                        policies.put(
                                 dispatcher,
                                 new SchedulingPolicy(
                                         SettingsReader.read(line.conf()), line.seed()));
-                case "kill" -> instances.remove(dispatcher);
+                case "kill" -> policies.remove(dispatcher);
                 default -> handle(dispatcher, clock, line.event());
             }
         }
         json.writeStartObject();
         json.writeStringField("cmd", "done");
-        endLine();
+        writeLineEnd();
         json.flush();
         out.flush();
     }
 
     private void handle(int dispatcher, long clock, Event event)
             throws IOException, ConfigurationException {
-        SchedulingPolicy rules = instances.get(dispatcher);
-        if (rules == null || event == null) {
+        SchedulingPolicy policy = policies.get(dispatcher);
+        if (policy == null || event == null) {
             return;
         }
         actions.clear();
         try {
-            rules.handle(clock, event, actions);
+            policy.handle(clock, event, actions);
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException(e.getMessage());
         } catch (RuntimeException e) {
             write("internal_error", dispatcher);
             json.writeStringField("body_text", e + " at " + e.getStackTrace()[0]);
-            endLine();
+            writeLineEnd();
             return;
         }
         for (Action action : actions) {
-            write(dispatcher, action);
+            writeAction(dispatcher, action);
         }
     }
 
-    private void write(int dispatcher, Action action) throws IOException {
+    private void writeAction(int dispatcher, Action action) throws IOException {
         if (action instanceof Send send) {
             writeJob("place", dispatcher, send.job());
             json.writeStringField("runner", send.worker());
             json.writeFieldName("try_for_s");
-            seconds(send.timeoutUs());
+            writeSeconds(send.timeoutUs());
         } else if (action instanceof Cancel cancel) {
             writeJob("undo_send", dispatcher, cancel.job());
             json.writeNumberField("round_no", cancel.attempt());
-        } else if (action instanceof Reject refuse) {
-            writeJob("deny", dispatcher, refuse.job());
+        } else if (action instanceof Reject reject) {
+            writeJob("deny", dispatcher, reject.job());
             json.writeFieldName("retry_after_s");
-            seconds(refuse.retryAfterUs());
+            writeSeconds(reject.retryAfterUs());
         } else if (action instanceof Fail fail) {
             writeJob("drop_request", dispatcher, fail.job());
         } else if (action instanceof ProbeWorker probe) {
@@ -153,7 +159,7 @@
         } else if (action instanceof SetTimer timer) {
             write("notify_me", dispatcher);
             json.writeFieldName("moment_s");
-            seconds(timer.atUs());
+            writeSeconds(timer.atUs());
             json.writeStringField("label", timer.label());
         } else if (action instanceof WatchWorkerList) {
             write("stream_changes", dispatcher);
@@ -162,7 +168,7 @@
             write("write_log", dispatcher);
             json.writeStringField("body_text", log.text());
         }
-        endLine();
+        writeLineEnd();
     }
 
     private void write(String cmd, int dispatcher) throws IOException {
@@ -176,14 +182,14 @@
         json.writeStringField("op_id", job);
     }
 
-    /** Seconds with six digits, exact to the microsecond. */
-    private void seconds(long micros) throws IOException {
+    /** Writes seconds with six decimal places, exact to the microsecond. */
+    private void writeSeconds(long micros) throws IOException {
         long whole = Math.floorDiv(micros, 1_000_000L);
         String fraction = Long.toString(1_000_000L + Math.floorMod(micros, 1_000_000L));
         json.writeNumber(whole + "." + fraction.substring(1));
     }
 
-    private void endLine() throws IOException {
+    private void writeLineEnd() throws IOException {
         json.writeEndObject();
         json.writeRaw('\n');
     }
--- a/src/main/java/damsonslip/tools/simulator/WireLine.java
+++ b/src/main/java/damsonslip/tools/simulator/WireLine.java
@@ -22,40 +22,44 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One line of the wire, read field by field in any order, and the event it stands for. */
+/**
+ * One line of the simulator's protocol. Fields may come in any order; {@link #event} converts the
+ * line to an event of the scheduling policy. The same object is reused for every line.
+ */
 final class WireLine {
-    private static final int STARTED = 1;
+    /** Topic of a {@code signal} that reports the start of an attempt. */
+    private static final int TOPIC_STARTED = 1;
 
     private String cmd;
     private Integer dispatcher;
-    private Double moment;
+    private Double timeS;
     private Long seed;
     private JsonNode conf;
     private String mode;
-    private List<WorkerEntry> items;
-    private String opId;
-    private Integer lane;
+    private List<WorkerEntry> workers;
+    private String job;
+    private Integer jobClass;
     private int tenant;
-    private Long subject;
-    private Double deadline;
+    private Long affinityKey;
+    private Double deadlineS;
     private int slots;
     private double memory;
-    private Integer round;
+    private Integer attempt;
     private int topic;
     private String reason;
     private boolean closed;
     private LoadReport load;
-    private String runner;
+    private String worker;
     private String label;
 
-    /** Reads the object whose opening brace the parser stands on. */
+    /** Replaces all values by those of the object whose opening brace is the current token. */
     void read(JsonParser in) throws IOException, ConfigurationException {
-        cmd = mode = opId = reason = runner = label = null;
-        dispatcher = lane = round = null;
-        moment = deadline = null;
-        seed = subject = null;
+        cmd = mode = job = reason = worker = label = null;
+        dispatcher = jobClass = attempt = null;
+        timeS = deadlineS = null;
+        seed = affinityKey = null;
         conf = null;
-        items = null;
+        workers = null;
         load = null;
         tenant = topic = 0;
         slots = 1;
@@ -65,16 +69,16 @@
             String name = in.currentName();
             JsonToken value = in.nextToken();
             if (value != JsonToken.VALUE_NULL) {
-                field(in, name);
+                readField(in, name);
             }
         }
     }
 
-    private void field(JsonParser in, String name) throws IOException, ConfigurationException {
+    private void readField(JsonParser in, String name) throws IOException, ConfigurationException {
         switch (name) {
             case "cmd" -> cmd = in.getText();
             case "dispatcher" -> dispatcher = in.getIntValue();
-            case "ts_s" -> moment = in.getDoubleValue();
+            case "ts_s" -> timeS = in.getDoubleValue();
             case "prng" ->
                     seed =
                             in.getNumberType() == JsonParser.NumberType.BIG_INTEGER
@@ -82,26 +86,26 @@
                                     : in.getLongValue();
             case "conf" -> conf = in.readValueAsTree();
             case "mode" -> mode = in.getText();
-            case "items" -> items = workers(in);
-            case "op_id" -> opId = in.getText();
-            case "lane" -> lane = in.getIntValue();
+            case "items" -> workers = readWorkers(in);
+            case "op_id" -> job = in.getText();
+            case "lane" -> jobClass = in.getIntValue();
             case "client_group" -> tenant = in.getIntValue();
-            case "route_key" -> subject = in.getLongValue();
-            case "drop_dead_s" -> deadline = in.getDoubleValue();
+            case "route_key" -> affinityKey = in.getLongValue();
+            case "drop_dead_s" -> deadlineS = in.getDoubleValue();
             case "cores_needed" -> slots = Math.max(1, in.getIntValue());
             case "mem_needed" -> memory = in.getDoubleValue();
-            case "round_no" -> round = in.getIntValue();
+            case "round_no" -> attempt = in.getIntValue();
             case "topic" -> topic = in.getIntValue();
             case "reason" -> reason = in.getText();
             case "closed" -> closed = in.getBooleanValue();
-            case "load" -> load = report(in);
-            case "runner" -> runner = in.getText();
+            case "load" -> load = readLoadReport(in);
+            case "runner" -> worker = in.getText();
             case "label" -> label = in.getText();
             default -> in.skipChildren();
         }
     }
 
-    private static List<WorkerEntry> workers(JsonParser in)
+    private static List<WorkerEntry> readWorkers(JsonParser in)
             throws IOException, ConfigurationException {
         List<WorkerEntry> workers = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
@@ -110,7 +114,7 @@
             int zone = 0;
             int cell = 0;
             int kind = 0;
-            long since = Long.MIN_VALUE;
+            long startedUs = Long.MIN_VALUE;
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 if (in.nextToken() == JsonToken.VALUE_NULL) {
@@ -123,21 +127,21 @@
                     case "pack" -> cell = in.getIntValue();
                     case "class_of_host" -> kind = in.getIntValue();
                     case "since_s" ->
-                            since =
+                            startedUs =
                                     in.getDoubleValue() == 0
                                             ? Long.MIN_VALUE
-                                            : micros(in.getDoubleValue());
+                                            : toMicros(in.getDoubleValue());
                     default -> in.skipChildren();
                 }
             }
-            String runner = needed(id, "runner of an entry");
-            workers.add(new WorkerEntry(runner, zone, cell, kind, status(status), since));
+            String worker = required(id, "runner of an entry");
+            workers.add(new WorkerEntry(worker, zone, cell, kind, status(status), startedUs));
         }
         return workers;
     }
 
     private static WorkerStatus status(String text) throws ConfigurationException {
-        return switch (needed(text, "status of an entry")) {
+        return switch (required(text, "status of an entry")) {
             case "Running" -> WorkerStatus.RUNNING;
             case "Stopping" -> WorkerStatus.DRAINING;
             case "Deleted" -> WorkerStatus.REMOVED;
@@ -145,11 +149,11 @@
         };
     }
 
-    private static LoadReport report(JsonParser in) throws IOException {
+    private static LoadReport readLoadReport(JsonParser in) throws IOException {
         double freeSlots = Double.NaN;
         double freeMemory = Double.NaN;
-        double held = Double.NaN;
-        double errors = Double.NaN;
+        double reservedMemory = Double.NaN;
+        double errorsPerSecond = Double.NaN;
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String name = in.currentName();
             if (!in.nextToken().isNumeric()) {
@@ -159,74 +163,75 @@
             switch (name) {
                 case "x0" -> freeSlots = in.getDoubleValue();
                 case "x1" -> freeMemory = in.getDoubleValue();
-                case "inflight" -> held = in.getDoubleValue();
-                case "eps" -> errors = in.getDoubleValue();
+                case "inflight" -> reservedMemory = in.getDoubleValue();
+                case "eps" -> errorsPerSecond = in.getDoubleValue();
                 default -> {}
             }
         }
-        return new LoadReport(freeSlots, freeMemory, held, Double.NaN, errors);
+        return new LoadReport(freeSlots, freeMemory, reservedMemory, Double.NaN, errorsPerSecond);
     }
 
     String cmd() throws ConfigurationException {
-        return needed(cmd, "cmd");
+        return required(cmd, "cmd");
     }
 
     int dispatcher() throws ConfigurationException {
-        return needed(dispatcher, "dispatcher");
+        return required(dispatcher, "dispatcher");
     }
 
     long clock() throws ConfigurationException {
-        return micros(needed(moment, "ts_s"));
+        return toMicros(required(timeS, "ts_s"));
     }
 
     long seed() throws ConfigurationException {
-        return needed(seed, "prng");
+        return required(seed, "prng");
     }
 
     JsonNode conf() {
         return conf;
     }
 
-    /** The event that this line stands for, or null if the decisions have no use for it. */
+    /** Returns the line's event, or null if the scheduling policy does not use it. */
     Event event() throws ConfigurationException {
         return switch (cmd()) {
-            case "sync" -> new WorkerListUpdate(listMode(), items == null ? List.of() : items);
+            case "sync" -> new WorkerListUpdate(listMode(), workers == null ? List.of() : workers);
             case "job_in" ->
                     new JobArrived(
-                            needed(opId, "op_id"),
-                            needed(lane, "lane"),
+                            required(job, "op_id"),
+                            required(jobClass, "lane"),
                             tenant,
-                            subject,
-                            micros(needed(deadline, "drop_dead_s")),
+                            affinityKey,
+                            toMicros(required(deadlineS, "drop_dead_s")),
                             slots,
                             memory);
             case "signal" ->
-                    topic == STARTED
-                            ? new AttemptStarted(needed(opId, "op_id"), needed(round, "round_no"))
+                    topic == TOPIC_STARTED
+                            ? new AttemptStarted(
+                                    required(job, "op_id"), required(attempt, "round_no"))
                             : null;
             case "result" ->
                     new AttemptEnded(
-                            needed(opId, "op_id"),
-                            needed(round, "round_no"),
-                            outcome(),
+                            required(job, "op_id"),
+                            required(attempt, "round_no"),
+                            attemptOutcome(),
                             closed,
                             load);
-            case "vanished" -> new ClientDisconnected(needed(opId, "op_id"));
+            case "vanished" -> new ClientDisconnected(required(job, "op_id"));
             case "probe_result" ->
                     new ProbeEnded(
-                            needed(runner, "runner"),
-                            outcome() == AttemptOutcome.SERVED
+                            required(worker, "runner"),
+                            attemptOutcome() == AttemptOutcome.SERVED
                                     ? ProbeResult.HEALTHY
                                     : ProbeResult.UNREACHABLE,
                             load);
-            case "deadline_hit" -> new TimerDue(needed(label, "label"));
+            case "deadline_hit" -> new TimerDue(required(label, "label"));
             case "ack_first", "memo" -> null;
             default -> throw new ConfigurationException("unknown cmd: " + cmd);
         };
     }
 
     private WorkerListChange listMode() throws ConfigurationException {
-        return switch (needed(mode, "mode")) {
+        return switch (required(mode, "mode")) {
             case "Partial" -> WorkerListChange.CHANGES;
             case "Complete" -> WorkerListChange.COMPLETE;
             case "Persisted" -> WorkerListChange.CACHED;
@@ -235,8 +240,8 @@
         };
     }
 
-    private AttemptOutcome outcome() throws ConfigurationException {
-        return switch (needed(reason, "reason")) {
+    private AttemptOutcome attemptOutcome() throws ConfigurationException {
+        return switch (required(reason, "reason")) {
             case "Ok" -> AttemptOutcome.SERVED;
             case "Failed" -> AttemptOutcome.ERROR;
             case "QueueFull" -> AttemptOutcome.FULL;
@@ -249,11 +254,11 @@
         };
     }
 
-    private static long micros(double seconds) {
+    private static long toMicros(double seconds) {
         return Math.round(seconds * 1e6);
     }
 
-    private static <T> T needed(T value, String name) throws ConfigurationException {
+    private static <T> T required(T value, String name) throws ConfigurationException {
         if (value == null) {
             throw new ConfigurationException("lacks " + name);
         }
