--- a/src/main/java/damsonslip/cli/FleetCommand.java
+++ b/src/main/java/damsonslip/cli/FleetCommand.java
@@ -2,8 +2,8 @@
 
 import damsonslip.config.ConfigurationException;
 import damsonslip.tools.fleetreport.Fleet;
-import damsonslip.tools.fleetreport.Line;
 import damsonslip.tools.fleetreport.Report;
+import damsonslip.tools.fleetreport.TraceLine;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -32,7 +32,7 @@
     private static final class Log {
         private final String name;
         private final BufferedReader reader;
-        private Line next;
+        private TraceLine next;
 
         Log(Path file) throws IOException {
             name = file.getFileName().toString();
@@ -44,7 +44,7 @@
         /** Reads up to the next trace line; returns false and closes the log if there is none. */
         boolean advance() throws IOException {
             for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-                next = Line.of(text);
+                next = TraceLine.of(text);
                 if (next != null) {
                     return true;
                 }
@@ -83,7 +83,7 @@
         }
         Fleet fleet = new Fleet();
         for (Log log = logs.poll(); log != null; log = logs.poll()) {
-            fleet.take(log.name, log.next);
+            fleet.add(log.name, log.next);
             if (log.advance()) {
                 logs.add(log);
             }
--- a/src/main/java/damsonslip/tools/fleetreport/Fleet.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Fleet.java
@@ -8,32 +8,35 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Follows every query of every scheduler. Lines have to come in the order of time. */
+/**
+ * Follows every request of every scheduler and adds up what happened. Lines must be added in order
+ * of time.
+ */
 public final class Fleet {
-    /** Given up sooner than this after it was taken, a query was never held. */
-    private static final long AT_ONCE_US = 5_000;
+    /**
+     * A request that ends unserved within this time of its arrival was never queued; one that is
+     * rejected within this time of its deadline, or later, ran out of time.
+     */
+    private static final long IMMEDIATE_US = 5_000;
 
-    /** A job that has not started after this long waited in its worker's queue. */
-    private static final long START_US = 80_000;
+    /** A job that starts later than this after it was sent has waited in its worker's queue. */
+    private static final long MAX_START_DELAY_US = 80_000;
 
-    /** Clients who come back within so long of each other come together. */
-    private static final long CROWD_US = 100_000;
+    /** Clients whose Retry-After ends in the same interval of this length count as one burst. */
+    private static final long RETRY_BURST_US = 100_000;
 
-    /** A worker takes long when its jobs take this many times as long as usual. */
-    private static final double SLOW = 2;
+    /** A worker is slow if its mean run time exceeds this multiple of the class's mean. */
+    private static final double SLOW_WORKER_FACTOR = 2;
 
-    /** Weight of a newest job in a mean, once a few are known. */
-    private static final double WEIGHT = 0.05;
+    /** Weight of the newest sample in a mean; while there are few samples, all weigh the same. */
+    private static final double MIN_SAMPLE_WEIGHT = 0.05;
 
-    /**
-     * What the settings say of a class, and its jobs' mean time where they ran warm and
-     * undisturbed.
-     */
+    /** Settings of a job class, and the mean run time of its jobs on workers past slow start. */
     private static final class JobClass {
-        private double aimUs;
-        private double stretch;
-        private double worth;
-        private final Mean time = new Mean();
+        private double latencyObjectiveUs;
+        private double runTimeFactor;
+        private double priorityWeight;
+        private final Mean meanRunTime = new Mean();
     }
 
     private static final class Mean {
@@ -41,373 +44,386 @@
         private int count;
 
         void add(double next) {
-            value += Math.max(WEIGHT, 1.0 / ++count) * (next - value);
+            value += Math.max(MIN_SAMPLE_WEIGHT, 1.0 / ++count) * (next - value);
         }
     }
 
     private static final class Scheduler {
-        private final Map<String, Query> open = new HashMap<>();
-        private final Map<String, Double> counts = new HashMap<>();
-        private long listedUs;
+        private final Map<String, Request> openRequests = new HashMap<>();
+        private final Map<String, Double> previousCounts = new HashMap<>();
+        private long workerListUs;
     }
 
-    private static final class Query {
-        private long takenUs;
-        private long untilUs;
+    private static final class Request {
+        private long acceptedUs;
+        private long deadlineUs;
         private int jobClass;
         private int slots;
-        private Execution last;
-        private int executions;
-        private boolean stale;
+        private Attempt lastAttempt;
+        private int attempts;
+        private boolean sentToStoppedWorker;
     }
 
-    private static final class Execution {
-        private String to;
+    private static final class Attempt {
+        private String worker;
         private int slots;
         private long sentUs;
         private long startedUs;
-        private boolean cold;
-        private String ended = "";
+        private boolean slowStart;
+        private String outcome = "";
     }
 
-    /** A worker as the newest list that any scheduler heard has it, and what all have there. */
+    /** A worker's state in the newest list of any scheduler, and the attempts of all on it. */
     static final class Worker {
         private long startedUs = Long.MIN_VALUE;
         private boolean running;
 
-        /** The newest news of it is a job that started or a link that held. */
-        private boolean reached;
+        /** Whether a job has started there since the last connection fault or timeout. */
+        private boolean reachable;
 
-        private int inUse;
-        private int begun;
-        private int most;
-        private final Map<Integer, Mean> times = new HashMap<>();
+        private int slotsInUse;
+        private int startedSlots;
+        private int maxStartedSlots;
+        private final Map<Integer, Mean> meanRunTimes = new HashMap<>();
 
         /**
-         * Work begun while it was cold, by windows of the stated length since its start:
-         * microseconds of slots.
+         * Expected work of the jobs sent during slow start, in slot-microseconds, by overload
+         * window since the worker's start.
          */
-        final Map<Long, Double> coldWork = new TreeMap<>();
+        final Map<Long, Double> slowStartWork = new TreeMap<>();
 
         /**
-         * The most that all schedulers together took for theirs in such a window: each one's part,
-         * as it saw it then.
+         * Largest slow start budget that each scheduler reported in an overload window, by window
+         * and scheduler.
          */
-        final Map<Long, Map<String, Double>> coldParts = new TreeMap<>();
+        final Map<Long, Map<String, Double>> slowStartBudgets = new TreeMap<>();
 
-        int coldJobs;
-        int coldLate;
+        int slowStartJobs;
+        int slowStartLate;
     }
 
     final Map<Long, Second> seconds = new TreeMap<>();
     final Map<String, Worker> workers = new TreeMap<>();
-    final Map<Loss, Double> worth = new EnumMap<>(Loss.class);
+    final Map<Loss, Double> lostWeight = new EnumMap<>(Loss.class);
     final Map<Loss, Integer> losses = new EnumMap<>(Loss.class);
     private final Map<String, Scheduler> schedulers = new TreeMap<>();
     private final List<JobClass> classes = new ArrayList<>();
-    private final Map<Long, Integer> dueBack = new HashMap<>();
+    private final Map<Long, Integer> retriesDue = new HashMap<>();
     private long offsetUs;
-    private double coldUs;
-    double fallUs = 1;
-    double fallMultiple;
-    double earned;
-    double offered;
+    private double slowStartUs;
+    double overloadWindowUs = 1;
+    double overloadFactor;
+    double earnedWeight;
+    double offeredWeight;
     private Second second;
 
-    /** Takes a scheduler's next line. */
-    public void take(String name, Line line) {
-        Scheduler scheduler = schedulers.computeIfAbsent(name, fresh -> new Scheduler());
-        second = seconds.computeIfAbsent(line.atUs() / 1_000_000, fresh -> new Second());
-        second.serving.add(name);
-        switch (line.word()) {
-            case "settings" -> begun(scheduler, line);
+    /** Adds a scheduler's next line. */
+    public void add(String name, TraceLine line) {
+        Scheduler scheduler = schedulers.computeIfAbsent(name, key -> new Scheduler());
+        second = seconds.computeIfAbsent(line.atUs() / 1_000_000, key -> new Second());
+        second.schedulers.add(name);
+        switch (line.kind()) {
+            case "settings" -> settings(scheduler, line);
             case "class" -> jobClass(line);
             case "listed" -> listed(scheduler, line);
             case "worker" -> worker(line);
             case "asked" -> second.add(Sum.LIST_CALLS, 1);
-            case "counters" -> counted(scheduler, line);
-            case "cold" -> coldSeen(name, line);
+            case "counters" -> counters(scheduler, line);
+            case "cold" -> slowStartBudget(name, line);
             case "pool" ->
-                    second.cuts
-                            .computeIfAbsent(line.what(), fresh -> new Second.Cut())
+                    second.pools
+                            .computeIfAbsent(line.subject(), key -> new Second.Pool())
                             .add(name, line);
-            case "taken" -> taken(scheduler, line);
+            case "taken" -> accepted(scheduler, line);
             case "sent" -> sent(scheduler, line);
             case "started" -> started(scheduler, line);
-            case "ended" -> ended(scheduler, line);
+            case "ended" -> attemptEnded(scheduler, line);
             case "answered" -> answered(scheduler, line);
             default -> {}
         }
     }
 
-    /** No more lines come: what is open stays so. */
+    /** Ends the input: requests without an answer count as {@link Loss#OPEN_AT_END}. */
     public void end() {
-        schedulers.values().forEach(scheduler -> ended(scheduler, Loss.OPEN_AT_END));
+        schedulers.values().forEach(scheduler -> closeRequests(scheduler, Loss.OPEN_AT_END));
     }
 
     int schedulers() {
         return schedulers.size();
     }
 
-    private void begun(Scheduler scheduler, Line line) {
-        ended(scheduler, Loss.SCHEDULER_ENDED); // in the same file a second beginning is a restart
-        scheduler.counts.clear();
-        scheduler.listedUs = 0;
+    private void settings(Scheduler scheduler, TraceLine line) {
+        // settings written again in the same log mean a restart
+        closeRequests(scheduler, Loss.SCHEDULER_ENDED);
+        scheduler.previousCounts.clear();
+        scheduler.workerListUs = 0;
         offsetUs = (long) line.number("atUs") - line.atUs();
-        coldUs = line.number("coldUs");
-        fallUs = Math.max(1, line.number("fallUs"));
-        fallMultiple = line.number("fallMultiple");
+        slowStartUs = line.number("coldUs");
+        overloadWindowUs = Math.max(1, line.number("fallUs"));
+        overloadFactor = line.number("fallMultiple");
     }
 
-    private void ended(Scheduler scheduler, Loss why) {
-        for (Query query : scheduler.open.values()) {
-            if (query.last != null && query.last.ended.isEmpty()) {
-                leave(query.last);
+    private void closeRequests(Scheduler scheduler, Loss reason) {
+        for (Request request : scheduler.openRequests.values()) {
+            if (request.lastAttempt != null && request.lastAttempt.outcome.isEmpty()) {
+                releaseSlots(request.lastAttempt);
             }
-            lost(why, query);
+            addLoss(reason, request);
         }
-        scheduler.open.clear();
+        scheduler.openRequests.clear();
     }
 
-    private void jobClass(Line line) {
-        int number = Integer.parseInt(line.what());
+    private void jobClass(TraceLine line) {
+        int number = Integer.parseInt(line.subject());
         while (classes.size() <= number) {
             classes.add(new JobClass());
         }
-        JobClass of = classes.get(number);
-        of.aimUs = line.number("aimUs");
-        of.stretch = line.number("stretch");
-        of.worth = line.number("worth");
+        JobClass jobClass = classes.get(number);
+        jobClass.latencyObjectiveUs = line.number("aimUs");
+        jobClass.runTimeFactor = line.number("stretch");
+        jobClass.priorityWeight = line.number("worth");
     }
 
-    private void listed(Scheduler scheduler, Line line) {
-        if (line.what().equals("FAILED")) {
+    private void listed(Scheduler scheduler, TraceLine line) {
+        if (line.subject().equals("FAILED")) {
             second.add(Sum.LIST_FAILURES, 1);
-        } else if (!line.what().equals("KEPT")) {
-            scheduler.listedUs = line.atUs();
+        } else if (!line.subject().equals("KEPT")) {
+            scheduler.workerListUs = line.atUs();
         }
     }
 
-    private void worker(Line line) {
-        Worker worker = workers.computeIfAbsent(line.what(), fresh -> new Worker());
+    private void worker(TraceLine line) {
+        Worker worker = workers.computeIfAbsent(line.subject(), key -> new Worker());
         long started = (long) line.number("startedUs") - offsetUs;
         boolean running = line.text("is").equals("RUNNING");
         if (!running) {
             worker.running = false;
-        } else if (started >= worker.startedUs) { // an older list that comes late says nothing new
+        } else if (started >= worker.startedUs) { // ignores an older list that comes late
             worker.running = true;
             worker.startedUs = started;
         }
     }
 
-    private void counted(Scheduler scheduler, Line line) {
-        second.add(Sum.LINKS, risen(scheduler, line, "server_links_opened"));
-        second.add(Sum.IDLE_CLOSED, risen(scheduler, line, "server_links_closed_idle"));
-        second.add(Sum.PROBES, risen(scheduler, line, "probes_sent"));
-        if (scheduler.listedUs > 0) {
-            second.oldestListUs = Math.max(second.oldestListUs, line.atUs() - scheduler.listedUs);
+    private void counters(Scheduler scheduler, TraceLine line) {
+        second.add(Sum.LINKS, increase(scheduler, line, "server_links_opened"));
+        second.add(Sum.IDLE_CLOSED, increase(scheduler, line, "server_links_closed_idle"));
+        second.add(Sum.PROBES, increase(scheduler, line, "probes_sent"));
+        if (scheduler.workerListUs > 0) {
+            second.maxListAgeUs =
+                    Math.max(second.maxListAgeUs, line.atUs() - scheduler.workerListUs);
         }
     }
 
-    private void coldSeen(String name, Line line) {
-        Worker worker = workers.get(line.what());
+    private void slowStartBudget(String name, TraceLine line) {
+        Worker worker = workers.get(line.subject());
         if (worker != null && line.atUs() >= worker.startedUs) {
-            worker.coldParts
+            worker.slowStartBudgets
                     .computeIfAbsent(
-                            (long) ((line.atUs() - worker.startedUs) / fallUs),
-                            fresh -> new HashMap<>())
+                            (long) ((line.atUs() - worker.startedUs) / overloadWindowUs),
+                            key -> new HashMap<>())
                     .merge(name, line.number("partUs"), Math::max);
         }
     }
 
-    private static long risen(Scheduler scheduler, Line line, String name) {
-        Double before = scheduler.counts.put(name, line.number(name));
+    private static long increase(Scheduler scheduler, TraceLine line, String name) {
+        Double before = scheduler.previousCounts.put(name, line.number(name));
         return (long) (line.number(name) - (before == null ? 0 : before));
     }
 
-    // ---- a query's way
-
-    private void taken(Scheduler scheduler, Line line) {
-        Query query = new Query();
-        query.takenUs = line.atUs();
-        query.untilUs = (long) line.number("untilUs") - offsetUs;
-        query.jobClass = (int) line.number("class");
-        query.slots = (int) line.number("slots");
-        scheduler.open.put(line.what(), query);
+    private void accepted(Scheduler scheduler, TraceLine line) {
+        Request request = new Request();
+        request.acceptedUs = line.atUs();
+        request.deadlineUs = (long) line.number("untilUs") - offsetUs;
+        request.jobClass = (int) line.number("class");
+        request.slots = (int) line.number("slots");
+        scheduler.openRequests.put(line.subject(), request);
         second.add(Sum.TAKEN, 1);
-        offered += worth(query);
+        offeredWeight += priorityWeight(request);
     }
 
-    private void sent(Scheduler scheduler, Line line) {
-        Query query = scheduler.open.get(line.what());
-        if (query == null) {
+    private void sent(Scheduler scheduler, TraceLine line) {
+        Request request = scheduler.openRequests.get(line.subject());
+        if (request == null) {
             return;
         }
-        Worker worker = workers.computeIfAbsent(line.text("to"), fresh -> new Worker());
-        Execution execution = new Execution();
-        execution.to = line.text("to");
-        execution.slots = query.slots;
-        execution.sentUs = line.atUs();
-        execution.cold = worker.running && line.atUs() - worker.startedUs < coldUs;
-        query.stale |= !worker.running;
-        query.last = execution;
-        worker.inUse += query.slots;
+        Worker worker = workers.computeIfAbsent(line.text("to"), key -> new Worker());
+        Attempt attempt = new Attempt();
+        attempt.worker = line.text("to");
+        attempt.slots = request.slots;
+        attempt.sentUs = line.atUs();
+        attempt.slowStart = worker.running && line.atUs() - worker.startedUs < slowStartUs;
+        request.sentToStoppedWorker |= !worker.running;
+        request.lastAttempt = attempt;
+        worker.slotsInUse += request.slots;
         second.add(Sum.SENT, 1);
-        second.add(Sum.AGAIN, query.executions++ > 0 ? 1 : 0);
-        if (execution.cold) {
+        second.add(Sum.AGAIN, request.attempts++ > 0 ? 1 : 0);
+        if (attempt.slowStart) {
             second.add(Sum.TO_COLD, 1);
-            worker.coldJobs++;
-            worker.coldWork.merge(
-                    (long) ((line.atUs() - worker.startedUs) / fallUs),
-                    classes.get(query.jobClass).time.value * query.slots,
+            worker.slowStartJobs++;
+            worker.slowStartWork.merge(
+                    (long) ((line.atUs() - worker.startedUs) / overloadWindowUs),
+                    classes.get(request.jobClass).meanRunTime.value * request.slots,
                     Double::sum);
         }
     }
 
-    private void started(Scheduler scheduler, Line line) {
-        Query query = scheduler.open.get(line.what());
-        if (query != null && query.last != null && query.last.startedUs == 0) {
-            query.last.startedUs = line.atUs();
-            Worker worker = workers.get(query.last.to);
-            worker.begun += query.slots;
-            worker.most = Math.max(worker.most, worker.begun); // a slot that has run a job is there
-            worker.reached = true;
+    private void started(Scheduler scheduler, TraceLine line) {
+        Request request = scheduler.openRequests.get(line.subject());
+        if (request != null && request.lastAttempt != null && request.lastAttempt.startedUs == 0) {
+            request.lastAttempt.startedUs = line.atUs();
+            Worker worker = workers.get(request.lastAttempt.worker);
+            worker.startedSlots += request.slots;
+            // a slot that has run a job exists
+            worker.maxStartedSlots = Math.max(worker.maxStartedSlots, worker.startedSlots);
+            worker.reachable = true;
         }
     }
 
-    private void ended(Scheduler scheduler, Line line) {
-        Query query = scheduler.open.get(line.what());
-        String how = line.text("as");
-        second.add(Sum.MOVED, how.equals("CANCELLED") ? 1 : 0);
-        second.add(Sum.ERRORS, how.equals("ERROR") ? 1 : 0);
-        if (query == null || query.last == null) {
+    private void attemptEnded(Scheduler scheduler, TraceLine line) {
+        Request request = scheduler.openRequests.get(line.subject());
+        String outcome = line.text("as");
+        second.add(Sum.MOVED, outcome.equals("CANCELLED") ? 1 : 0);
+        second.add(Sum.ERRORS, outcome.equals("ERROR") ? 1 : 0);
+        if (request == null || request.lastAttempt == null) {
             return;
         }
-        Execution execution = query.last;
-        leave(execution);
-        execution.ended = how;
-        workers.get(execution.to).reached &=
-                !List.of("NOT_CONNECTED", "RESET", "TIMED_OUT").contains(how);
-        if (how.equals("SERVED")) {
-            double took =
-                    line.atUs()
-                            - (execution.startedUs > 0 ? execution.startedUs : execution.sentUs);
-            workers.get(execution.to)
-                    .times
-                    .computeIfAbsent(query.jobClass, fresh -> new Mean())
-                    .add(took);
-            if (!execution.cold) {
-                classes.get(query.jobClass).time.add(took);
+        Attempt attempt = request.lastAttempt;
+        releaseSlots(attempt);
+        attempt.outcome = outcome;
+        workers.get(attempt.worker).reachable &=
+                !List.of("NOT_CONNECTED", "RESET", "TIMED_OUT").contains(outcome);
+        if (outcome.equals("SERVED")) {
+            double runTimeUs =
+                    line.atUs() - (attempt.startedUs > 0 ? attempt.startedUs : attempt.sentUs);
+            workers.get(attempt.worker)
+                    .meanRunTimes
+                    .computeIfAbsent(request.jobClass, key -> new Mean())
+                    .add(runTimeUs);
+            if (!attempt.slowStart) {
+                classes.get(request.jobClass).meanRunTime.add(runTimeUs);
             }
         }
     }
 
-    private void leave(Execution execution) {
-        Worker worker = workers.get(execution.to);
-        worker.inUse -= execution.slots;
-        worker.begun -= execution.startedUs > 0 ? execution.slots : 0;
+    private void releaseSlots(Attempt attempt) {
+        Worker worker = workers.get(attempt.worker);
+        worker.slotsInUse -= attempt.slots;
+        worker.startedSlots -= attempt.startedUs > 0 ? attempt.slots : 0;
     }
 
-    private void answered(Scheduler scheduler, Line line) {
-        Query query = scheduler.open.remove(line.what());
-        if (query == null) {
+    private void answered(Scheduler scheduler, TraceLine line) {
+        Request request = scheduler.openRequests.remove(line.subject());
+        if (request == null) {
             return;
         }
         switch (line.text("as")) {
-            case "SERVED" -> served(query, line.atUs());
-            case "THROTTLED" -> throttled(query, line);
+            case "SERVED" -> served(request, line.atUs());
+            case "THROTTLED" -> throttled(request, line);
             default -> second.add(Sum.FAILED, 1);
         }
         if (!line.text("as").equals("SERVED")) {
-            lost(unserved(query, line.atUs()), query);
-            if (query.last != null && query.last.ended.isEmpty()) {
-                leave(query.last);
+            addLoss(unservedReason(request, line.atUs()), request);
+            if (request.lastAttempt != null && request.lastAttempt.outcome.isEmpty()) {
+                releaseSlots(request.lastAttempt);
             }
         }
     }
 
-    private void throttled(Query query, Line line) {
-        second.add(reason(query, line.atUs()), 1);
-        long backUs = line.atUs() + (long) line.number("retryUs");
-        if (backUs > line.atUs()) {
-            Second then = seconds.computeIfAbsent(backUs / 1_000_000, fresh -> new Second());
+    private void throttled(Request request, TraceLine line) {
+        second.add(rejectionCounter(request, line.atUs()), 1);
+        long retryUs = line.atUs() + (long) line.number("retryUs");
+        if (retryUs > line.atUs()) {
+            Second then = seconds.computeIfAbsent(retryUs / 1_000_000, key -> new Second());
             then.add(Sum.DUE_BACK, 1);
-            then.crowd = Math.max(then.crowd, dueBack.merge(backUs / CROWD_US, 1, Integer::sum));
+            then.maxRetryBurst =
+                    Math.max(
+                            then.maxRetryBurst,
+                            retriesDue.merge(retryUs / RETRY_BURST_US, 1, Integer::sum));
         }
     }
 
-    private static Sum reason(Query query, long now) {
-        if (query.last != null) {
+    private static Sum rejectionCounter(Request request, long now) {
+        if (request.lastAttempt != null) {
             return Sum.BROKEN;
-        } else if (now - query.takenUs < AT_ONCE_US) {
+        } else if (now - request.acceptedUs < IMMEDIATE_US) {
             return Sum.REFUSED;
         }
-        return now < query.untilUs - AT_ONCE_US ? Sum.GIVEN_UP : Sum.OUT_OF_TIME;
+        return now < request.deadlineUs - IMMEDIATE_US ? Sum.GIVEN_UP : Sum.OUT_OF_TIME;
     }
 
-    private void served(Query query, long now) {
+    private void served(Request request, long now) {
         second.add(Sum.SERVED, 1);
-        JobClass of = classes.get(query.jobClass);
-        double excess = now - query.takenUs - (of.aimUs + of.stretch * of.time.value);
+        JobClass jobClass = classes.get(request.jobClass);
+        double excess =
+                now
+                        - request.acceptedUs
+                        - (jobClass.latencyObjectiveUs
+                                + jobClass.runTimeFactor * jobClass.meanRunTime.value);
         if (excess <= 0) {
-            earned += of.worth;
+            earnedWeight += jobClass.priorityWeight;
             return;
         }
         second.add(Sum.LATE, 1);
-        Execution last = query.last;
-        workers.get(last.to).coldLate += last.cold ? 1 : 0;
-        lost(late(query, excess), query);
+        Attempt lastAttempt = request.lastAttempt;
+        workers.get(lastAttempt.worker).slowStartLate += lastAttempt.slowStart ? 1 : 0;
+        addLoss(lateReason(request, excess), request);
     }
 
-    private Loss late(Query query, double excess) {
-        Execution last = query.last;
-        if (query.executions > 1) {
+    private Loss lateReason(Request request, double excess) {
+        Attempt lastAttempt = request.lastAttempt;
+        if (request.attempts > 1) {
             return Loss.LATE_AFTER_MORE;
-        } else if (last.cold) {
+        } else if (lastAttempt.slowStart) {
             return Loss.LATE_COLD;
-        } else if (last.sentUs - query.takenUs > excess / 2) {
+        } else if (lastAttempt.sentUs - request.acceptedUs > excess / 2) {
             return Loss.LATE_HOLD;
-        } else if (last.startedUs - last.sentUs > Math.max(START_US, excess / 2)) {
+        } else if (lastAttempt.startedUs - lastAttempt.sentUs
+                > Math.max(MAX_START_DELAY_US, excess / 2)) {
             return Loss.LATE_QUEUE;
         }
-        Mean there = workers.get(last.to).times.get(query.jobClass);
-        return there.value > SLOW * classes.get(query.jobClass).time.value
+        Mean onWorker = workers.get(lastAttempt.worker).meanRunTimes.get(request.jobClass);
+        return onWorker.value > SLOW_WORKER_FACTOR * classes.get(request.jobClass).meanRunTime.value
                 ? Loss.LATE_WORKER
                 : Loss.LATE_LONG;
     }
 
-    private Loss unserved(Query query, long now) {
-        String how = query.last == null ? "" : query.last.ended;
-        if (query.stale) {
+    private Loss unservedReason(Request request, long now) {
+        String outcome = request.lastAttempt == null ? "" : request.lastAttempt.outcome;
+        if (request.sentToStoppedWorker) {
             return Loss.STALE_LIST;
-        } else if (query.last != null && !how.equals("CANCELLED") && !how.equals("FULL")) {
-            return how.equals("ERROR")
+        } else if (request.lastAttempt != null
+                && !outcome.equals("CANCELLED")
+                && !outcome.equals("FULL")) {
+            return outcome.equals("ERROR")
                     ? Loss.AFTER_ERROR
-                    : how.isEmpty() || how.equals("TIMED_OUT") ? Loss.AFTER_TIME : Loss.AFTER_LINK;
+                    : outcome.isEmpty() || outcome.equals("TIMED_OUT")
+                            ? Loss.AFTER_TIME
+                            : Loss.AFTER_LINK;
         }
-        boolean room = room(now) >= query.slots;
-        return now - query.takenUs < AT_ONCE_US
-                ? room ? Loss.REFUSED_BESIDE_ROOM : Loss.REFUSED
-                : room ? Loss.GIVEN_UP_BESIDE_ROOM : Loss.GIVEN_UP;
+        boolean hasFreeSlots = freeWarmSlots(now) >= request.slots;
+        return now - request.acceptedUs < IMMEDIATE_US
+                ? hasFreeSlots ? Loss.REFUSED_BESIDE_ROOM : Loss.REFUSED
+                : hasFreeSlots ? Loss.GIVEN_UP_BESIDE_ROOM : Loss.GIVEN_UP;
     }
 
     /**
-     * Free slots of warm workers, as nobody could know them: what has run there at once, less what
-     * all have there.
+     * Estimates the free slots of running, reachable workers past slow start: the largest number of
+     * slots that were busy at once, less those in use by all schedulers. No single scheduler could
+     * have known this figure.
      */
-    private int room(long now) {
+    private int freeWarmSlots(long now) {
         return workers.values().stream()
-                .filter(w -> w.running && w.reached && now - w.startedUs >= coldUs)
-                .mapToInt(w -> Math.max(0, w.most - w.inUse))
+                .filter(w -> w.running && w.reachable && now - w.startedUs >= slowStartUs)
+                .mapToInt(w -> Math.max(0, w.maxStartedSlots - w.slotsInUse))
                 .sum();
     }
 
-    private void lost(Loss loss, Query query) {
+    private void addLoss(Loss loss, Request request) {
         losses.merge(loss, 1, Integer::sum);
-        worth.merge(loss, worth(query), Double::sum);
+        lostWeight.merge(loss, priorityWeight(request), Double::sum);
     }
 
-    private double worth(Query query) {
-        return query.jobClass < classes.size() ? classes.get(query.jobClass).worth : 0;
+    private double priorityWeight(Request request) {
+        return request.jobClass < classes.size() ? classes.get(request.jobClass).priorityWeight : 0;
     }
 }
--- a/src/main/java/damsonslip/tools/fleetreport/Loss.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Loss.java
@@ -1,6 +1,9 @@
 package damsonslip.tools.fleetreport;
 
-/** Why a query earned nothing: one reason for each, the first that holds. */
+/**
+ * Why a request did not earn its priority weight. Each lost request counts under one reason, the
+ * first that applies. The texts are printed in the report.
+ */
 public enum Loss {
     SCHEDULER_ENDED("its scheduler ended with it open, and began anew"),
     OPEN_AT_END("still open where its scheduler's log ends"),
@@ -19,14 +22,14 @@
     LATE_WORKER("served late by a worker that takes over twice its class's usual time"),
     LATE_LONG("served late by a usual worker: a long job");
 
-    private final String words;
+    private final String text;
 
-    Loss(String words) {
-        this.words = words;
+    Loss(String text) {
+        this.text = text;
     }
 
     @Override
     public String toString() {
-        return words;
+        return text;
     }
 }
--- a/src/main/java/damsonslip/tools/fleetreport/Report.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Report.java
@@ -6,135 +6,144 @@
 import java.util.Map;
 
 /**
- * A fleet's sums as text: a line for each second, the cuts of the pools, the cold workers, the
- * ledger of losses.
+ * Formats the totals of a fleet as text: a line for each second, the pools, the workers in slow
+ * start, and the lost priority weight by reason.
  */
 public final class Report {
     private Report() {}
 
+    /** Returns the report over all lines added to a fleet. */
     public static String of(Fleet fleet) {
         StringBuilder text = new StringBuilder();
-        say(
+        print(
                 text,
                 "%d schedulers, %d workers, %d seconds%n",
                 fleet.schedulers(),
                 fleet.workers.size(),
                 fleet.seconds.size());
         seconds(fleet, text);
-        cuts(fleet, text);
-        cold(fleet, text);
-        ledger(fleet, text);
+        pools(fleet, text);
+        slowStart(fleet, text);
+        losses(fleet, text);
         return text.toString();
     }
 
-    private static void say(StringBuilder text, String form, Object... what) {
-        text.append(String.format(Locale.ROOT, form, what));
+    private static void print(StringBuilder text, String format, Object... arguments) {
+        text.append(String.format(Locale.ROOT, format, arguments));
     }
 
     private static void seconds(Fleet fleet, StringBuilder text) {
-        say(text, "%n%8s %8s %9s %6s", "second", "serving", "list-age", "crowd");
+        print(text, "%n%8s %8s %9s %6s", "second", "serving", "list-age", "crowd");
         for (Sum sum : Sum.values()) {
-            say(
+            print(
                     text,
-                    " %" + width(sum) + "s",
+                    " %" + columnWidth(sum) + "s",
                     sum.name().toLowerCase(Locale.ROOT).replace('_', '-'));
         }
         text.append(System.lineSeparator());
         long first = fleet.seconds.keySet().stream().findFirst().orElse(0L);
         fleet.seconds.forEach(
                 (at, second) -> {
-                    say(
+                    print(
                             text,
                             "%8d %8d %9.1f %6d",
                             at - first,
-                            second.serving.size(),
-                            second.oldestListUs / 1e6,
-                            second.crowd);
+                            second.schedulers.size(),
+                            second.maxListAgeUs / 1e6,
+                            second.maxRetryBurst);
                     for (Sum sum : Sum.values()) {
-                        say(text, " %" + width(sum) + "d", second.get(sum));
+                        print(text, " %" + columnWidth(sum) + "d", second.get(sum));
                     }
                     text.append(System.lineSeparator());
                 });
     }
 
-    private static int width(Sum sum) {
+    private static int columnWidth(Sum sum) {
         return Math.max(6, sum.name().length());
     }
 
-    private static void cuts(Fleet fleet, StringBuilder text) {
-        say(
+    private static void pools(Fleet fleet, StringBuilder text) {
+        print(
                 text,
                 "%npools: the part of their workers that all schedulers count to them; rates,"
                         + " shares: least to most%n");
         long first = fleet.seconds.keySet().stream().findFirst().orElse(0L);
         fleet.seconds.forEach(
                 (at, second) -> {
-                    if (!second.cuts.isEmpty()) {
-                        say(text, "%8d", at - first);
-                        second.cuts.forEach(
-                                (pool, cut) ->
-                                        say(
+                    if (!second.pools.isEmpty()) {
+                        print(text, "%8d", at - first);
+                        second.pools.forEach(
+                                (pool, state) ->
+                                        print(
                                                 text,
                                                 "  [%s alike %.2f rate %.0f-%.0f share %.0f-%.0f]",
                                                 pool,
-                                                cut.alike(),
-                                                cut.leastRate,
-                                                cut.mostRate,
-                                                cut.leastShare,
-                                                cut.mostShare));
+                                                state.agreement(),
+                                                state.minRate,
+                                                state.maxRate,
+                                                state.minShare,
+                                                state.maxShare));
                         text.append(System.lineSeparator());
                     }
                 });
     }
 
     /**
-     * Work is in slots: a worker kept busy on three slots for a window has 3. Behind it, what all
-     * took for theirs.
+     * Prints the workers in slow start. Work is given as the mean number of busy slots: a worker
+     * with three slots busy during a complete window has 3. It is followed by the total of the
+     * schedulers' budgets, each as that scheduler computed it, and by the number of schedulers.
      */
-    private static void cold(Fleet fleet, StringBuilder text) {
-        say(
+    private static void slowStart(Fleet fleet, StringBuilder text) {
+        print(
                 text,
                 "%ncold workers: jobs, late ones, and for each window of %.1f s work begun/budget"
                         + " seen by schedulers (slots; the rule: %.2f)%n",
-                fleet.fallUs / 1e6,
-                fleet.fallMultiple);
+                fleet.overloadWindowUs / 1e6,
+                fleet.overloadFactor);
         fleet.workers.forEach(
                 (id, worker) -> {
-                    if (worker.coldJobs > 0) {
-                        say(text, "  %s jobs %d late %d:", id, worker.coldJobs, worker.coldLate);
-                        worker.coldWork.forEach(
+                    if (worker.slowStartJobs > 0) {
+                        print(
+                                text,
+                                "  %s jobs %d late %d:",
+                                id,
+                                worker.slowStartJobs,
+                                worker.slowStartLate);
+                        worker.slowStartWork.forEach(
                                 (window, work) -> {
-                                    Map<String, Double> parts =
-                                            worker.coldParts.getOrDefault(window, Map.of());
-                                    say(
+                                    Map<String, Double> budgets =
+                                            worker.slowStartBudgets.getOrDefault(window, Map.of());
+                                    print(
                                             text,
                                             " %d=%.1f/%.1f by %d",
                                             window,
-                                            work / fleet.fallUs,
-                                            parts.values().stream().mapToDouble(part -> part).sum()
-                                                    / fleet.fallUs,
-                                            parts.size());
+                                            work / fleet.overloadWindowUs,
+                                            budgets.values().stream()
+                                                            .mapToDouble(budget -> budget)
+                                                            .sum()
+                                                    / fleet.overloadWindowUs,
+                                            budgets.size());
                                 });
                         text.append(System.lineSeparator());
                     }
                 });
     }
 
-    private static void ledger(Fleet fleet, StringBuilder text) {
-        say(
+    private static void losses(Fleet fleet, StringBuilder text) {
+        print(
                 text,
                 "%nworth offered %.0f, earned %.0f; lost, by reason%n",
-                fleet.offered,
-                fleet.earned);
-        fleet.worth.entrySet().stream()
+                fleet.offeredWeight,
+                fleet.earnedWeight);
+        fleet.lostWeight.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue(Comparator.reverseOrder()))
                 .forEach(
                         loss ->
-                                say(
+                                print(
                                         text,
                                         "%8.0f %5.1f%% %6d  %s%n",
                                         loss.getValue(),
-                                        100 * loss.getValue() / Math.max(1e-9, fleet.offered),
+                                        100 * loss.getValue() / Math.max(1e-9, fleet.offeredWeight),
                                         fleet.losses.get(loss.getKey()),
                                         loss.getKey()));
     }
--- a/src/main/java/damsonslip/tools/fleetreport/Second.java
+++ b/src/main/java/damsonslip/tools/fleetreport/Second.java
@@ -5,9 +5,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** What all schedulers together did in one second. */
+/** Totals over all schedulers for one second. */
 final class Second {
-    /** What is added up in it; the report has a column for each. */
+    /** Counted events. The report has a column for each, headed by the constant's name. */
     enum Sum {
         TAKEN,
         SERVED,
@@ -30,48 +30,52 @@
         TO_COLD
     }
 
-    /** Clients that were told to come back in the same tenth of it, at the most. */
-    int crowd;
+    /** Largest number of rejected clients whose Retry-After ends in the same 100 ms. */
+    int maxRetryBurst;
 
     final long[] sums = new long[Sum.values().length];
-    final Set<String> serving = new HashSet<>();
 
-    /** The oldest list that a scheduler decided by, in microseconds of its age. */
-    long oldestListUs;
+    /** Names of the schedulers that wrote a line in this second. */
+    final Set<String> schedulers = new HashSet<>();
 
-    /** By pool: how each scheduler cut it, and the least and the most that one of them says. */
-    final Map<String, Cut> cuts = new TreeMap<>();
+    /** Age of the oldest worker list that a scheduler used, in microseconds. */
+    long maxListAgeUs;
 
-    static final class Cut {
+    /** What the schedulers reported of each pool, by the pool's job class. */
+    final Map<String, Pool> pools = new TreeMap<>();
+
+    /** A pool's workers by scheduler, and the range of the reported rates and shares. */
+    static final class Pool {
         private final Map<String, Set<String>> members = new TreeMap<>();
-        double leastRate = Double.MAX_VALUE;
-        double mostRate;
-        double leastShare = Double.MAX_VALUE;
-        double mostShare;
+        double minRate = Double.MAX_VALUE;
+        double maxRate;
+        double minShare = Double.MAX_VALUE;
+        double maxShare;
 
-        void add(String scheduler, Line pool) {
-            members.put(scheduler, Set.of(pool.text("has").split(",")));
-            leastRate = Math.min(leastRate, pool.number("rate"));
-            mostRate = Math.max(mostRate, pool.number("rate"));
-            leastShare = Math.min(leastShare, pool.number("share"));
-            mostShare = Math.max(mostShare, pool.number("share"));
+        void add(String scheduler, TraceLine line) {
+            members.put(scheduler, Set.of(line.text("has").split(",")));
+            minRate = Math.min(minRate, line.number("rate"));
+            maxRate = Math.max(maxRate, line.number("rate"));
+            minShare = Math.min(minShare, line.number("share"));
+            maxShare = Math.max(maxShare, line.number("share"));
         }
 
         /**
-         * The part of its workers that all schedulers count to the pool, of those that any does.
+         * Returns the fraction of workers that all schedulers assign to the pool, out of those that
+         * at least one scheduler assigns to it.
          */
-        double alike() {
-            Set<String> any = new HashSet<>();
-            Set<String> all = null;
-            for (Set<String> each : members.values()) {
-                any.addAll(each);
-                if (all == null) {
-                    all = new HashSet<>(each);
+        double agreement() {
+            Set<String> union = new HashSet<>();
+            Set<String> intersection = null;
+            for (Set<String> workers : members.values()) {
+                union.addAll(workers);
+                if (intersection == null) {
+                    intersection = new HashSet<>(workers);
                 } else {
-                    all.retainAll(each);
+                    intersection.retainAll(workers);
                 }
             }
-            return any.isEmpty() ? 1 : (double) all.size() / any.size();
+            return union.isEmpty() ? 1 : (double) intersection.size() / union.size();
         }
     }
 
