--- a/src/main/java/damsonslip/tools/faktoryclient/FaktoryClient.java
+++ b/src/main/java/damsonslip/tools/faktoryclient/FaktoryClient.java
@@ -28,8 +28,8 @@
     /** Longest bulk reply that is read, in bytes. */
     private static final int MAX_REPLY_BYTES = 16 * 1024 * 1024;
 
-    /** Characters of an unknown reply that are shown. */
-    private static final int SHOWN_CHARS = 60;
+    /** Number of characters of a malformed reply that are quoted in the error. */
+    private static final int MAX_SHOWN_CHARS = 60;
 
     /**
      * A server's reply.
@@ -79,15 +79,18 @@
 
     /** Sends HELLO; an empty {@code wid} makes this a producer's connection. */
     public Reply hello(String wid, String password) throws IOException {
-        JsonNode asked = JSON.readTree(greeting.substring(greeting.indexOf('{')));
+        JsonNode serverHello = JSON.readTree(greeting.substring(greeting.indexOf('{')));
         var hello = JSON.createObjectNode().put("v", 2).put("hostname", name).put("pid", 1);
         hello.putArray("labels").add(name);
         if (!wid.isEmpty()) {
             hello.put("wid", wid);
         }
-        if (asked.has("s")) {
+        if (serverHello.has("s")) {
             hello.put(
-                    "pwdhash", hash(password + asked.path("s").asText(), asked.path("i").asInt(1)));
+                    "pwdhash",
+                    hash(
+                            password + serverHello.path("s").asText(),
+                            serverHello.path("i").asInt(1)));
         }
         return call("HELLO " + hello);
     }
@@ -119,23 +122,22 @@
     /**
      * Reads one reply.
      *
-     * @throws IOException if the connection ends or times out, or what comes is not a reply of the
-     *     protocol
+     * @throws IOException if the connection ends or times out, or the reply is malformed
      */
     public Reply read() throws IOException {
-        String line = line();
+        String line = readLine();
         return switch (line.isEmpty() ? ' ' : line.charAt(0)) {
             case '+', ':' -> new Reply(false, line.substring(1));
             case '-' -> new Reply(true, line.substring(1));
-            case '$' -> new Reply(false, bulk(Integer.parseInt(line.substring(1))));
+            case '$' -> new Reply(false, readBulk(Integer.parseInt(line.substring(1))));
             default ->
                     throw new IOException(
                             "not a reply: "
-                                    + line.substring(0, Math.min(SHOWN_CHARS, line.length())));
+                                    + line.substring(0, Math.min(MAX_SHOWN_CHARS, line.length())));
         };
     }
 
-    private String bulk(int length) throws IOException {
+    private String readBulk(int length) throws IOException {
         if (length < 0) {
             return null;
         }
@@ -143,13 +145,13 @@
             throw new IOException("a reply of " + length + " bytes");
         }
         byte[] content = in.readNBytes(length);
-        if (content.length < length || !line().isEmpty()) {
+        if (content.length < length || !readLine().isEmpty()) {
             throw new IOException("a bulk reply that does not end where it says");
         }
         return new String(content, StandardCharsets.UTF_8);
     }
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         StringBuilder line = new StringBuilder();
         for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
@@ -168,9 +170,9 @@
      */
     public boolean ended() {
         try {
-            int last = in.read();
-            while (last >= 0) { // sent before the server closed the connection
-                last = in.read();
+            int next = in.read();
+            while (next >= 0) { // skips what the server sent before closing
+                next = in.read();
             }
             return true;
         } catch (SocketTimeoutException e) {
--- a/src/main/java/damsonslip/tools/load/Bench.java
+++ b/src/main/java/damsonslip/tools/load/Bench.java
@@ -21,16 +21,19 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The command {@code bench}: pushes so many jobs, then fetches and acknowledges them all, and
- * prints what that took.
+ * The command {@code bench}: pushes a number of jobs, then fetches and acknowledges them all, and
+ * prints throughput and latency.
  */
 public final class Bench {
     private static final String USAGE =
             "bench HOST:PORT [--connections N] [--jobs N] [--bulk N] [--waiting]"
                     + "  (loopback only; --waiting only pushes, and leaves the jobs there)";
-    private static final int MOST_CONNECTIONS = 500;
-    private static final int MOST_JOBS = 2_000_000;
-    private static final long LONGEST_NS = 120_000_000_000L;
+    private static final int MAX_CONNECTIONS = 500;
+    private static final int MAX_JOBS = 2_000_000;
+
+    /** Limit on fetching, so that lost jobs cannot keep the command running. */
+    private static final long MAX_FETCH_DURATION_NS = 120_000_000_000L;
+
     private static final int CONNECT_TIMEOUT_MS = 5_000;
 
     /** A FETCH on a loaded server may take several seconds. */
@@ -40,7 +43,7 @@
     private final int connections;
     private final int jobs;
     private final int bulk;
-    private final boolean waiting;
+    private final boolean pushOnly;
     private final PrintStream out;
     private final String queue = "bench-" + UUID.randomUUID().toString().substring(0, 8);
 
@@ -49,52 +52,52 @@
             int connections,
             int jobs,
             int bulk,
-            boolean waiting,
+            boolean pushOnly,
             PrintStream out) {
         this.server = server;
         this.connections = connections;
         this.jobs = jobs;
         this.bulk = bulk;
-        this.waiting = waiting;
+        this.pushOnly = pushOnly;
         this.out = out;
     }
 
-    /** Runs by these arguments; gives the exit code. */
+    /** Runs the command with these arguments and returns its exit code. */
     public static int run(List<String> arguments, PrintStream out)
             throws ConfigurationException, IOException {
         String address = "";
         int connections = 10;
         int jobs = 10_000;
         int bulk = 1;
-        boolean waiting = false;
+        boolean pushOnly = false;
         for (int i = 0; i < arguments.size(); i++) {
             String argument = arguments.get(i);
             switch (argument) {
-                case "--connections" -> connections = whole(arguments, ++i, MOST_CONNECTIONS);
-                case "--jobs" -> jobs = whole(arguments, ++i, MOST_JOBS);
-                case "--bulk" -> bulk = whole(arguments, ++i, 5_000);
-                case "--waiting" -> waiting = true;
+                case "--connections" -> connections = parseCount(arguments, ++i, MAX_CONNECTIONS);
+                case "--jobs" -> jobs = parseCount(arguments, ++i, MAX_JOBS);
+                case "--bulk" -> bulk = parseCount(arguments, ++i, 5_000);
+                case "--waiting" -> pushOnly = true;
                 default -> address = argument;
             }
         }
-        return new Bench(server(address), connections, jobs, bulk, waiting, out).run();
+        return new Bench(parseServer(address), connections, jobs, bulk, pushOnly, out).run();
     }
 
-    private static int whole(List<String> arguments, int at, int most)
+    private static int parseCount(List<String> arguments, int at, int max)
             throws ConfigurationException {
         try {
             int value = Integer.parseInt(arguments.get(at));
-            if (value >= 1 && value <= most) {
+            if (value >= 1 && value <= max) {
                 return value;
             }
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
             throw new ConfigurationException(USAGE);
         }
-        throw new ConfigurationException("bench: from 1 to " + most + ": " + arguments.get(at));
+        throw new ConfigurationException("bench: from 1 to " + max + ": " + arguments.get(at));
     }
 
-    /** Guards others' servers: this load goes to the machine that it runs on. */
-    private static InetSocketAddress server(String address) throws ConfigurationException {
+    /** Accepts loopback addresses only, so that the load cannot reach other machines' servers. */
+    private static InetSocketAddress parseServer(String address) throws ConfigurationException {
         int colon = address.lastIndexOf(':');
         try {
             InetAddress host = InetAddress.getByName(colon < 0 ? "" : address.substring(0, colon));
@@ -112,9 +115,9 @@
         Histogram fetch = new ConcurrentHistogram(3);
         Histogram ack = new ConcurrentHistogram(3);
         AtomicInteger pushed = new AtomicInteger();
-        long from = System.nanoTime();
-        together(number -> push(pushed, push));
-        double pushS = (System.nanoTime() - from) / 1e9;
+        long startNs = System.nanoTime();
+        runOnAllConnections(number -> push(pushed, push));
+        double pushS = (System.nanoTime() - startNs) / 1e9;
         out.printf(Locale.ROOT, "%d connections, %d jobs, %d in a push%n", connections, jobs, bulk);
         out.printf(
                 Locale.ROOT,
@@ -125,18 +128,18 @@
                 "p99 ms",
                 "p99.9 ms",
                 "worst ms");
-        row("push", jobs / pushS, push);
-        if (!waiting) {
+        printRow("push", jobs / pushS, push);
+        if (!pushOnly) {
             AtomicInteger done = new AtomicInteger();
-            from = System.nanoTime();
-            together(number -> work(number, done, fetch, ack));
-            double workS = (System.nanoTime() - from) / 1e9;
-            row("fetch", done.get() / workS, fetch);
-            row("ack", done.get() / workS, ack);
+            startNs = System.nanoTime();
+            runOnAllConnections(number -> fetchAndAck(number, done, fetch, ack));
+            double fetchAndAckS = (System.nanoTime() - startNs) / 1e9;
+            printRow("fetch", done.get() / fetchAndAckS, fetch);
+            printRow("ack", done.get() / fetchAndAckS, ack);
             out.printf(
                     Locale.ROOT,
                     "through push, fetch and ack: %.0f jobs a second%n",
-                    jobs / (pushS + workS));
+                    jobs / (pushS + fetchAndAckS));
         }
         try (FaktoryClient client = connect("")) {
             JsonNode info = FaktoryClient.JSON.readTree(client.call("INFO").text());
@@ -149,7 +152,7 @@
         return 0;
     }
 
-    private void row(String what, double rate, Histogram times) {
+    private void printRow(String what, double rate, Histogram times) {
         out.printf(
                 Locale.ROOT,
                 "%-6s %9.0f %9.2f %9.2f %9.2f %9.2f%n",
@@ -161,24 +164,24 @@
                 times.getMaxValue() / 1e6);
     }
 
-    private interface Part {
+    private interface ConnectionTask {
         void run(int number) throws IOException;
     }
 
-    private void together(Part part) throws IOException {
+    private void runOnAllConnections(ConnectionTask task) throws IOException {
         ExecutorService threads = Executors.newFixedThreadPool(connections);
         try {
-            List<Future<?>> parts = new ArrayList<>();
+            List<Future<?>> tasks = new ArrayList<>();
             for (int i = 0; i < connections; i++) {
                 int number = i;
-                parts.add(
+                tasks.add(
                         threads.submit(
                                 () -> {
-                                    part.run(number);
+                                    task.run(number);
                                     return null;
                                 }));
             }
-            for (Future<?> each : parts) {
+            for (Future<?> each : tasks) {
                 each.get();
             }
         } catch (ExecutionException e) {
@@ -214,18 +217,18 @@
         }
     }
 
-    private void work(int number, AtomicInteger done, Histogram fetch, Histogram ack)
+    private void fetchAndAck(int number, AtomicInteger done, Histogram fetch, Histogram ack)
             throws IOException {
-        long end = System.nanoTime() + LONGEST_NS;
-        // ten connections a worker, as worker processes have them
+        long endNs = System.nanoTime() + MAX_FETCH_DURATION_NS;
+        // ten connections for each worker ID, as real worker processes have
         try (FaktoryClient client = connect(queue + "-w" + number / 10)) {
-            while (done.get() < jobs && System.nanoTime() < end) {
-                long from = System.nanoTime();
+            while (done.get() < jobs && System.nanoTime() < endNs) {
+                long startNs = System.nanoTime();
                 String job = client.call("FETCH " + queue).text();
                 if (job == null) {
                     continue;
                 }
-                fetch.recordValue(System.nanoTime() - from);
+                fetch.recordValue(System.nanoTime() - startNs);
                 String jid = FaktoryClient.JSON.readTree(job).path("jid").asText();
                 timed(client, "ACK {\"jid\":\"" + jid + "\"}", ack);
                 done.incrementAndGet();
@@ -251,9 +254,9 @@
 
     private static String timed(FaktoryClient client, String line, Histogram times)
             throws IOException {
-        long from = System.nanoTime();
+        long startNs = System.nanoTime();
         String reply = client.call(line).text();
-        times.recordValue(System.nanoTime() - from);
+        times.recordValue(System.nanoTime() - startNs);
         return reply;
     }
 }
--- a/src/main/java/damsonslip/tools/load/package-info.java
+++ b/src/main/java/damsonslip/tools/load/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A load for the Faktory front: jobs pushed, fetched and acknowledged over so many connections,
- * with the time that each command took. Closed loop: each connection has one command under way, so
- * that the figures are those of a server at its limit, not of a site at a given rate.
+ * A load generator for the Faktory front: pushes, fetches and acknowledges jobs over a number of
+ * connections and records the latency of each command. The loop is closed: each connection has one
+ * command in flight, so the figures show a server at its limit, not one under a given request rate.
  */
 package damsonslip.tools.load;
