--- a/src/main/java/damsonslip/tools/lab/HollowFleet.java
+++ b/src/main/java/damsonslip/tools/lab/HollowFleet.java
@@ -10,18 +10,19 @@
 import java.util.stream.IntStream;
 
 /**
- * Workers, a list and settings that stand for a fleet of a given size; the same seed gives the same
- * ids.
+ * Generates the endpoint list and settings of a simulated fleet of a given size. The same seed
+ * gives the same worker ids.
  *
- * @param workers workers in the list
+ * @param workers number of workers in the list
  * @param schedulers schedulers that share them
  * @param teams tenants with quotas
  * @param zones zones that the workers are spread over
- * @param seed of ids
+ * @param seed seed of the worker ids
  */
 record HollowFleet(int workers, int schedulers, int teams, int zones, long seed) {
     /**
-     * Two machine kinds and three classes, one of each effect, as the operators' sites have them.
+     * Two machine types and three job classes, one for each kind of retry semantics, as on the
+     * operators' sites.
      */
     private static final String SETTINGS =
             """
@@ -48,7 +49,7 @@
                                                 Locale.ROOT,
                                                 "{\"name\":\"t%d\",\"quota_per_s\":%.3f}",
                                                 team,
-                                                2 * Goal.STARTS_A_SECOND / teams))
+                                                2 * Goal.JOB_STARTS_PER_SECOND / teams))
                         .collect(Collectors.joining(","));
         return SETTINGS.formatted(schedulers, names, quotas);
     }
@@ -57,11 +58,12 @@
         try {
             return SiteSettings.read(JsonTreeReader.read(settingsText()));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("the hollow fleet's own settings", e);
+            throw new IllegalStateException(
+                    "generated settings of the simulated fleet are invalid", e);
         }
     }
 
-    /** Ids as orchestrators give them: without meaning, and in no order. */
+    /** Returns an id like those that orchestrators assign: opaque and unordered. */
     String id(int worker) {
         return "s-"
                 + String.format(
@@ -74,7 +76,7 @@
         return worker % zones;
     }
 
-    /** An entry of discovery's list, in the protocol page's form. */
+    /** Returns an entry of the endpoint list in the wire format of discovery. */
     String entry(int worker, String lifecycle) {
         return entry(
                 worker,
@@ -103,29 +105,32 @@
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
-    String wholeList(int generation) {
+    String fullList(int generation) {
         return list(generation, true, "ready", 0, workers);
     }
 
-    /** Changes of the workers from one number up to but not including another. */
+    /**
+     * Returns an incremental update for the workers from {@code from} (inclusive) to {@code to}
+     * (exclusive).
+     */
     String changes(int generation, String lifecycle, int from, int to) {
         return list(generation, false, lifecycle, from, to);
     }
 
-    private String list(int generation, boolean whole, String lifecycle, int from, int to) {
+    private String list(int generation, boolean full, String lifecycle, int from, int to) {
         return envelope(
                 generation,
-                whole,
+                full,
                 IntStream.range(from, to)
                         .mapToObj(worker -> entry(worker, lifecycle))
                         .collect(Collectors.joining(",")));
     }
 
-    static String envelope(int generation, boolean whole, String entries) {
+    static String envelope(int generation, boolean full, String entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
-                + whole
+                + full
                 + ",\"instances\":["
                 + entries
                 + "]}";
--- a/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
+++ b/src/main/java/damsonslip/tools/lab/LoopbackDiscovery.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery on loopback for real schedulers: each call is a watch that gets an empty change, then
- * what is told.
+ * A discovery server on the loopback interface for real schedulers. It treats every call as a
+ * watch, which receives an empty update first and then each broadcast object.
  */
 final class LoopbackDiscovery implements Closeable {
-    private static final long PULSE_MS = 2_000;
-    private static final long PATIENCE_S = 30;
+    private static final long HEARTBEAT_MS = 2_000;
+    private static final long WATCH_TIMEOUT_S = 30;
 
     private final ServerSocket server = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
     private final List<Socket> watches = new CopyOnWriteArrayList<>();
@@ -26,23 +26,23 @@
 
     LoopbackDiscovery() throws IOException {
         start(this::accept);
-        start(this::pulse);
+        start(this::sendHeartbeats);
     }
 
     int port() {
         return server.getLocalPort();
     }
 
-    /** Waits until a scheduler watches. */
+    /** Waits until a scheduler has opened a watch. */
     void awaitWatch() throws IOException, InterruptedException {
-        if (!watched.await(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!watched.await(WATCH_TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new IOException(
-                    "lab: no scheduler came to watch discovery within " + PATIENCE_S + " s");
+                    "lab: no scheduler came to watch discovery within " + WATCH_TIMEOUT_S + " s");
         }
     }
 
-    /** Writes an object to all watches. */
-    synchronized void tell(String object) {
+    /** Sends a JSON object to all watches as one HTTP chunk; an empty string is a heartbeat. */
+    synchronized void broadcast(String object) {
         String text = object + "\n";
         byte[] chunk =
                 (Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
@@ -52,7 +52,7 @@
                 watch.getOutputStream().write(chunk);
                 watch.getOutputStream().flush();
             } catch (IOException e) {
-                watches.remove(watch); // its scheduler has ended
+                watches.remove(watch); // the scheduler has closed the connection
             }
         }
     }
@@ -72,19 +72,19 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                 .getBytes(StandardCharsets.UTF_8));
                 watches.add(peer);
-                tell(HollowFleet.envelope(1, false, ""));
+                broadcast(HollowFleet.envelope(1, false, ""));
                 watched.countDown();
             } catch (IOException e) {
-                // the next one, unless the run is over
+                // accept the next connection, unless the server is closed
             }
         }
     }
 
-    private void pulse() {
+    private void sendHeartbeats() {
         while (!server.isClosed()) {
             try {
-                Thread.sleep(PULSE_MS);
-                tell("");
+                Thread.sleep(HEARTBEAT_MS);
+                broadcast("");
             } catch (InterruptedException e) {
                 return;
             }
--- a/src/main/java/damsonslip/tools/lab/SampleFile.java
+++ b/src/main/java/damsonslip/tools/lab/SampleFile.java
@@ -9,12 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Samples kept as CSV; lines that begin with '#' tell of the run. */
+/** Reads and writes samples as CSV; lines that begin with '#' describe the run. */
 final class SampleFile {
     private SampleFile() {}
 
-    /** Fails now if the file could not be written later, so that no run is lost over it. */
-    static Path writable(String name) throws ConfigurationException {
+    /** Checks before a run that its file can be written, so that no results are lost at the end. */
+    static Path requireWritable(String name) throws ConfigurationException {
         try {
             Path file = Path.of(name).toAbsolutePath();
             Path folder = file.getParent();
@@ -32,7 +32,8 @@
     }
 
     /**
-     * Writes beside the file and moves it there, so that the file is either the old one or whole.
+     * Writes a temporary file in the same folder and moves it into place, so that readers see
+     * either the old file or the complete new one.
      */
     static void write(Path file, List<String> remarks, List<Sample> samples)
             throws ConfigurationException {
@@ -41,12 +42,12 @@
         lines.add(Sample.HEADER);
         samples.forEach(sample -> lines.add(sample.line()));
         try {
-            Path beside = Files.createTempFile(file.getParent(), ".lab", ".tmp");
+            Path temporary = Files.createTempFile(file.getParent(), ".lab", ".tmp");
             try {
-                Files.write(beside, lines);
-                Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING);
+                Files.write(temporary, lines);
+                Files.move(temporary, file, StandardCopyOption.REPLACE_EXISTING);
             } finally {
-                Files.deleteIfExists(beside);
+                Files.deleteIfExists(temporary);
             }
         } catch (IOException e) {
             throw new ConfigurationException("lab: cannot write " + file + ": " + e.getMessage());
