--- a/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
+++ b/src/test/java/damsonslip/platform/BusyDiscoveryTest.java
@@ -46,7 +46,7 @@
                                 "\"instances\":1",
                                 "\"instances\":" + fleet + ",\"slot_no\":" + number)
                         .replace("127.0.0.1:" + discovery.port(), "127.0.0.1:" + discoveryPort));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
     }
 
     /**
@@ -138,7 +138,7 @@
             assertTrue(calls < FLEET * 5 / 4, calls + " calls, where one per scheduler is enough");
             int jobs = jobs("a");
             for (int i = 0; i < 10; i++) {
-                assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+                assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
             }
             assertEquals(jobs, jobs("a"), "no job goes to the draining worker");
         }
@@ -171,7 +171,7 @@
         while (millis(silentSinceNs) < NOTIFIED_MS - 500) {
             assertEquals(
                     200,
-                    ask(query("q" + System.nanoTime(), "submit", "2000m")).status(),
+                    exchange(requestText("q" + System.nanoTime(), "submit", "2000m")).status(),
                     "the list is still valid");
             Thread.sleep(100);
         }
@@ -179,7 +179,7 @@
         int before = jobs("a");
         for (int i = 0; i < 5; i++) {
             long askedNs = System.nanoTime();
-            Message answer = ask(query("r" + i, "submit", "2000m"));
+            Message answer = exchange(requestText("r" + i, "submit", "2000m"));
             assertEquals(503, answer.status());
             assertNotNull(answer.field("Retry-After"));
             assertTrue(millis(askedNs) < 500, "rejected at once");
--- a/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
+++ b/src/test/java/damsonslip/platform/CrowdedDescriptorsTest.java
@@ -153,7 +153,7 @@
                         do {
                             Message answer =
                                     client.send(
-                                                    query(
+                                                    requestText(
                                                             "q" + ids.incrementAndGet(),
                                                             "submit",
                                                             "2000m"))
@@ -224,7 +224,7 @@
                                 configWithFewDescriptors("0.25", a),
                                 SOCKETS + EXTRA_DESCRIPTORS,
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         startIdleConnections();
         startIdleConnections();
         Program.await("idle connections fill the limit", () -> program.sockets() > SOCKETS / 3);
@@ -256,7 +256,7 @@
                 "known clients are still served",
                 () -> reconnectingClients.served.get() > before + KNOWN_CLIENTS,
                 program);
-        assertFalse(program.said().contains("Too many open files"), program.said());
+        assertFalse(program.output().contains("Too many open files"), program.output());
     }
 
     /**
@@ -268,11 +268,11 @@
     void answersOrNeverForwardsRequestOnAnEvictedConnection() throws Exception {
         program =
                 new Program(configWithFewDescriptors("0.25", worker("a", SERVE)), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         List<Peer> idleClients = new ArrayList<>();
         int unanswered = 0;
         for (int i = 0; i < 4 * SOCKETS; i++) {
-            Peer client = Peer.connect(port).send(query("first" + i, "read", "2000m"));
+            Peer client = Peer.connect(port).send(requestText("first" + i, "read", "2000m"));
             idleClients.add(client);
             assertEquals(200, client.message().status());
             if (i < STAYING_CONNECTIONS) {
@@ -289,18 +289,19 @@
     private boolean answered(Peer client, String id) throws IOException {
         Message answer = null;
         try (client) {
-            client.send(query(id, "submit", "2000m"));
+            client.send(requestText(id, "submit", "2000m"));
             answer = client.message();
         } catch (EOFException | SocketException e) {
             // the connection was closed; a reset if that was more than half a second ago
         }
-        long got = got("a").filter(job -> job.field("X-Correlation-Id").equals(id)).count();
-        assertEquals(answer == null ? 0 : 1, got, id);
+        long timesReceived =
+                receivedJobs("a").filter(job -> job.field("X-Correlation-Id").equals(id)).count();
+        assertEquals(answer == null ? 0 : 1, timesReceived, id);
         return answer != null;
     }
 
-    private Stream<Message> got(String worker) {
-        return got.get(worker).stream();
+    private Stream<Message> receivedJobs(String worker) {
+        return receivedJobs.get(worker).stream();
     }
 
     /**
@@ -321,14 +322,18 @@
                     new Program(
                                     configWithFewDescriptors("5", entries.toArray(String[]::new)),
                                     "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             int clients = 40;
             for (int i = 0; i < clients; i++) {
                 repeat(
                         () -> {
                             try (Peer client = Peer.connect(port)) {
                                 while (!over.get()) {
-                                    client.send(query("q" + ids.incrementAndGet(), "read", "600m"))
+                                    client.send(
+                                                    requestText(
+                                                            "q" + ids.incrementAndGet(),
+                                                            "read",
+                                                            "600m"))
                                             .message();
                                     Thread.sleep(20);
                                 }
@@ -345,7 +350,7 @@
             over.set(true);
             program.terminate();
             assertEquals(143, program.exit());
-            assertTrue(program.said().contains("server_dials_given_up="), program.said());
+            assertTrue(program.output().contains("server_dials_given_up="), program.output());
         } finally {
             for (LateServer server : lateServers) {
                 server.close();
--- a/src/test/java/damsonslip/platform/DailyRunningTest.java
+++ b/src/test/java/damsonslip/platform/DailyRunningTest.java
@@ -37,7 +37,7 @@
     private void startWithManagement(String... entries) throws IOException {
         program =
                 new Program(config(list(7, true, entries), mgmt(mgmt)), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await("the scheduler is ready", () -> call("READY").startsWith("YES"));
     }
 
@@ -68,18 +68,18 @@
 
     @Test
     void reportsOutcomesByJobClass() throws Exception {
-        startWithManagement(worker("a", SERVE), worker("b", SLOW), worker("c", BREAK));
+        startWithManagement(worker("a", SERVE), worker("b", SLOW), worker("c", CLOSE_CONNECTION));
         call("DISABLE b");
         call("DISABLE c");
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         call("DISABLE a");
         call("ENABLE c");
-        assertEquals(502, ask(query("s1", "submit", "2000m")).status());
+        assertEquals(502, exchange(requestText("s1", "submit", "2000m")).status());
         call("DISABLE c");
         call("ENABLE b");
-        try (Peer client = Peer.connect(port).send(query("r1", "read", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("r1", "read", "4000m"))) {
             Program.await("the job is sent", () -> jobs("b") == 1);
             Map<String, String> stats = stats();
             assertEquals(
@@ -100,7 +100,7 @@
             assertEquals(200, client.message().status());
         }
         assertEquals("4|c", stats().get("success.read"));
-        program.reload("{").awaitWord("reload: config");
+        program.reload("{").awaitOutput("reload: config");
         Program.await(
                 "a failed reload is counted", () -> stats().get("reload_failure").equals("1|c"));
     }
@@ -111,10 +111,10 @@
      */
     @Test
     void countsRejectionsAsOverloadAndIgnoresDisconnectedClients() throws Exception {
-        startWithManagement(worker("a", SAY_NOTHING));
+        startWithManagement(worker("a", NO_RESPONSE));
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
-            clients.add(Peer.connect(port).send(query("q" + i, "read", "4000m")));
+            clients.add(Peer.connect(port).send(requestText("q" + i, "read", "4000m")));
         }
         Program.await("some are rejected", () -> !stats().get("overload.read").equals("0|c"));
         Map<String, String> stats = stats();
@@ -194,13 +194,13 @@
         startWithManagement(a, worker("b", SERVE));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 8; i++) {
-            assertEquals(200, ask(query("w" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("w" + i, "read", "2000m")).status());
         }
         assertTrue(jobs("a") > 0, "worker a was used before");
         assertTrue(call("DISABLE a").startsWith("YES"));
         int before = jobs("a");
         assertTrue(call("DISABLE a").startsWith("YES"));
-        news.add(
+        listUpdates.add(
                 list(
                         8,
                         true,
@@ -208,16 +208,16 @@
                                 "\"startedAtMs\":0",
                                 "\"startedAtMs\":" + System.currentTimeMillis())));
         Thread.sleep(100);
-        news.add(list(9, false, worker("b", SERVE)));
+        listUpdates.add(list(9, false, worker("b", SERVE)));
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(before, jobs("a"));
         assertEquals("1|g", stats().get("targets_disabled"));
         assertTrue(call("ENABLE a").startsWith("YES"));
         assertEquals("0|g", stats().get("targets_disabled"));
         call("DISABLE b");
-        assertEquals(200, ask(query("last", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("last", "read", "2000m")).status());
         assertTrue(jobs("a") > before, "one ENABLE is enough");
     }
 
@@ -232,11 +232,11 @@
                         "a",
                         (peer, job) -> {
                             Thread.sleep(300);
-                            TURN_AWAY.on(peer, job);
+                            REJECT.on(peer, job);
                         }),
                 worker("b", SERVE));
         call("DISABLE b");
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
             Program.await("the job is sent", () -> jobs("a") == 1);
             call("DISABLE a");
             call("ENABLE b");
@@ -262,7 +262,7 @@
         Program.await("a watch at the new address", () -> newWatches.size() == 1);
         Thread.sleep(200); // until its list has arrived
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
         assertEquals("1|g", stats().get("targets_disabled"));
@@ -270,7 +270,7 @@
         call("DISABLE b");
         assertEquals(
                 200,
-                ask(query("last", "read", "2000m")).status(),
+                exchange(requestText("last", "read", "2000m")).status(),
                 "the new list contains worker a");
         assertEquals(1, jobs("a"));
     }
@@ -293,10 +293,10 @@
                     file,
                     Files.readString(file)
                             .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"));
-            program = new Program(file, "serve").awaitWord("listens on");
+            program = new Program(file, "serve").awaitOutput("listens on");
             Program.await("the scheduler is ready", () -> call("READY").startsWith("YES"));
             call("DISABLE b");
-            try (Peer client = Peer.connect(port).send(query("q1", "submit", "5000m"))) {
+            try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "5000m"))) {
                 Thread.sleep(300);
                 assertTrue(call("DISABLE a").startsWith("YES"));
                 call("ENABLE b");
@@ -359,14 +359,14 @@
                         .replace(
                                 "\"limits\":{\"send_cap\"",
                                 "\"reporting\":{\"how\":\"pull\"},\"limits\":{\"may_probe\":true,\"send_cap\""));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         Program.await("a probe is in flight", () -> probes.get() > 0);
         assertTrue(call("DISABLE a").startsWith("YES"));
         disabled.countDown();
         Thread.sleep(300); // until everything in flight has arrived
         int before = jobs("a");
         for (int i = 0; i < 12; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         Thread.sleep(800);
         assertEquals(before, jobs("a"), "neither a job nor a probe");
@@ -392,9 +392,9 @@
         long drained = System.nanoTime();
         assertTrue(call("DRAIN").startsWith("YES"), "a second DRAIN changes nothing");
         assertTrue(call("READY").startsWith("NO drained"));
-        assertEquals(503, ask(HEALTH).status());
-        half.send(query("q3", "read", "4000m").substring(0, 40));
-        Message fresh = ask(query("q1", "read", "4000m"));
+        assertEquals(503, exchange(HEALTH).status());
+        half.send(requestText("q3", "read", "4000m").substring(0, 40));
+        Message fresh = exchange(requestText("q1", "read", "4000m"));
         assertEquals(200, fresh.status(), "new connections are still served for a moment");
         assertEquals("close", fresh.field("Connection"));
         assertTrue(idle.closed());
@@ -409,7 +409,7 @@
             Thread.sleep(700);
             assertEquals(
                     200,
-                    client.send(query("q4", "read", "4000m")).message().status(),
+                    client.send(requestText("q4", "read", "4000m")).message().status(),
                     "connections are kept open again");
         }
     }
@@ -430,7 +430,7 @@
         assertTrue(call("DRAIN").startsWith("YES"));
         assertTrue(idle.get(0).closed(), "connections are being closed");
         try (Peer late = Peer.connect(port);
-                Peer busy = Peer.connect(port).send(query("q1", "read", "4000m"))) {
+                Peer busy = Peer.connect(port).send(requestText("q1", "read", "4000m"))) {
             Program.await("the job is sent", () -> jobs("a") == 1);
             assertTrue(call("UNDRAIN").startsWith("YES"));
             assertTrue(call("READY").startsWith("YES"));
@@ -440,7 +440,7 @@
             Thread.sleep(
                     800); // an idle one would have been closed after 0.3 s, and all of them 1.6 s
             // after the first call
-            assertEquals(200, late.send(query("q2", "read", "4000m")).message().status());
+            assertEquals(200, late.send(requestText("q2", "read", "4000m")).message().status());
             assertEquals(200, busy.send(HEALTH).message().status());
             long again = System.nanoTime();
             assertTrue(call("DRAIN").startsWith("YES"));
@@ -454,7 +454,7 @@
     @Test
     void answersPendingRequestsWhenStoppedWhileDrained() throws Exception {
         startWithManagement(worker("a", SLOW));
-        Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
+        Peer client = Peer.connect(port).send(requestText("q1", "read", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
         call("DRAIN");
         program.terminate();
@@ -472,10 +472,10 @@
                         new Program(
                                 config(list(7, true), "\"mgmt\":\"" + address + "\","), "serve")) {
                     assertEquals(1, failing.exit(), address);
-                    assertEquals(1, failing.said().lines().count(), failing.said());
+                    assertEquals(1, failing.output().lines().count(), failing.output());
                     assertTrue(
-                            failing.said().startsWith("damsonslip: config: mgmt: "),
-                            failing.said());
+                            failing.output().startsWith("damsonslip: config: mgmt: "),
+                            failing.output());
                 }
             }
         }
--- a/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
+++ b/src/test/java/damsonslip/platform/DeparturesBeforeAnAttemptTest.java
@@ -25,7 +25,7 @@
     /**
      * Size in bytes of a request that mostly stays in the scheduler while its worker reads nothing.
      */
-    private static final int LARGE = 60_000;
+    private static final int LARGE_BODY_BYTES = 60_000;
 
     /**
      * The first attempt is rejected, and no worker is available for a retry until after the client
@@ -40,12 +40,12 @@
                         "a",
                         (peer, job) -> {
                             workerIsDraining.await();
-                            TURN_AWAY.on(peer, job);
+                            REJECT.on(peer, job);
                         });
-        startCounting(first);
-        Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        startWithConsole(first);
+        Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
-        news.add(list(8, false, first.replace("ready", "draining")));
+        listUpdates.add(list(8, false, first.replace("ready", "draining")));
         Program.await(
                 "the list has arrived",
                 () -> counts("list_updates", 2)); // the watch's first update, and this one
@@ -57,7 +57,7 @@
             client.close();
         }
         Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
-        news.add(list(9, false, worker("b", SERVE)));
+        listUpdates.add(list(9, false, worker("b", SERVE)));
         assertServedBy("b");
         assertEquals(1, jobs("a"));
     }
@@ -67,14 +67,15 @@
                 worker + " serves",
                 () -> {
                     try {
-                        return ask(query("n" + System.nanoTime(), "submit", "2000m")).status()
+                        return exchange(requestText("n" + System.nanoTime(), "submit", "2000m"))
+                                        .status()
                                 == 200;
                     } catch (IOException e) {
                         throw new AssertionError(e);
                     }
                 });
         assertTrue(
-                got.get(worker).stream()
+                receivedJobs.get(worker).stream()
                         .allMatch(job -> job.field("X-Correlation-Id").startsWith("n")),
                 "no other job");
     }
@@ -85,12 +86,12 @@
      */
     @Test
     void doesNotMigrateJobOfDisconnectedClient() throws Exception {
-        startCounting(worker("a", SAY_NOTHING));
-        Peer client = Peer.connect(port).send(query("q1", "read", "4000m"));
+        startWithConsole(worker("a", NO_RESPONSE));
+        Peer client = Peer.connect(port).send(requestText("q1", "read", "4000m"));
         Program.await("the job is sent", () -> jobs("a") == 1);
         client.close();
         Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
-        news.add(list(8, false, worker("b", SERVE)));
+        listUpdates.add(list(8, false, worker("b", SERVE)));
         Thread.sleep(500); // migration is checked every 0.1 s
         assertServedBy("b");
         assertEquals(1, jobs("a"));
@@ -102,11 +103,12 @@
      */
     @ParameterizedTest
     @EnumSource
-    void doesNotForwardHeldRequestOfDisconnectedClient(Leaving leaving) throws Exception {
-        for (Peer client : startHolding(ahead("more", 40))) {
+    void doesNotForwardHeldRequestOfDisconnectedClient(Disconnect leaving) throws Exception {
+        for (Peer client : startWithWaitingRequests(pipelinedRequests("more", 40))) {
             leaving.by(client);
         }
-        Program.await("the disconnects are noticed", () -> counts("queries_gone", HELD));
+        Program.await(
+                "the disconnects are noticed", () -> counts("queries_gone", WAITING_REQUESTS));
         assertNoneIsForwarded();
     }
 
@@ -116,18 +118,19 @@
      */
     @Test
     void rejectsWaitingClientThatFillsItsBuffer() throws Exception {
-        for (Peer client : startHolding("")) {
-            client.send(ahead("more", 600));
+        for (Peer client : startWithWaitingRequests("")) {
+            client.send(pipelinedRequests("more", 600));
         }
-        Program.await("all are rejected", () -> counts("queries_bad", HELD));
+        Program.await("all are rejected", () -> counts("queries_bad", WAITING_REQUESTS));
         assertNoneIsForwarded();
     }
 
     private void assertNoneIsForwarded() throws Exception {
-        room.countDown();
-        Program.await("the worker has capacity", () -> counts("executions_served", KEPT + 1));
-        assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
-        assertEquals(List.of(), heldAndSent());
+        memoryFreed.countDown();
+        Program.await(
+                "the worker has capacity", () -> counts("executions_served", IDLE_CONNECTIONS + 1));
+        assertEquals("r-last", exchange(requestText("last", "submit", "2000m")).body());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /**
@@ -141,10 +144,10 @@
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
                     entry("a", slow.getLocalPort(), "ready"));
-            Peer client = Peer.connect(port).send(large("q1", LARGE));
+            Peer client = Peer.connect(port).send(largeRequest("q1", LARGE_BODY_BYTES));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "the write has begun");
                 client.close();
@@ -152,7 +155,8 @@
                 worker.setSoTimeout(5_000);
                 int received =
                         worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(received < LARGE, "the request arrived completely: " + received);
+                assertTrue(
+                        received < LARGE_BODY_BYTES, "the request arrived completely: " + received);
             }
         }
     }
--- a/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
+++ b/src/test/java/damsonslip/platform/DiscoveryTroubleTest.java
@@ -97,16 +97,16 @@
         String b = worker("b", SERVE);
         startFaultyDiscovery(fault, list(9, true, b));
         start(a);
-        assertEquals("r-q1", ask(query("q1", "submit", "2000m")).body());
+        assertEquals("r-q1", exchange(requestText("q1", "submit", "2000m")).body());
         Thread.sleep(1_800);
         assertTrue(calls.get() >= 1 && calls.get() <= 5, calls + " calls in two seconds");
         assertEquals(1, mostOpen.get(), "one call at a time");
-        assertEquals("r-q2", ask(query("q2", "submit", "2000m")).body());
+        assertEquals("r-q2", exchange(requestText("q2", "submit", "2000m")).body());
         assertEquals(2, jobs("a"));
         List<String> newWatches = new ArrayList<>();
         discovery = discovery(List.of(list(9, true, b)), newWatches);
         program.reload(Files.readString(config(list(7, true, a))))
-                .awaitWord("reload: discovery is at");
+                .awaitOutput("reload: discovery is at");
         Program.await("the new list takes effect", () -> served("b"));
         int before = calls.get();
         Thread.sleep(1_000);
@@ -116,7 +116,8 @@
     private boolean served(String worker) {
         try {
             String id = "n" + System.nanoTime();
-            return ask(query(id, "submit", "2000m")).status() == 200 && got.get(worker).size() > 0;
+            return exchange(requestText(id, "submit", "2000m")).status() == 200
+                    && receivedJobs.get(worker).size() > 0;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -138,7 +139,7 @@
                         });
         startFaultyDiscovery(fault, "");
         start(a);
-        try (Peer client = Peer.connect(port).send(query("q1", "submit", "3000m"))) {
+        try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "3000m"))) {
             Program.await("the job is sent", () -> jobs("a") == 1);
             program.terminate();
             assertEquals("r-q1", client.message().body());
@@ -154,11 +155,11 @@
     void rejectsQueriesAtOnceWhileNoWorkerIsKnown() throws Exception {
         start();
         long before = System.nanoTime();
-        Message answer = ask(query("q1", "submit", "1500m"));
+        Message answer = exchange(requestText("q1", "submit", "1500m"));
         assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "answered by its deadline");
         assertEquals(503, answer.status());
         assertNotNull(answer.field("Retry-After"));
-        news.add(list(8, true, worker("a", SERVE)));
+        listUpdates.add(list(8, true, worker("a", SERVE)));
         Program.await("the list takes effect", () -> served("a"));
     }
 
@@ -174,14 +175,14 @@
         }
         start(old.toArray(String[]::new));
         long before = System.nanoTime();
-        int status = ask(query("q1", "read", "1500m")).status();
+        int status = exchange(requestText("q1", "read", "1500m")).status();
         assertTrue(status == 503 || status == 502 || status == 504, "answered with " + status);
         assertTrue(System.nanoTime() - before < DEADLINE_AND_MORE_NS, "answered by its deadline");
-        news.add(list(99, true, worker("a", SERVE)));
+        listUpdates.add(list(99, true, worker("a", SERVE)));
         Program.await("the list takes effect", () -> served("a"));
         int jobsBefore = jobs("a");
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "submit", "2000m")).status());
         }
         assertEquals(jobsBefore + 10, jobs("a"));
     }
@@ -204,14 +205,14 @@
         start(all.toArray(String[]::new));
         Program.await("a watch", () -> watches.size() == 1);
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
         }
         assertTrue(jobs("goes") > 0 && jobs("stays") > 0, "both halves are used");
-        news.add(list(8, true, half.toArray(String[]::new)));
+        listUpdates.add(list(8, true, half.toArray(String[]::new)));
         Thread.sleep(600);
         int before = jobs("goes");
         for (int i = 0; i < 40; i++) {
-            assertEquals(200, ask(query("r" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "submit", "2000m")).status());
         }
         assertEquals(before, jobs("goes"), "no job was sent to a removed worker");
     }
@@ -224,7 +225,7 @@
     void abandonsAndRetriesAListThatArrivesTooSlowly() throws Exception {
         String a = worker("a", SERVE);
         String b = worker("b", SERVE);
-        String news = list(9, true, b);
+        String listUpdate = list(9, true, b);
         discovery =
                 new Peer.Server(
                         0,
@@ -232,21 +233,23 @@
                             peer.message();
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                             if (calls.incrementAndGet() > 1) {
-                                peer.chunk(news);
+                                peer.chunk(listUpdate);
                                 Thread.sleep(30_000);
                             }
                             for (int i = 0;
-                                    i < news.length();
+                                    i < listUpdate.length();
                                     i++) { // at this rate the list would take minutes
-                                peer.send("1\r\n" + news.charAt(i) + "\r\n");
+                                peer.send("1\r\n" + listUpdate.charAt(i) + "\r\n");
                                 Thread.sleep(300);
                             }
                         });
         servers.add(discovery);
         start(a);
         assertEquals(
-                200, ask(query("q1", "submit", "2000m")).status(), "no query waits for the list");
-        program.awaitWord("it trickles");
+                200,
+                exchange(requestText("q1", "submit", "2000m")).status(),
+                "no query waits for the list");
+        program.awaitOutput("it trickles");
         Program.await("the list of the next call takes effect", () -> served("b"));
     }
 
@@ -285,7 +288,7 @@
         start(worker("a", SERVE));
         Program.await("the list takes effect", () -> served("b"));
         assertEquals(1, calls.get());
-        assertTrue(!program.said().contains("is over"), program.said());
+        assertTrue(!program.output().contains("is over"), program.output());
     }
 
     /**
@@ -302,14 +305,14 @@
             Thread.sleep(4_000);
             program.signal("CONT");
         }
-        ask(
-                query(
+        exchange(
+                requestText(
                         "q0", "submit",
                         "2000m")); // may have waited for up to 4 s while the process was stopped
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
         Thread.sleep(1_000);
         assertEquals(1, watches.size(), "the watch is still the same one");
-        assertTrue(!program.said().contains("it is silent"), program.said());
+        assertTrue(!program.output().contains("it is silent"), program.output());
     }
 
     /**
@@ -370,9 +373,9 @@
         servers.add(discovery);
         Path file = config(list(7, true, a));
         Files.writeString(file, Files.readString(file).replace("on_request", "pushed"));
-        program = new Program(file, "serve").awaitWord("listens on");
+        program = new Program(file, "serve").awaitOutput("listens on");
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("q" + i, "submit", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "submit", "2000m")).status());
         }
         Program.await("pushed changes take effect as well", () -> served("c"));
         assertEquals(0, jobs("a"));
--- a/src/test/java/damsonslip/platform/FaultStage.java
+++ b/src/test/java/damsonslip/platform/FaultStage.java
@@ -42,14 +42,16 @@
         environment.put("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console);
         configuration = config(list(7, true, entries));
         program =
-                new Program(configuration, environment, List.of(), "serve").awaitWord("listens on");
-        Program.await("the console counts a list update", () -> countsAny("list_updates"), program);
+                new Program(configuration, environment, List.of(), "serve")
+                        .awaitOutput("listens on");
+        Program.await(
+                "the console counts a list update", () -> hasCounter("list_updates"), program);
     }
 
     /** The status of the only request on a new connection, or the error. */
     private String outcome(String id) {
         try {
-            return Integer.toString(ask(query(id, "read", "4000m")).status());
+            return Integer.toString(exchange(requestText(id, "read", "4000m")).status());
         } catch (IOException | RuntimeException e) {
             return e.toString();
         }
--- a/src/test/java/damsonslip/platform/FleetMeasurement.java
+++ b/src/test/java/damsonslip/platform/FleetMeasurement.java
@@ -124,8 +124,8 @@
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                             int sent = 0;
                             for (int i = 0; true; i++) {
-                                if (news.size() > sent) {
-                                    peer.chunk(news.get(sent++));
+                                if (listUpdates.size() > sent) {
+                                    peer.chunk(listUpdates.get(sent++));
                                     notifiedNs.compareAndSet(number, 0, System.nanoTime());
                                 }
                                 if (i % 25 == 0) {
@@ -191,7 +191,7 @@
         int left = count;
         while (left > 0 && System.nanoTime() - before < START_TIMEOUT_NS) {
             for (int i = 0; i < count; i++) {
-                if (ready[i] == 0 && programs.get(i).said().contains("listens on")) {
+                if (ready[i] == 0 && programs.get(i).output().contains("listens on")) {
                     ready[i] = (System.nanoTime() - before) / 1e9;
                     left--;
                 }
@@ -201,7 +201,7 @@
         for (int i = 0; i < count && left > 0; i++) {
             if (ready[i] == 0) {
                 ready[i] = Double.POSITIVE_INFINITY;
-                System.out.println("never ready: " + programs.get(i).said());
+                System.out.println("never ready: " + programs.get(i).output());
             }
         }
         Arrays.sort(ready);
@@ -215,7 +215,7 @@
         int sockets = 0;
         Duration cpu = Duration.ZERO;
         for (Program each : programs.stream().filter(Program::isAlive).toList()) {
-            most = Math.max(most, each.mostResidentMb());
+            most = Math.max(most, each.peakResidentMb());
             sum += each.residentMb();
             threads = Math.max(threads, each.threads());
             sockets = Math.max(sockets, each.sockets());
@@ -258,7 +258,10 @@
             int status;
             try (Peer peer = Peer.connect(ports.get(number))) {
                 String lane = i % 2 == 0 ? "read" : "submit";
-                status = peer.send(query("c" + number + "-" + i, lane, "2000m")).message().status();
+                status =
+                        peer.send(requestText("c" + number + "-" + i, lane, "2000m"))
+                                .message()
+                                .status();
             } catch (IOException e) {
                 status = 0;
             }
@@ -288,7 +291,7 @@
         }
         clients.forEach(Thread::start);
         Thread.sleep(LOAD_MS / 2);
-        news.add(list(8, false, drainingEntries().toArray(String[]::new)));
+        listUpdates.add(list(8, false, drainingEntries().toArray(String[]::new)));
         Thread.sleep(LOAD_MS / 2);
         over = true;
         for (Thread each : clients) {
--- a/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
+++ b/src/test/java/damsonslip/platform/HalfReadRequestsTest.java
@@ -24,7 +24,7 @@
     @Test
     void evictsIdleConnectionsBeforePartialRequests() throws Exception {
         startWithFewDescriptors();
-        String request = query("q1", "read", "4000m");
+        String request = requestText("q1", "read", "4000m");
         Peer slow = Peer.connect(port).send(request.substring(0, request.length() / 2));
         Thread.sleep(100);
         List<Peer> idleConnections = new ArrayList<>();
@@ -55,7 +55,7 @@
     }
 
     private void startWithFewDescriptors() throws IOException {
-        startCounting(
+        startWithConsole(
                 file -> file.replace("\"sockets\":1024", "\"sockets\":" + SOCKETS),
                 worker("a", SERVE));
     }
--- a/src/test/java/damsonslip/platform/HeldUpCallsTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpCallsTest.java
@@ -49,7 +49,7 @@
                             SERVE.on(peer, job);
                         }));
         warmUp();
-        Peer kept = Peer.connect(port).send(query("kept", "read", TIME_LEFT_MS + "m"));
+        Peer kept = Peer.connect(port).send(requestText("kept", "read", TIME_LEFT_MS + "m"));
         assertEquals(200, kept.message().status());
         faults.hold(delayedCall, delayMs);
         Thread.sleep(
@@ -57,9 +57,9 @@
                         ? 2L * delayMs
                         : 0); // until a wait is being delayed
         sentNs.put("new", System.nanoTime());
-        Peer.connect(port).send(query("new", "read", TIME_LEFT_MS + "m"));
+        Peer.connect(port).send(requestText("new", "read", TIME_LEFT_MS + "m"));
         sentNs.put("again", System.nanoTime());
-        kept.send(query("again", "read", TIME_LEFT_MS + "m"));
+        kept.send(requestText("again", "read", TIME_LEFT_MS + "m"));
         Thread.sleep(delayMs / 2);
         faults.restore(delayedCall);
         Program.await("all were forwarded", () -> excess.size() == sentNs.size());
@@ -69,7 +69,8 @@
     /** Warms up the program, so that its initial slowness is not measured. */
     private void warmUp() throws IOException {
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("warm" + i, "read", TIME_LEFT_MS + "m")).status());
+            assertEquals(
+                    200, exchange(requestText("warm" + i, "read", TIME_LEFT_MS + "m")).status());
         }
     }
 
@@ -96,17 +97,23 @@
     void reportsNearlyAllTimeLeftWithoutDelays() throws Exception {
         startWithFaults(worker("a", SERVE));
         warmUp();
-        got.get("a").clear();
+        receivedJobs.get("a").clear();
         Thread.sleep(1_500);
         try (Peer client = Peer.connect(port)) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         200,
-                        client.send(query("q" + i, "read", TIME_LEFT_MS + "m")).message().status());
+                        client.send(requestText("q" + i, "read", TIME_LEFT_MS + "m"))
+                                .message()
+                                .status());
                 Thread.sleep(300);
             }
         }
-        long least = got.get("a").stream().mapToLong(HeldUpCallsTest::millis).min().orElseThrow();
+        long least =
+                receivedJobs.get("a").stream()
+                        .mapToLong(HeldUpCallsTest::millis)
+                        .min()
+                        .orElseThrow();
         assertTrue(least >= TIME_LEFT_MS - 100, "reported " + least + " ms of " + TIME_LEFT_MS);
     }
 
@@ -117,7 +124,7 @@
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(SystemCall.SOCKET_READ);
         assertFalse(
-                countsAny("executions_reset"),
+                hasCounter("executions_reset"),
                 "no interrupted read was taken for a reset by the worker");
     }
 
@@ -145,8 +152,8 @@
         faults.fail(call, error, 4);
         assertAllAnswered(outcomesOfNewConnections(CLIENTS));
         faults.restore(call);
-        assertFalse(countsAny("executions_reset"), "no connection to a worker was abandoned");
-        assertFalse(countsAny("queries_gone"), "no client was taken for disconnected");
+        assertFalse(hasCounter("executions_reset"), "no connection to a worker was abandoned");
+        assertFalse(hasCounter("queries_gone"), "no client was taken for disconnected");
     }
 
     /**
@@ -165,7 +172,7 @@
             try (Peer kept = Peer.connect(port)) {
                 for (int k = 0; k < 5; k++) {
                     int status =
-                            kept.send(query("k" + i + "-" + k, "read", TIME_LEFT_MS + "m"))
+                            kept.send(requestText("k" + i + "-" + k, "read", TIME_LEFT_MS + "m"))
                                     .message()
                                     .status();
                     assertTrue(status == 200 || status == 503, "status " + status);
--- a/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpDeparturesTest.java
@@ -48,16 +48,17 @@
      * Size in bytes of a request of which a part stays in the scheduler that could be written in
      * one go once the worker reads on.
      */
-    private static final int LARGE = 50_000;
+    private static final int LARGE_BODY_BYTES = 50_000;
 
     /** After so long everything sent to the stalled scheduler has arrived there, in order. */
     private static final long ARRIVES_MS = 60;
 
     /** Stalls the event loop in the iteration that applies a list. */
     private void stallLoop() {
-        program.readUntil("left out an entry");
-        news.add(list(8, false, Collections.nCopies(INVALID_ENTRIES, "{}").toArray(String[]::new)));
-        Program.await("the loop is stalled in the iteration", program::isUnread);
+        program.pauseReadingAfter("left out an entry");
+        listUpdates.add(
+                list(8, false, Collections.nCopies(INVALID_ENTRIES, "{}").toArray(String[]::new)));
+        Program.await("the loop is stalled in the iteration", program::isReadingPaused);
     }
 
     /** Lets the iteration continue, so late that no attempt may begin any more. */
@@ -68,8 +69,8 @@
 
     /** Lets the loop continue, and waits until it has handled everything from before this call. */
     private void resume() throws Exception {
-        program.readOn();
-        assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+        program.resumeReading();
+        assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Thread.sleep(SENT_MS);
     }
 
@@ -78,19 +79,19 @@
      * begins as soon as it is decided.
      */
     private void startWithLongIdleTimeout(String... entries) throws IOException {
-        startCounting(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
+        startWithConsole(file -> file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20"), entries);
     }
 
     private List<Peer> send(int count) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            clients.add(Peer.connect(port).send(query("q" + i, "read", "4500m")));
+            clients.add(Peer.connect(port).send(requestText("q" + i, "read", "4500m")));
         }
         return clients;
     }
 
     private void assertStillServes() throws IOException {
-        assertEquals("r-last", ask(query("last", "submit", "2000m")).body());
+        assertEquals("r-last", exchange(requestText("last", "submit", "2000m")).body());
     }
 
     /**
@@ -99,27 +100,27 @@
      */
     @ParameterizedTest
     @EnumSource
-    void doesNotBeginAttemptForHeldClientThatDisconnectedDuringIteration(Leaving leaving)
+    void doesNotBeginAttemptForHeldClientThatDisconnectedDuringIteration(Disconnect leaving)
             throws Exception {
-        List<Peer> clients = startHolding("");
+        List<Peer> clients = startWithWaitingRequests("");
         stallLoop();
-        room.countDown();
+        memoryFreed.countDown();
         Thread.sleep(ARRIVES_MS);
         for (Peer client : clients) {
             leaving.by(client);
         }
         resumeLate();
         assertStillServes();
-        assertEquals(List.of(), heldAndSent());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /** The query and the disconnect are found in the same iteration. */
     @ParameterizedTest
     @EnumSource
-    void doesNotBeginAttemptForClientThatCameAndLeftDuringIteration(Leaving leaving)
+    void doesNotBeginAttemptForClientThatCameAndLeftDuringIteration(Disconnect leaving)
             throws Exception {
         startWithLongIdleTimeout(worker("a", SERVE));
-        assertEquals(200, ask(query("first", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("first", "read", "2000m")).status());
         stallLoop();
         for (Peer client : send(5)) {
             leaving.by(client);
@@ -134,7 +135,7 @@
     void doesNotUseConnectionOpenedDuringIterationForDisconnectedClient() throws Exception {
         List<Message> late = new CopyOnWriteArrayList<>();
         try (LateServer worker = new LateServer()) {
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
             List<Peer> clients = send(1);
@@ -176,8 +177,8 @@
                 "both workers have a connection",
                 () -> {
                     try {
-                        ask(query("r" + System.nanoTime(), "read", "2000m"));
-                        ask(query("s" + System.nanoTime(), "submit", "2000m"));
+                        exchange(requestText("r" + System.nanoTime(), "read", "2000m"));
+                        exchange(requestText("s" + System.nanoTime(), "submit", "2000m"));
                         return jobs("a") > 0 && jobs("b") > 0;
                     } catch (IOException e) {
                         throw new AssertionError(e);
@@ -202,9 +203,9 @@
         startTwo(
                 (peer, job) -> {
                     held.await();
-                    TURN_AWAY.on(peer, job);
+                    REJECT.on(peer, job);
                 });
-        Peer client = Peer.connect(port).send(query("q0", "submit", "4500m"));
+        Peer client = Peer.connect(port).send(requestText("q0", "submit", "4500m"));
         Program.await("the job is sent", () -> attemptsOfQ0() == 1);
         stallLoop();
         held.countDown();
@@ -221,7 +222,7 @@
      */
     @Test
     void doesNotMigrateJobOfClientThatDisconnectedDuringIteration() throws Exception {
-        startTwo(SAY_NOTHING);
+        startTwo(NO_RESPONSE);
         Peer client = send(1).get(0);
         Program.await("the job is sent", () -> attemptsOfQ0() == 1);
         stallLoop();
@@ -247,7 +248,7 @@
                 (peer, message) -> {
                     if (waits.get()) {
                         asked.countDown();
-                        room.await();
+                        memoryFreed.await();
                     }
                     peer.send(
                             "HTTP/1.1 200 OK\r\nX-Backend-Load: TEXT x0=8, x1="
@@ -255,9 +256,9 @@
                                     + "\r\nContent-Length: 0\r\n\r\n");
                     probes.incrementAndGet();
                 };
-        startCounting(
+        startWithConsole(
                 file ->
-                        holding(file)
+                        longQueueWaits(file)
                                 .replace(
                                         "\"may_cancel\":true",
                                         "\"may_cancel\":true,\"may_probe\":true")
@@ -267,27 +268,27 @@
                 worker(
                         "a",
                         (peer, message) ->
-                                (message.first().startsWith("GET") ? probed : shortOfMemory)
+                                (message.first().startsWith("GET") ? probed : memoryLimited)
                                         .on(peer, message)));
         Program.await("the worker has reported that it has no memory", () -> probes.get() > 1);
         awaitDiscovery();
-        keepLinks();
-        Peer client = hold(1, "").get(0);
+        openIdleConnections();
+        Peer client = sendWaitingRequests(1, "").get(0);
         waits.set(true);
         assertTrue(asked.await(5, TimeUnit.SECONDS), "a probe is in flight");
         if (duringIteration) {
             stallLoop();
-            room.countDown();
+            memoryFreed.countDown();
             Thread.sleep(ARRIVES_MS);
             client.close();
             resumeLate();
         } else {
             client.close();
             Program.await("the disconnect is noticed", () -> counts("queries_gone", 1));
-            room.countDown();
+            memoryFreed.countDown();
         }
         assertStillServes();
-        assertEquals(List.of(), heldAndSent());
+        assertEquals(List.of(), forwardedWaitingIds());
     }
 
     /**
@@ -302,10 +303,10 @@
         try (ServerSocket slow = new ServerSocket()) {
             slow.setReceiveBufferSize(4 * 1024);
             slow.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            startCounting(
+            startWithConsole(
                     file -> file.replace("\"may_cancel\":true", "\"may_cancel\":" + mayCancel),
                     entry("a", slow.getLocalPort(), "ready"));
-            Peer client = Peer.connect(port).send(large("q0", LARGE));
+            Peer client = Peer.connect(port).send(largeRequest("q0", LARGE_BODY_BYTES));
             try (Socket worker = slow.accept()) {
                 assertTrue(worker.getInputStream().read() >= 0, "the write has begun");
                 stallLoop();
@@ -315,7 +316,8 @@
                 resume(); // at once, or the stalled request would be abandoned
                 received +=
                         worker.getInputStream().readAllBytes().length; // ends with the connection
-                assertTrue(received < LARGE, "the request arrived completely: " + received);
+                assertTrue(
+                        received < LARGE_BODY_BYTES, "the request arrived completely: " + received);
             }
         }
     }
--- a/src/test/java/damsonslip/platform/HeldUpStartTest.java
+++ b/src/test/java/damsonslip/platform/HeldUpStartTest.java
@@ -53,8 +53,8 @@
         program.signal("STOP");
         Thread.sleep(STALL_MS);
         program.signal("CONT");
-        program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "submit", "2000m")).status());
+        program.awaitOutput("listens on");
+        assertEquals(200, exchange(requestText("q1", "submit", "2000m")).status());
     }
 
     /**
@@ -69,7 +69,7 @@
         long leftMs = COUNTS_AND_GRACE_MS - (System.nanoTime() - begunNs) / 1_000_000;
         Thread.sleep(Math.max(0, leftMs)); // a program that listens later must reject as well
         for (int i = 0; i < 20; i++) {
-            assertEquals(503, ask(query("late" + i, "read", "1000m")).status());
+            assertEquals(503, exchange(requestText("late" + i, "read", "1000m")).status());
             Thread.sleep(100);
         }
         assertEquals(0, jobs("a"));
@@ -93,7 +93,7 @@
                         });
         servers.add(discovery);
         startWithLateConfiguration(TOO_LATE_CONFIGURATION_MS);
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
     }
 
     /**
@@ -112,7 +112,7 @@
             Thread.sleep(lateMs);
             configuration.write(text.getBytes(StandardCharsets.UTF_8));
         }
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         return begunNs;
     }
 }
--- a/src/test/java/damsonslip/platform/LargeListTest.java
+++ b/src/test/java/damsonslip/platform/LargeListTest.java
@@ -108,7 +108,7 @@
 
     private void serve(String lane, int count, String name) throws IOException {
         for (int i = 0; i < count; i++) {
-            assertEquals(200, ask(query(name + i, lane, "4000m")).status(), name + i);
+            assertEquals(200, exchange(requestText(name + i, lane, "4000m")).status(), name + i);
         }
     }
 
@@ -148,10 +148,10 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 DeployFile.jvmFlags(),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         long elapsedNs = System.nanoTime() - before;
         assertTrue(elapsedNs < READY_NS, "ready after " + elapsedNs / 1_000_000 + " ms");
-        assertTrue(program.said().contains(WORKERS + " workers known"), program.said());
+        assertTrue(program.output().contains(WORKERS + " workers known"), program.output());
         Program.await("a watch", () -> watches.size() == 1);
     }
 
@@ -163,7 +163,7 @@
     void servesFromAndDrainsElevenHundredWorkers() throws Exception {
         startWithLimits(FLEET);
         serve("read", 20, "kept");
-        news.add(completeList(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
+        listUpdates.add(completeList(8, goes, stays, goes.replace("\"goes\"", "\"more\"")));
         awaitTargets(WORKERS + 1);
         serve("submit", 20, "whole");
         serve("special", 20, "before");
@@ -171,7 +171,7 @@
                 jobs("goes") > 0 && jobs("stays") > 0,
                 "both workers serve the class that is bound to them");
         assertEquals(WORKERS + 2, console("workers").size(), "one line per worker and a header");
-        news.add(
+        listUpdates.add(
                 FleetConfig.indentedList(
                         9,
                         false,
@@ -196,13 +196,14 @@
         startWithLimits(FLEET);
         Program.await("the watch's first update", () -> counter("list_updates") == 1);
         for (int i = 0; i < COMPLETE_LISTS; i++) {
-            news.add(i % 2 == 0 ? completeList(8 + i, goes) : completeList(8 + i, goes, stays));
+            listUpdates.add(
+                    i % 2 == 0 ? completeList(8 + i, goes) : completeList(8 + i, goes, stays));
             serve("submit", 2, "list" + i + "-");
         }
         Program.await("all lists are applied", () -> counter("list_updates") == COMPLETE_LISTS + 1);
         awaitTargets(WORKERS);
-        assertFalse(program.said().contains("OutOfMemoryError"), program.said());
-        assertTrue(program.mostResidentMb() < MACHINE_MB, program.mostResidentMb() + " MB");
+        assertFalse(program.output().contains("OutOfMemoryError"), program.output());
+        assertTrue(program.peakResidentMb() < MACHINE_MB, program.peakResidentMb() + " MB");
         assertTrue(program.threads() < MAX_THREADS, program.threads() + " threads");
     }
 
--- a/src/test/java/damsonslip/platform/LastingFolderTest.java
+++ b/src/test/java/damsonslip/platform/LastingFolderTest.java
@@ -37,8 +37,8 @@
             throws Exception {
         faults.fail(call, error, 1);
         startWithManagement(worker("a", SERVE));
-        program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        program.awaitOutput("listens on");
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         assertTrue(call(mgmt, "READY").startsWith("YES"), "the management address answers");
         assertTrue(call(mgmt, "DISABLE a").startsWith("NO"), "nothing can be stored yet");
         faults.restore(call);
@@ -55,19 +55,19 @@
     @CsvSource({"FILE_OPEN,ENOSPC", "FILE_WRITE,ENOSPC", "FILE_SYNC,EIO", "RENAME,EIO"})
     void reportsFailureToStoreAChange(SystemCall call, Errno error) throws Exception {
         startWithManagement(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("commands are accepted", () -> call(mgmt, "READY").startsWith("YES"));
         faults.fail(call, error, 1);
         String answer = call(mgmt, "DISABLE a");
         assertTrue(answer.startsWith("NO"), answer);
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         faults.restore(call);
         answer = call(mgmt, "DISABLE a");
         assertTrue(answer.startsWith("YES"), answer);
         program.kill();
         program.exit();
         startWithManagement(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("took over the operators' bans");
+        program.awaitOutput("took over the operators' bans");
     }
 
     /**
@@ -77,7 +77,7 @@
     @Test
     void appliesChangeOfAnotherProcessAfterReadFailure() throws Exception {
         startWithManagement(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("commands are accepted", () -> call(mgmt, "READY").startsWith("YES"));
         assertTrue(call(mgmt, "DISABLE a").startsWith("YES"));
         Path bansFile = dir.resolve("damsonslip-bans");
@@ -91,7 +91,7 @@
                 bansFile,
                 StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
-        program.awaitWord("cannot be read");
+        program.awaitOutput("cannot be read");
         faults.restore(SystemCall.FILE_READ_OPEN);
         Program.await(
                 "the change of the other process takes effect",
@@ -103,9 +103,9 @@
     @Test
     void servesWhileDiskIsSlow() throws Exception {
         startWithManagement(worker("a", SERVE), worker("b", SERVE));
-        program.awaitWord("listens on");
+        program.awaitOutput("listens on");
         Program.await("commands are accepted", () -> call(mgmt, "READY").startsWith("YES"));
-        assertEquals(200, ask(query("q0", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q0", "read", "4000m")).status());
         faults.hold(SystemCall.FILE_SYNC, SLOW_SYNC_MS);
         long syncs = faults.calls(SystemCall.FILE_SYNC);
         try (Peer operator = Peer.connect(mgmt).send("DISABLE a\n")) {
@@ -114,7 +114,7 @@
                     () -> faults.calls(SystemCall.FILE_SYNC) > syncs,
                     program);
             long askedNs = System.nanoTime();
-            assertEquals(200, ask(query("q1", "read", "4000m")).status());
+            assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
             long tookMs = (System.nanoTime() - askedNs) / 1_000_000;
             assertTrue(tookMs < SLOW_SYNC_MS / 2, "answered after " + tookMs + " ms");
             assertTrue(operator.line().startsWith("NO"), "the change is not stored yet");
--- a/src/test/java/damsonslip/platform/LateDialsTest.java
+++ b/src/test/java/damsonslip/platform/LateDialsTest.java
@@ -51,12 +51,12 @@
     @Test
     void doesNotSendQueryWhoseClientDisconnectsWhileConnecting() throws Exception {
         try (LateServer worker = new LateServer()) {
-            startCounting(
+            startWithConsole(
                     file ->
                             file.replace("\"may_cancel\":true", "\"may_cancel\":false")
                                     .replace("\"dial_timeout_s\":0.25", "\"dial_timeout_s\":5"),
                     entry("a", worker.port(), "ready"));
-            Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"));
+            Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
             Program.await(
                     "a connection is being opened for it", () -> counts("executions_sent", 1));
             client.close();
@@ -67,7 +67,7 @@
             assertEquals(List.of(), received);
             assertEquals(
                     "r-q2",
-                    ask(query("q2", "submit", "2000m")).body(),
+                    exchange(requestText("q2", "submit", "2000m")).body(),
                     "the connection is used for another query");
         }
     }
@@ -94,8 +94,8 @@
                     file,
                     "\"semantics\":\"once\"",
                     "\"semantics\":\"by_key\",\"dedup_scope\":\"all\",\"window_s\":1.0");
-            program = new Program(file, "serve").awaitWord("listens on");
-            try (Peer client = Peer.connect(port).send(query("q1", "submit", "4000m"))) {
+            program = new Program(file, "serve").awaitOutput("listens on");
+            try (Peer client = Peer.connect(port).send(requestText("q1", "submit", "4000m"))) {
                 assertTrue(held.await(5, TimeUnit.SECONDS));
                 Thread.sleep(700); // a new connection is requested within 0.4 s
                 serve(worker);
@@ -119,12 +119,12 @@
                     new Program(
                                     configWithLongDialTimeout(list(7, true, worker("a", SERVE))),
                                     "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             discovery.close();
-            program.awaitWord("the watch on discovery is over");
+            program.awaitOutput("the watch on discovery is over");
             program.reload(configWithDiscoveryAt(next.port()));
-            program.awaitWord("reload: discovery is at");
+            program.awaitOutput("reload: discovery is at");
             Thread.sleep(800); // the module requests a watch within 0.6 s
             next.open(
                     peer -> {
@@ -158,11 +158,11 @@
                     new Program(
                                     configWithLongDialTimeout(list(7, true, worker("a", SERVE))),
                                     "serve")
-                            .awaitWord("listens on");
+                            .awaitOutput("listens on");
             Program.await("a watch", () -> watches.size() == 1);
             program.reload(configWithDiscoveryAt(next.port()));
-            program.awaitWord("reload: discovery is at");
-            news.add(list(50, false, worker("c", SERVE)));
+            program.awaitOutput("reload: discovery is at");
+            listUpdates.add(list(50, false, worker("c", SERVE)));
             Program.await("an update from the old address still takes effect", () -> served("c"));
             next.open(
                     peer -> {
@@ -180,7 +180,9 @@
     private boolean served(String worker) {
         try {
             for (String lane : List.of("read", "submit")) { // each class has a worker of its own
-                assertEquals(200, ask(query("n" + System.nanoTime(), lane, "2000m")).status());
+                assertEquals(
+                        200,
+                        exchange(requestText("n" + System.nanoTime(), lane, "2000m")).status());
             }
             return jobs(worker) > 0;
         } catch (IOException e) {
--- a/src/test/java/damsonslip/platform/LoadedStage.java
+++ b/src/test/java/damsonslip/platform/LoadedStage.java
@@ -57,8 +57,8 @@
                                 while (!over.get()) {
                                     try {
                                         int id = ids.incrementAndGet();
-                                        ask(
-                                                query(
+                                        exchange(
+                                                requestText(
                                                         "q" + id,
                                                         id % 2 == 0 ? "read" : "submit",
                                                         "2000m"));
@@ -84,7 +84,7 @@
     void startUnderLoad(String... entries) throws Exception {
         program =
                 new Program(configWithLongDialTimeout(list(7, true, entries)), "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
         Program.await("a watch", () -> watches.size() == 1);
         startLoad();
         Program.await("all workers are used", () -> last.size() == entries.length);
--- a/src/test/java/damsonslip/platform/LocalFailuresTest.java
+++ b/src/test/java/damsonslip/platform/LocalFailuresTest.java
@@ -58,7 +58,7 @@
     @Test
     void rejectsQueriesOnOldListWhileLocalSocketsFail() throws Exception {
         startWithFaults(worker("a", SERVE));
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         faults.fail(SystemCall.SOCKET, Errno.ENFILE, 1);
         discovery.endConnections(); // the watch ends, and a new one cannot be opened, though
         // discovery works
@@ -75,7 +75,7 @@
         AtomicBoolean busy = new AtomicBoolean();
         discovery = discoveryFailingWhile(busy::get);
         startWithFaults(worker("a", SERVE));
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         busy.set(true);
         faults.fail(SystemCall.EPOLL_CTL, Errno.ENOMEM, 1);
         long lostNs = System.nanoTime();
@@ -103,7 +103,7 @@
         program.reload(text);
         sendQueriesFor(signalNs, 2_500);
         faults.restore(SystemCall.FILE_READ_OPEN);
-        program.awaitWord("reload: discovery is at 127.0.0.1:" + busy.port());
+        program.awaitOutput("reload: discovery is at 127.0.0.1:" + busy.port());
         sendQueriesFor(signalNs, MOVED_AND_GRACE_MS);
         assertQueriesAreRejected();
     }
@@ -126,7 +126,8 @@
 
     private boolean isServed() {
         try {
-            return ask(query("again" + System.nanoTime(), "read", "1000m")).status() == 200;
+            return exchange(requestText("again" + System.nanoTime(), "read", "1000m")).status()
+                    == 200;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -139,14 +140,14 @@
     private void sendQueriesFor(long fromNs, long ms) throws IOException, InterruptedException {
         int before = jobs("a");
         while (System.nanoTime() - fromNs < ms * 1_000_000) {
-            ask(query("k" + System.nanoTime(), "read", "1000m"));
+            exchange(requestText("k" + System.nanoTime(), "read", "1000m"));
             Thread.sleep(200);
         }
         assertTrue(jobs("a") > before, "the worker was used until then");
     }
 
     private void assertQueriesAreRejected() throws IOException {
-        assertEquals(503, ask(query("late", "read", "1000m")).status());
+        assertEquals(503, exchange(requestText("late", "read", "1000m")).status());
         assertFalse(ids("a").contains("late"));
     }
 }
--- a/src/test/java/damsonslip/platform/PlatformStage.java
+++ b/src/test/java/damsonslip/platform/PlatformStage.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The real program between clients, workers and discovery that this test plays. */
+/** Base class of tests that run the program and play its clients, workers and discovery. */
 abstract class PlatformStage {
-    /** What a worker does with a job that has come in whole. */
+    /** How a worker handles a completely received job. */
     interface Work {
         void on(Peer peer, Message job) throws IOException, InterruptedException;
     }
@@ -43,25 +43,25 @@
                                     ",\"result\":\"r-"
                                             + job.field("X-Correlation-Id")
                                             + "\",\"load\":{\"x0\":3}"));
-    static final Work TURN_AWAY =
+    static final Work REJECT =
             (peer, job) ->
                     peer.send("HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n");
-    static final Work BREAK = (peer, job) -> peer.close();
-    static final Work SAY_NOTHING = (peer, job) -> Thread.sleep(30_000);
+    static final Work CLOSE_CONNECTION = (peer, job) -> peer.close();
+    static final Work NO_RESPONSE = (peer, job) -> Thread.sleep(30_000);
 
-    /** The bytes of a {@link #large} body. */
-    static final int LARGE = 44_000;
+    /** The body size of a {@link #largeRequest} in bytes. */
+    static final int LARGE_BODY_BYTES = 44_000;
 
     /**
-     * Links that {@link #keepLinks} keeps: fewer than a worker is sent at once of which nothing is
-     * known.
+     * Connections that {@link #openIdleConnections} opens: fewer than the jobs sent at once to a
+     * worker whose capacity is unknown.
      */
-    static final int KEPT = 3;
+    static final int IDLE_CONNECTIONS = 3;
 
-    static final int HELD = 4;
+    static final int WAITING_REQUESTS = 4;
 
-    /** The ways in which a client leaves. */
-    enum Leaving {
+    /** The ways in which a client disconnects. */
+    enum Disconnect {
         CLOSE {
             @Override
             void by(Peer client) throws IOException {
@@ -85,30 +85,30 @@
     }
 
     @TempDir Path dir;
-    final Map<String, List<Message>> got = new ConcurrentHashMap<>();
+    final Map<String, List<Message>> receivedJobs = new ConcurrentHashMap<>();
     final List<Peer.Server> servers = new ArrayList<>();
-    final List<String> news = new CopyOnWriteArrayList<>();
+    final List<String> listUpdates = new CopyOnWriteArrayList<>();
     final List<String> watches = new CopyOnWriteArrayList<>();
     final int port = Program.freePort();
     final int console = Program.freePort();
     private final List<Socket> dead = new ArrayList<>();
 
-    /** From then on a worker that is {@link #shortOfMemory} has some. */
-    final CountDownLatch room = new CountDownLatch(1);
+    /** Once open, a {@link #memoryLimited} worker reports free memory. */
+    final CountDownLatch memoryFreed = new CountDownLatch(1);
 
-    private final CountDownLatch together = new CountDownLatch(KEPT);
+    private final CountDownLatch together = new CountDownLatch(IDLE_CONNECTIONS);
 
-    /** Tells with its answers how much memory is free. */
-    final Work shortOfMemory =
+    /** Reports in its answers how much memory is free. */
+    final Work memoryLimited =
             (peer, job) -> {
                 String id = job.field("X-Correlation-Id");
                 peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                         .chunk(state(job, "started", ""));
-                if (id.startsWith("w")) { // each on a link of its own
+                if (id.startsWith("w")) { // each on its own connection
                     together.countDown();
                     together.await();
                 } else if (id.equals("gate")) {
-                    room.await();
+                    memoryFreed.await();
                 }
                 peer.chunk(
                                 state(
@@ -137,26 +137,26 @@
 
     @BeforeEach
     void discovery() throws IOException {
-        discovery = discovery(news, watches);
+        discovery = discovery(listUpdates, watches);
     }
 
-    Peer.Server discovery(List<String> news, List<String> watches) throws IOException {
+    Peer.Server discovery(List<String> listUpdates, List<String> watches) throws IOException {
         Peer.Server server =
                 new Peer.Server(
                         0,
                         peer -> {
                             Message asked = peer.message();
-                            int told = watches.isEmpty() ? 0 : news.size();
+                            int told = watches.isEmpty() ? 0 : listUpdates.size();
                             watches.add(asked.first());
                             peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                            if (told == news.size()) {
+                            if (told == listUpdates.size()) {
                                 peer.chunk(
                                         list(7, false)); // the first object holds what has changed,
                                 // be it nothing
                             }
                             for (int i = 1; true; i++) {
-                                while (news.size() > told) {
-                                    peer.chunk(news.get(told++));
+                                while (listUpdates.size() > told) {
+                                    peer.chunk(listUpdates.get(told++));
                                 }
                                 if (i % 50 == 0) {
                                     peer.chunk("");
@@ -168,7 +168,7 @@
         return server;
     }
 
-    /** Discovery that has no news, and fails all calls while this holds. */
+    /** Discovery without list updates that fails all calls while the condition holds. */
     Peer.Server discoveryFailingWhile(BooleanSupplier failing) throws IOException {
         Peer.Server server =
                 new Peer.Server(
@@ -190,7 +190,7 @@
         return server;
     }
 
-    /** What discovery does with a call that it does not get round to. */
+    /** How an overloaded discovery fails a call: 503 after two seconds. */
     static void failBusy(Peer peer) throws IOException, InterruptedException {
         peer.message();
         failCall(peer);
@@ -215,8 +215,8 @@
     }
 
     /**
-     * A port where nobody listens, nor will while the test runs: one that was free a moment ago may
-     * be taken.
+     * A port that refuses connections for the whole test. It stays bound, because a port that is
+     * merely free may be taken by another process.
      */
     int deadPort() throws IOException {
         Socket socket = new Socket();
@@ -225,9 +225,9 @@
         return socket.getLocalPort();
     }
 
-    /** A worker; gives its entry in discovery's list. */
+    /** Starts a worker and returns its entry for the endpoint list. */
     String worker(String id, Work work) throws IOException {
-        List<Message> jobs = got.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
+        List<Message> jobs = receivedJobs.computeIfAbsent(id, w -> new CopyOnWriteArrayList<>());
         Peer.Server server =
                 new Peer.Server(
                         0,
@@ -264,16 +264,16 @@
     }
 
     void start(String... entries) throws IOException {
-        program = new Program(config(list(7, true, entries)), "serve").awaitWord("listens on");
+        program = new Program(config(list(7, true, entries)), "serve").awaitOutput("listens on");
     }
 
-    /** The same with a console that tells its counters. */
-    void startCounting(String... entries) throws IOException {
-        startCounting(UnaryOperator.identity(), entries);
+    /** Starts the program with a console that reports its counters. */
+    void startWithConsole(String... entries) throws IOException {
+        startWithConsole(UnaryOperator.identity(), entries);
     }
 
-    /** The same with other settings. */
-    void startCounting(UnaryOperator<String> settings, String... entries) throws IOException {
+    /** Starts the program with a console and modified settings. */
+    void startWithConsole(UnaryOperator<String> settings, String... entries) throws IOException {
         Path file = config(list(7, true, entries));
         Files.writeString(file, settings.apply(Files.readString(file)));
         program =
@@ -282,16 +282,16 @@
                                 Map.of("DAMSONSLIP_CONSOLE", "127.0.0.1:" + console),
                                 List.of(),
                                 "serve")
-                        .awaitWord("listens on");
+                        .awaitOutput("listens on");
     }
 
-    /** Whether a counter stands at this figure; only after {@link #startCounting}. */
+    /** Whether a counter has this value; only after {@link #startWithConsole}. */
     boolean counts(String name, int figure) {
         return countsAs(name + " +" + figure);
     }
 
     /** Whether anything was counted under this name. */
-    boolean countsAny(String name) {
+    boolean hasCounter(String name) {
         return countsAs(name + " +[0-9]+");
     }
 
@@ -306,7 +306,7 @@
             }
             return false;
         } catch (IOException e) {
-            return false; // it listens a moment after the clients' door
+            return false; // the console starts to listen shortly after the client port
         }
     }
 
@@ -314,7 +314,7 @@
         return config(known, "");
     }
 
-    /** A configuration with more keys in front. */
+    /** A configuration with additional leading keys. */
     Path config(String known, String more) throws IOException {
         return Program.file(
                 dir,
@@ -344,7 +344,7 @@
                 + "\",\"value\":1}";
     }
 
-    static String query(String id, String lane, String timeLeft) {
+    static String requestText(String id, String lane, String timeLeft) {
         return "POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: "
                 + id
                 + "\r\nX-Service-Class: "
@@ -356,55 +356,60 @@
                 + "\r\nContent-Length: 4\r\n\r\nbody";
     }
 
-    /** A query that must run once, with so many bytes of a body. */
-    static String large(String id, int bytes) {
-        return query(id, "submit", "4000m")
+    /** A non-idempotent request with a body of this many bytes. */
+    static String largeRequest(String id, int bytes) {
+        return requestText(id, "submit", "4000m")
                 .replace(
                         "Content-Length: 4\r\n\r\nbody",
                         "Content-Length: " + bytes + "\r\n\r\n" + "x".repeat(bytes));
     }
 
     /**
-     * Settings by which nobody is turned away from the hold for being late, and links are kept
-     * throughout a test.
+     * Settings under which no waiting request is rejected as late and idle connections stay open
+     * for a whole test.
      */
-    static String holding(String file) {
+    static String longQueueWaits(String file) {
         return file.replace("\"conn_idle_s\":2", "\"conn_idle_s\":20")
                 .replace("\"aim_s\":0.5", "\"aim_s\":5")
                 .replace("\"once\"", "\"repeatable\"");
     }
 
     int freeMemory() {
-        return room.getCount() == 0 ? 99 : 0;
+        return memoryFreed.getCount() == 0 ? 99 : 0;
     }
 
     /**
-     * A start turns away what is beyond its share until it has heard discovery; only after {@link
-     * #startCounting}.
+     * Waits for the first endpoint list update: until then the program rejects requests beyond its
+     * quota. Only after {@link #startWithConsole}.
      */
     void awaitDiscovery() {
-        Program.await("it has heard discovery", () -> countsAny("list_updates"), program);
+        Program.await("it has heard discovery", () -> hasCounter("list_updates"), program);
     }
 
-    /** Has links kept to the worker, on which an attempt begins in the moment it is decided. */
-    void keepLinks() throws IOException {
+    /**
+     * Opens idle connections to the worker, on which an attempt starts as soon as it is decided.
+     */
+    void openIdleConnections() throws IOException {
         List<Peer> others = new ArrayList<>();
-        for (int i = 0; i < KEPT; i++) {
-            others.add(Peer.connect(port).send(query("w" + i, "submit", "2000m")));
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+            others.add(Peer.connect(port).send(requestText("w" + i, "submit", "2000m")));
         }
         for (Peer other : others) {
             assertEquals(200, other.message().status());
         }
     }
 
-    /** Clients whose queries wait for a worker's memory, and have sent this ahead. */
-    List<Peer> hold(int count, String ahead) throws IOException {
+    /**
+     * Connects clients whose requests wait for a worker's memory and are followed by these
+     * pipelined requests.
+     */
+    List<Peer> sendWaitingRequests(int count, String pipelined) throws IOException {
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String needy =
-                    query("q" + i, "submit", "4500m")
+            String request =
+                    requestText("q" + i, "submit", "4500m")
                             .replace("Host:", "X-Facts: memory=5\r\nHost:");
-            clients.add(Peer.connect(port).send(needy + ahead));
+            clients.add(Peer.connect(port).send(request + pipelined));
         }
         int before = (int) ids("a").stream().filter(Objects::nonNull).count(); // probes have none
         Program.await("all are taken", () -> counts("queries_taken", before + count));
@@ -413,51 +418,53 @@
     }
 
     /**
-     * The same, and the answer to a query that is out tells of memory as soon as there is {@link
-     * #room}.
+     * Starts the program with waiting requests and one request in flight, whose answer reports free
+     * memory once {@link #memoryFreed} opens.
      */
-    List<Peer> startHolding(String ahead) throws IOException {
-        startCounting(PlatformStage::holding, worker("a", shortOfMemory));
+    List<Peer> startWithWaitingRequests(String pipelined) throws IOException {
+        startWithConsole(PlatformStage::longQueueWaits, worker("a", memoryLimited));
         awaitDiscovery();
-        keepLinks();
-        Peer.connect(port).send(query("gate", "submit", "4500m"));
-        Program.await("one is out", () -> jobs("a") == KEPT + 1);
-        return hold(HELD, ahead);
+        openIdleConnections();
+        Peer.connect(port).send(requestText("gate", "submit", "4500m"));
+        Program.await("one is out", () -> jobs("a") == IDLE_CONNECTIONS + 1);
+        return sendWaitingRequests(WAITING_REQUESTS, pipelined);
     }
 
-    /** Those of them that the worker was sent. */
-    List<String> heldAndSent() {
+    /** The ids of the waiting requests that were forwarded to the worker. */
+    List<String> forwardedWaitingIds() {
         return ids("a").stream().filter(id -> id != null && id.startsWith("q")).toList();
     }
 
     List<String> ids(String worker) {
-        return got.get(worker).stream().map(message -> message.field("X-Correlation-Id")).toList();
+        return receivedJobs.get(worker).stream()
+                .map(message -> message.field("X-Correlation-Id"))
+                .toList();
     }
 
-    /** Queries sent ahead: none, about one buffer of them, and several. */
-    static String ahead(String id, int count) {
-        StringBuilder text = new StringBuilder(query(id, "read", "4000m"));
+    /** Pipelined requests: one, followed by this many more. */
+    static String pipelinedRequests(String id, int count) {
+        StringBuilder text = new StringBuilder(requestText(id, "read", "4000m"));
         for (int i = 0; i < count; i++) {
-            text.append(query(id + "-" + i, "read", "4000m"));
+            text.append(requestText(id + "-" + i, "read", "4000m"));
         }
         return text.toString();
     }
 
-    Message ask(String text) throws IOException {
+    Message exchange(String text) throws IOException {
         try (Peer client = Peer.connect(port)) {
             return client.send(text).message();
         }
     }
 
     int jobs(String... workers) {
-        return List.of(workers).stream().mapToInt(w -> got.get(w).size()).sum();
+        return List.of(workers).stream().mapToInt(w -> receivedJobs.get(w).size()).sum();
     }
 
     static String mgmt(int port) {
         return "\"mgmt\":\"127.0.0.1:" + port + "\",";
     }
 
-    /** The whole answer, which has to come within a second. */
+    /** Sends a line and returns the complete answer, which has to arrive within a second. */
     static String call(int port, String line) {
         long before = System.nanoTime();
         try (Peer caller = Peer.connect(port).send(line + "\n")) {
--- a/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
+++ b/src/test/java/damsonslip/platform/ReloadsWithDrainsTest.java
@@ -101,7 +101,7 @@
         Peer.Server newDiscovery = newDiscovery(first, list(3, true, draining(a), c));
         long sighupNs = System.nanoTime();
         reloadTo(newDiscovery.port());
-        news.add(list(8, false, a));
+        listUpdates.add(list(8, false, a));
         assertAppliedInTime(sighupNs);
     }
 
@@ -119,7 +119,7 @@
             Peer.Server newDiscovery =
                     newDiscovery(FirstCall.ANSWERS, list(3, true, draining(a), c));
             reloadTo(slow.port());
-            program.awaitWord("reload: discovery is at 127.0.0.1:" + slow.port());
+            program.awaitOutput("reload: discovery is at 127.0.0.1:" + slow.port());
             long sighupNs = System.nanoTime();
             reloadTo(newDiscovery.port());
             Program.await("the second address is called", () -> calls.get() == 1);
@@ -192,14 +192,14 @@
         String d = recordingWorker("d");
         startUnderLoad(a, b, c, d);
         long first = System.nanoTime();
-        news.add(list(9, true, c, d));
+        listUpdates.add(list(9, true, c, d));
         assertNoLongerUsed(first, "a", "b");
         long second = System.nanoTime();
-        news.add(list(4, true, a, b));
+        listUpdates.add(list(4, true, a, b));
         assertNoLongerUsed(second, "c", "d");
         assertUsed("a");
         long third = System.nanoTime();
-        news.add(list(5, false, draining(a), c));
+        listUpdates.add(list(5, false, draining(a), c));
         assertNoLongerUsed(third, "a");
         assertEquals(1, watches.size(), "all lists on one watch");
     }
--- a/src/test/java/damsonslip/platform/ShortageAtStartTest.java
+++ b/src/test/java/damsonslip/platform/ShortageAtStartTest.java
@@ -31,10 +31,10 @@
                         List.of(),
                         "serve");
         Thread.sleep(SHORTAGE_MS);
-        assertTrue(program.isAlive(), program.said());
+        assertTrue(program.isAlive(), program.output());
         faults.restore(SystemCall.SOCKET);
-        program.awaitWord("listens on");
-        assertEquals(200, ask(query("q1", "read", "4000m")).status());
+        program.awaitOutput("listens on");
+        assertEquals(200, exchange(requestText("q1", "read", "4000m")).status());
         Program.await(
                 "the management address listens",
                 () -> call(managementPort, "READY").startsWith("YES"),
--- a/src/test/java/damsonslip/platform/UpgradeTest.java
+++ b/src/test/java/damsonslip/platform/UpgradeTest.java
@@ -71,7 +71,8 @@
                                 try {
                                     client = client == null ? Peer.connect(port) : client;
                                     Message answer =
-                                            client.send(query(name + i, "read", "4000m")).message();
+                                            client.send(requestText(name + i, "read", "4000m"))
+                                                    .message();
                                     if (answer.status() != 200) {
                                         failures.add(
                                                 name
@@ -131,7 +132,9 @@
         };
         Program old = start(first, jvmFlags, dataLimitKb, workers);
         assertEquals(
-                200, ask(query("first", "read", "4000m")).status(), "it has heard from discovery");
+                200,
+                exchange(requestText("first", "read", "4000m")).status(),
+                "it has heard from discovery");
         List<String> failures = new java.util.concurrent.CopyOnWriteArrayList<>();
         AtomicInteger served = new AtomicInteger();
         boolean[] stop = new boolean[1];
@@ -146,7 +149,7 @@
         assertTrue(call(first, "READY").startsWith("YES"), "the old process serves until SIGTERM");
         old.terminate();
         assertEquals(143, old.exit(4));
-        assertTrue(old.said().contains("a successor serves"), old.said());
+        assertTrue(old.output().contains("a successor serves"), old.output());
         Thread.sleep(300);
         stop[0] = true;
         for (Thread client : clients) {
@@ -154,10 +157,10 @@
         }
         assertEquals(List.of(), failures);
         assertTrue(served.get() > 100, served + " served");
-        assertEquals(200, ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
+        assertEquals(200, exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").status());
         Program.await(
                 "the new process is the only one",
-                () -> next.said().contains("processes of this scheduler: 1"));
+                () -> next.output().contains("processes of this scheduler: 1"));
     }
 
     /**
@@ -183,7 +186,7 @@
                         });
         servers.add(busyDiscovery);
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("warm" + i, "read", "4000m")).status());
+            assertEquals(200, exchange(requestText("warm" + i, "read", "4000m")).status());
         }
         Path file = config(list(7, true, workers), mgmt(second));
         Files.writeString(
@@ -230,7 +233,7 @@
         Program.await("the second process is ready", () -> call(second, "READY").startsWith("YES"));
         Program.await(
                 "the old process knows of the second",
-                () -> old.said().contains("processes of this scheduler: 2"));
+                () -> old.output().contains("processes of this scheduler: 2"));
         List<Peer> burst = new ArrayList<>();
         try {
             int mostSockets = 0;
@@ -254,7 +257,8 @@
                     "an ordinary client is served once the burst is admitted or closed",
                     () -> {
                         try {
-                            return ask(query("q" + System.nanoTime(), "read", "2000m")).status()
+                            return exchange(requestText("q" + System.nanoTime(), "read", "2000m"))
+                                            .status()
                                     == 200;
                         } catch (IOException e) {
                             return false;
@@ -285,7 +289,7 @@
         assertEquals(200, idle.message().status());
         Peer asking = Peer.connect(port).send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
         assertEquals(200, asking.message().status());
-        Peer busy = Peer.connect(port).send(query("q1", "submit", "4000m"));
+        Peer busy = Peer.connect(port).send(requestText("q1", "submit", "4000m"));
         Program.await("it is sent", () -> jobs("a") == 1);
         start(second, a);
         old.terminate();
@@ -298,7 +302,7 @@
                 200); // it stops listening at SIGTERM; without a successor it would go on for 2.4 s
         for (int i = 0; i < 20; i++) {
             assertNull(
-                    ask("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
+                    exchange("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").field("Connection"),
                     "the new process takes all new connections");
         }
         assertEquals("r-q1", busy.message().body());
@@ -323,7 +327,7 @@
                 "the old process knows of the change",
                 () -> call(first, "STATS").contains("router.targets_disabled:2|g"));
         for (int i = 0; i < 20; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a", "b"));
         assertTrue(call(first, "ENABLE b").startsWith("YES"));
@@ -334,7 +338,7 @@
         old.exit(4);
         assertTrue(call(second, "DISABLE c").startsWith("YES"));
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("r" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("r" + i, "read", "2000m")).status());
         }
         assertEquals(0, jobs("a"));
         assertTrue(jobs("b") > 0, "b is enabled again by the call to the old process");
@@ -346,17 +350,17 @@
         Program old = start(first, a);
         try (Program failing = new Program(config(list(7, true, a), mgmt(first)), "serve")) {
             assertEquals(1, failing.exit(), "the management address is in use");
-            assertEquals(1, failing.said().lines().count(), failing.said());
+            assertEquals(1, failing.output().lines().count(), failing.output());
         }
-        assertEquals(200, ask(query("q1", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("q1", "read", "2000m")).status());
         old.terminate();
         Thread.sleep(300);
         assertEquals(
                 200,
-                ask(query("q2", "read", "2000m")).status(),
+                exchange(requestText("q2", "read", "2000m")).status(),
                 "without a successor the old process goes on listening");
         assertEquals(143, old.exit());
-        assertFalse(old.said().contains("a successor serves"), old.said());
+        assertFalse(old.output().contains("a successor serves"), old.output());
     }
 
     @Test
@@ -364,14 +368,15 @@
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next =
-                start(second, a).awaitWord("processes of this scheduler: 2, this one is number 1");
-        old.awaitWord("processes of this scheduler: 2, this one is number 0, a successor serves");
+                start(second, a)
+                        .awaitOutput("processes of this scheduler: 2, this one is number 1");
+        old.awaitOutput("processes of this scheduler: 2, this one is number 0, a successor serves");
         old.kill();
         Program.await(
                 "the new process knows that it is alone",
-                () -> next.said().contains("processes of this scheduler: 1"));
+                () -> next.output().contains("processes of this scheduler: 1"));
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
     }
 
@@ -384,17 +389,17 @@
         String a = worker("a", SERVE);
         Program old = start(first, a);
         Program next = start(second, a);
-        old.awaitWord("a successor serves");
+        old.awaitOutput("a successor serves");
         next.kill();
-        old.awaitWord("processes of this scheduler: 1");
+        old.awaitOutput("processes of this scheduler: 1");
         for (int i = 0; i < 10; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
         int third = Program.freePort();
         start(third, a);
         old.terminate();
         assertEquals(143, old.exit(3));
-        assertEquals(200, ask(query("last", "read", "2000m")).status());
+        assertEquals(200, exchange(requestText("last", "read", "2000m")).status());
         assertFalse(markExists(1), "the mark file of the dead process is removed");
     }
 
@@ -403,8 +408,8 @@
         String a = worker("a", SERVE);
         Program one = start(first, a);
         Program two = start(second, a);
-        one.reload(null).awaitWord("reload: discovery is at");
-        two.reload(null).awaitWord("reload: discovery is at");
+        one.reload(null).awaitOutput("reload: discovery is at");
+        two.reload(null).awaitOutput("reload: discovery is at");
         one.terminate();
         int third = Program.freePort();
         start(third, a);
@@ -412,7 +417,7 @@
         assertEquals(143, one.exit(4));
         assertEquals(143, two.exit(4));
         for (int i = 0; i < 5; i++) {
-            assertEquals(200, ask(query("q" + i, "read", "2000m")).status());
+            assertEquals(200, exchange(requestText("q" + i, "read", "2000m")).status());
         }
     }
 
@@ -427,12 +432,14 @@
             try (Program started = start(Program.freePort(), worker("a", SERVE))) {
                 assertEquals(
                         1,
-                        started.said()
+                        started.output()
                                 .lines()
                                 .filter(line -> line.contains("bans cannot be used"))
                                 .count(),
-                        started.said());
-                assertEquals(200, ask(query("q" + text.hashCode(), "read", "2000m")).status());
+                        started.output());
+                assertEquals(
+                        200,
+                        exchange(requestText("q" + text.hashCode(), "read", "2000m")).status());
             }
         }
         try (Stream<Path> files = Files.list(dir)) {
