--- a/src/test/java/damsonslip/platform/PlatformTest.java
+++ b/src/test/java/damsonslip/platform/PlatformTest.java
@@ -338,7 +338,7 @@
      * worker is sent anything.
      */
     @ParameterizedTest
-    @MethodSource("messagesThatCannotBeTrusted")
+    @MethodSource("untrustworthyMessages")
     void rejectsUntrustworthyMessageAndClosesConnection(String text, int status) throws Exception {
         start(worker("a", SERVE));
         long before = System.nanoTime();
